--- a/crates/model/src/clock.rs
+++ b/crates/model/src/clock.rs
@@ -25,13 +25,18 @@
 impl When {
     /// The present.
     pub fn present() -> When {
-        When { now: now(), day_ms: day_ms() }
+        When {
+            now: now(),
+            day_ms: day_ms(),
+        }
     }
 }
 
 /// Milliseconds of the time of day (only ever used for ordering and age).
 pub fn day_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64)
 }
 
 /// A span that has certainly passed on any other clock once it has passed
--- a/crates/model/src/finished.rs
+++ b/crates/model/src/finished.rs
@@ -14,7 +14,9 @@
 impl Bits {
     /// Whether `i` is in.
     pub fn has(&self, i: u32) -> bool {
-        self.words.get(i as usize / 64).is_some_and(|w| w >> (i % 64) & 1 == 1)
+        self.words
+            .get(i as usize / 64)
+            .is_some_and(|w| w >> (i % 64) & 1 == 1)
     }
     /// Puts `i` in; false if it was.
     pub fn add(&mut self, i: u32) -> bool {
@@ -48,13 +50,19 @@
     }
     /// The highest that is in.
     pub fn last(&self) -> Option<u32> {
-        let (index, word) = self.words.iter().enumerate().rfind(|(_, word)| **word != 0)?;
+        let (index, word) = self
+            .words
+            .iter()
+            .enumerate()
+            .rfind(|(_, word)| **word != 0)?;
         Some(index as u32 * 64 + 63 - word.leading_zeros())
     }
     /// All that are in, in order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.words.iter().enumerate().flat_map(|(w, &bits)| {
-            (0..64u32).filter(move |b| bits >> b & 1 == 1).map(move |b| w as u32 * 64 + b)
+            (0..64u32)
+                .filter(move |b| bits >> b & 1 == 1)
+                .map(move |b| w as u32 * 64 + b)
         })
     }
     /// The part from `from` on, `len` long, in hex digits of four tasks each.
@@ -139,12 +147,20 @@
 /// The chunks that cover `tasks` of a job that has `total`, with `per_chunk` each.
 pub fn chunks_covering(tasks: &[u32], total: u32, per_chunk: u32) -> Vec<ChunkRange> {
     if total <= per_chunk {
-        return vec![ChunkRange { chunk: Chunk::Numbered(0), first: 0, len: total }];
+        return vec![ChunkRange {
+            chunk: Chunk::Numbered(0),
+            first: 0,
+            len: total,
+        }];
     }
     let numbers: BTreeSet<u32> = tasks.iter().map(|task| task / per_chunk).collect();
     let range = |number: u32| {
         let first = number * per_chunk;
-        ChunkRange { chunk: Chunk::From(first), first, len: per_chunk.min(total - first) }
+        ChunkRange {
+            chunk: Chunk::From(first),
+            first,
+            len: per_chunk.min(total - first),
+        }
     };
     numbers.into_iter().map(range).collect()
 }
--- a/crates/model/src/wire.rs
+++ b/crates/model/src/wire.rs
@@ -23,7 +23,10 @@
     pub fn parse(text: &str) -> Option<Task> {
         let (job, index) = text.rsplit_once('/')?;
         valid_job_id(job).then_some(())?;
-        Some(Task { job: job.into(), index: index.parse().ok()? })
+        Some(Task {
+            job: job.into(),
+            index: index.parse().ok()?,
+        })
     }
 }
 
@@ -142,7 +145,11 @@
 
     /// What one task takes.
     pub fn ask(&self) -> Res {
-        Res { cpus: self.cpus, gpus: self.gpus, mem: self.mem_gb }
+        Res {
+            cpus: self.cpus,
+            gpus: self.gpus,
+            mem: self.mem_gb,
+        }
     }
 
     /// True for jobs whose tasks depend on where the others are.
@@ -153,16 +160,24 @@
     /// Whether the job's own wishes allow a machine of this type, zone and kind.
     pub fn allowed_on(&self, kind: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
-            && self.types.as_ref().is_none_or(|types| types.iter().any(|name| &**name == kind))
+            && self
+                .types
+                .as_ref()
+                .is_none_or(|types| types.iter().any(|name| &**name == kind))
             && self.zone.as_ref().is_none_or(|only| &**only == zone)
     }
 
     /// In how many zones there are machine types that a task fits.
     pub fn zones_that_fit(&self, catalog: &Catalog) -> usize {
         let types = catalog.types.iter().filter(|t| {
-            self.types.as_ref().is_none_or(|names| names.contains(&t.name)) && t.total().fits(&self.ask())
+            self.types
+                .as_ref()
+                .is_none_or(|names| names.contains(&t.name))
+                && t.total().fits(&self.ask())
         });
-        let zones = types.flat_map(|t| &t.zones).filter(|z| self.zone.as_ref().is_none_or(|only| only == *z));
+        let zones = types
+            .flat_map(|t| &t.zones)
+            .filter(|z| self.zone.as_ref().is_none_or(|only| only == *z));
         zones.collect::<BTreeSet<_>>().len()
     }
 
@@ -189,7 +204,9 @@
 impl Res {
     /// Whether `ask` fits into this.
     pub fn fits(&self, ask: &Res) -> bool {
-        ask.cpus <= self.cpus + SLACK && ask.gpus <= self.gpus + SLACK && ask.mem <= self.mem + SLACK
+        ask.cpus <= self.cpus + SLACK
+            && ask.gpus <= self.gpus + SLACK
+            && ask.mem <= self.mem + SLACK
     }
     /// Whether there is nothing of anything.
     pub fn is_empty(&self) -> bool {
@@ -210,7 +227,11 @@
     /// How many tasks of `ask` fit.
     pub fn count(&self, ask: &Res) -> u32 {
         let mut n = f64::from(MOST_TASKS);
-        for (have, want) in [(self.cpus, ask.cpus), (self.gpus, ask.gpus), (self.mem, ask.mem)] {
+        for (have, want) in [
+            (self.cpus, ask.cpus),
+            (self.gpus, ask.gpus),
+            (self.mem, ask.mem),
+        ] {
             if want > 0.0 {
                 n = n.min(((have + SLACK) / want).floor());
             }
@@ -388,7 +409,11 @@
 impl MachineType {
     /// All that a machine of this type has.
     pub fn total(&self) -> Res {
-        Res { cpus: self.cpus, gpus: self.gpus, mem: self.mem_gb }
+        Res {
+            cpus: self.cpus,
+            gpus: self.gpus,
+            mem: self.mem_gb,
+        }
     }
 }
 
--- a/crates/reconcile/src/caution.rs
+++ b/crates/reconcile/src/caution.rs
@@ -70,7 +70,10 @@
 impl Caution {
     /// Caution that has not begun.
     pub fn new(limits: CautionLimits) -> Caution {
-        Caution { limits, since: None }
+        Caution {
+            limits,
+            since: None,
+        }
     }
 
     /// A leader begins without knowledge of its own.
@@ -85,11 +88,17 @@
 
     /// Whether anything may be held back at all.
     pub fn is_on(&self, now: Secs) -> bool {
-        self.since.is_some_and(|since| now - since < self.limits.lease_s)
+        self.since
+            .is_some_and(|since| now - since < self.limits.lease_s)
     }
 
     /// Whether an action is held back, for `spec` if it is for a job, and why.
-    pub fn hold(&self, action: Action, spec: Option<&JobSpec>, at: Situation) -> Option<HoldReason> {
+    pub fn hold(
+        &self,
+        action: Action,
+        spec: Option<&JobSpec>,
+        at: Situation,
+    ) -> Option<HoldReason> {
         let since = self.since?;
         let age_s = at.now - since;
         if age_s >= self.limits.lease_s {
--- a/crates/reconcile/src/doubt.rs
+++ b/crates/reconcile/src/doubt.rs
@@ -39,7 +39,9 @@
 
     /// Whether a task of a job may be on a machine in doubt.
     pub fn may_hold(&self, spec: &JobSpec) -> bool {
-        self.by_class.keys().any(|class| spec.allowed_on(&class.kind, &class.zone, class.spot))
+        self.by_class
+            .keys()
+            .any(|class| spec.allowed_on(&class.kind, &class.zone, class.spot))
     }
 }
 
--- a/crates/reconcile/src/machine.rs
+++ b/crates/reconcile/src/machine.rs
@@ -70,23 +70,37 @@
     /// The state after an event.
     pub fn after(self, event: MachineEvent) -> Transition {
         match event {
-            MachineEvent::LeasePast => Transition { state: MachineState::LeasePast, ask: false },
-            MachineEvent::Report { first_contact, used, shows_token } => {
-                self.after_report(first_contact, used, shows_token)
-            }
+            MachineEvent::LeasePast => Transition {
+                state: MachineState::LeasePast,
+                ask: false,
+            },
+            MachineEvent::Report {
+                first_contact,
+                used,
+                shows_token,
+            } => self.after_report(first_contact, used, shows_token),
         }
     }
 
     fn after_report(self, first_contact: bool, used: bool, shows_token: bool) -> Transition {
         if shows_token {
-            return Transition { state: MachineState::Proven, ask: false };
+            return Transition {
+                state: MachineState::Proven,
+                ask: false,
+            };
         }
         // Guard: one thought to be past its lease has spoken after all. Whatever it
         // says may be old until it has seen the token.
         let surprising = first_contact && used;
         if self.is_certain() && !surprising {
-            return Transition { state: self, ask: false };
+            return Transition {
+                state: self,
+                ask: false,
+            };
+        }
+        Transition {
+            state: MachineState::Heard,
+            ask: true,
         }
-        Transition { state: MachineState::Heard, ask: true }
     }
 }
--- a/crates/reconcile/src/record.rs
+++ b/crates/reconcile/src/record.rs
@@ -94,7 +94,9 @@
     fn from(reason: StopReason) -> StopCause {
         match reason {
             StopReason::HeldElsewhere => StopCause::NotHeld,
-            StopReason::JobCancelled | StopReason::JobDone | StopReason::TaskFinished => StopCause::Over,
+            StopReason::JobCancelled | StopReason::JobDone | StopReason::TaskFinished => {
+                StopCause::Over
+            }
         }
     }
 }
@@ -224,14 +226,27 @@
         for state in machines {
             *by_state.entry(state).or_default() += 1;
         }
-        let verdicts = self.verdicts.iter().map(|(&verdict, &count)| VerdictCount { verdict, count });
-        let holds = self.holds.iter().map(|(&(action, reason), &count)| HoldCount { action, reason, count });
+        let verdicts = self
+            .verdicts
+            .iter()
+            .map(|(&verdict, &count)| VerdictCount { verdict, count });
+        let holds = self
+            .holds
+            .iter()
+            .map(|(&(action, reason), &count)| HoldCount {
+                action,
+                reason,
+                count,
+            });
         RecordView {
             arrival: self.arrival,
             epoch: self.epoch,
             age_s: self.age_s(now),
             certain_after_s: self.certain_at.map(|at| at - self.began),
-            machines: by_state.into_iter().map(|(state, count)| MachineCount { state, count }).collect(),
+            machines: by_state
+                .into_iter()
+                .map(|(state, count)| MachineCount { state, count })
+                .collect(),
             verdicts: verdicts.collect(),
             holds: holds.collect(),
             orders: self.orders.clone(),
--- a/crates/reconcile/src/stored.rs
+++ b/crates/reconcile/src/stored.rs
@@ -22,7 +22,10 @@
 impl StoredTask {
     /// Whether the task needs no more runs.
     pub fn needs_no_run(self) -> bool {
-        matches!(self, StoredTask::Finished | StoredTask::JobDone | StoredTask::JobCancelled)
+        matches!(
+            self,
+            StoredTask::Finished | StoredTask::JobDone | StoredTask::JobCancelled
+        )
     }
 }
 
--- a/crates/reconcile/src/verdict.rs
+++ b/crates/reconcile/src/verdict.rs
@@ -129,7 +129,9 @@
 pub fn judge(reported: ReportedTask, holding: Holding, stored: StoredTask, epoch: u64) -> Verdict {
     match (holding, reported.ended) {
         (Holding::Same, _) => Verdict::Known,
-        (Holding::Planned, None | Some(Ending::Done)) => Verdict::Adopt(AdoptReason::FoundWhilePlanned),
+        (Holding::Planned, None | Some(Ending::Done)) => {
+            Verdict::Adopt(AdoptReason::FoundWhilePlanned)
+        }
         (Holding::Elsewhere, None) => Verdict::Conflict(ConflictReason::RunsTwice),
         (Holding::Elsewhere, Some(Ending::Done)) if !stored.needs_no_run() => {
             Verdict::Conflict(ConflictReason::CompletedElsewhere)
@@ -173,7 +175,11 @@
 
 /// Whether a worker may forget a task now. A result is kept until it is committed,
 /// whoever holds what; the rest until its owner has let go of it.
-pub fn may_reap(reported: ReportedTask, holding: Holding, stored: StoredTask) -> Option<ReapReason> {
+pub fn may_reap(
+    reported: ReportedTask,
+    holding: Holding,
+    stored: StoredTask,
+) -> Option<ReapReason> {
     match reported.ended? {
         Ending::Done if stored.needs_no_run() => Some(ReapReason::EndCommitted),
         Ending::Other if holding != Holding::Same => Some(ReapReason::NothingToKeep),
--- a/crates/reconcile/tests/model.rs
+++ b/crates/reconcile/tests/model.rs
@@ -89,8 +89,16 @@
 
 impl World {
     fn doubtful(&self) -> DoubtfulMachines {
-        let in_doubt = self.machines.iter().zip(&self.owner.states).filter(|(_, state)| !state.is_certain());
-        let class = |zone: &str| MachineClass { kind: "k".into(), zone: zone.into(), spot: false };
+        let in_doubt = self
+            .machines
+            .iter()
+            .zip(&self.owner.states)
+            .filter(|(_, state)| !state.is_certain());
+        let class = |zone: &str| MachineClass {
+            kind: "k".into(),
+            zone: zone.into(),
+            spot: false,
+        };
         in_doubt.map(|(machine, _)| class(machine.zone)).collect()
     }
 
@@ -113,7 +121,10 @@
         self.owner.heard[id] |= shown >= mine;
         let transition = self.owner.states[id].after(event);
         self.owner.states[id] = transition.state;
-        assert!(!transition.ask || !transition.state.is_certain(), "asked although certain");
+        assert!(
+            !transition.ask || !transition.state.is_certain(),
+            "asked although certain"
+        );
         if !transition.state.is_certain() {
             return;
         }
@@ -137,12 +148,20 @@
             }
             let stops = must_stop(reported, holding).is_some()
                 || runs && holding == Holding::Same && stored.needs_no_run();
-            assert!(!stops || stored != StoredTask::Unfinished, "task {task} is healthy and was stopped");
+            assert!(
+                !stops || stored != StoredTask::Unfinished,
+                "task {task} is healthy and was stopped"
+            );
             let reaps = may_reap(reported, holding, stored).is_some();
-            assert!(!reaps || runs || stored.needs_no_run(), "the result of task {task} was forgotten");
+            assert!(
+                !reaps || runs || stored.needs_no_run(),
+                "the result of task {task} was forgotten"
+            );
         }
         // What is held here and no longer listed, is gone: the token proves it.
-        self.owner.held.retain(|task, (machine, _)| *machine != id || lines.contains_key(task));
+        self.owner
+            .held
+            .retain(|task, (machine, _)| *machine != id || lines.contains_key(task));
     }
 
     fn step(&mut self, step: &Step) {
@@ -197,7 +216,11 @@
                 self.owner.over[id] = true;
             }
             Step::Complete(n) => {
-                let running = self.machines.iter_mut().flat_map(|m| m.lines.values_mut()).filter(|l| l.1);
+                let running = self
+                    .machines
+                    .iter_mut()
+                    .flat_map(|m| m.lines.values_mut())
+                    .filter(|l| l.1);
                 if let Some(line) = running.into_iter().nth(n % 3) {
                     line.1 = false;
                 }
@@ -215,16 +238,27 @@
                 continue;
             }
             for machine in &self.machines {
-                assert!(!machine.lines.contains_key(&task), "task {task} is freed and is on a machine");
-                let may_come = machine.token <= OLD_TOKEN && machine.under_way.iter().any(|s| s.0 == task);
-                assert!(!may_come, "task {task} is freed, and an old start of it may still arrive");
+                assert!(
+                    !machine.lines.contains_key(&task),
+                    "task {task} is freed and is on a machine"
+                );
+                let may_come =
+                    machine.token <= OLD_TOKEN && machine.under_way.iter().any(|s| s.0 == task);
+                assert!(
+                    !may_come,
+                    "task {task} is freed, and an old start of it may still arrive"
+                );
             }
         }
     }
 }
 
 fn reported(attempt: u64, runs: bool) -> ReportedTask {
-    let state = if runs { TaskState::Running } else { TaskState::Ended };
+    let state = if runs {
+        TaskState::Running
+    } else {
+        TaskState::Ended
+    };
     ReportedTask::new(attempt, state, (!runs).then_some("done"))
 }
 
@@ -272,9 +306,13 @@
         }
         match place {
             0 | 1 => {
-                all[id].lines.insert(task, (attempt(EPOCH - 1, task as u64), true));
+                all[id]
+                    .lines
+                    .insert(task, (attempt(EPOCH - 1, task as u64), true));
             }
-            2 => all[id].under_way.push((task, attempt(EPOCH - 1, task as u64))),
+            2 => all[id]
+                .under_way
+                .push((task, attempt(EPOCH - 1, task as u64))),
             _ => {}
         }
     }
@@ -285,7 +323,12 @@
         results: BTreeSet::new(),
         over: vec![false; machines],
     };
-    World { tasks: truth, held_reports: vec![None; machines], machines: all, owner }
+    World {
+        tasks: truth,
+        held_reports: vec![None; machines],
+        machines: all,
+        owner,
+    }
 }
 
 proptest! {
--- a/crates/shares/src/handover.rs
+++ b/crates/shares/src/handover.rs
@@ -87,7 +87,12 @@
     /// To the giver: no more orders to these machines. It ends when it is no longer told.
     Fence { id: HandoverId, range: ShareRange },
     /// To the taker: go on from this, once the table of that generation is seen.
-    Take { id: HandoverId, range: ShareRange, generation: u64, machines: Vec<MachineKnowledge> },
+    Take {
+        id: HandoverId,
+        range: ShareRange,
+        generation: u64,
+        machines: Vec<MachineKnowledge>,
+    },
 }
 
 impl HandoverOrder {
@@ -183,12 +188,18 @@
     }
 
     fn in_state(&self, state: HandoverState) -> Vec<HandoverId> {
-        self.under_way.iter().filter(|(_, h)| h.state == state).map(|(id, _)| *id).collect()
+        self.under_way
+            .iter()
+            .filter(|(_, h)| h.state == state)
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Whether a range takes part in a handover.
     pub fn moves(&self, range: &ShareRange) -> bool {
-        self.under_way.values().any(|handover| handover.wanted.range.overlaps(range))
+        self.under_way
+            .values()
+            .any(|handover| handover.wanted.range.overlaps(range))
     }
 
     /// Begins a handover; false if part of the range is moving already.
@@ -218,20 +229,27 @@
         for (&id, handover) in &self.under_way {
             let wanted = &handover.wanted;
             match handover.state {
-                HandoverState::Offered if wanted.taker == node => orders.push(HandoverOrder::Offer { id }),
-                HandoverState::Committed if wanted.taker == node => orders.push(HandoverOrder::Take {
-                    id,
-                    range: wanted.range.clone(),
-                    generation: handover.committed,
-                    machines: handover.knowledge.clone(),
-                }),
+                HandoverState::Offered if wanted.taker == node => {
+                    orders.push(HandoverOrder::Offer { id })
+                }
+                HandoverState::Committed if wanted.taker == node => {
+                    orders.push(HandoverOrder::Take {
+                        id,
+                        range: wanted.range.clone(),
+                        generation: handover.committed,
+                        machines: handover.knowledge.clone(),
+                    })
+                }
                 HandoverState::Accepted
                 | HandoverState::Fenced
                 | HandoverState::Committing
                 | HandoverState::Committed
                     if wanted.giver == node =>
                 {
-                    orders.push(HandoverOrder::Fence { id, range: wanted.range.clone() });
+                    orders.push(HandoverOrder::Fence {
+                        id,
+                        range: wanted.range.clone(),
+                    });
                 }
                 _ => {}
             }
@@ -242,10 +260,22 @@
     /// Takes in what a controller says of its handovers.
     pub fn take_in(&mut self, node: &str, report: HandoverReport, now: Secs) {
         for id in report.accepted {
-            self.advance(id, HandoverState::Offered, HandoverState::Accepted, node, now);
+            self.advance(
+                id,
+                HandoverState::Offered,
+                HandoverState::Accepted,
+                node,
+                now,
+            );
         }
         for (id, knowledge) in report.fenced {
-            if self.advance(id, HandoverState::Accepted, HandoverState::Fenced, node, now) {
+            if self.advance(
+                id,
+                HandoverState::Accepted,
+                HandoverState::Fenced,
+                node,
+                now,
+            ) {
                 if let Some(handover) = self.under_way.get_mut(&id) {
                     handover.knowledge = knowledge;
                 }
@@ -280,8 +310,14 @@
         node: &str,
         now: Secs,
     ) -> bool {
-        let Some(handover) = self.under_way.get_mut(&id) else { return false };
-        let side = if to == HandoverState::Fenced { &handover.wanted.giver } else { &handover.wanted.taker };
+        let Some(handover) = self.under_way.get_mut(&id) else {
+            return false;
+        };
+        let side = if to == HandoverState::Fenced {
+            &handover.wanted.giver
+        } else {
+            &handover.wanted.taker
+        };
         if handover.state != from || side != node {
             return false;
         }
@@ -291,7 +327,9 @@
     }
 
     fn end(&mut self, id: HandoverId, how: HandoverEnd, now: Secs) {
-        let Some(handover) = self.under_way.remove(&id) else { return };
+        let Some(handover) = self.under_way.remove(&id) else {
+            return;
+        };
         *self.ended.entry(how).or_default() += 1;
         if how == HandoverEnd::Owned {
             self.machines_moved += handover.knowledge.len() as u64;
@@ -303,10 +341,15 @@
     /// carried out late.
     pub fn withdraw_stale(&mut self, patience: Secs, now: Secs) {
         let stale = |h: &Handover| {
-            matches!(h.state, HandoverState::Offered | HandoverState::Accepted) && now - h.since > patience
+            matches!(h.state, HandoverState::Offered | HandoverState::Accepted)
+                && now - h.since > patience
         };
-        let ids: Vec<HandoverId> =
-            self.under_way.iter().filter(|(_, h)| stale(h)).map(|(id, _)| *id).collect();
+        let ids: Vec<HandoverId> = self
+            .under_way
+            .iter()
+            .filter(|(_, h)| stale(h))
+            .map(|(id, _)| *id)
+            .collect();
         for id in ids {
             self.end(id, HandoverEnd::TimedOut, now);
         }
@@ -316,7 +359,9 @@
     /// the table still. The same one is given again until its outcome is known.
     pub fn to_write(&mut self, present: &ShareTable, now: Secs) -> Option<TableWrite> {
         if let Some(table) = &self.writing {
-            return Some(TableWrite { table: table.clone() });
+            return Some(TableWrite {
+                table: table.clone(),
+            });
         }
         let mut table = present.clone();
         let fenced = self.in_state(HandoverState::Fenced);
@@ -324,7 +369,9 @@
             return None;
         }
         for id in fenced {
-            let Some(handover) = self.under_way.get_mut(&id) else { continue };
+            let Some(handover) = self.under_way.get_mut(&id) else {
+                continue;
+            };
             table = table.moved(&handover.wanted.range, &handover.wanted.taker);
             handover.state = HandoverState::Committing;
             handover.since = now;
@@ -341,7 +388,11 @@
             return;
         }
         self.writing = None;
-        for handover in self.under_way.values_mut().filter(|h| h.state == HandoverState::Committing) {
+        for handover in self
+            .under_way
+            .values_mut()
+            .filter(|h| h.state == HandoverState::Committing)
+        {
             handover.state = HandoverState::Committed;
             handover.since = now;
             handover.committed = present.generation;
--- a/crates/shares/src/planner.rs
+++ b/crates/shares/src/planner.rs
@@ -100,8 +100,14 @@
         if self.budget < 1.0 {
             return None;
         }
-        let choices = [self.planned(fleet, handovers), self.drained(fleet, handovers)];
-        let choices = choices.into_iter().flatten().chain(self.balanced(fleet, handovers));
+        let choices = [
+            self.planned(fleet, handovers),
+            self.drained(fleet, handovers),
+        ];
+        let choices = choices
+            .into_iter()
+            .flatten()
+            .chain(self.balanced(fleet, handovers));
         let choices: Vec<Choice> = choices.collect();
         if choices.is_empty() {
             return None;
@@ -110,7 +116,10 @@
             let wanted = &choice.wanted;
             fleet.table.moved(&wanted.range, &wanted.taker).len() <= self.limits.most_shares
         };
-        let choice = choices.into_iter().find(fits).or_else(|| self.tidied(fleet, handovers))?;
+        let choice = choices
+            .into_iter()
+            .find(fits)
+            .or_else(|| self.tidied(fleet, handovers))?;
         self.budget -= 1.0;
         self.moved.push((choice.wanted.range.clone(), now));
         if let Some(planned) = choice.planned {
@@ -138,13 +147,26 @@
         };
         self.plan.moves.retain(possible);
         let most = self.limits.machines_per_move;
-        self.plan.moves.iter().enumerate().find_map(|(planned, wanted)| {
-            let most = wanted.machines.min(most);
-            let (range, machines) = run_of(&wanted.from, most, fleet, handovers, &[])?;
-            let (giver, taker) = (wanted.from.clone(), wanted.to.clone());
-            let wanted = WantedMove { range, giver, taker, reason: MoveReason::Plan };
-            Some(Choice { wanted, machines, planned: Some(planned) })
-        })
+        self.plan
+            .moves
+            .iter()
+            .enumerate()
+            .find_map(|(planned, wanted)| {
+                let most = wanted.machines.min(most);
+                let (range, machines) = run_of(&wanted.from, most, fleet, handovers, &[])?;
+                let (giver, taker) = (wanted.from.clone(), wanted.to.clone());
+                let wanted = WantedMove {
+                    range,
+                    giver,
+                    taker,
+                    reason: MoveReason::Plan,
+                };
+                Some(Choice {
+                    wanted,
+                    machines,
+                    planned: Some(planned),
+                })
+            })
     }
 
     /// A share of a controller that is to be emptied goes to whoever owns least, or to
@@ -153,14 +175,30 @@
         let counts = counts(fleet, handovers);
         let least = self.least(&counts)?;
         let (giver, (range, machines)) = self.plan.drain.iter().find_map(|giver| {
-            Some((giver, run_of(giver, self.limits.machines_per_move, fleet, handovers, &[])?))
+            Some((
+                giver,
+                run_of(giver, self.limits.machines_per_move, fleet, handovers, &[])?,
+            ))
         })?;
         let others = counts.keys().filter(|name| !self.plan.drain.contains(name));
-        let fits = |taker: &&String| fleet.table.moved(&range, taker).len() <= self.limits.most_shares;
-        let taker = Some(&least).filter(fits).or_else(|| others.clone().find(fits)).unwrap_or(&least);
+        let fits =
+            |taker: &&String| fleet.table.moved(&range, taker).len() <= self.limits.most_shares;
+        let taker = Some(&least)
+            .filter(fits)
+            .or_else(|| others.clone().find(fits))
+            .unwrap_or(&least);
         let (giver, taker) = (giver.clone(), taker.clone());
-        let wanted = WantedMove { range, giver, taker, reason: MoveReason::Drain };
-        Some(Choice { wanted, machines, planned: None })
+        let wanted = WantedMove {
+            range,
+            giver,
+            taker,
+            reason: MoveReason::Drain,
+        };
+        Some(Choice {
+            wanted,
+            machines,
+            planned: None,
+        })
     }
 
     /// The share with the fewest machines goes back to its home.
@@ -171,13 +209,28 @@
             live(home) && live(owner) && !self.plan.drain.contains(home) && !handovers.moves(range)
         });
         let machines_in = |range: &ShareRange| {
-            fleet.machines.iter().filter(|m| range.contains(&m.home, m.position)).count()
+            fleet
+                .machines
+                .iter()
+                .filter(|m| range.contains(&m.home, m.position))
+                .count()
         };
-        let smallest = can_go.map(|(range, owner)| (machines_in(range), range, owner)).min()?;
+        let smallest = can_go
+            .map(|(range, owner)| (machines_in(range), range, owner))
+            .min()?;
         let (machines, range, owner) = smallest;
         let (giver, taker) = (owner.to_string(), range.home.clone());
-        let wanted = WantedMove { range: range.clone(), giver, taker, reason: MoveReason::Tidy };
-        Some(Choice { wanted, machines, planned: None })
+        let wanted = WantedMove {
+            range: range.clone(),
+            giver,
+            taker,
+            reason: MoveReason::Tidy,
+        };
+        Some(Choice {
+            wanted,
+            machines,
+            planned: None,
+        })
     }
 
     /// A share of the controller that owns most goes to the one that owns least, if the
@@ -185,7 +238,9 @@
     fn balanced(&self, fleet: Fleet, handovers: &Handovers) -> Option<Choice> {
         let counts = counts(fleet, handovers);
         let taker = self.least(&counts)?;
-        let (giver, most) = counts.iter().max_by_key(|(name, count)| (**count, (*name).clone()))?;
+        let (giver, most) = counts
+            .iter()
+            .max_by_key(|(name, count)| (**count, (*name).clone()))?;
         let mean = counts.values().sum::<usize>() as f64 / counts.len() as f64;
         let difference = most.saturating_sub(counts[&taker]);
         // Guard: less than a whole move apart, machines would go there and back.
@@ -196,22 +251,38 @@
         let recent = self.moved.iter().map(|(range, _)| range);
         let resting: Vec<ShareRange> = recent.chain(&self.placed).cloned().collect();
         let (range, machines) = run_of(giver, machines, fleet, handovers, &resting)?;
-        let wanted = WantedMove { range, giver: giver.clone(), taker, reason: MoveReason::Balance };
-        Some(Choice { wanted, machines, planned: None })
+        let wanted = WantedMove {
+            range,
+            giver: giver.clone(),
+            taker,
+            reason: MoveReason::Balance,
+        };
+        Some(Choice {
+            wanted,
+            machines,
+            planned: None,
+        })
     }
 
     /// Who owns least, of those that are not to be emptied.
     fn least(&self, counts: &BTreeMap<String, usize>) -> Option<String> {
-        let stays = counts.iter().filter(|(name, _)| !self.plan.drain.contains(name));
-        stays.min_by_key(|(name, count)| (**count, (*name).clone())).map(|(name, _)| name.clone())
+        let stays = counts
+            .iter()
+            .filter(|(name, _)| !self.plan.drain.contains(name));
+        stays
+            .min_by_key(|(name, count)| (**count, (*name).clone()))
+            .map(|(name, _)| name.clone())
     }
 }
 
 /// How many machines each controller owns, or will once all handovers have ended.
 fn counts(fleet: Fleet, handovers: &Handovers) -> BTreeMap<String, usize> {
-    let mut counts: BTreeMap<String, usize> = fleet.members.iter().map(|name| (name.clone(), 0)).collect();
+    let mut counts: BTreeMap<String, usize> =
+        fleet.members.iter().map(|name| (name.clone(), 0)).collect();
     for machine in fleet.machines {
-        let moving = handovers.under_way().find(|h| h.wanted.range.contains(&machine.home, machine.position));
+        let moving = handovers
+            .under_way()
+            .find(|h| h.wanted.range.contains(&machine.home, machine.position));
         let owner = moving.map_or(&machine.owner, |h| &h.wanted.taker);
         if let Some(count) = counts.get_mut(owner) {
             *count += 1;
@@ -232,18 +303,30 @@
     let mut sorted: Vec<&OwnedMachine> = fleet.machines.iter().collect();
     sorted.sort();
     let stays = |machine: &OwnedMachine| {
-        let at = ShareRange { home: machine.home.clone(), first: machine.position, last: machine.position };
-        machine.owner != giver || handovers.moves(&at) || resting.iter().any(|range| range.overlaps(&at))
+        let at = ShareRange {
+            home: machine.home.clone(),
+            first: machine.position,
+            last: machine.position,
+        };
+        machine.owner != giver
+            || handovers.moves(&at)
+            || resting.iter().any(|range| range.overlaps(&at))
     };
     let mut best: Option<(ShareRange, usize)> = None;
     let mut run: Option<(ShareRange, usize)> = None;
     for (at, machine) in sorted.iter().enumerate() {
-        let extends = run.as_ref().is_some_and(|(range, count)| range.home == machine.home && *count < most);
+        let extends = run
+            .as_ref()
+            .is_some_and(|(range, count)| range.home == machine.home && *count < most);
         let (first, count) = match &run {
             Some((range, count)) if extends => (range.first, *count + 1),
             _ => (first_of(&sorted, at), 1),
         };
-        let range = ShareRange { home: machine.home.clone(), first, last: machine.position };
+        let range = ShareRange {
+            home: machine.home.clone(),
+            first,
+            last: machine.position,
+        };
         let whole = !stays(machine) && fleet.table.sole_owner(&range) == Some(giver);
         run = whole.then_some((range, count));
         if let Some((range, count)) = &run {
--- a/crates/shares/src/table.rs
+++ b/crates/shares/src/table.rs
@@ -20,7 +20,11 @@
 impl ShareRange {
     /// All machines of a home.
     pub fn whole(home: &str) -> ShareRange {
-        ShareRange { home: home.into(), first: 0, last: Position::MAX }
+        ShareRange {
+            home: home.into(),
+            first: 0,
+            last: Position::MAX,
+        }
     }
 
     /// Whether a machine of home `home` at `position` is in it.
@@ -79,8 +83,16 @@
     /// Who owns a machine of home `home`, if the table says so.
     pub fn owner(&self, home: &str, machine: &str) -> Option<&str> {
         let position = position(machine);
-        let from = ShareRange { home: home.into(), first: 0, last: 0 };
-        let to = ShareRange { home: home.into(), first: position, last: Position::MAX };
+        let from = ShareRange {
+            home: home.into(),
+            first: 0,
+            last: 0,
+        };
+        let to = ShareRange {
+            home: home.into(),
+            first: position,
+            last: Position::MAX,
+        };
         let (range, owner) = self.shares.range(from..=to).next_back()?;
         range.contains(home, position).then_some(owner)
     }
@@ -88,17 +100,24 @@
     /// The owner of a whole range, if a single one owns all of it: `home` where the table
     /// says nothing.
     pub fn sole_owner<'a>(&'a self, range: &'a ShareRange) -> Option<&'a str> {
-        let mut within = self.shares.iter().filter(|(share, _)| share.overlaps(range));
+        let mut within = self
+            .shares
+            .iter()
+            .filter(|(share, _)| share.overlaps(range));
         match within.next() {
             None => Some(&range.home),
-            Some((share, owner)) if share.first <= range.first && share.last >= range.last => Some(owner),
+            Some((share, owner)) if share.first <= range.first && share.last >= range.last => {
+                Some(owner)
+            }
             Some(_) => None,
         }
     }
 
     /// All shares, by home and position.
     pub fn shares(&self) -> impl Iterator<Item = (&ShareRange, &str)> {
-        self.shares.iter().map(|(range, owner)| (range, owner.as_str()))
+        self.shares
+            .iter()
+            .map(|(range, owner)| (range, owner.as_str()))
     }
 
     /// How many there are.
@@ -114,7 +133,10 @@
     /// The next table, in which `owner` owns a range. A home that owns a range of its own
     /// needs no share for it; neighbours with the same owner become one.
     pub fn moved(&self, range: &ShareRange, owner: &str) -> ShareTable {
-        let mut next = ShareTable { generation: self.generation + 1, shares: BTreeMap::new() };
+        let mut next = ShareTable {
+            generation: self.generation + 1,
+            shares: BTreeMap::new(),
+        };
         for (share, other) in &self.shares {
             for rest in without(share, range) {
                 next.shares.insert(rest, other.clone());
@@ -148,9 +170,17 @@
     pub fn stored(&self) -> StoredTable {
         let share = |(range, owner): (&ShareRange, &String)| {
             let hex = |position: Position| format!("{position:x}");
-            (range.home.clone(), hex(range.first), hex(range.last), owner.clone())
+            (
+                range.home.clone(),
+                hex(range.first),
+                hex(range.last),
+                owner.clone(),
+            )
         };
-        StoredTable { generation: self.generation, shares: self.shares.iter().map(share).collect() }
+        StoredTable {
+            generation: self.generation,
+            shares: self.shares.iter().map(share).collect(),
+        }
     }
 
     /// Reads a stored table. Shares that make no sense, or overlap, are left out: there the
@@ -158,18 +188,33 @@
     pub fn read(stored: &StoredTable) -> (ShareTable, Vec<ShareError>) {
         let (mut good, mut errors) = (Vec::new(), Vec::new());
         for (n, (home, first, last, owner)) in stored.shares.iter().enumerate() {
-            let ends = Position::from_str_radix(first, 16).ok().zip(Position::from_str_radix(last, 16).ok());
-            match ends.filter(|(first, last)| first <= last && !home.is_empty() && !owner.is_empty()) {
-                Some((first, last)) => {
-                    good.push((ShareRange { home: home.clone(), first, last }, owner.clone()))
-                }
+            let ends = Position::from_str_radix(first, 16)
+                .ok()
+                .zip(Position::from_str_radix(last, 16).ok());
+            match ends
+                .filter(|(first, last)| first <= last && !home.is_empty() && !owner.is_empty())
+            {
+                Some((first, last)) => good.push((
+                    ShareRange {
+                        home: home.clone(),
+                        first,
+                        last,
+                    },
+                    owner.clone(),
+                )),
                 None => errors.push(ShareError::NoRange(n)),
             }
         }
-        let mut table = ShareTable { generation: stored.generation, shares: BTreeMap::new() };
+        let mut table = ShareTable {
+            generation: stored.generation,
+            shares: BTreeMap::new(),
+        };
         for (n, (range, owner)) in good.iter().enumerate() {
             let others = good.iter().enumerate().filter(|(m, _)| *m != n);
-            match others.map(|(_, other)| &other.0).find(|other| other.overlaps(range)) {
+            match others
+                .map(|(_, other)| &other.0)
+                .find(|other| other.overlaps(range))
+            {
                 Some(other) => errors.push(ShareError::Overlap(range.clone(), other.clone())),
                 None => {
                     table.shares.insert(range.clone(), owner.clone());
@@ -187,10 +232,16 @@
     }
     let mut rest = Vec::new();
     if share.first < range.first {
-        rest.push(ShareRange { last: range.first - 1, ..share.clone() });
+        rest.push(ShareRange {
+            last: range.first - 1,
+            ..share.clone()
+        });
     }
     if share.last > range.last {
-        rest.push(ShareRange { first: range.last + 1, ..share.clone() });
+        rest.push(ShareRange {
+            first: range.last + 1,
+            ..share.clone()
+        });
     }
     rest
 }
--- a/crates/shares/tests/tables.rs
+++ b/crates/shares/tests/tables.rs
@@ -12,11 +12,17 @@
 const NODES: [&str; 3] = ["a", "b", "c"];
 
 fn range(home: &str, first: u64, last: u64) -> ShareRange {
-    ShareRange { home: home.into(), first, last }
+    ShareRange {
+        home: home.into(),
+        first,
+        last,
+    }
 }
 
 fn machines(n: usize) -> Vec<(String, String)> {
-    (0..n).map(|i| (format!("m-{i:04}"), NODES[i % 3].to_string())).collect()
+    (0..n)
+        .map(|i| (format!("m-{i:04}"), NODES[i % 3].to_string()))
+        .collect()
 }
 
 proptest! {
@@ -113,7 +119,10 @@
         ["c", "x", "1", "a"], ["", "0", "1", "a"], ["c", "0", "ffffffffffffffff", "a"]]}"#;
     let (table, errors) = ShareTable::read(&serde_json::from_str(text).expect("a table"));
     assert_eq!(table.generation, 7);
-    assert_eq!(table.shares().collect::<Vec<_>>(), [(&ShareRange::whole("c"), "a")]);
+    assert_eq!(
+        table.shares().collect::<Vec<_>>(),
+        [(&ShareRange::whole("c"), "a")]
+    );
     let (first, second) = (range("a", 0, 0xff), range("a", 0x80, 0x1ff));
     for error in [
         ShareError::NoRange(2),
@@ -129,14 +138,27 @@
 #[test]
 fn plans_that_make_no_sense_are_refused_whole() {
     let members: BTreeSet<String> = NODES.iter().map(ToString::to_string).collect();
-    let plan = |text: &str| serde_json::from_str::<Plan>(text).expect("a plan").check(&members);
+    let plan = |text: &str| {
+        serde_json::from_str::<Plan>(text)
+            .expect("a plan")
+            .check(&members)
+    };
     let text = |name: &str| name.to_string();
     let bad = [
-        (r#"{"drain": ["x"]}"#, PlanError::UnknownController(text("x"))),
+        (
+            r#"{"drain": ["x"]}"#,
+            PlanError::UnknownController(text("x")),
+        ),
         (r#"{"drain": ["a", "a"]}"#, PlanError::Twice(text("a"))),
         (r#"{"drain": ["a", "b", "c"]}"#, PlanError::NobodyLeft),
-        (r#"{"moves": [{"from": "a", "to": "y", "machines": 1}]}"#, PlanError::UnknownController(text("y"))),
-        (r#"{"moves": [{"from": "a", "to": "a", "machines": 1}]}"#, PlanError::ToItself(text("a"))),
+        (
+            r#"{"moves": [{"from": "a", "to": "y", "machines": 1}]}"#,
+            PlanError::UnknownController(text("y")),
+        ),
+        (
+            r#"{"moves": [{"from": "a", "to": "a", "machines": 1}]}"#,
+            PlanError::ToItself(text("a")),
+        ),
         (
             r#"{"moves": [{"from": "a", "to": "b", "machines": 0}]}"#,
             PlanError::NoMachines(text("a"), text("b")),
@@ -150,8 +172,14 @@
         assert_eq!(plan(text), Err(error.clone()), "{text}");
         assert_eq!(error.to_string().lines().count(), 1);
     }
-    assert_eq!(plan(r#"{"drain": ["a"], "moves": [{"from": "a", "to": "b", "machines": 3}]}"#), Ok(()));
-    assert!(serde_json::from_str::<Plan>(r#"{"dreain": ["a"]}"#).is_err(), "an unknown field");
+    assert_eq!(
+        plan(r#"{"drain": ["a"], "moves": [{"from": "a", "to": "b", "machines": 3}]}"#),
+        Ok(())
+    );
+    assert!(
+        serde_json::from_str::<Plan>(r#"{"dreain": ["a"]}"#).is_err(),
+        "an unknown field"
+    );
 }
 
 /// Foreign, late and repeated messages move no handover.
@@ -194,8 +222,15 @@
     all.take_in("a", report(&[], &[], &[1]), 103.0);
     assert_eq!(state(&all).as_deref(), Some("Committed"));
     all.take_in("b", report(&[], &[], &[1]), 103.0);
-    assert_eq!(state(&all).as_deref(), Some("Committed"), "its giver has not let go yet");
-    let released = HandoverReport { released: vec![1], ..HandoverReport::default() };
+    assert_eq!(
+        state(&all).as_deref(),
+        Some("Committed"),
+        "its giver has not let go yet"
+    );
+    let released = HandoverReport {
+        released: vec![1],
+        ..HandoverReport::default()
+    };
     all.take_in("b", released.clone(), 104.0);
     assert!(state(&all).is_some());
     all.take_in("a", released, 104.0);
--- a/src/assignment/choice.rs
+++ b/src/assignment/choice.rs
@@ -20,17 +20,26 @@
         capacity: &mut FreeCapacity,
         mirror: &Mirror,
     ) -> Assignment {
-        let Some(e) = self.jobs.get(id) else { return Vec::new() };
+        let Some(e) = self.jobs.get(id) else {
+            return Vec::new();
+        };
         let spec = e.spec.clone();
         if !e.unknown.is_empty() || e.leaving {
             return Vec::new();
         }
-        let Some(room) = self.zone_room(e, capacity, mirror) else { return Vec::new() };
+        let Some(room) = self.zone_room(e, capacity, mirror) else {
+            return Vec::new();
+        };
         // The roomiest part that can take them all; else the one that takes
         // the most.
-        let Some((part, chosen)) =
-            roomiest_for(request, free.len(), capacity, &room, spec.one_zone, &self.names)
-        else {
+        let Some((part, chosen)) = roomiest_for(
+            request,
+            free.len(),
+            capacity,
+            &room,
+            spec.one_zone,
+            &self.names,
+        ) else {
             return Vec::new();
         };
         // No part has room where the image is for all of a job in a hurry:
@@ -47,7 +56,8 @@
         // zone has room for: then several parts share it.
         if spec.one_zone && chosen.len() < free.len() {
             let spread = capacity.try_place(request, free.len(), None, &room, true);
-            if spread.len() > chosen.len() && (spread.len() == free.len() || !e.assigned.is_empty()) {
+            if spread.len() > chosen.len() && (spread.len() == free.len() || !e.assigned.is_empty())
+            {
                 return self.assign_over_parts(id, request, &spread, free, capacity);
             }
         }
@@ -62,8 +72,12 @@
         // Guard: a job for one zone is told which. Left to choose, the part began
         // it where only some of its tasks had room.
         let into: BTreeSet<u32> = chosen.iter().map(|&s| capacity.slots[s].zone).collect();
-        let told = room.iter().filter(|(z, _)| !spec.one_zone || into.contains(z));
-        let told = told.map(|(z, n)| (self.names.name(*z).clone(), *n)).collect();
+        let told = room
+            .iter()
+            .filter(|(z, _)| !spec.one_zone || into.contains(z));
+        let told = told
+            .map(|(z, n)| (self.names.name(*z).clone(), *n))
+            .collect();
         if let Some(e) = self.jobs.get_mut(id) {
             e.room = [(part.clone(), told)].into_iter().collect();
         }
@@ -85,7 +99,14 @@
         }
         let zones: BTreeSet<u32> = capacity.slots.iter().map(|s| s.zone).collect();
         let allowed = |z: &u32| !e.spec.one_zone || counts.is_empty() || counts.contains_key(z);
-        let left = |z: u32| (z, e.spec.zone_cap().saturating_sub(counts.get(&z).copied().unwrap_or(0)));
+        let left = |z: u32| {
+            (
+                z,
+                e.spec
+                    .zone_cap()
+                    .saturating_sub(counts.get(&z).copied().unwrap_or(0)),
+            )
+        };
         Some(zones.into_iter().filter(allowed).map(left).collect())
     }
 
@@ -94,7 +115,9 @@
     pub(super) fn zones_of(&self, id: &JobId, mirror: &Mirror) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
         let bound = |e: &&JobEntry| (e.spec.one_zone || e.spec.scatter) && !e.leaving;
-        let Some(e) = self.jobs.get(id).filter(bound) else { return zones };
+        let Some(e) = self.jobs.get(id).filter(bound) else {
+            return zones;
+        };
         for d in e.assigned.values() {
             let record = d.machine.as_ref().and_then(|m| mirror.roster.get(m));
             if let Some((r, _)) = record {
@@ -116,7 +139,9 @@
         now: Secs,
     ) {
         let patience = BEGIN_WITHIN_S / 6.0;
-        let Some(e) = self.jobs.get_mut(id) else { return };
+        let Some(e) = self.jobs.get_mut(id) else {
+            return;
+        };
         if !stuck || e.assigned.is_empty() {
             e.stuck_since = None;
             e.leaving = false;
@@ -148,7 +173,9 @@
         free: &[u32],
         capacity: &mut FreeCapacity,
     ) -> Assignment {
-        let Some(e) = self.jobs.get_mut(id) else { return Vec::new() };
+        let Some(e) = self.jobs.get_mut(id) else {
+            return Vec::new();
+        };
         let mut out: BTreeMap<Arc<str>, Vec<u32>> = BTreeMap::new();
         e.room.clear();
         for (&slot, &index) in chosen.iter().zip(free) {
@@ -181,7 +208,11 @@
     parts.sort_by(|a, b| names.name(*a).cmp(names.name(*b)));
     for part in parts {
         let chosen = capacity.try_place(request, n, Some(part), room, one_zone);
-        let key = (chosen.len(), capacity.warm(request, &chosen), capacity.total(part));
+        let key = (
+            chosen.len(),
+            capacity.warm(request, &chosen),
+            capacity.total(part),
+        );
         if !chosen.is_empty() && best.as_ref().is_none_or(|b| key > (b.0, b.1, b.2)) {
             best = Some((key.0, key.1, key.2, part, chosen));
         }
@@ -197,7 +228,8 @@
 ) -> Assignment {
     let zones: BTreeSet<u32> = capacity.slots.iter().map(|s| s.zone).collect();
     let all: Vec<(u32, u32)> = zones.into_iter().map(|z| (z, u32::MAX)).collect();
-    let Some((part, chosen)) = roomiest_for(request, free.len(), capacity, &all, false, names) else {
+    let Some((part, chosen)) = roomiest_for(request, free.len(), capacity, &all, false, names)
+    else {
         return Vec::new();
     };
     for &slot in &chosen {
@@ -218,7 +250,9 @@
     let mut left = free.iter();
     let mut next = left.next();
     while let Some(&index) = next {
-        let Some(part) = capacity.roomiest(&full, names) else { break };
+        let Some(part) = capacity.roomiest(&full, names) else {
+            break;
+        };
         match capacity.best(request, Some(part), None) {
             Some(slot) => {
                 capacity.take(slot, &request.ask);
--- a/src/assignment/failures.rs
+++ b/src/assignment/failures.rs
@@ -77,7 +77,11 @@
 
     /// Machines on which its tasks are not tried again for now.
     pub fn avoided(&self) -> &[MachineId] {
-        let most = if self.suspected() { AVOIDED_BY_SUSPECTED_JOB } else { MOST_AVOIDED };
+        let most = if self.suspected() {
+            AVOIDED_BY_SUSPECTED_JOB
+        } else {
+            MOST_AVOIDED
+        };
         &self.machines[self.machines.len().saturating_sub(most)..]
     }
 }
@@ -135,7 +139,10 @@
                 (any >= JOBS_OF_SUSPECTED_MACHINE).then_some(MachineFault::Suspected)
             }
         };
-        self.failed_on.iter().filter_map(|(machine, jobs)| Some((machine.clone(), fault(jobs)?))).collect()
+        self.failed_on
+            .iter()
+            .filter_map(|(machine, jobs)| Some((machine.clone(), fault(jobs)?)))
+            .collect()
     }
 
     fn evidence(&self, job: &JobId, mirror: &Mirror) -> Evidence {
@@ -150,7 +157,8 @@
 
     /// Notes which machines failures speak against; they get no new tasks.
     pub fn close_faulty(&mut self, mirror: &Mirror) -> BTreeMap<MachineId, MachineFault> {
-        self.failed_on.retain(|machine, _| mirror.roster.contains_key(machine));
+        self.failed_on
+            .retain(|machine, _| mirror.roster.contains_key(machine));
         let faults = self.machine_faults(mirror);
         self.faulty = faults.keys().cloned().collect();
         faults
--- a/src/assignment/finishes.rs
+++ b/src/assignment/finishes.rs
@@ -29,19 +29,27 @@
             .map(|m| &m.view.id)
             .collect();
         for (id, e) in &mut self.jobs {
-            let Some(job) = mirror.jobs.get(id).filter(|j| j.live()) else { continue };
+            let Some(job) = mirror.jobs.get(id).filter(|j| j.live()) else {
+                continue;
+            };
             if e.committing || e.finishing.is_empty() || now < e.retry_after {
                 continue;
             }
             let before = job.finished.len();
             if before + e.finishing.len() >= e.spec.tasks {
                 e.committing = true;
-                out.push(Finish { job: id.clone(), tasks: e.finishing.iter().collect() });
+                out.push(Finish {
+                    job: id.clone(),
+                    tasks: e.finishing.iter().collect(),
+                });
                 continue;
             }
             let pressing = !leaving.is_empty()
                 && e.finishing.iter().any(|i| {
-                    e.assigned.get(&i).and_then(|d| d.machine.as_ref()).is_some_and(|m| leaving.contains(m))
+                    e.assigned
+                        .get(&i)
+                        .and_then(|d| d.machine.as_ref())
+                        .is_some_and(|m| leaving.contains(m))
                 });
             if pressing || now >= e.commit_after {
                 some.push((!pressing, e.commit_after, id.clone()));
@@ -51,7 +59,10 @@
         for (_, _, id) in some.into_iter().take(room.saturating_sub(out.len())) {
             if let Some(e) = self.jobs.get_mut(&id) {
                 e.committing = true;
-                out.push(Finish { job: id, tasks: e.finishing.iter().collect() });
+                out.push(Finish {
+                    job: id,
+                    tasks: e.finishing.iter().collect(),
+                });
             }
         }
         out
@@ -72,5 +83,8 @@
 /// cancelled, which a part may hear later than the leader. Its last task's end,
 /// reported in between, made a job done that its user had been told is cancelled.
 pub(super) fn wanted(mirror: &Mirror, task: &Task) -> bool {
-    mirror.jobs.get(&task.job).is_some_and(|j| j.live() && !j.finished.has(task.index))
+    mirror
+        .jobs
+        .get(&task.job)
+        .is_some_and(|j| j.live() && !j.finished.has(task.index))
 }
--- a/src/assignment/gang.rs
+++ b/src/assignment/gang.rs
@@ -42,7 +42,13 @@
 impl Attempt {
     /// An attempt that begins.
     pub fn begun(number: u64, now: Secs) -> Attempt {
-        Attempt { number, since: now, started: false, broken: false, in_doubt: false }
+        Attempt {
+            number,
+            since: now,
+            started: false,
+            broken: false,
+            in_doubt: false,
+        }
     }
 
     /// Where a task is has become unknown.
@@ -78,21 +84,28 @@
 
     /// The attempt number for a task of a gang that is assigned now.
     pub(super) fn gang_attempt(&mut self, new_number: u64, now: Secs) -> u64 {
-        self.attempt.get_or_insert_with(|| Attempt::begun(new_number, now)).number
+        self.attempt
+            .get_or_insert_with(|| Attempt::begun(new_number, now))
+            .number
     }
 
     /// Takes the attempt from what parts hold, after a change of leader.
     fn adopt_attempt(&mut self, now: Secs) {
         if self.attempt.is_none() {
             let number = self.assigned.values().map(|d| d.attempt).max();
-            self.attempt = number.map(|number| Attempt { in_doubt: true, ..Attempt::begun(number, now) });
+            self.attempt = number.map(|number| Attempt {
+                in_doubt: true,
+                ..Attempt::begun(number, now)
+            });
         }
     }
 
     fn next_step(&mut self, gang_wait_s: Secs, now: Secs) -> Step {
         self.adopt_attempt(now);
         let complete = self.assigned.len() == self.spec.tasks as usize;
-        let Some(attempt) = self.attempt.as_mut() else { return Step::Leave };
+        let Some(attempt) = self.attempt.as_mut() else {
+            return Step::Leave;
+        };
         let runs = |phase: Phase| matches!(phase, Phase::Running | Phase::Saving | Phase::Done);
         attempt.started |= self.assigned.values().any(|d| runs(d.phase));
         let mixed = self.assigned.values().any(|d| d.attempt != attempt.number);
@@ -114,7 +127,10 @@
         let mut touched = BTreeSet::new();
         let to_be_taken = self.gangs_to_be_taken(now);
         let gang_wait_s = self.gang_wait_s;
-        let gangs = self.jobs.iter_mut().filter(|(_, e)| e.spec.shape == Shape::Gang);
+        let gangs = self
+            .jobs
+            .iter_mut()
+            .filter(|(_, e)| e.spec.shape == Shape::Gang);
         for (id, entry) in gangs {
             if entry.assigned.is_empty() {
                 if entry.unknown.is_empty() {
@@ -141,19 +157,33 @@
     /// whose machines a stop reaches now: they save together. Of the others the
     /// progress since their last checkpoint is lost with the machine.
     fn gangs_to_be_taken(&self, now: Secs) -> BTreeSet<JobId> {
-        let noticed: BTreeSet<&MachineId> = self.machines().filter(|m| m.noticed).map(|m| &m.id).collect();
+        let noticed: BTreeSet<&MachineId> = self
+            .machines()
+            .filter(|m| m.noticed)
+            .map(|m| &m.id)
+            .collect();
         if noticed.is_empty() {
             return BTreeSet::new();
         }
         let silent = self.report_s * REACHED_REPORTS;
-        let reached: BTreeSet<&MachineId> =
-            self.machines_at(now).filter(|m| m.certain && m.silent_s < silent).map(|m| &m.view.id).collect();
+        let reached: BTreeSet<&MachineId> = self
+            .machines_at(now)
+            .filter(|m| m.certain && m.silent_s < silent)
+            .map(|m| &m.view.id)
+            .collect();
         let on = |e: &JobEntry, machines: &BTreeSet<&MachineId>| {
-            e.assigned.values().filter(|d| d.machine.as_ref().is_some_and(|m| machines.contains(m))).count()
+            e.assigned
+                .values()
+                .filter(|d| d.machine.as_ref().is_some_and(|m| machines.contains(m)))
+                .count()
         };
-        let saves =
-            |e: &JobEntry| e.spec.checkpoint_s > 0.0 || !e.attempt.as_ref().is_some_and(|a| a.started);
-        let gangs = self.jobs.iter().filter(|(_, e)| e.spec.shape == Shape::Gang && !e.assigned.is_empty());
+        let saves = |e: &JobEntry| {
+            e.spec.checkpoint_s > 0.0 || !e.attempt.as_ref().is_some_and(|a| a.started)
+        };
+        let gangs = self
+            .jobs
+            .iter()
+            .filter(|(_, e)| e.spec.shape == Shape::Gang && !e.assigned.is_empty());
         gangs
             .filter(|(_, e)| saves(e))
             .filter(|(_, e)| on(e, &noticed) > 0 && on(e, &reached) == e.assigned.len())
@@ -173,12 +203,20 @@
         mirror: &Mirror,
         keeps_room: bool,
     ) -> Assignment {
-        let Some(entry) = self.jobs.get(id) else { return Vec::new() };
+        let Some(entry) = self.jobs.get(id) else {
+            return Vec::new();
+        };
         let spec = entry.spec.clone();
-        let Some(caps) = self.zone_room(entry, capacity, mirror) else { return Vec::new() };
+        let Some(caps) = self.zone_room(entry, capacity, mirror) else {
+            return Vec::new();
+        };
         let counts = capacity.count_by_zone(request);
         let Some(caps) = zones_for(free.len() as u32, &caps, &counts, spec.one_zone) else {
-            let zones = if spec.one_zone { roomiest(&caps, &counts) } else { caps };
+            let zones = if spec.one_zone {
+                roomiest(&caps, &counts)
+            } else {
+                caps
+            };
             if keeps_room {
                 capacity.take_in_zones(request, &zones, free.len() as u32);
             }
@@ -218,7 +256,11 @@
     let fitting = caps.iter().filter(|cap| room(cap) >= count);
     let best = fitting.max_by_key(|cap| {
         let zone = counts.get(&cap.0).copied().unwrap_or_default();
-        (zone.with_image.min(count), Reverse(zone.tasks), Reverse(cap.0))
+        (
+            zone.with_image.min(count),
+            Reverse(zone.tasks),
+            Reverse(cap.0),
+        )
     });
     best.map(|cap| vec![*cap])
 }
--- a/src/assignment/machines.rs
+++ b/src/assignment/machines.rs
@@ -78,11 +78,15 @@
                     view: &m.view,
                     silent_s: quiet.map_or(0.0, |q| q.silent_s + age),
                     unanswered_s: quiet.and_then(|q| q.unanswered_s).map(|d| d + age),
-                    idle_s: if m.view.tasks == 0 { now - m.idle_since } else { 0.0 },
-                    reached: p
-                        .zones_met
-                        .get(&m.view.zone)
-                        .map(|r| Reached { since_s: r.since_s + age, last_s: r.last_s + age }),
+                    idle_s: if m.view.tasks == 0 {
+                        now - m.idle_since
+                    } else {
+                        0.0
+                    },
+                    reached: p.zones_met.get(&m.view.zone).map(|r| Reached {
+                        since_s: r.since_s + age,
+                        last_s: r.last_s + age,
+                    }),
                 }
             })
         })
@@ -91,12 +95,18 @@
     /// Whether a single part tells of a machine. For a moment of a handover two do: what
     /// its giver last said of it is not what its taker makes of it.
     pub fn has_one_owner(&self, id: &MachineId) -> bool {
-        self.parts.values().filter(|part| part.machines.contains_key(id)).count() == 1
+        self.parts
+            .values()
+            .filter(|part| part.machines.contains_key(id))
+            .count()
+            == 1
     }
 
     /// Every machine that some part reports.
     pub fn machines(&self) -> impl Iterator<Item = &MachineView> {
-        self.parts.values().flat_map(|p| p.machines.values().map(|m| &m.view))
+        self.parts
+            .values()
+            .flat_map(|p| p.machines.values().map(|m| &m.view))
     }
 
     /// Machines that may be silent for their owners only: some other controller
@@ -109,10 +119,17 @@
     /// Whether a quarter of the machines of this one's owner heed nothing: then
     /// it is the owner whose answers come too late, not the machines.
     pub fn owner_unheard(&self, id: &MachineId) -> bool {
-        self.parts.values().find(|p| p.machines.contains_key(id)).is_some_and(|p| {
-            let ignores_commands = p.machines.values().filter(|m| m.view.ignores_commands).count();
-            ignores_commands >= 2 && ignores_commands * 4 >= p.machines.len()
-        })
+        self.parts
+            .values()
+            .find(|p| p.machines.contains_key(id))
+            .is_some_and(|p| {
+                let ignores_commands = p
+                    .machines
+                    .values()
+                    .filter(|m| m.view.ignores_commands)
+                    .count();
+                ignores_commands >= 2 && ignores_commands * 4 >= p.machines.len()
+            })
     }
 
     /// A part's age of news.
--- a/src/assignment/mod.rs
+++ b/src/assignment/mod.rs
@@ -85,12 +85,18 @@
     /// The assignments that differ from their attempts, of tasks that a part
     /// has not listed yet.
     fn assignments(&self, node: &str) -> Vec<(u32, u64)> {
-        let unlisted = self.unlisted.iter().filter_map(|index| Some((*index, self.assigned.get(index)?)));
+        let unlisted = self
+            .unlisted
+            .iter()
+            .filter_map(|index| Some((*index, self.assigned.get(index)?)));
         let differ = unlisted.filter(|(_, d)| &*d.part == node && d.assignment != d.attempt);
         differ.map(|(index, d)| (index, d.assignment)).collect()
     }
     fn running_tasks(&self) -> usize {
-        self.assigned.values().filter(|assigned| assigned.phase == Phase::Running).count()
+        self.assigned
+            .values()
+            .filter(|assigned| assigned.phase == Phase::Running)
+            .count()
     }
     fn unassign(&mut self, index: u32) -> Option<AssignedTask> {
         self.unlisted.remove(&index);
@@ -184,7 +190,12 @@
             joined: BTreeSet::new(),
             attempts: 0,
             attempt_limit: MOST_COUNTER,
-            teams: settings.params.teams.iter().map(|t| (t.name.as_str().into(), t.clone())).collect(),
+            teams: settings
+                .params
+                .teams
+                .iter()
+                .map(|t| (t.name.as_str().into(), t.clone()))
+                .collect(),
             start_aims: settings.start_aims(),
             classes_with_aims: settings.classes_with_aims(),
             aims: Aims::new(settings),
@@ -259,7 +270,11 @@
     }
 
     /// How far what was in doubt has been found out.
-    pub fn restart_progress(&self, mirror: &Mirror, gone: &dyn Fn(&MachineId) -> bool) -> RestartProgress {
+    pub fn restart_progress(
+        &self,
+        mirror: &Mirror,
+        gone: &dyn Fn(&MachineId) -> bool,
+    ) -> RestartProgress {
         let mut progress = RestartProgress {
             all_joined: self.all_joined(),
             resolved: self.resolved,
@@ -283,7 +298,9 @@
 
     /// A job is new or has changed in the mirror.
     pub fn job_changed(&mut self, id: &JobId, mirror: &Mirror) {
-        let Some(job) = mirror.jobs.get(id) else { return };
+        let Some(job) = mirror.jobs.get(id) else {
+            return;
+        };
         let Some(spec) = job.record.spec.clone().filter(|_| !job.record.done) else {
             if self.jobs.get(id).is_some_and(|e| e.assigned.is_empty()) {
                 self.jobs.remove(id);
@@ -325,11 +342,17 @@
             };
             self.jobs.insert(id.clone(), entry);
         }
-        let Some(entry) = self.jobs.get_mut(id) else { return };
+        let Some(entry) = self.jobs.get_mut(id) else {
+            return;
+        };
         if !job.finished.is_empty() {
             entry.failures.note_success();
         }
-        let over: Vec<u32> = entry.finishing.iter().filter(|&i| job.finished.has(i)).collect();
+        let over: Vec<u32> = entry
+            .finishing
+            .iter()
+            .filter(|&i| job.finished.has(i))
+            .collect();
         for i in over {
             entry.finishing.remove(i);
             entry.unknown.remove(i);
@@ -353,7 +376,9 @@
     ) -> BTreeSet<MachineId> {
         let mut out = BTreeSet::new();
         for (id, e) in &self.jobs {
-            let Some(job) = mirror.jobs.get(id).filter(|j| j.record.cancelled) else { continue };
+            let Some(job) = mirror.jobs.get(id).filter(|j| j.record.cancelled) else {
+                continue;
+            };
             let at_ms = job.record.cancelled_at_ms.unwrap_or(day_ms);
             if day_ms.saturating_sub(at_ms) as f64 / 1000.0 > after_s {
                 let there = e.assigned.values().filter(|d| d.phase != Phase::Done);
--- a/src/assignment/reports.rs
+++ b/src/assignment/reports.rs
@@ -35,7 +35,11 @@
             view.zones_met = r.zones_met.into_iter().collect();
             view.quiet = r.quiet.into_iter().map(|q| (q.id.clone(), q)).collect();
         }
-        let listed: Listed = r.held.iter().map(|h| (h.task.job.clone(), h.task.index)).collect();
+        let listed: Listed = r
+            .held
+            .iter()
+            .map(|h| (h.task.job.clone(), h.task.index))
+            .collect();
         for held in r.held {
             self.take_in_held(&part, held, mirror);
         }
@@ -45,8 +49,17 @@
         if whole && r.kept {
             self.take_word_for_the_rest(&part, &listed);
         }
-        let mut missing = if whole { self.no_longer_listed(&part, &listed) } else { Vec::new() };
-        missing.extend(r.dropped.into_iter().filter(|d| self.lists(&part, &d.0, d.1)).map(|d| d.0));
+        let mut missing = if whole {
+            self.no_longer_listed(&part, &listed)
+        } else {
+            Vec::new()
+        };
+        missing.extend(
+            r.dropped
+                .into_iter()
+                .filter(|d| self.lists(&part, &d.0, d.1))
+                .map(|d| d.0),
+        );
         for task in missing {
             self.lose_sight_of(&task, mirror);
         }
@@ -60,7 +73,10 @@
         if r.epoch != self.epoch || self.members.get(&r.node) != Some(&r.inc) {
             return false;
         }
-        let view = self.parts.entry(r.node.clone()).or_insert_with(|| PartView::new(r.inc, now));
+        let view = self
+            .parts
+            .entry(r.node.clone())
+            .or_insert_with(|| PartView::new(r.inc, now));
         if r.seq <= view.seq || r.inc != view.inc || r.since > view.seq {
             return false;
         }
@@ -78,7 +94,9 @@
         now: Secs,
     ) {
         let part_no = self.names.number(part);
-        let Some(view) = self.parts.get_mut(&**part) else { return };
+        let Some(view) = self.parts.get_mut(&**part) else {
+            return;
+        };
         if whole {
             let told: HashSet<&MachineId> = machines.iter().map(|m| &m.id).collect();
             view.machines.retain(|id, _| told.contains(id));
@@ -89,10 +107,17 @@
         for m in machines {
             // One that takes tasks again has been idle since then: it was not
             // by itself that it held nothing.
-            let before = view.machines.get(&m.id).filter(|o| o.view.tasks == 0 && (o.view.open || !m.open));
+            let before = view
+                .machines
+                .get(&m.id)
+                .filter(|o| o.view.tasks == 0 && (o.view.open || !m.open));
             let before = before.map(|o| o.idle_since);
             let slot = Slot::new(&m, part_no, &mut self.names);
-            let news = MachineNews { slot, idle_since: before.unwrap_or(now), view: m };
+            let news = MachineNews {
+                slot,
+                idle_since: before.unwrap_or(now),
+                view: m,
+            };
             view.machines.insert(news.view.id.clone(), news);
         }
     }
@@ -100,7 +125,9 @@
     /// A part holds a task.
     fn take_in_held(&mut self, part: &Arc<str>, held: HeldView, mirror: &Mirror) {
         let index = held.task.index;
-        let Some(entry) = self.jobs.get_mut(&held.task.job) else { return };
+        let Some(entry) = self.jobs.get_mut(&held.task.job) else {
+            return;
+        };
         // Guard: a task that the job doesn't have would count towards its end.
         if index >= entry.spec.tasks {
             return;
@@ -109,7 +136,11 @@
             // The tasks of a gang complete together: if one is done, all are,
             // also those that are lost since.
             let gang = entry.spec.shape == Shape::Gang;
-            let done = if gang { 0..entry.spec.tasks } else { index..index + 1 };
+            let done = if gang {
+                0..entry.spec.tasks
+            } else {
+                index..index + 1
+            };
             for task in done {
                 entry.finishing.add(task);
             }
@@ -135,7 +166,9 @@
     /// A task is certainly nowhere in a part any more.
     fn take_in_gone(&mut self, part: &Arc<str>, gone: Gone, now: Secs) {
         let report_s = self.report_s;
-        let Some(entry) = self.jobs.get_mut(&gone.task.job) else { return };
+        let Some(entry) = self.jobs.get_mut(&gone.task.job) else {
+            return;
+        };
         // Guard: a part says again and again that a task is gone, also after
         // it was assigned there anew under the same attempt.
         let same = |d: &AssignedTask| gone.assignment == 0 || d.assignment == gone.assignment;
@@ -148,9 +181,14 @@
             attempt.lost_task();
         }
         if gone.how == Leave::Error {
-            entry.failures.note_failure(gone.machine.clone(), report_s, now);
+            entry
+                .failures
+                .note_failure(gone.machine.clone(), report_s, now);
             if let Some(machine) = gone.machine {
-                self.failed_on.entry(machine).or_default().insert(gone.task.job);
+                self.failed_on
+                    .entry(machine)
+                    .or_default()
+                    .insert(gone.task.job);
             }
         }
     }
@@ -159,7 +197,11 @@
     /// hold, and it doesn't list, is nowhere.
     fn take_word_for_the_rest(&mut self, part: &Arc<str>, listed: &Listed) {
         for (id, entry) in self.jobs.iter_mut().filter(|(_, e)| !e.with.is_empty()) {
-            let theirs = entry.with.iter().filter(|(_, p)| *p == part).map(|(i, _)| *i);
+            let theirs = entry
+                .with
+                .iter()
+                .filter(|(_, p)| *p == part)
+                .map(|(i, _)| *i);
             for index in theirs.collect::<Vec<u32>>() {
                 entry.with.remove(&index);
                 if !listed.contains(&(id.clone(), index)) {
@@ -173,22 +215,33 @@
     fn no_longer_listed(&self, part: &Arc<str>, listed: &Listed) -> Vec<Task> {
         let mut missing = Vec::new();
         for (id, entry) in &self.jobs {
-            let theirs = entry.assigned.iter().filter(|(_, d)| d.part == *part && d.listed);
+            let theirs = entry
+                .assigned
+                .iter()
+                .filter(|(_, d)| d.part == *part && d.listed);
             let lost = theirs.filter(|(index, _)| !listed.contains(&(id.clone(), **index)));
-            missing.extend(lost.map(|(index, _)| Task { job: id.clone(), index: *index }));
+            missing.extend(lost.map(|(index, _)| Task {
+                job: id.clone(),
+                index: *index,
+            }));
         }
         missing
     }
 
     /// Whether a part is known to list a task under this attempt.
     fn lists(&self, part: &Arc<str>, task: &Task, attempt: u64) -> bool {
-        let assigned = self.jobs.get(&task.job).and_then(|e| e.assigned.get(&task.index));
+        let assigned = self
+            .jobs
+            .get(&task.job)
+            .and_then(|e| e.assigned.get(&task.index));
         assigned.is_some_and(|d| d.part == *part && d.listed && d.attempt == attempt)
     }
 
     /// A task is somewhere we don't know, unless it needs no more runs.
     fn lose_sight_of(&mut self, task: &Task, mirror: &Mirror) {
-        let Some(entry) = self.jobs.get_mut(&task.job) else { return };
+        let Some(entry) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         entry.unassign(task.index);
         let job = mirror.jobs.get(&task.job);
         if job.is_some_and(|j| j.finished.has(task.index) || j.record.done) {
@@ -203,7 +256,9 @@
 
     fn forget_what_is_over(&mut self, mirror: &Mirror) {
         self.jobs.retain(|id, e| {
-            !e.assigned.is_empty() || !e.unknown.is_empty() || mirror.jobs.get(id).is_some_and(|j| j.live())
+            !e.assigned.is_empty()
+                || !e.unknown.is_empty()
+                || mirror.jobs.get(id).is_some_and(|j| j.live())
         });
     }
 
@@ -214,33 +269,53 @@
         mirror: &'a Mirror,
         gone: &'a dyn Fn(&MachineId) -> bool,
     ) -> impl Iterator<Item = &'a MachineId> + 'a {
-        mirror.roster.iter().filter(|(_, (r, _))| r.up).map(|(id, _)| id).filter(move |id| {
-            // A part tells only of machines that are its own in this epoch.
-            !gone(id) && !self.parts.values().any(|p| p.machines.get(*id).is_some_and(|m| m.view.certain))
-        })
+        mirror
+            .roster
+            .iter()
+            .filter(|(_, (r, _))| r.up)
+            .map(|(id, _)| id)
+            .filter(move |id| {
+                // A part tells only of machines that are its own in this epoch.
+                !gone(id)
+                    && !self
+                        .parts
+                        .values()
+                        .any(|p| p.machines.get(*id).is_some_and(|m| m.view.certain))
+            })
     }
 
     /// The machines in doubt: those of the roster, and those that report although the
     /// roster lacks them.
-    pub fn doubtful_machines(&self, mirror: &Mirror, gone: &dyn Fn(&MachineId) -> bool) -> DoubtfulMachines {
-        let rostered = self.uncertain(mirror, gone).filter_map(|id| mirror.roster.get(id));
+    pub fn doubtful_machines(
+        &self,
+        mirror: &Mirror,
+        gone: &dyn Fn(&MachineId) -> bool,
+    ) -> DoubtfulMachines {
+        let rostered = self
+            .uncertain(mirror, gone)
+            .filter_map(|id| mirror.roster.get(id));
         let rostered = rostered.map(|(record, _)| MachineClass {
             kind: record.kind.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
         });
-        let unlisted = self
-            .machines()
-            .filter(|m| m.heard && !m.certain && !mirror.roster.contains_key(&m.id) && !gone(&m.id));
-        let unlisted =
-            unlisted.map(|m| MachineClass { kind: m.kind.clone(), zone: m.zone.clone(), spot: m.spot });
+        let unlisted = self.machines().filter(|m| {
+            m.heard && !m.certain && !mirror.roster.contains_key(&m.id) && !gone(&m.id)
+        });
+        let unlisted = unlisted.map(|m| MachineClass {
+            kind: m.kind.clone(),
+            zone: m.zone.clone(),
+            spot: m.spot,
+        });
         rostered.chain(unlisted).collect()
     }
 
     /// Whether machines that no readable page of the roster names may hold tasks. Such
     /// a machine reports to its owner within its worker's lease, or that is past.
     fn may_be_on_unlisted_machines(&self, mirror: &Mirror) -> bool {
-        let Some(first_report_at) = self.first_report_at else { return true };
+        let Some(first_report_at) = self.first_report_at else {
+            return true;
+        };
         mirror.unreadable.any_roster_page() && self.latest_at - first_report_at < self.takeover_s
     }
 
--- a/src/assignment/round.rs
+++ b/src/assignment/round.rs
@@ -29,8 +29,9 @@
     /// Free room of every open machine, less what is assigned and not placed.
     pub(super) fn capacity(&self, day_ms: u64) -> FreeCapacity {
         let open = self.parts.values().flat_map(|p| p.machines.values());
-        let open = open
-            .filter(|m| m.view.open && !self.drain.contains(&m.view.id) && !self.faulty.contains(&m.view.id));
+        let open = open.filter(|m| {
+            m.view.open && !self.drain.contains(&m.view.id) && !self.faulty.contains(&m.view.id)
+        });
         let mut capacity = FreeCapacity::new(open.map(|m| m.slot.clone()).collect(), self.reserve);
         for e in self.jobs.values() {
             let mut request = None;
@@ -59,8 +60,12 @@
         let mut used: HashMap<&str, Res> = HashMap::new();
         let mut out = HashSet::new();
         for (_, id, e) in by_age {
-            let Some(team) = self.teams.get(&e.spec.team) else { continue };
-            let Some(job) = mirror.jobs.get(id).filter(|j| j.live()) else { continue };
+            let Some(team) = self.teams.get(&e.spec.team) else {
+                continue;
+            };
+            let Some(job) = mirror.jobs.get(id).filter(|j| j.live()) else {
+                continue;
+            };
             let left = f64::from(e.spec.tasks.saturating_sub(job.finished.len()));
             let u = used.entry(&e.spec.team).or_default();
             u.cpus += left * e.spec.cpus;
@@ -117,9 +122,13 @@
         let guaranteed = self.guaranteed(round.mirror);
         let live = |id: &JobId| round.mirror.jobs.get(id).is_some_and(|j| j.live());
         let may_have_free = |e: &JobEntry| {
-            !e.failures.waits(round.now) && (e.assigned.len() as u32 + e.unknown.len()) < e.spec.tasks
+            !e.failures.waits(round.now)
+                && (e.assigned.len() as u32 + e.unknown.len()) < e.spec.tasks
         };
-        let waiting = self.jobs.iter().filter(|(id, e)| live(id) && may_have_free(e));
+        let waiting = self
+            .jobs
+            .iter()
+            .filter(|(id, e)| live(id) && may_have_free(e));
         let mut order: Vec<(Stage, Rank, u8, i64, JobId)> = waiting
             .map(|(id, e)| {
                 let (tier, due) = urgency(&e.spec, e.at_ms, round.day_ms, &self.aims);
@@ -144,22 +153,31 @@
             gpus: team.map_or(0.0, |t| t.gpu_cap()) - used.gpus,
             mem: f64::INFINITY,
         };
-        let quota = left.count(&Res { mem: 0.0, ..e.spec.ask() }) as usize;
+        let quota = left.count(&Res {
+            mem: 0.0,
+            ..e.spec.ask()
+        }) as usize;
         let most = e.tries_allowed(quota);
         let free = |i: &u32| {
-            !job.finished.has(*i) && !e.finishing.has(*i) && !e.unknown.has(*i) && !e.assigned.contains_key(i)
+            !job.finished.has(*i)
+                && !e.finishing.has(*i)
+                && !e.unknown.has(*i)
+                && !e.assigned.contains_key(i)
         };
         (0..e.spec.tasks).filter(free).take(most).collect()
     }
 
     /// Assigns what is free of one job; what has no room is wanted.
     fn assign_job(&mut self, id: &JobId, round: &mut Round) {
-        let Some(job) = round.mirror.jobs.get(id) else { return };
+        let Some(job) = round.mirror.jobs.get(id) else {
+            return;
+        };
         let Some(e) = self.jobs.get(id) else { return };
         let spec = e.spec.clone();
         let used = round.used.entry(spec.team.clone()).or_default();
         let free = self.free_tasks(e, job, used);
-        let gang_may_not = spec.shape == Shape::Gang && !(self.gangs_allowed && e.gang_may_start(free.len()));
+        let gang_may_not =
+            spec.shape == Shape::Gang && !(self.gangs_allowed && e.gang_may_start(free.len()));
         // Guard: a number beyond the limit would be one of a later epoch.
         let numbers_left = self.attempts + free.len() as u64 <= self.attempt_limit;
         if free.is_empty() || gang_may_not || !numbers_left {
@@ -190,10 +208,15 @@
     /// Teams that use more than they are guaranteed.
     fn borrowing_teams(&self, used: &HashMap<Arc<str>, Res>) -> Vec<Arc<str>> {
         let borrows = |name: &Arc<str>, used: &Res| {
-            self.teams.get(name).is_none_or(|team| used.cpus > team.cpus || used.gpus > team.gpus)
+            self.teams
+                .get(name)
+                .is_none_or(|team| used.cpus > team.cpus || used.gpus > team.gpus)
         };
-        let mut teams: Vec<Arc<str>> =
-            used.iter().filter(|(name, used)| borrows(name, used)).map(|(name, _)| name.clone()).collect();
+        let mut teams: Vec<Arc<str>> = used
+            .iter()
+            .filter(|(name, used)| borrows(name, used))
+            .map(|(name, _)| name.clone())
+            .collect();
         teams.sort();
         teams
     }
@@ -259,20 +282,38 @@
         free: &[u32],
         round: &mut Round,
     ) -> Assignment {
-        let Some(e) = self.jobs.get(id).filter(|_| !round.capacity.known_not_to_fit(request)) else {
+        let Some(e) = self
+            .jobs
+            .get(id)
+            .filter(|_| !round.capacity.known_not_to_fit(request))
+        else {
             return Vec::new();
         };
         let spec = e.spec.clone();
         if spec.shape == Shape::Gang {
             // The first of those that wait; for the others its room comes later.
             let keeps_room = !round.gang_waits && round.age_s(e) < BEGIN_WITHIN_S * 2.0;
-            let chosen = self.assign_gang(id, request, free, &mut round.capacity, round.mirror, keeps_room);
+            let chosen = self.assign_gang(
+                id,
+                request,
+                free,
+                &mut round.capacity,
+                round.mirror,
+                keeps_room,
+            );
             round.gang_waits |= chosen.is_empty() && keeps_room;
             chosen
         } else if spec.one_zone || spec.scatter {
-            let chosen = self.assign_bound_to_zones(id, request, free, &mut round.capacity, round.mirror);
+            let chosen =
+                self.assign_bound_to_zones(id, request, free, &mut round.capacity, round.mirror);
             if spec.one_zone && spec.shape == Shape::Service {
-                self.leave_zone(id, request, chosen.is_empty(), &mut round.capacity, round.now);
+                self.leave_zone(
+                    id,
+                    request,
+                    chosen.is_empty(),
+                    &mut round.capacity,
+                    round.now,
+                );
             }
             chosen
         } else if spec.whole() {
@@ -286,7 +327,9 @@
     fn assign_task(&mut self, id: &JobId, index: u32, part: &Arc<str>, now: Secs) {
         self.attempts += 1;
         let assignment = token::attempt(self.epoch, self.attempts);
-        let Some(e) = self.jobs.get_mut(id) else { return };
+        let Some(e) = self.jobs.get_mut(id) else {
+            return;
+        };
         let attempt = match e.spec.shape {
             Shape::Gang => e.gang_attempt(assignment, now),
             Shape::Array | Shape::Service => assignment,
@@ -342,7 +385,11 @@
 fn stage(id: &JobId, e: &JobEntry, guaranteed: bool, round: &Round) -> Stage {
     let begun = !e.assigned.is_empty()
         || !e.unknown.is_empty()
-        || round.mirror.jobs.get(id).is_some_and(|j| !j.finished.is_empty());
+        || round
+            .mirror
+            .jobs
+            .get(id)
+            .is_some_and(|j| !j.finished.is_empty());
     match e.spec.rank {
         Rank::Prod => Stage::HighestRank,
         _ if !begun && round.age_s(e) > BEGIN_WITHIN_S / 3.0 => Stage::Unbegun,
--- a/src/best_fit.rs
+++ b/src/best_fit.rs
@@ -21,8 +21,17 @@
 
 /// Whether a job is in too much of a hurry for a fetch: its class has an aim
 /// for the start, and the image takes more than half of that to fetch.
-pub fn in_a_hurry(spec: &JobSpec, aims: &HashMap<Arc<str>, f64>, catalog: Option<&Catalog>) -> bool {
-    let slowest = |c: &Catalog| c.types.iter().map(|t| t.fetch_gb_per_s).fold(f64::INFINITY, f64::min);
+pub fn in_a_hurry(
+    spec: &JobSpec,
+    aims: &HashMap<Arc<str>, f64>,
+    catalog: Option<&Catalog>,
+) -> bool {
+    let slowest = |c: &Catalog| {
+        c.types
+            .iter()
+            .map(|t| t.fetch_gb_per_s)
+            .fold(f64::INFINITY, f64::min)
+    };
     match (aims.get(&spec.class), catalog.map(slowest)) {
         (Some(within), Some(rate)) => spec.image_gb / rate > within / 2.0,
         _ => false,
@@ -59,15 +68,17 @@
     machines: impl Iterator<Item = Candidate<'a>>,
 ) -> Option<Candidate<'a>> {
     let ask = spec.ask();
-    machines.filter(|m| spec.allowed_on(m.kind, m.zone, m.spot) && m.free.fits(&ask)).min_by_key(|m| {
-        (
-            quick && !m.cached,
-            spec.spot && !m.spot,
-            steps(cost(&m.free, &ask)),
-            m.zone_peers,
-            m.machine_peers,
-            !m.cached,
-            m.id,
-        )
-    })
+    machines
+        .filter(|m| spec.allowed_on(m.kind, m.zone, m.spot) && m.free.fits(&ask))
+        .min_by_key(|m| {
+            (
+                quick && !m.cached,
+                spec.spot && !m.spot,
+                steps(cost(&m.free, &ask)),
+                m.zone_peers,
+                m.machine_peers,
+                !m.cached,
+                m.id,
+            )
+        })
 }
--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -91,7 +91,9 @@
     }
 
     fn has_image(&self, request: &PlacementRequest) -> bool {
-        request.image.is_some_and(|image| self.images.binary_search(&image).is_ok())
+        request
+            .image
+            .is_some_and(|image| self.images.binary_search(&image).is_ok())
     }
 }
 
@@ -158,14 +160,20 @@
 
     /// The same wishes, also for what is kept free for services.
     pub fn with_reserve(self) -> PlacementRequest {
-        PlacementRequest { uses_reserve: true, ..self }
+        PlacementRequest {
+            uses_reserve: true,
+            ..self
+        }
     }
 
     /// Whether its job may run on a machine, and has not failed there.
     fn allows(&self, slot: &Slot) -> bool {
         (self.spot || !slot.spot)
             && self.zone.is_none_or(|zone| zone == slot.zone)
-            && self.kinds.as_ref().is_none_or(|kinds| kinds.contains(&slot.kind))
+            && self
+                .kinds
+                .as_ref()
+                .is_none_or(|kinds| kinds.contains(&slot.kind))
             && !self.avoid.contains(&slot.id)
     }
 
@@ -224,14 +232,23 @@
         let mut parts: Vec<PartRoom> = Vec::new();
         for s in &slots {
             if !parts.iter().any(|p| p.part == s.part) {
-                parts.push(PartRoom { part: s.part, free: 0.0, ordinary: 0.0 });
+                parts.push(PartRoom {
+                    part: s.part,
+                    free: 0.0,
+                    ordinary: 0.0,
+                });
             }
             if let Some(p) = parts.iter_mut().find(|p| p.part == s.part) {
                 p.count(s.spot, s.free.cpus.max(0.0));
             }
         }
         let reserve = reserve / parts.len().max(1) as f64;
-        FreeCapacity { slots, parts, reserve, known_not_to_fit: Vec::new() }
+        FreeCapacity {
+            slots,
+            parts,
+            reserve,
+            known_not_to_fit: Vec::new(),
+        }
     }
 
     /// The parts whose ordinary machines this request must leave alone.
@@ -239,7 +256,10 @@
         if request.uses_reserve || self.reserve <= 0.0 {
             return Vec::new();
         }
-        let kept = self.parts.iter().filter(|p| p.ordinary - request.ask.cpus < self.reserve);
+        let kept = self
+            .parts
+            .iter()
+            .filter(|p| p.ordinary - request.ask.cpus < self.reserve);
         kept.map(|p| p.part).collect()
     }
 
@@ -269,11 +289,20 @@
             if !free.fits(&request.ask) {
                 continue;
             }
-            let cold = request.image.is_none_or(|i| s.images.binary_search(&i).is_err());
+            let cold = request
+                .image
+                .is_none_or(|i| s.images.binary_search(&i).is_err());
             let cost = best_fit::steps(best_fit::cost(&free, &request.ask));
-            let key = (request.quick && cold, drives_out, request.spot && !s.spot, cost, cold);
-            let better =
-                best.as_ref().is_none_or(|(k, at)| key < *k || key == *k && s.id < self.slots[*at].id);
+            let key = (
+                request.quick && cold,
+                drives_out,
+                request.spot && !s.spot,
+                cost,
+                cold,
+            );
+            let better = best
+                .as_ref()
+                .is_none_or(|(k, at)| key < *k || key == *k && s.id < self.slots[*at].id);
             if better {
                 best = Some((key, i));
             }
@@ -299,7 +328,12 @@
     }
 
     /// Takes the room of up to `count` tasks in these zones, machine by machine.
-    pub fn take_in_zones(&mut self, request: &PlacementRequest, zones: &[(u32, u32)], mut count: u32) {
+    pub fn take_in_zones(
+        &mut self,
+        request: &PlacementRequest,
+        zones: &[(u32, u32)],
+        mut count: u32,
+    ) {
         for at in 0..self.slots.len() {
             let slot = &self.slots[at];
             if !zones.iter().any(|(zone, _)| *zone == slot.zone) || !request.allows(slot) {
@@ -308,7 +342,14 @@
             let tasks = slot.count(request).min(count);
             count -= tasks;
             let (ask, taken) = (request.ask, f64::from(tasks));
-            self.take(at, &Res { cpus: ask.cpus * taken, gpus: ask.gpus * taken, mem: ask.mem * taken });
+            self.take(
+                at,
+                &Res {
+                    cpus: ask.cpus * taken,
+                    gpus: ask.gpus * taken,
+                    mem: ask.mem * taken,
+                },
+            );
         }
     }
 
@@ -350,15 +391,22 @@
 
     /// What a part's machines have free.
     pub fn total(&self, part: u32) -> f64 {
-        self.parts.iter().find(|p| p.part == part).map_or(0.0, |p| p.free)
+        self.parts
+            .iter()
+            .find(|p| p.part == part)
+            .map_or(0.0, |p| p.free)
     }
 
     /// The part with the most room, of those not in `full`; the first by name
     /// of several.
     pub fn roomiest(&self, full: &[u32], names: &Names) -> Option<u32> {
         let open = self.parts.iter().filter(|p| !full.contains(&p.part));
-        open.max_by(|a, b| a.free.total_cmp(&b.free).then(names.name(b.part).cmp(names.name(a.part))))
-            .map(|p| p.part)
+        open.max_by(|a, b| {
+            a.free
+                .total_cmp(&b.free)
+                .then(names.name(b.part).cmp(names.name(a.part)))
+        })
+        .map(|p| p.part)
     }
 
     /// As many of `n` tasks as fit one after another under the zones' bounds;
@@ -374,7 +422,10 @@
         if !one_zone {
             return self.attempt(request, n, part, room.to_vec());
         }
-        let tries: Vec<Vec<usize>> = room.iter().map(|z| self.attempt(request, n, part, vec![*z])).collect();
+        let tries: Vec<Vec<usize>> = room
+            .iter()
+            .map(|z| self.attempt(request, n, part, vec![*z]))
+            .collect();
         tries.into_iter().max_by_key(Vec::len).unwrap_or_default()
     }
 
@@ -387,7 +438,9 @@
     ) -> Vec<usize> {
         let mut chosen = Vec::new();
         for _ in 0..n {
-            let Some(slot) = self.best(request, part, Some(&room)) else { break };
+            let Some(slot) = self.best(request, part, Some(&room)) else {
+                break;
+            };
             self.take(slot, &request.ask);
             let zone = self.slots[slot].zone;
             if let Some(left) = room.iter_mut().find(|z| z.0 == zone) {
@@ -406,7 +459,8 @@
     pub fn warm(&self, request: &PlacementRequest, chosen: &[usize]) -> usize {
         match request.image {
             Some(i) if request.quick => {
-                let ready = |s: &Slot| s.images.binary_search(&i).is_ok() && s.free.fits(&request.ask);
+                let ready =
+                    |s: &Slot| s.images.binary_search(&i).is_ok() && s.free.fits(&request.ask);
                 chosen.iter().filter(|&&s| ready(&self.slots[s])).count()
             }
             _ => 0,
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -52,7 +52,10 @@
     // Only the leader asks: most of the rate is its, and a little is left for
     // one that led a moment ago.
     let rate = settings.params.cloud.rps * 0.75;
-    let http = Http::new(settings.services.cloud, settings.params.workers.report_s.max(1.0));
+    let http = Http::new(
+        settings.services.cloud,
+        settings.params.workers.report_s.max(1.0),
+    );
     spawn("cloud", move || run(&http, &inbox, rate.max(0.2), &tell));
     asks
 }
@@ -80,10 +83,15 @@
             let body = json!(request);
             match http.call("POST", "/machines", Some(&body)) {
                 Ok(v) => match serde_json::from_value::<MachineNames>(v) {
-                    Ok(names) => Answer::Rented { request, machines: names.machines },
+                    Ok(names) => Answer::Rented {
+                        request,
+                        machines: names.machines,
+                    },
                     Err(_) => Answer::RentUnknown(request),
                 },
-                Err(CallError::Status(503, v)) if v["error"] == "no capacity" => Answer::NoCapacity(request),
+                Err(CallError::Status(503, v)) if v["error"] == "no capacity" => {
+                    Answer::NoCapacity(request)
+                }
                 Err(CallError::Status(400, v)) => {
                     tracing::warn!(%v, "the cloud calls a rental malformed");
                     Answer::RentRefused(request)
@@ -96,7 +104,9 @@
             }
         }
         Ask::Delete(machines) => {
-            let body = json!(MachineNames { machines: machines.clone() });
+            let body = json!(MachineNames {
+                machines: machines.clone()
+            });
             match http.call("POST", "/machines/delete", Some(&body)) {
                 Ok(_) => Answer::Deleted(machines),
                 Err(_) => Answer::DeleteFailed(machines),
@@ -110,7 +120,10 @@
     let asked = clock::now();
     let mut machines: Vec<Listed> = Vec::new();
     loop {
-        let from = machines.last().map(|m| format!("from={}&", m.id)).unwrap_or_default();
+        let from = machines
+            .last()
+            .map(|m| format!("from={}&", m.id))
+            .unwrap_or_default();
         let page = http.call("GET", &format!("/machines?{from}most=500"), None);
         let Ok(Ok(page)) = page.map(serde_json::from_value::<MachinePage>) else {
             return Answer::Failed;
--- a/src/controller/cloud_answers.rs
+++ b/src/controller/cloud_answers.rs
@@ -64,9 +64,13 @@
                 self.renting.rental_closed(&request);
                 self.lacks_capacity(&request, now);
             }
-            cloud::Answer::RentUnknown(request) => self.renting.rental_unknown(request, now + RETRY_S),
+            cloud::Answer::RentUnknown(request) => {
+                self.renting.rental_unknown(request, now + RETRY_S)
+            }
             cloud::Answer::Deleted(machines) => self.renting.note_deleted(machines, now),
-            cloud::Answer::DeleteFailed(machines) => self.renting.deletion_failed(machines, now + RETRY_S),
+            cloud::Answer::DeleteFailed(machines) => {
+                self.renting.deletion_failed(machines, now + RETRY_S)
+            }
             cloud::Answer::List { asked, machines } => {
                 self.renting.list.pending = false;
                 self.take_list(asked, &machines, now);
@@ -119,7 +123,8 @@
 
     fn lacks_capacity(&mut self, request: &RentRequest, now: Secs) {
         let offer = (request.kind.clone(), request.zone.clone(), request.spot);
-        self.renting.lacks_capacity(offer, self.settings.params.workers.report_s, now);
+        self.renting
+            .lacks_capacity(offer, self.settings.params.workers.report_s, now);
     }
 
     /// Takes in a machine list, asked for at `asked`.
@@ -134,7 +139,10 @@
         for machine in running {
             self.note_listed(machine, now);
         }
-        self.renting.list.unknown_since.retain(|id, _| present.contains(id));
+        self.renting
+            .list
+            .unknown_since
+            .retain(|id, _| present.contains(id));
         self.delete(failed.into_iter().map(|m| m.id.clone()).collect(), now);
     }
 
@@ -146,7 +154,13 @@
         for id in self.mirror.roster.keys() {
             if present.contains(id) {
                 self.renting.list.listed_at.insert(id.clone(), now);
-            } else if self.renting.list.listed_at.get(id).is_some_and(|&listed| listed < made_by) {
+            } else if self
+                .renting
+                .list
+                .listed_at
+                .get(id)
+                .is_some_and(|&listed| listed < made_by)
+            {
                 tracing::info!(%id, "no longer listed: gone");
                 self.renting.deleted.insert(id.clone(), now);
             }
@@ -165,7 +179,12 @@
             self.renting.list.unknown_since.remove(id);
             return;
         }
-        let since = *self.renting.list.unknown_since.entry(id.clone()).or_insert(now);
+        let since = *self
+            .renting
+            .list
+            .unknown_since
+            .entry(id.clone())
+            .or_insert(now);
         if now - since <= 2.0 * self.settings.params.cloud.list_lag_s + 1.0 {
             return;
         }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -40,7 +40,12 @@
             let Transaction { conditions, ops } = finish_transaction(&finish, job, &limits);
             let serial = self.finishes.next_serial();
             let tag = Tag::Finish(finish.job.clone(), serial);
-            let write = Write { conditions, ops: ops.clone(), deadline: now + COMMIT_S, tag };
+            let write = Write {
+                conditions,
+                ops: ops.clone(),
+                deadline: now + COMMIT_S,
+                tag,
+            };
             if self.writer.send(Class::Bulk, write).is_err() {
                 self.leader.finish_answered(&finish.job, now, now);
             } else {
@@ -51,8 +56,18 @@
 
     /// What was committed is known at once: a second commit with the versions
     /// of before would only be refused, and count against the rate.
-    pub(super) fn finish_written(&mut self, job: &JobId, serial: Serial, outcome: Outcome, now: Secs) {
-        let ops = self.finishes.answered(serial).map(|write| write.1).unwrap_or_default();
+    pub(super) fn finish_written(
+        &mut self,
+        job: &JobId,
+        serial: Serial,
+        outcome: Outcome,
+        now: Secs,
+    ) {
+        let ops = self
+            .finishes
+            .answered(serial)
+            .map(|write| write.1)
+            .unwrap_or_default();
         let Outcome::Done(version) = outcome else {
             let retry_at = now + self.settings.params.workers.report_s / 6.0;
             return self.leader.finish_answered(job, now, retry_at);
@@ -74,26 +89,49 @@
     }
     let mut conditions = vec![(job_key(&finish.job), job.version)];
     if finished.len() == job.record.tasks {
-        return Transaction { conditions, ops: end_of_job(&finish.job, job, limits) };
+        return Transaction {
+            conditions,
+            ops: end_of_job(&finish.job, job, limits),
+        };
     }
     let per_chunk = tasks_per_chunk(limits.lowest_value_kb());
     let mut ops = Vec::new();
     let ranges = chunks_covering(&finish.tasks, job.record.tasks, per_chunk);
     for range in ranges.into_iter().take(limits.lowest_txn_ops()) {
         let key = range.chunk.key(&finish.job);
-        conditions.push((key.clone(), job.chunks.get(&range.chunk).copied().unwrap_or(0)));
+        conditions.push((
+            key.clone(),
+            job.chunks.get(&range.chunk).copied().unwrap_or(0),
+        ));
         let value = finished.hex(range.first, range.len).into();
-        ops.push(Op::Put { key, value, lease: None });
+        ops.push(Op::Put {
+            key,
+            value,
+            lease: None,
+        });
     }
     Transaction { conditions, ops }
 }
 
 /// The job's record as done, in place of its chunks.
 fn end_of_job(id: &JobId, job: &Job, limits: &StateLimits) -> Vec<Op> {
-    let record = JobRecord { spec: None, done: true, ..job.record.clone() };
+    let record = JobRecord {
+        spec: None,
+        done: true,
+        ..job.record.clone()
+    };
     let value = serde_json::to_value(&record).unwrap_or_default();
-    let mut ops = vec![Op::Put { key: job_key(id), value, lease: None }];
+    let mut ops = vec![Op::Put {
+        key: job_key(id),
+        value,
+        lease: None,
+    }];
     let room = limits.lowest_txn_ops().saturating_sub(1);
-    ops.extend(job.chunks.keys().take(room).map(|chunk| Op::Delete { key: chunk.key(id) }));
+    ops.extend(
+        job.chunks
+            .keys()
+            .take(room)
+            .map(|chunk| Op::Delete { key: chunk.key(id) }),
+    );
     ops
 }
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -18,9 +18,12 @@
     /// One round, whose decisions take no longer than until `end`.
     pub(super) fn lead(&mut self, now: Secs, end: Secs) {
         let deleted = &self.renting.deleted;
-        self.leader.resolve(&self.mirror, &|id| deleted.contains_key(id));
+        self.leader
+            .resolve(&self.mirror, &|id| deleted.contains_key(id));
         self.leader.run_gangs(self.mirror.all_run_gangs());
-        let touched = self.leader.assign_tasks(&self.mirror, now, || clock::now() < end);
+        let touched = self
+            .leader
+            .assign_tasks(&self.mirror, now, || clock::now() < end);
         for part in touched {
             self.send_orders(&part);
         }
--- a/src/controller/members.rs
+++ b/src/controller/members.rs
@@ -29,7 +29,8 @@
     }
 
     pub(super) fn leading(&self) -> bool {
-        self.my_epoch().is_some_and(|e| e.leader == self.settings.node_name)
+        self.my_epoch()
+            .is_some_and(|e| e.leader == self.settings.node_name)
     }
 
     /// Whether users should come here: the state service is reached, or
@@ -66,7 +67,10 @@
                 let agreed = others.iter().any(|o| {
                     *o != n
                         && hears(o)
-                        && self.hears.get(*o).is_some_and(|(_, h)| h.contains(me) && !h.contains(n))
+                        && self
+                            .hears
+                            .get(*o)
+                            .is_some_and(|(_, h)| h.contains(me) && !h.contains(n))
                 });
                 !agreed
             }
@@ -85,11 +89,13 @@
         if self.mirror.members.get(me).map(|m| m.0.inc) != Some(self.inc) {
             return;
         }
-        let Some(live) = self.reachable_members(now) else { return };
+        let Some(live) = self.reachable_members(now) else {
+            return;
+        };
         let present = self.mirror.epoch.as_ref();
         let renewed = || present.filter(|_| self.leading() && self.leader.needs_new_epoch());
-        let next =
-            membership::next_epoch(present, &live).or_else(|| renewed().map(membership::renewed_epoch));
+        let next = membership::next_epoch(present, &live)
+            .or_else(|| renewed().map(membership::renewed_epoch));
         let Some(next) = next else {
             self.epoch_wanted = None;
             return;
@@ -97,7 +103,11 @@
         let since = *self.epoch_wanted.get_or_insert(now);
         let rank = next.members.keys().position(|n| n == me).unwrap_or(0) as f64;
         let mine = next.leader == *me;
-        let patience = if mine { 0.0 } else { state::poll_gap(&self.settings) * 4.0 * (rank + 1.0) };
+        let patience = if mine {
+            0.0
+        } else {
+            state::poll_gap(&self.settings) * 4.0 * (rank + 1.0)
+        };
         if now - since < patience {
             return;
         }
--- a/src/controller/mirror_feed.rs
+++ b/src/controller/mirror_feed.rs
@@ -10,7 +10,11 @@
 impl Controller {
     pub(super) fn feed(&mut self, feed: Feed, now: Secs) {
         match feed {
-            Feed::Loaded { began, ring, entries } => {
+            Feed::Loaded {
+                began,
+                ring,
+                entries,
+            } => {
                 tracing::info!(ring, keys = entries.len(), "read the whole state");
                 self.mirror.load(entries);
                 self.report_misfits();
@@ -90,7 +94,9 @@
     }
 
     pub(super) fn epoch_changed(&mut self, now: Secs) {
-        let Some(epoch) = self.mirror.epoch.clone() else { return };
+        let Some(epoch) = self.mirror.epoch.clone() else {
+            return;
+        };
         self.epoch_wanted = None;
         let me = self.settings.node_name.clone();
         if self.inc == 0 || epoch.members.get(&me) != Some(&self.inc) {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -169,13 +169,20 @@
         let budget = Budget::new(&settings);
         let (kicks, kicked) = bounded(1);
         let to = tx.clone();
-        state::poller(&settings, budget.clone(), kicked, move |f| to.send(Msg::Feed(f)).is_ok());
-        let to = tx.clone();
-        membership::lease_actor(&settings, budget.clone(), parts.shared_machines.is_some(), move |l| {
-            to.send(Msg::Lease(l)).is_ok()
+        state::poller(&settings, budget.clone(), kicked, move |f| {
+            to.send(Msg::Feed(f)).is_ok()
         });
         let to = tx.clone();
-        let writer = Writer::start(&settings, budget, move |t, o| to.send(Msg::Written(t, o)).is_ok());
+        membership::lease_actor(
+            &settings,
+            budget.clone(),
+            parts.shared_machines.is_some(),
+            move |l| to.send(Msg::Lease(l)).is_ok(),
+        );
+        let to = tx.clone();
+        let writer = Writer::start(&settings, budget, move |t, o| {
+            to.send(Msg::Written(t, o)).is_ok()
+        });
         let to = tx.clone();
         let cloud = cloud::start(&settings, move |a| to.send(Msg::Cloud(a)).is_ok());
         let to = tx.clone();
@@ -188,7 +195,10 @@
         let directs = DirectPool::new("direct", share(DIRECT_SHARE), report_s / 2.0, tell.clone());
         let doubtful = DirectPool::new("doubtful", share(DOUBTFUL_SHARE), report_s / 2.0, tell);
         let relay = |m: &crate::settings::Member| {
-            (m.node_name.clone(), http::relays(m.endpoint, relay_threads, report_s * RELAY_REPORTS))
+            (
+                m.node_name.clone(),
+                http::relays(m.endpoint, relay_threads, report_s * RELAY_REPORTS),
+            )
         };
         let relays = settings.members.iter().map(relay).collect();
         let timing = Timing {
@@ -196,11 +206,20 @@
             lease_s: settings.params.workers.lease_s,
             member_life_s: settings.member_life_s(),
         };
-        let others = settings.members.iter().map(|m| (m.node_name.clone(), m.zone.clone())).collect();
+        let others = settings
+            .members
+            .iter()
+            .map(|m| (m.node_name.clone(), m.zone.clone()))
+            .collect();
         let mut part = Part::new(&settings.node_name, timing, settings.start_aims());
-        let restart = parts.cold_restart.as_ref().map(|with| Restart::new(with, &settings, published));
-        let shares =
-            parts.shared_machines.as_ref().map(|with| Shares::new(with, &settings, shares_published));
+        let restart = parts
+            .cold_restart
+            .as_ref()
+            .map(|with| Restart::new(with, &settings, published));
+        let shares = parts
+            .shared_machines
+            .as_ref()
+            .map(|with| Shares::new(with, &settings, shares_published));
         if let Some(with) = &parts.cold_restart {
             part.keep_record(with.entries);
         }
@@ -305,7 +324,11 @@
                 self.reachability.reached(&name, !apart);
             }
             Msg::Direct(d) => {
-                let pool = if d.sent.doubtful { &mut self.doubtful } else { &mut self.directs };
+                let pool = if d.sent.doubtful {
+                    &mut self.doubtful
+                } else {
+                    &mut self.directs
+                };
                 pool.done();
                 let mine = self.part.epoch() > 0;
                 if mine {
@@ -333,7 +356,11 @@
             Ask::Submit(spec) => self.submit(*spec, reply, now),
             Ask::Query(id) => self.query(id.as_str().into(), reply, now),
             Ask::Withdraw(id) => self.withdraw(id.as_str().into(), reply, now),
-            Ask::Report { report, raw, relayed } => self.report(*report, raw, relayed, reply, now),
+            Ask::Report {
+                report,
+                raw,
+                relayed,
+            } => self.report(*report, raw, relayed, reply, now),
             Ask::Peer(envelope) => {
                 reply.send(200, Vec::new());
                 self.peer(*envelope, now);
@@ -364,12 +391,21 @@
             if self.leading() {
                 self.lead(now, end);
             }
-            self.part.place(&self.mirror, When::present(), || clock::now() < end);
-            let room = DirectRoom { sound: self.directs.room(), doubtful: self.doubtful.room() };
+            self.part
+                .place(&self.mirror, When::present(), || clock::now() < end);
+            let room = DirectRoom {
+                sound: self.directs.room(),
+                doubtful: self.doubtful.room(),
+            };
             for direct in self.part.directs_within(&self.mirror, now, room) {
-                let pool = if direct.doubtful { &mut self.doubtful } else { &mut self.directs };
+                let pool = if direct.doubtful {
+                    &mut self.doubtful
+                } else {
+                    &mut self.directs
+                };
                 if let Err(d) = pool.send((direct, until)) {
-                    self.part.direct_done(&d.machine, &d.body, None, &self.mirror, now);
+                    self.part
+                        .direct_done(&d.machine, &d.body, None, &self.mirror, now);
                 }
             }
             self.tell_leader(now);
@@ -384,7 +420,8 @@
         }
         let report_s = self.settings.params.workers.report_s;
         self.healthy.retain(|_, t| now - *t < report_s * 2.0);
-        self.cancellation_notices.retain(|c| now - c.1 < report_s * 2.0);
+        self.cancellation_notices
+            .retain(|c| now - c.1 < report_s * 2.0);
         if now - self.said_hello > report_s / 3.0 {
             self.said_hello = now;
             let names: Vec<String> = self.peers.names().cloned().collect();
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -71,22 +71,35 @@
             fresh: !self.state_down && self.fresh_at.is_some(),
             hears: self.healthy.keys().cloned().collect(),
             apart: self.reachability.apart(),
-            cancellation_notices: self.cancellation_notices.iter().map(|c| c.0.clone()).collect(),
+            cancellation_notices: self
+                .cancellation_notices
+                .iter()
+                .map(|c| c.0.clone())
+                .collect(),
             message,
         });
     }
 
     pub(super) fn tell_leader(&mut self, now: Secs) {
         let report_s = self.settings.params.workers.report_s;
-        let gap = if self.part.dirty { report_s / 20.0 } else { report_s / 3.0 };
+        let gap = if self.part.dirty {
+            report_s / 20.0
+        } else {
+            report_s / 3.0
+        };
         if now - self.told_leader < gap {
             return;
         }
-        let Some(leader) = self.my_epoch().map(|e| e.leader.clone()) else { return };
+        let Some(leader) = self.my_epoch().map(|e| e.leader.clone()) else {
+            return;
+        };
         self.told_leader = now;
         let mut snapshot = self.part.snapshot(&self.mirror, now);
-        snapshot.met =
-            self.redirected.iter().filter_map(|(id, p)| Some((id.clone(), now - p.met?))).collect();
+        snapshot.met = self
+            .redirected
+            .iter()
+            .filter_map(|(id, p)| Some((id.clone(), now - p.met?)))
+            .collect();
         if leader == self.settings.node_name {
             self.take_part_report(snapshot, now);
         } else {
--- a/src/controller/renting.rs
+++ b/src/controller/renting.rs
@@ -92,7 +92,11 @@
     /// A rental has got no certain answer: the same is asked again.
     pub(super) fn rental_unknown(&mut self, request: RentRequest, retry_at: Secs) {
         if let Some(open) = self.open.get_mut(&request.request) {
-            *open = OpenRental { request, retry_at, pending: false };
+            *open = OpenRental {
+                request,
+                retry_at,
+                pending: false,
+            };
         }
     }
 
@@ -121,14 +125,19 @@
 
     /// A deletion has failed, or nobody knows: the same is asked again.
     pub(super) fn deletion_failed(&mut self, machines: Vec<MachineId>, retry_at: Secs) {
-        self.deleting.extend(machines.into_iter().map(|id| (id, retry_at)));
+        self.deleting
+            .extend(machines.into_iter().map(|id| (id, retry_at)));
     }
 
     /// Machines to come of rentals that have not been answered.
     fn unanswered(&self) -> impl Iterator<Item = Booting> + '_ {
         self.open.values().flat_map(|OpenRental { request, .. }| {
             let offer = (request.kind.clone(), request.zone.clone(), request.spot);
-            let booting = Booting { id: "".into(), offer, age_s: 0.0 };
+            let booting = Booting {
+                id: "".into(),
+                offer,
+                age_s: 0.0,
+            };
             std::iter::repeat_n(booting, request.count as usize)
         })
     }
@@ -160,8 +169,12 @@
     /// Looks over the fleet and has machines deleted, emptied and rented.
     pub(super) fn rent_and_return(&mut self, now: Secs) {
         self.ask_cloud(now);
-        let Some(catalog) = self.mirror.catalog.clone() else { return };
-        let Workers { report_s, lease_s, .. } = self.settings.params.workers;
+        let Some(catalog) = self.mirror.catalog.clone() else {
+            return;
+        };
+        let Workers {
+            report_s, lease_s, ..
+        } = self.settings.params.workers;
         let signs = self.signs(now);
         let detector = FailureDetector::new(report_s, lease_s, signs.values());
         let not_up = self.machines_not_up(&catalog, &detector, now);
@@ -193,16 +206,32 @@
             return;
         }
         self.renting.rented_at = now;
-        let lacking = |offer: &Offer| self.renting.no_capacity.get(offer).is_some_and(|n| now < n.until);
+        let lacking = |offer: &Offer| {
+            self.renting
+                .no_capacity
+                .get(offer)
+                .is_some_and(|n| now < n.until)
+        };
         let blocked = |offer: &Offer| detector.lost(&offer.1) || lacking(offer);
         let zones = &not_up.ordinary_in_zone;
-        let orders =
-            rent::rent(&wants, &not_up.booting, zones, &catalog, &self.policy.rent_settings, &blocked);
+        let orders = rent::rent(
+            &wants,
+            &not_up.booting,
+            zones,
+            &catalog,
+            &self.policy.rent_settings,
+            &blocked,
+        );
         self.rent(orders, now);
     }
 
     fn cloud_is_behind(&self) -> bool {
-        let pending = self.renting.open.values().filter(|rental| rental.pending).count();
+        let pending = self
+            .renting
+            .open
+            .values()
+            .filter(|rental| rental.pending)
+            .count();
         rent::cloud_is_behind(pending, self.settings.params.cloud.rps)
     }
 
@@ -213,10 +242,20 @@
             self.renting.catalog_due = now + LEAST_CHARGE_S;
         }
         if self.renting.list.due(now) && self.cloud.try_send(cloud::Ask::List).is_ok() {
-            self.renting.list.asked(now, self.settings.params.cloud.list_lag_s);
+            self.renting
+                .list
+                .asked(now, self.settings.params.cloud.list_lag_s);
         }
-        for open in self.renting.open.values_mut().filter(|o| !o.pending && now >= o.retry_at) {
-            open.pending = self.cloud.try_send(cloud::Ask::Rent(open.request.clone())).is_ok();
+        for open in self
+            .renting
+            .open
+            .values_mut()
+            .filter(|o| !o.pending && now >= o.retry_at)
+        {
+            open.pending = self
+                .cloud
+                .try_send(cloud::Ask::Rent(open.request.clone()))
+                .is_ok();
         }
     }
 
@@ -224,10 +263,22 @@
     fn machines_not_up(&self, catalog: &Catalog, detector: &FailureDetector, now: Secs) -> NotUp {
         let day_ms = clock::day_ms();
         let report_s = self.settings.params.workers.report_s;
-        let reported: HashSet<&MachineId> =
-            self.leader.machines().filter(|m| m.heard).map(|m| &m.id).collect();
-        let rostered = self.mirror.roster.iter().map(|(id, (record, _))| (id, record));
-        let on_the_way = self.roster.fresh.iter().map(|(id, (_, record))| (id, record));
+        let reported: HashSet<&MachineId> = self
+            .leader
+            .machines()
+            .filter(|m| m.heard)
+            .map(|m| &m.id)
+            .collect();
+        let rostered = self
+            .mirror
+            .roster
+            .iter()
+            .map(|(id, (record, _))| (id, record));
+        let on_the_way = self
+            .roster
+            .fresh
+            .iter()
+            .map(|(id, (_, record))| (id, record));
         let on_the_way = on_the_way.filter(|(id, _)| !self.mirror.roster.contains_key(*id));
         let mut out = NotUp::default();
         for (id, record) in rostered.chain(on_the_way) {
@@ -242,7 +293,9 @@
                 continue;
             }
             let age_s = day_ms.saturating_sub(record.at_ms) as f64 / 1000.0;
-            let boot_s = catalog.get(&record.kind).map_or(LEAST_CHARGE_S, |t| t.boot_s);
+            let boot_s = catalog
+                .get(&record.kind)
+                .map_or(LEAST_CHARGE_S, |t| t.boot_s);
             // That it is up may not have been written before the leader changed.
             let heard_by_now = now - self.renting.led_since > report_s * 2.5;
             let progress = self.policy.rent_settings.boot_progress(age_s, boot_s);
@@ -250,7 +303,11 @@
                 out.never.push(id.clone());
             } else {
                 let offer = (record.kind.clone(), record.zone.clone(), record.spot);
-                out.booting.push(Booting { id: id.clone(), offer, age_s });
+                out.booting.push(Booting {
+                    id: id.clone(),
+                    offer,
+                    age_s,
+                });
             }
         }
         out.booting.extend(self.renting.unanswered());
@@ -270,7 +327,10 @@
         let day_ms = clock::day_ms();
         let mut out = Up::default();
         for m in self.leader.machines_at(now) {
-            let Some(sign) = signs.get(&m.id).filter(|_| !self.renting.deleted.contains_key(&m.id)) else {
+            let Some(sign) = signs
+                .get(&m.id)
+                .filter(|_| !self.renting.deleted.contains_key(&m.id))
+            else {
                 continue;
             };
             // Guard: deleted by its giver's word, that it is empty, while its taker had already
@@ -300,7 +360,11 @@
                 // Of lower work there, half ends while a machine boots.
                 out.free_ordinary += (m.free.cpus + m.yielding.cpus / 2.0).max(0.0);
             }
-            let rented_ms = self.mirror.roster.get(&m.id).map_or(day_ms, |(record, _)| record.at_ms);
+            let rented_ms = self
+                .mirror
+                .roster
+                .get(&m.id)
+                .map_or(day_ms, |(record, _)| record.at_ms);
             let yields_cpus = m.free.cpus + m.yielding.cpus;
             out.in_use.push(InUse {
                 id: m.id.clone(),
@@ -310,7 +374,10 @@
                 age_s: day_ms.saturating_sub(rented_ms) as f64 / 1000.0,
                 tasks: m.tasks,
                 open: m.open && !draining && !faults.contains_key(&m.id),
-                stays_cpus: catalog.get(&m.kind).map_or(0.0, |t| t.cpus - yields_cpus).max(0.0),
+                stays_cpus: catalog
+                    .get(&m.kind)
+                    .map_or(0.0, |t| t.cpus - yields_cpus)
+                    .max(0.0),
             });
         }
         out
@@ -321,8 +388,11 @@
     /// for certain, in the time that is left.
     fn machines_not_rid_of_cancelled_tasks(&self) -> Vec<MachineId> {
         let after_s = self.settings.evict_after_s() - self.settings.params.time_bound_ms / 500.0;
-        let machines =
-            self.leader.machines_with_cancelled_tasks(&self.mirror, clock::day_ms(), after_s.max(0.0));
+        let machines = self.leader.machines_with_cancelled_tasks(
+            &self.mirror,
+            clock::day_ms(),
+            after_s.max(0.0),
+        );
         if !machines.is_empty() {
             tracing::info!(machines_with_cancelled_tasks = ?machines, "cancelled tasks may still be there");
         }
@@ -333,7 +403,8 @@
     pub(super) fn delete(&mut self, ids: Vec<MachineId>, now: Secs) {
         let renting = &self.renting;
         let due = |id: &MachineId| {
-            !renting.deleted.contains_key(id) && renting.deleting.get(id).is_none_or(|&retry| now >= retry)
+            !renting.deleted.contains_key(id)
+                && renting.deleting.get(id).is_none_or(|&retry| now >= retry)
         };
         let ids: Vec<MachineId> = ids.into_iter().filter(due).take(MOST_DELETED).collect();
         if ids.is_empty() {
@@ -349,7 +420,12 @@
     /// some of them again if there is work for them after all.
     fn empty_machines(&mut self, in_use: &[InUse], catalog: &Catalog, spare: f64, now: Secs) {
         let report_s = self.settings.params.workers.report_s;
-        self.leader.drain.extend(rent::returns(in_use, catalog, spare, &self.policy.rent_settings));
+        self.leader.drain.extend(rent::returns(
+            in_use,
+            catalog,
+            spare,
+            &self.policy.rent_settings,
+        ));
         if !self.leader.wants.is_empty() {
             self.reopen_machines(in_use);
         } else {
@@ -395,7 +471,9 @@
         let after = &mut self.renting.move_after;
         *after = after.max(now - report_s / 12.0);
         while now >= *after {
-            let Some(m) = rent::to_move(&in_use, catalog, spare + moved) else { return };
+            let Some(m) = rent::to_move(&in_use, catalog, spare + moved) else {
+                return;
+            };
             let (id, cpus) = (m.id.clone(), m.stays_cpus);
             tracing::debug!(%id, cpus, "moving its replicas");
             moved += cpus;
@@ -411,7 +489,9 @@
     fn wants(&self, lacking_cpus: f64) -> Vec<Want> {
         let mut wants = self.leader.wants.clone();
         let live = self.mirror.jobs.values().filter(|job| job.live());
-        let service = live.filter_map(|job| job.record.spec.as_ref()).find(|s| s.shape == Shape::Service);
+        let service = live
+            .filter_map(|job| job.record.spec.as_ref())
+            .find(|s| s.shape == Shape::Service);
         wants.extend(service.and_then(|spec| rent::spare_want(lacking_cpus, spec)));
         wants
     }
@@ -429,11 +509,19 @@
                     count: count.min(MOST_RENTED),
                 };
                 count -= request.count;
-                if self.cloud.try_send(cloud::Ask::Rent(request.clone())).is_err() {
+                if self
+                    .cloud
+                    .try_send(cloud::Ask::Rent(request.clone()))
+                    .is_err()
+                {
                     break;
                 }
                 tracing::info!(?request, "renting");
-                let open = OpenRental { request: request.clone(), retry_at: now, pending: true };
+                let open = OpenRental {
+                    request: request.clone(),
+                    retry_at: now,
+                    pending: true,
+                };
                 self.renting.open.insert(request.request, open);
             }
         }
@@ -445,7 +533,8 @@
     fn signs(&self, now: Secs) -> HashMap<MachineId, MachineHealth> {
         let report_s = self.settings.params.workers.report_s;
         let met = self.leader.met(report_s * 4.0);
-        let used = |m: &MachineNow| m.heard || self.mirror.roster.get(&m.id).is_some_and(|(r, _)| r.up);
+        let used =
+            |m: &MachineNow| m.heard || self.mirror.roster.get(&m.id).is_some_and(|(r, _)| r.up);
         let sign = |m: MachineNow| {
             let sign = MachineHealth {
                 zone: m.zone.clone(),
@@ -459,6 +548,10 @@
             };
             (m.id.clone(), sign)
         };
-        self.leader.machines_at(now).filter(used).map(sign).collect()
+        self.leader
+            .machines_at(now)
+            .filter(used)
+            .map(sign)
+            .collect()
     }
 }
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -38,7 +38,12 @@
             answer_s: workers.report_s * with.answer_reports,
             lease_s: clock::with_drift_margin(workers.lease_s),
         };
-        Restart { caution: Caution::new(limits), published, published_at: f64::MIN, first_accepted_s: None }
+        Restart {
+            caution: Caution::new(limits),
+            published,
+            published_at: f64::MIN,
+            first_accepted_s: None,
+        }
     }
 }
 
@@ -54,7 +59,10 @@
     pub(super) fn doubt(&self, now: Secs) -> Option<DoubtfulMachines> {
         let restart = self.restart.as_ref()?;
         let deleted = &self.renting.deleted;
-        let doubtful = || self.leader.doubtful_machines(&self.mirror, &|id| deleted.contains_key(id));
+        let doubtful = || {
+            self.leader
+                .doubtful_machines(&self.mirror, &|id| deleted.contains_key(id))
+        };
         restart.caution.is_on(now).then(doubtful)
     }
 
@@ -66,8 +74,14 @@
         doubt: Option<&DoubtfulMachines>,
         now: Secs,
     ) -> bool {
-        let (Some(restart), Some(doubtful)) = (&self.restart, doubt) else { return false };
-        let situation = Situation { now, all_joined: self.leader.all_joined(), doubtful };
+        let (Some(restart), Some(doubtful)) = (&self.restart, doubt) else {
+            return false;
+        };
+        let situation = Situation {
+            now,
+            all_joined: self.leader.all_joined(),
+            doubtful,
+        };
         match restart.caution.hold(action, spec, situation) {
             Some(reason) => {
                 self.part.note_hold(action, reason);
@@ -94,7 +108,10 @@
     /// Publishes the report, now and then.
     pub(super) fn publish_restart(&mut self, now: Secs) {
         let gap = self.settings.params.workers.report_s * PUBLISH_SHARE;
-        let due = self.restart.as_ref().is_some_and(|restart| now - restart.published_at >= gap);
+        let due = self
+            .restart
+            .as_ref()
+            .is_some_and(|restart| now - restart.published_at >= gap);
         if !due {
             return;
         }
@@ -108,10 +125,16 @@
     fn restart_report(&mut self, now: Secs) -> RestartReport {
         let left_alone = self.records_left_alone();
         let deleted = &self.renting.deleted;
-        let progress = || self.leader.restart_progress(&self.mirror, &|id| deleted.contains_key(id));
+        let progress = || {
+            self.leader
+                .restart_progress(&self.mirror, &|id| deleted.contains_key(id))
+        };
         RestartReport {
             node: self.settings.node_name.clone(),
-            first_accepted_after_s: self.restart.as_ref().and_then(|restart| restart.first_accepted_s),
+            first_accepted_after_s: self
+                .restart
+                .as_ref()
+                .and_then(|restart| restart.first_accepted_s),
             leader: self.leading().then(progress),
             machines: self.part.restart_record(now),
             records_left_alone_count: left_alone.len(),
@@ -121,10 +144,15 @@
 
     fn records_left_alone(&self) -> Vec<RecordLeftAlone> {
         let unreadable = self.mirror.unreadable.iter();
-        let unreadable =
-            unreadable.map(|(key, record)| RecordLeftAlone { key: key.clone(), why: record.why.to_string() });
+        let unreadable = unreadable.map(|(key, record)| RecordLeftAlone {
+            key: key.clone(),
+            why: record.why.to_string(),
+        });
         let misfits = misfit_records(&self.mirror, &self.settings).into_iter();
-        let misfits = misfits.map(|misfit| RecordLeftAlone { key: misfit.key, why: misfit.why.to_string() });
+        let misfits = misfits.map(|misfit| RecordLeftAlone {
+            key: misfit.key,
+            why: misfit.why.to_string(),
+        });
         unreadable.chain(misfits).collect()
     }
 }
--- a/src/controller/roster.rs
+++ b/src/controller/roster.rs
@@ -43,7 +43,9 @@
         for (n, chunk) in ids.chunks(self.page_limit().machines()).enumerate() {
             let key: Arc<str> = page_key(&format!("{name}.{n}")).into();
             for id in chunk {
-                self.roster.fresh.insert(id.clone(), (key.clone(), record.clone()));
+                self.roster
+                    .fresh
+                    .insert(id.clone(), (key.clone(), record.clone()));
             }
         }
     }
@@ -52,7 +54,10 @@
     fn enlist_found(&mut self, found: Vec<(MachineId, RosterRecord)>) {
         let mut kinds: BTreeMap<Offer, Vec<(MachineId, RosterRecord)>> = BTreeMap::new();
         for (id, r) in found {
-            kinds.entry((r.kind.clone(), r.zone.clone(), r.spot)).or_default().push((id, r));
+            kinds
+                .entry((r.kind.clone(), r.zone.clone(), r.spot))
+                .or_default()
+                .push((id, r));
         }
         for of_kind in kinds.into_values() {
             self.roster.found += 1;
@@ -99,25 +104,43 @@
         let mut pages: BTreeMap<Arc<str>, RosterPage> = BTreeMap::new();
         let known = |key: &Arc<str>| self.mirror.pages.get(key).map(|p| p.page.clone());
         for (id, addr) in up {
-            let Some((_, key)) = self.mirror.roster.get(&id) else { continue };
-            let Some(page) = pages.get(key).cloned().or_else(|| known(key)) else { continue };
-            pages.entry(key.clone()).or_insert(page).machines.insert(id, Some(addr));
+            let Some((_, key)) = self.mirror.roster.get(&id) else {
+                continue;
+            };
+            let Some(page) = pages.get(key).cloned().or_else(|| known(key)) else {
+                continue;
+            };
+            pages
+                .entry(key.clone())
+                .or_insert(page)
+                .machines
+                .insert(id, Some(addr));
         }
-        self.roster.fresh.retain(|id, _| !self.mirror.roster.contains_key(id));
+        self.roster
+            .fresh
+            .retain(|id, _| !self.mirror.roster.contains_key(id));
         for (id, (key, r)) in &self.roster.fresh {
             let page = pages.entry(key.clone()).or_insert_with(|| {
-                self.mirror.pages.get(key).map(|p| p.page.clone()).unwrap_or_else(|| RosterPage {
-                    kind: r.kind.clone(),
-                    zone: r.zone.clone(),
-                    spot: r.spot,
-                    at_ms: r.at_ms,
-                    machines: BTreeMap::new(),
-                })
+                self.mirror
+                    .pages
+                    .get(key)
+                    .map(|p| p.page.clone())
+                    .unwrap_or_else(|| RosterPage {
+                        kind: r.kind.clone(),
+                        zone: r.zone.clone(),
+                        spot: r.spot,
+                        at_ms: r.at_ms,
+                        machines: BTreeMap::new(),
+                    })
             });
             page.machines.entry(id.clone()).or_insert(None);
         }
-        let gone: BTreeSet<&MachineId> =
-            self.renting.deleted.keys().filter(|id| self.mirror.roster.contains_key(*id)).collect();
+        let gone: BTreeSet<&MachineId> = self
+            .renting
+            .deleted
+            .keys()
+            .filter(|id| self.mirror.roster.contains_key(*id))
+            .collect();
         if !gone.is_empty() {
             for (key, p) in &self.mirror.pages {
                 if p.page.machines.keys().any(|id| gone.contains(id)) {
@@ -129,13 +152,21 @@
         let copied = pages::split_long(&mut pages, &self.mirror.pages, self.page_limit());
         self.write_pages(pages, &copied, now);
         let roster = &self.mirror.roster;
-        let forget = self.settings.params.cloud.list_lag_s * 4.0 + self.settings.params.workers.lease_s;
-        self.renting.deleted.retain(|id, t| now - *t < forget || roster.contains_key(id));
+        let forget =
+            self.settings.params.cloud.list_lag_s * 4.0 + self.settings.params.workers.lease_s;
+        self.renting
+            .deleted
+            .retain(|id, t| now - *t < forget || roster.contains_key(id));
     }
 
     /// Writes pages that have no write under way, as many at a time as half a
     /// transaction holds: the longer it takes, the more goes into the next.
-    fn write_pages(&mut self, pages: BTreeMap<Arc<str>, RosterPage>, copies: &PageCopies, now: Secs) {
+    fn write_pages(
+        &mut self,
+        pages: BTreeMap<Arc<str>, RosterPage>,
+        copies: &PageCopies,
+        now: Secs,
+    ) {
         let most = (self.settings.params.state.lowest_txn_ops() / 2).max(2);
         let known = |key: &Arc<str>| self.mirror.pages.get(key).map(|p| p.page.machines.len());
         for (key, page) in self.roster.queue.in_turn(pages, known, now) {
@@ -156,12 +187,19 @@
                     value: serde_json::to_value(p).unwrap_or_default(),
                     lease: None,
                 },
-                None => Op::Delete { key: key.to_string() },
+                None => Op::Delete {
+                    key: key.to_string(),
+                },
             };
             let serial = self.roster.writing.next_serial();
             let mut conditions = vec![(key.to_string(), version)];
             conditions.extend(copies.get(&key).into_iter().flatten().cloned());
-            let write = Write { conditions, ops: vec![op], deadline: now + 2.0, tag: Tag::Roster(serial) };
+            let write = Write {
+                conditions,
+                ops: vec![op],
+                deadline: now + 2.0,
+                tag: Tag::Roster(serial),
+            };
             if self.writer.send(Class::Bulk, write).is_err() {
                 return;
             }
@@ -174,7 +212,9 @@
 
     /// A page's write was answered. What is committed is known at once.
     pub(super) fn roster_written(&mut self, serial: Serial, outcome: Outcome, now: Secs) {
-        let Some((key, value)) = self.roster.writing.answered(serial) else { return };
+        let Some((key, value)) = self.roster.writing.answered(serial) else {
+            return;
+        };
         tracing::debug!(%key, ?outcome, "a page's write was answered");
         match (outcome, value) {
             (Outcome::Done(version), Some(page)) => {
--- a/src/controller/shares.rs
+++ b/src/controller/shares.rs
@@ -80,7 +80,9 @@
 
     /// The table of shares has changed.
     pub(super) fn shares_changed(&mut self, now: Secs) {
-        let Some(epoch) = self.my_epoch().cloned() else { return };
+        let Some(epoch) = self.my_epoch().cloned() else {
+            return;
+        };
         if !epoch.shares {
             return;
         }
@@ -101,12 +103,17 @@
 
     /// What a part is told of handovers.
     pub(super) fn handover_orders(&self, node: &str) -> Vec<HandoverOrder> {
-        self.shares.as_ref().map(|shares| shares.handovers.orders_for(node)).unwrap_or_default()
+        self.shares
+            .as_ref()
+            .map(|shares| shares.handovers.orders_for(node))
+            .unwrap_or_default()
     }
 
     /// The leader takes in what a part tells of handovers.
     pub(super) fn take_handover_report(&mut self, from: &str, report: HandoverReport, now: Secs) {
-        let Some(shares) = self.shares.as_mut().filter(|_| !report.is_empty()) else { return };
+        let Some(shares) = self.shares.as_mut().filter(|_| !report.is_empty()) else {
+            return;
+        };
         let before: Vec<_> = shares.handovers.under_way().map(|h| h.state).collect();
         shares.handovers.take_in(from, report, now);
         let after: Vec<_> = shares.handovers.under_way().map(|h| h.state).collect();
@@ -117,10 +124,17 @@
 
     /// Whether a machine is being handed over, so that nobody's word on it is final.
     pub(super) fn is_changing_hands(&self, machine: &MachineId) -> bool {
-        let (Some(shares), Some(epoch)) = (&self.shares, self.my_epoch()) else { return false };
-        let Some(home) = membership::owner(&epoch.members, machine) else { return false };
+        let (Some(shares), Some(epoch)) = (&self.shares, self.my_epoch()) else {
+            return false;
+        };
+        let Some(home) = membership::owner(&epoch.members, machine) else {
+            return false;
+        };
         let at = position(machine);
-        let moves = shares.handovers.under_way().any(|h| h.wanted.range.contains(home, at));
+        let moves = shares
+            .handovers
+            .under_way()
+            .any(|h| h.wanted.range.contains(home, at));
         moves || !self.leader.has_one_owner(machine)
     }
 
@@ -143,7 +157,9 @@
     pub(super) fn move_shares(&mut self, now: Secs) {
         let in_use = self.my_epoch().is_some_and(|epoch| epoch.shares);
         let patience = self.settings.params.workers.report_s * PATIENCE_REPORTS;
-        let Some(shares) = self.shares.as_mut().filter(|_| in_use) else { return };
+        let Some(shares) = self.shares.as_mut().filter(|_| in_use) else {
+            return;
+        };
         shares.handovers.table_is(&self.mirror.shares, now);
         // Refused for certain, and what has been read since does not hold it either.
         let read_since = |at: &Secs| self.fresh_at.is_some_and(|fresh| fresh > *at);
@@ -157,10 +173,16 @@
     }
 
     fn write_table(&mut self, now: Secs) {
-        let Some(shares) = self.shares.as_mut().filter(|s| !s.writing && s.refused_at.is_none()) else {
+        let Some(shares) = self
+            .shares
+            .as_mut()
+            .filter(|s| !s.writing && s.refused_at.is_none())
+        else {
+            return;
+        };
+        let Some(change) = shares.handovers.to_write(&self.mirror.shares, now) else {
             return;
         };
-        let Some(change) = shares.handovers.to_write(&self.mirror.shares, now) else { return };
         let write = Write {
             // The table of another leader, or of another epoch, is not overwritten.
             conditions: vec![
@@ -181,11 +203,15 @@
     /// A write of the table was answered, or given up. What has no certain answer is
     /// written again, under the same conditions.
     pub(super) fn shares_written(&mut self, outcome: Outcome, now: Secs) {
-        let Some(shares) = &mut self.shares else { return };
+        let Some(shares) = &mut self.shares else {
+            return;
+        };
         shares.writing = false;
         match outcome {
             Outcome::Done(version) => {
-                let Some(change) = shares.handovers.to_write(&self.mirror.shares, now) else { return };
+                let Some(change) = shares.handovers.to_write(&self.mirror.shares, now) else {
+                    return;
+                };
                 let value = serde_json::to_value(change.table.stored()).unwrap_or_default();
                 let change = self.mirror.put(SHARES_KEY, value, version);
                 self.changed(change, now);
@@ -194,24 +220,37 @@
                 }
                 self.tell_sides("");
             }
-            Outcome::Conflict(_) | Outcome::Invalid | Outcome::TooMuch => shares.refused_at = Some(now),
+            Outcome::Conflict(_) | Outcome::Invalid | Outcome::TooMuch => {
+                shares.refused_at = Some(now)
+            }
             Outcome::Refused | Outcome::Unknown => {}
         }
     }
 
     fn begin_handover(&mut self, now: Secs) {
         let gap = self.settings.params.workers.report_s * PLAN_SHARE;
-        let due = self.shares.as_ref().is_some_and(|shares| now - shares.planned_at >= gap);
+        let due = self
+            .shares
+            .as_ref()
+            .is_some_and(|shares| now - shares.planned_at >= gap);
         if !due || self.state_down || !self.leader.all_joined() {
             return;
         }
         let Some(epoch) = self.my_epoch() else { return };
         let members: BTreeSet<String> = epoch.members.keys().cloned().collect();
         let machines = self.owned_machines(&epoch.members);
-        let Some(shares) = &mut self.shares else { return };
+        let Some(shares) = &mut self.shares else {
+            return;
+        };
         shares.planned_at = now;
-        let fleet = Fleet { members: &members, machines: &machines, table: &self.mirror.shares };
-        let Some(wanted) = shares.planner.next(fleet, &shares.handovers, now) else { return };
+        let fleet = Fleet {
+            members: &members,
+            machines: &machines,
+            table: &self.mirror.shares,
+        };
+        let Some(wanted) = shares.planner.next(fleet, &shares.handovers, now) else {
+            return;
+        };
         tracing::info!(range = %wanted.range, giver = wanted.giver, taker = wanted.taker, reason = ?wanted.reason, "a share is to move");
         if shares.handovers.begin(wanted, now) {
             self.tell_sides("");
@@ -223,7 +262,11 @@
         let owned = |id: &MachineId| {
             let home = membership::owner(members, id)?;
             let owner = self.owner_of(id)?;
-            Some(OwnedMachine { home: home.into(), position: position(id), owner: owner.into() })
+            Some(OwnedMachine {
+                home: home.into(),
+                position: position(id),
+                owner: owner.into(),
+            })
         };
         self.mirror.roster.keys().filter_map(owned).collect()
     }
@@ -231,7 +274,9 @@
     /// Operators want shares to move.
     pub(super) fn take_plan(&mut self, plan: Plan, reply: Reply) {
         let leads = self.leading();
-        let Some(epoch) = self.my_epoch() else { return reply.later(503, 1, "not a member now") };
+        let Some(epoch) = self.my_epoch() else {
+            return reply.later(503, 1, "not a member now");
+        };
         let members: BTreeSet<String> = epoch.members.keys().cloned().collect();
         if !leads {
             return reply.send(421, error_body(&format!("plan: {} leads", epoch.leader)));
@@ -252,7 +297,10 @@
     /// Publishes the report, now and then.
     pub(super) fn publish_shares(&mut self, now: Secs) {
         let gap = self.settings.params.workers.report_s * PUBLISH_SHARE;
-        let due = self.shares.as_ref().is_some_and(|shares| now - shares.published_at >= gap);
+        let due = self
+            .shares
+            .as_ref()
+            .is_some_and(|shares| now - shares.published_at >= gap);
         if !due {
             return;
         }
@@ -265,8 +313,10 @@
 
     fn shares_report(&self) -> SharesReport {
         let table = &self.mirror.shares;
-        let share =
-            |(range, owner): (&_, &str)| OwnedShare { range: Clone::clone(range), owner: owner.into() };
+        let share = |(range, owner): (&_, &str)| OwnedShare {
+            range: Clone::clone(range),
+            owner: owner.into(),
+        };
         SharesReport {
             node: self.settings.node_name.clone(),
             epoch: self.part.epoch(),
@@ -290,7 +340,12 @@
             ended: shares.handovers.ended.clone(),
             machines_moved: shares.handovers.machines_moved,
             longest_s: shares.handovers.longest_s,
-            without_owner: self.mirror.roster.keys().filter(|id| !told.contains(id)).count(),
+            without_owner: self
+                .mirror
+                .roster
+                .keys()
+                .filter(|id| !told.contains(id))
+                .count(),
             plan: shares.planner.plan().clone(),
         }
     }
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -96,7 +96,11 @@
         }
         let write = Write {
             conditions: vec![(job_key(&id), 0)],
-            ops: vec![Op::Put { key: job_key(&id), value, lease: None }],
+            ops: vec![Op::Put {
+                key: job_key(&id),
+                value,
+                lease: None,
+            }],
             deadline: now + self.patience(),
             tag: Tag::Submit(id.clone()),
         };
@@ -117,7 +121,11 @@
             }
             _ => {}
         }
-        let n = if spec.shape == Shape::Array { 1.0 } else { f64::from(spec.tasks) };
+        let n = if spec.shape == Shape::Array {
+            1.0
+        } else {
+            f64::from(spec.tasks)
+        };
         if n * spec.cpus > team.cpu_cap() || n * spec.gpus > team.gpu_cap() {
             return Err("the job needs more than the team's limit".into());
         }
@@ -125,7 +133,9 @@
     }
 
     pub(super) fn submit_written(&mut self, id: JobId, outcome: Outcome, now: Secs) {
-        let Some((record, replies)) = self.users.submits.remove(&id) else { return };
+        let Some((record, replies)) = self.users.submits.remove(&id) else {
+            return;
+        };
         match outcome {
             Outcome::Done(version) => {
                 if let Some(s) = &record.spec {
@@ -137,7 +147,12 @@
                 self.note_accepted(now);
                 let mut status = 201;
                 for reply in replies {
-                    let view = JobView { id: id.clone(), state: "pending".into(), done: None, running: None };
+                    let view = JobView {
+                        id: id.clone(),
+                        state: "pending".into(),
+                        done: None,
+                        running: None,
+                    };
                     reply.send(status, serde_json::to_vec(&view).unwrap_or_default());
                     status = 200;
                 }
@@ -181,10 +196,13 @@
     }
 
     fn wait_fresh(&mut self, read: Read, now: Secs) {
-        let reply_now =
-            self.fresh_at.is_none() || self.state_down || self.users.reads.len() >= self.most_waiting();
+        let reply_now = self.fresh_at.is_none()
+            || self.state_down
+            || self.users.reads.len() >= self.most_waiting();
         if reply_now {
-            return read.into_reply().later(503, 1, "the state service can't be reached");
+            return read
+                .into_reply()
+                .later(503, 1, "the state service can't be reached");
         }
         self.users.reads.push((now, read));
         let _ = self.kicks.try_send(());
@@ -197,7 +215,9 @@
         if let Some(waiting) = self.users.withdraws.get_mut(&id) {
             return waiting.1.push(reply);
         }
-        let Some(job) = self.mirror.jobs.get(&id) else { return };
+        let Some(job) = self.mirror.jobs.get(&id) else {
+            return;
+        };
         let record = cancelled(&job.record);
         let at_ms = record.cancelled_at_ms.unwrap_or_default();
         let write = Write {
@@ -217,14 +237,23 @@
     }
 
     pub(super) fn withdraw_written(&mut self, id: JobId, outcome: Outcome, now: Secs) {
-        let Some((at_ms, replies)) = self.users.withdraws.remove(&id) else { return };
+        let Some((at_ms, replies)) = self.users.withdraws.remove(&id) else {
+            return;
+        };
         match outcome {
             Outcome::Done(version) => {
                 if self.mirror.apply_cancellation(&id, version, at_ms) {
                     self.job_changed(&id);
                 }
                 // The others hear of it in this round: the machines may be theirs.
-                self.cancellation_notices.push((CancellationNotice { job: id.clone(), version, at_ms }, now));
+                self.cancellation_notices.push((
+                    CancellationNotice {
+                        job: id.clone(),
+                        version,
+                        at_ms,
+                    },
+                    now,
+                ));
                 self.said_hello = f64::MIN;
                 for reply in replies {
                     self.answer_final(&id, reply);
@@ -267,7 +296,8 @@
                     },
                 }
             } else if self.state_down || now - came > self.patience() {
-                read.into_reply().later(503, 1, "the state service can't be reached");
+                read.into_reply()
+                    .later(503, 1, "the state service can't be reached");
             } else {
                 self.users.reads.push((came, read));
             }
@@ -280,7 +310,12 @@
     fn answer_final(&self, id: &JobId, reply: Reply) {
         let done = self.mirror.jobs.get(id).is_some_and(|j| j.record.done);
         let state = if done { "done" } else { "cancelled" };
-        let view = JobView { id: id.clone(), state: state.into(), done: None, running: None };
+        let view = JobView {
+            id: id.clone(),
+            state: state.into(),
+            done: None,
+            running: None,
+        };
         reply.send(200, serde_json::to_vec(&view).unwrap_or_default());
     }
 
@@ -294,7 +329,9 @@
     }
 
     fn answer(&self, id: &JobId, reply: Reply) {
-        let Some(job) = self.mirror.jobs.get(id) else { return self.answer_unknown(id, reply) };
+        let Some(job) = self.mirror.jobs.get(id) else {
+            return self.answer_unknown(id, reply);
+        };
         let running = self.running.get(id).copied().unwrap_or(0);
         let (state, done, running) = if job.record.done {
             ("done", job.record.tasks, 0)
@@ -305,14 +342,23 @@
         } else {
             ("pending", job.finished.len(), 0)
         };
-        let view = JobView { id: id.clone(), state: state.into(), done: Some(done), running: Some(running) };
+        let view = JobView {
+            id: id.clone(),
+            state: state.into(),
+            done: Some(done),
+            running: Some(running),
+        };
         reply.send(200, serde_json::to_vec(&view).unwrap_or_default());
     }
 }
 
 /// A job's record once it is cancelled.
 fn cancelled(record: &JobRecord) -> JobRecord {
-    JobRecord { cancelled: true, cancelled_at_ms: Some(clock::day_ms()), ..record.clone() }
+    JobRecord {
+        cancelled: true,
+        cancelled_at_ms: Some(clock::day_ms()),
+        ..record.clone()
+    }
 }
 
 impl Read {
--- a/src/controller/worker_reports.rs
+++ b/src/controller/worker_reports.rs
@@ -36,13 +36,25 @@
             None => None,
         };
         let newest = before.map_or(newest, |known| known.newest.max(newest));
-        PassingWorker { at: now, tried: tried.or(Some(now)), newest, met }
+        PassingWorker {
+            at: now,
+            tried: tried.or(Some(now)),
+            newest,
+            met,
+        }
     }
 }
 
 impl Controller {
     /// Answers a worker's report, of which `raw` is the body as it came.
-    pub(super) fn report(&mut self, report: Report, raw: Vec<u8>, relayed: bool, reply: Reply, now: Secs) {
+    pub(super) fn report(
+        &mut self,
+        report: Report,
+        raw: Vec<u8>,
+        relayed: bool,
+        reply: Reply,
+        now: Secs,
+    ) {
         self.part.note_contact(&report.machine);
         let Some(epoch) = self.my_epoch() else {
             return reply.later(503, 1, "not a member now");
@@ -51,8 +63,8 @@
         if now >= self.entitled_until() {
             return reply.later(503, 1, "fenced");
         }
-        let owner =
-            membership::owner_by_shares(epoch, &self.mirror.shares, &report.machine).map(String::from);
+        let owner = membership::owner_by_shares(epoch, &self.mirror.shares, &report.machine)
+            .map(String::from);
         match owner {
             Some(owner) if owner == self.settings.node_name => {
                 self.answer_own_worker(&report, relayed, reply, now);
@@ -81,16 +93,24 @@
         let known = self.redirected.get(&report.machine);
         // One that was sent to its owner a moment ago and is here again can't
         // reach it.
-        let tried = known.and_then(|worker| worker.tried).filter(|at| now - at < lease_s * 2.0);
+        let tried = known
+            .and_then(|worker| worker.tried)
+            .filter(|at| now - at < lease_s * 2.0);
         let first = known.is_none_or(|worker| worker.tried.is_none());
         // One that obeyed this epoch's token already has been told by its owner,
         // and would be there if it could.
-        let obeyed = self.my_epoch().is_some_and(|e| membership::token_epoch(report.token) == e.n);
+        let obeyed = self
+            .my_epoch()
+            .is_some_and(|e| membership::token_epoch(report.token) == e.n);
         let cut = self.reachability.cut(&report.zone, &owner, now);
         let relay = cut || tried.is_some() || obeyed && first;
         // While its zone is known to be apart from its owner's it need not try,
         // and goes on to one that reaches both.
-        let around = if cut { self.reachability.around(&owner, now).map(String::from) } else { None };
+        let around = if cut {
+            self.reachability.around(&owner, now).map(String::from)
+        } else {
+            None
+        };
         let passing = PassingWorker::after(known, &report, tried, now);
         self.redirected.insert(report.machine, passing);
         match self.relays.get(&owner) {
@@ -100,7 +120,9 @@
                 let _ = way.try_send(Relay { raw, reply, until });
             }
             _ => {
-                let body = Redirect { report_to: around.or(Some(owner)) };
+                let body = Redirect {
+                    report_to: around.or(Some(owner)),
+                };
                 reply.send(421, serde_json::to_vec(&body).unwrap_or_default());
             }
         }
--- a/src/failure_detection.rs
+++ b/src/failure_detection.rs
@@ -36,8 +36,14 @@
     /// take begins a new stretch.
     pub fn reached(known: Option<ReachedSpan>, now: Secs, report_s: Secs) -> ReachedSpan {
         match known {
-            Some(s) if now - s.last <= report_s * ALONE_REPORTS => ReachedSpan { first: s.first, last: now },
-            _ => ReachedSpan { first: now, last: now },
+            Some(s) if now - s.last <= report_s * ALONE_REPORTS => ReachedSpan {
+                first: s.first,
+                last: now,
+            },
+            _ => ReachedSpan {
+                first: now,
+                last: now,
+            },
         }
     }
 }
@@ -119,8 +125,15 @@
             z.0 += 1;
             z.1 += u32::from(s.silent_s > report_s * ALONE_REPORTS || s.ignores_commands);
         }
-        let cut = zones.into_iter().filter(|(_, (all, silent))| *silent >= 2 && silent * 2 >= *all);
-        FailureDetector { report_s, lease_s, cut: cut.map(|z| z.0).collect(), reached }
+        let cut = zones
+            .into_iter()
+            .filter(|(_, (all, silent))| *silent >= 2 && silent * 2 >= *all);
+        FailureDetector {
+            report_s,
+            lease_s,
+            cut: cut.map(|z| z.0).collect(),
+            reached,
+        }
     }
 
     /// Whether most of a zone shows no sign of life.
@@ -136,9 +149,15 @@
 
     /// What to do with a machine that was in use.
     pub fn verdict(&self, s: &MachineHealth) -> Verdict {
-        let recent = s.reached.filter(|r| r.last_s <= self.report_s * ALONE_REPORTS);
-        let back_s = recent.map(|r| r.since_s).or_else(|| self.reached.get(&s.zone).copied());
-        let alone = s.unanswered_s.is_some_and(|d| d > self.report_s * UNANSWERED_REPORTS);
+        let recent = s
+            .reached
+            .filter(|r| r.last_s <= self.report_s * ALONE_REPORTS);
+        let back_s = recent
+            .map(|r| r.since_s)
+            .or_else(|| self.reached.get(&s.zone).copied());
+        let alone = s
+            .unanswered_s
+            .is_some_and(|d| d > self.report_s * UNANSWERED_REPORTS);
         // While nobody of the zone was reached, its silence says nothing.
         let silent_s = back_s.map_or(s.silent_s, |b| s.silent_s.min(b));
         // Reports that come and answers that don't arrive: never those of a
--- a/src/fleet/assigned_tasks.rs
+++ b/src/fleet/assigned_tasks.rs
@@ -37,13 +37,19 @@
         self.all.range(r)
     }
     /// Those of a machine, in order.
-    pub fn on<'a>(&'a self, machine: &MachineId) -> impl Iterator<Item = (&'a Task, &'a Held)> + 'a {
+    pub fn on<'a>(
+        &'a self,
+        machine: &MachineId,
+    ) -> impl Iterator<Item = (&'a Task, &'a Held)> + 'a {
         let tasks = self.on.get(machine).into_iter().flatten();
         tasks.filter_map(|t| self.all.get_key_value(t))
     }
     /// The names of those of a machine.
     pub fn names_on(&self, machine: &MachineId) -> Vec<Task> {
-        self.on.get(machine).map(|s| s.iter().cloned().collect()).unwrap_or_default()
+        self.on
+            .get(machine)
+            .map(|s| s.iter().cloned().collect())
+            .unwrap_or_default()
     }
     /// How many a machine has.
     pub fn count_on(&self, machine: &MachineId) -> usize {
@@ -58,7 +64,10 @@
         self.remove(&task);
         match &held.at {
             Some(p) => {
-                self.on.entry(p.machine.clone()).or_default().insert(task.clone());
+                self.on
+                    .entry(p.machine.clone())
+                    .or_default()
+                    .insert(task.clone());
             }
             None => {
                 self.queued.insert(task.clone());
@@ -87,7 +96,14 @@
     /// Gives one its place.
     pub fn place(&mut self, task: &Task, attempt: u64, at: Place) {
         if let Some(held) = self.remove(task) {
-            self.insert(task.clone(), Held { attempt, at: Some(at), ..held });
+            self.insert(
+                task.clone(),
+                Held {
+                    attempt,
+                    at: Some(at),
+                    ..held
+                },
+            );
         }
     }
     /// The views that have changed since report `since`; `seq` is the report
@@ -97,12 +113,16 @@
         for (task, h) in &mut self.all {
             let phase = h.at.as_ref().map_or(Phase::Queued, |p| p.phase);
             let machine = h.at.as_ref().map(|p| &p.machine);
-            let same = h
-                .told
-                .as_ref()
-                .is_some_and(|t| t.attempt == h.attempt && t.phase == phase && t.machine.as_ref() == machine);
+            let same = h.told.as_ref().is_some_and(|t| {
+                t.attempt == h.attempt && t.phase == phase && t.machine.as_ref() == machine
+            });
             if !same {
-                h.told = Some(LastReported { attempt: h.attempt, phase, machine: machine.cloned(), seq });
+                h.told = Some(LastReported {
+                    attempt: h.attempt,
+                    phase,
+                    machine: machine.cloned(),
+                    seq,
+                });
             }
             if h.told.as_ref().is_some_and(|t| t.seq > since) {
                 out.push(HeldView {
@@ -118,8 +138,12 @@
     }
     /// Lets go of all that `keep` says no to.
     pub fn retain(&mut self, keep: impl Fn(&Task, &Held) -> bool) -> Vec<(Task, u64)> {
-        let out: Vec<(Task, u64)> =
-            self.all.iter().filter(|(t, h)| !keep(t, h)).map(|(t, h)| (t.clone(), h.attempt)).collect();
+        let out: Vec<(Task, u64)> = self
+            .all
+            .iter()
+            .filter(|(t, h)| !keep(t, h))
+            .map(|(t, h)| (t.clone(), h.attempt))
+            .collect();
         for (t, _) in &out {
             self.remove(t);
         }
--- a/src/fleet/commands.rs
+++ b/src/fleet/commands.rs
@@ -45,7 +45,10 @@
 
 /// How long a task that is stopped may take to save.
 fn saving_time(stop: Stop, task: &Task, mirror: &Mirror) -> Secs {
-    let spec = mirror.jobs.get(&task.job).and_then(|job| job.record.spec.as_ref());
+    let spec = mirror
+        .jobs
+        .get(&task.job)
+        .and_then(|job| job.record.spec.as_ref());
     match (stop, spec) {
         (Stop::Cancelled, _) | (_, None) => 0.0,
         (_, Some(spec)) if spec.checkpoint_s > 0.0 => spec.save_s,
@@ -68,15 +71,28 @@
     /// The commands a machine is due. Reaps wait while a direct command is
     /// unanswered, and always carry a token above every earlier start's: a
     /// late copy of a start would run a reaped attempt again.
-    pub(super) fn compose(&mut self, id: &MachineId, mirror: &Mirror, direct: bool) -> (u64, Vec<Call>) {
+    pub(super) fn compose(
+        &mut self,
+        id: &MachineId,
+        mirror: &Mirror,
+        direct: bool,
+    ) -> (u64, Vec<Call>) {
         let epoch = self.epoch;
-        let Some(m) = self.machines.get_mut(id) else { return (token(epoch, 0), Vec::new()) };
+        let Some(m) = self.machines.get_mut(id) else {
+            return (token(epoch, 0), Vec::new());
+        };
         if !m.certain() || m.spent() {
             return (token(epoch, m.counter), m.cancelled_stops(mirror));
         }
-        let reaps = if m.in_flight { Vec::new() } else { self.reaps(id, mirror) };
+        let reaps = if m.in_flight {
+            Vec::new()
+        } else {
+            self.reaps(id, mirror)
+        };
         let stops = self.stops_of_unheld(id);
-        let Some(m) = self.machines.get_mut(id) else { return (token(epoch, 0), Vec::new()) };
+        let Some(m) = self.machines.get_mut(id) else {
+            return (token(epoch, 0), Vec::new());
+        };
         if !reaps.is_empty() {
             m.counter += 1;
         }
@@ -95,7 +111,13 @@
 
     /// The command that a held task is due, if any: a stop until it has stopped, a
     /// start until it is seen.
-    fn call_for_held(&mut self, id: &MachineId, task: &Task, token: u64, mirror: &Mirror) -> Option<Call> {
+    fn call_for_held(
+        &mut self,
+        id: &MachineId,
+        task: &Task,
+        token: u64,
+        mirror: &Mirror,
+    ) -> Option<Call> {
         let (session, up) = self.machines.get(id).map(|m| (m.session, m.up))?;
         let attempt = self.held.get(task)?.attempt;
         let place = self.held.place_mut(task)?;
@@ -108,7 +130,10 @@
             place.session = session;
             place.sent = true;
             counts.starts += 1;
-            return Some(Call::Start { task: task.to_string(), attempt });
+            return Some(Call::Start {
+                task: task.to_string(),
+                attempt,
+            });
         };
         if place.phase == Phase::Done {
             return None;
@@ -120,22 +145,39 @@
             return None;
         }
         *counts.stops.entry(stop.into()).or_default() += 1;
-        Some(Call::Stop { task: task.to_string(), attempt, grace_s })
+        Some(Call::Stop {
+            task: task.to_string(),
+            attempt,
+            grace_s,
+        })
     }
 
     /// What a machine's worker may forget.
     fn reaps(&self, id: &MachineId, mirror: &Mirror) -> Vec<Call> {
-        let Some(m) = self.machines.get(id) else { return Vec::new() };
+        let Some(m) = self.machines.get(id) else {
+            return Vec::new();
+        };
         let due = m.lines.iter().filter(|(task, (attempt, state, why))| {
             let reported = ReportedTask::new(*attempt, *state, why.as_deref());
-            may_reap(reported, self.holding(id, task, *attempt), mirror.stored(task)).is_some()
+            may_reap(
+                reported,
+                self.holding(id, task, *attempt),
+                mirror.stored(task),
+            )
+            .is_some()
         });
-        due.map(|(task, line)| Call::Forget { task: task.to_string(), attempt: line.0 }).collect()
+        due.map(|(task, line)| Call::Forget {
+            task: task.to_string(),
+            attempt: line.0,
+        })
+        .collect()
     }
 
     /// Stops for what a machine shows to run and this part doesn't hold there.
     fn stops_of_unheld(&self, id: &MachineId) -> Vec<Call> {
-        let Some(m) = self.machines.get(id) else { return Vec::new() };
+        let Some(m) = self.machines.get(id) else {
+            return Vec::new();
+        };
         let due = m.lines.iter().filter(|(task, (attempt, state, why))| {
             let reported = ReportedTask::new(*attempt, *state, why.as_deref());
             must_stop(reported, self.holding(id, task, *attempt)).is_some()
@@ -150,13 +192,25 @@
 
     /// Direct commands that are due now.
     pub fn directs(&mut self, mirror: &Mirror, now: Secs) -> Vec<Direct> {
-        self.directs_within(mirror, now, DirectRoom { sound: usize::MAX, doubtful: usize::MAX })
+        self.directs_within(
+            mirror,
+            now,
+            DirectRoom {
+                sound: usize::MAX,
+                doubtful: usize::MAX,
+            },
+        )
     }
 
     /// Direct commands that are due now, as many as there is room for. The rest
     /// stay due: to give one up that was never sent would raise its machine's
     /// token for nothing.
-    pub fn directs_within(&mut self, mirror: &Mirror, now: Secs, mut room: DirectRoom) -> Vec<Direct> {
+    pub fn directs_within(
+        &mut self,
+        mirror: &Mirror,
+        now: Secs,
+        mut room: DirectRoom,
+    ) -> Vec<Direct> {
         let mut due: BTreeSet<MachineId> = BTreeSet::new();
         for (_, h) in self.held.iter() {
             if let Some(p) = &h.at {
@@ -183,13 +237,21 @@
             if self.handovers.is_fenced(&id) {
                 continue;
             }
-            let Some(m) = self.machines.get_mut(&id) else { continue };
+            let Some(m) = self.machines.get_mut(&id) else {
+                continue;
+            };
             if m.in_flight || now < m.direct_bad_until || m.session <= m.over && m.session != 0 {
                 continue;
             }
-            let (Some(addr), session) = (m.addr.clone(), m.session) else { continue };
+            let (Some(addr), session) = (m.addr.clone(), m.session) else {
+                continue;
+            };
             let doubtful = m.unanswered_since.is_some() || m.heard.is_none_or(|h| now - h > late);
-            let left = if doubtful { &mut room.doubtful } else { &mut room.sound };
+            let left = if doubtful {
+                &mut room.doubtful
+            } else {
+                &mut room.sound
+            };
             if *left == 0 {
                 continue;
             }
@@ -200,12 +262,30 @@
                 m.in_flight = true;
                 let commands = m.cancelled_stops(mirror);
                 self.record.orders.questions += 1;
-                let body = Commands { token: token(self.epoch, m.counter), session, commands };
-                out.push(Direct { machine: id, addr, body, doubtful });
+                let body = Commands {
+                    token: token(self.epoch, m.counter),
+                    session,
+                    commands,
+                };
+                out.push(Direct {
+                    machine: id,
+                    addr,
+                    body,
+                    doubtful,
+                });
                 continue;
             }
             let (token, commands) = self.compose(&id, mirror, true);
-            out.push(Direct { machine: id, addr, body: Commands { token, session, commands }, doubtful });
+            out.push(Direct {
+                machine: id,
+                addr,
+                body: Commands {
+                    token,
+                    session,
+                    commands,
+                },
+                doubtful,
+            });
         }
         out
     }
@@ -220,7 +300,9 @@
         now: Secs,
     ) {
         let (epoch, report_s) = (self.epoch, self.timing.report_s);
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         m.in_flight = false;
         // What is known of it has gone over to its taker: no more may change.
         if self.handovers.is_fenced(id) {
@@ -253,7 +335,11 @@
                 // harmless however late it comes; a higher token for each that
                 // gets no answer would keep a machine uncertain, and what runs
                 // there renewed, for as long as commands don't reach it.
-                if sent.commands.iter().any(|c| !matches!(c, Call::Stop { .. })) {
+                if sent
+                    .commands
+                    .iter()
+                    .any(|c| !matches!(c, Call::Stop { .. }))
+                {
                     m.counter += 1;
                 }
                 // One taken over that doesn't answer the first question is
--- a/src/fleet/handover.rs
+++ b/src/fleet/handover.rs
@@ -44,7 +44,10 @@
 impl HandoverSide {
     /// No handovers yet, in an epoch of `members`.
     pub(super) fn new(members: BTreeMap<String, u64>) -> HandoverSide {
-        HandoverSide { members, ..HandoverSide::default() }
+        HandoverSide {
+            members,
+            ..HandoverSide::default()
+        }
     }
 
     /// Whether a machine gets no orders. Guard: by its position, so that one that appears
@@ -76,7 +79,9 @@
         let released = self.fences.iter().filter(|(_, fence)| fence.released);
         HandoverReport {
             accepted: self.accepted.iter().copied().collect(),
-            fenced: fenced.map(|(id, fence)| (*id, fence.knowledge.clone())).collect(),
+            fenced: fenced
+                .map(|(id, fence)| (*id, fence.knowledge.clone()))
+                .collect(),
             released: released.map(|(id, _)| *id).collect(),
             taken: self.taken.iter().copied().collect(),
         }
@@ -86,7 +91,12 @@
 impl Part {
     /// Takes in all handovers that the leader tells. A fence that is no longer told is
     /// over: the handover was withdrawn, or this part has let go of the share.
-    pub(super) fn take_handover_orders(&mut self, orders: &[HandoverOrder], mirror: &Mirror, now: Secs) {
+    pub(super) fn take_handover_orders(
+        &mut self,
+        orders: &[HandoverOrder],
+        mirror: &Mirror,
+        now: Secs,
+    ) {
         let before = self.handovers.report();
         let told: BTreeSet<HandoverId> = orders.iter().map(HandoverOrder::id).collect();
         self.handovers.fences.retain(|id, _| told.contains(id));
@@ -98,7 +108,12 @@
                     self.handovers.accepted.insert(*id);
                 }
                 HandoverOrder::Fence { id, range } => self.fence(*id, range, now),
-                HandoverOrder::Take { id, range, generation, machines } => {
+                HandoverOrder::Take {
+                    id,
+                    range,
+                    generation,
+                    machines,
+                } => {
                     if mirror.shares.generation >= *generation && self.handovers.taken.insert(*id) {
                         self.take_share(range, machines, mirror, now);
                     }
@@ -114,8 +129,12 @@
             return;
         }
         let side = &self.handovers;
-        let machines: Vec<MachineId> =
-            self.machines.keys().filter(|machine| side.is_in(range, machine)).cloned().collect();
+        let machines: Vec<MachineId> = self
+            .machines
+            .keys()
+            .filter(|machine| side.is_in(range, machine))
+            .cloned()
+            .collect();
         for id in &machines {
             self.give_back_unsent(id);
             if let Some(m) = self.machines.get_mut(id).filter(|m| m.in_flight) {
@@ -123,9 +142,16 @@
                 m.counter += 1;
             }
         }
-        let knowledge = machines.iter().filter_map(|id| self.knowledge(id, now)).collect();
+        let knowledge = machines
+            .iter()
+            .filter_map(|id| self.knowledge(id, now))
+            .collect();
         tracing::debug!(handover = id, %range, machines = machines.len(), "fenced");
-        let fence = Fence { range: range.clone(), knowledge, released: false };
+        let fence = Fence {
+            range: range.clone(),
+            knowledge,
+            released: false,
+        };
         self.handovers.fences.insert(id, fence);
     }
 
@@ -142,14 +168,20 @@
 
     /// Machines that get no orders, as they are being handed over.
     pub fn fenced_machines(&self) -> Vec<MachineId> {
-        self.machines.keys().filter(|id| self.handovers.is_fenced(id)).cloned().collect()
+        self.machines
+            .keys()
+            .filter(|id| self.handovers.is_fenced(id))
+            .cloned()
+            .collect()
     }
 
     /// Answers a worker of a share that is being handed over: its lease is renewed, and
     /// what is cancelled stops.
     pub(super) fn answer_fenced(&mut self, r: &Report, mirror: &Mirror, now: Secs) -> ReportReply {
         let epoch = self.epoch;
-        let Some(m) = self.machines.get_mut(&r.machine) else { return ReportReply::Refuse };
+        let Some(m) = self.machines.get_mut(&r.machine) else {
+            return ReportReply::Refuse;
+        };
         if (r.session, r.seq) <= (m.session, m.seq) || r.session <= m.over {
             return ReportReply::Refuse;
         }
@@ -162,18 +194,33 @@
             let job = Task::parse(task).and_then(|task| mirror.jobs.get(&task.job));
             job.is_some_and(|job| job.record.cancelled)
         };
-        let stops = r.tasks.iter().filter(|line| line.state != TaskState::Ended && cancelled(&line.task));
+        let stops = r
+            .tasks
+            .iter()
+            .filter(|line| line.state != TaskState::Ended && cancelled(&line.task));
         let commands = stops
-            .map(|line| Call::Stop { task: line.task.clone(), attempt: line.attempt, grace_s: 0.0 })
+            .map(|line| Call::Stop {
+                task: line.task.clone(),
+                attempt: line.attempt,
+                grace_s: 0.0,
+            })
             .collect();
-        ReportReply::Commands { token: token(epoch, m.counter), commands }
+        ReportReply::Commands {
+            token: token(epoch, m.counter),
+            commands,
+        }
     }
 
     /// The table of shares has changed: what is no longer this part's goes, and what is
     /// new waits for its giver's knowledge.
     pub fn shares_changed(&mut self, mirror: &Mirror, now: Secs, owns: impl Fn(&str) -> bool) {
         self.handovers.table_changed_at = Some(now);
-        let gone: Vec<MachineId> = self.machines.keys().filter(|id| !owns(id)).cloned().collect();
+        let gone: Vec<MachineId> = self
+            .machines
+            .keys()
+            .filter(|id| !owns(id))
+            .cloned()
+            .collect();
         for id in &gone {
             self.let_go(id);
         }
@@ -182,7 +229,10 @@
             fence.released |= table.sole_owner(&fence.range) != Some(node);
         }
         let machines = &self.machines;
-        let gained = mirror.roster.keys().filter(|id| owns(id) && !machines.contains_key(*id));
+        let gained = mirror
+            .roster
+            .keys()
+            .filter(|id| owns(id) && !machines.contains_key(*id));
         self.handovers.awaited = gained.cloned().collect();
         self.dirty = true;
     }
@@ -199,10 +249,20 @@
 
     /// Goes on with a share from what its giver knew. A machine of it that the giver did
     /// not know is asked like any other.
-    fn take_share(&mut self, range: &ShareRange, known: &[MachineKnowledge], mirror: &Mirror, now: Secs) {
+    fn take_share(
+        &mut self,
+        range: &ShareRange,
+        known: &[MachineKnowledge],
+        mirror: &Mirror,
+        now: Secs,
+    ) {
         let side = &self.handovers;
-        let mine: BTreeSet<MachineId> =
-            side.awaited.iter().filter(|id| side.is_in(range, id)).cloned().collect();
+        let mine: BTreeSet<MachineId> = side
+            .awaited
+            .iter()
+            .filter(|id| side.is_in(range, id))
+            .cloned()
+            .collect();
         self.handovers.awaited.retain(|id| !mine.contains(id));
         for machine in known.iter().filter(|machine| mine.contains(&machine.id)) {
             self.adopt_machine(machine, mirror, now);
@@ -223,19 +283,27 @@
     /// one that has not read the changed table answers until its knowledge is too old.
     pub(super) fn giver_renews_until(&self) -> Secs {
         let margin = clock::with_drift_margin(self.timing.member_life_s);
-        self.handovers.table_changed_at.map_or(f64::MIN, |changed| changed + margin)
+        self.handovers
+            .table_changed_at
+            .map_or(f64::MIN, |changed| changed + margin)
     }
 
     /// What is known of a machine, for its taker.
     fn knowledge(&self, id: &MachineId, now: Secs) -> Option<MachineKnowledge> {
         let m = self.machines.get(id)?;
-        let held = self.held.on(id).filter_map(|(task, held)| task_knowledge(task, held, now));
-        let lines = m.lines.iter().map(|(task, (attempt, state, why))| LineKnowledge {
-            task: task.clone(),
-            attempt: *attempt,
-            state: *state,
-            why: why.clone(),
-        });
+        let held = self
+            .held
+            .on(id)
+            .filter_map(|(task, held)| task_knowledge(task, held, now));
+        let lines = m
+            .lines
+            .iter()
+            .map(|(task, (attempt, state, why))| LineKnowledge {
+                task: task.clone(),
+                attempt: *attempt,
+                state: *state,
+                why: why.clone(),
+            });
         Some(MachineKnowledge {
             id: id.clone(),
             kind: m.kind.clone(),
@@ -261,7 +329,10 @@
     /// Takes over a machine with all that its giver knew. Its token is above any that the
     /// giver used.
     fn adopt_machine(&mut self, known: &MachineKnowledge, mirror: &Mirror, now: Secs) {
-        let lines = known.lines.iter().map(|l| (l.task.clone(), (l.attempt, l.state, l.why.clone())));
+        let lines = known
+            .lines
+            .iter()
+            .map(|l| (l.task.clone(), (l.attempt, l.state, l.why.clone())));
         let machine = Machine {
             kind: known.kind.clone(),
             zone: known.zone.clone(),
@@ -289,7 +360,13 @@
         }
     }
 
-    fn adopt_task(&mut self, machine: &MachineId, known: &TaskKnowledge, mirror: &Mirror, now: Secs) {
+    fn adopt_task(
+        &mut self,
+        machine: &MachineId,
+        known: &TaskKnowledge,
+        mirror: &Mirror,
+        now: Secs,
+    ) {
         if self.held.contains(&known.task) {
             tracing::warn!(task = %known.task, %machine, "a task that comes with a share is held already");
             return;
@@ -319,11 +396,16 @@
             told: None,
         };
         // It was here before, and is again: that it had gone need not be told any more.
-        self.dropped.retain(|(task, attempt, _)| *task != known.task || *attempt != known.attempt);
+        self.dropped
+            .retain(|(task, attempt, _)| *task != known.task || *attempt != known.attempt);
         let seen = self.seen.entry(known.task.clone()).or_insert(0);
         *seen = (*seen).max(known.assignment);
         self.held.insert(known.task.clone(), held);
-        if mirror.jobs.get(&known.task.job).is_some_and(|job| job.record.cancelled) {
+        if mirror
+            .jobs
+            .get(&known.task.job)
+            .is_some_and(|job| job.record.cancelled)
+        {
             self.recall(&known.task, known.attempt, Stop::Cancelled);
         }
     }
--- a/src/fleet/leases.rs
+++ b/src/fleet/leases.rs
@@ -53,13 +53,22 @@
     /// Stops what has to move off machines that will be taken.
     pub fn stop_for_notices(&mut self, mirror: &Mirror, now: Secs) {
         let mut moving = Vec::new();
-        let noticed = self.machines.iter().filter_map(|(id, m)| Some((id, m.notice_until?)));
-        for (until, (task, h)) in noticed.flat_map(|(id, until)| self.held.on(id).map(move |t| (until, t))) {
+        let noticed = self
+            .machines
+            .iter()
+            .filter_map(|(id, m)| Some((id, m.notice_until?)));
+        for (until, (task, h)) in
+            noticed.flat_map(|(id, until)| self.held.on(id).map(move |t| (until, t)))
+        {
             let Some(p) = &h.at else { continue };
             if p.stop.is_some() || p.phase == Phase::Done {
                 continue;
             }
-            let Some(spec) = mirror.jobs.get(&task.job).and_then(|j| j.record.spec.as_ref()) else {
+            let Some(spec) = mirror
+                .jobs
+                .get(&task.job)
+                .and_then(|j| j.record.spec.as_ref())
+            else {
                 continue;
             };
             // The leader stops a gang as a whole.
@@ -67,8 +76,9 @@
                 continue;
             }
             let left = spec.estimate_s - (now - p.since);
-            let ends_in_time =
-                p.phase == Phase::Running && spec.shape == Shape::Array && now + left.max(0.0) < until;
+            let ends_in_time = p.phase == Phase::Running
+                && spec.shape == Shape::Array
+                && now + left.max(0.0) < until;
             if !ends_in_time {
                 moving.push((task.clone(), h.attempt));
             }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -144,7 +144,11 @@
         now: Secs,
     ) {
         let mine = token_epoch(r.token) == epoch;
-        if self.unacknowledged.as_ref().is_some_and(|u| r.token >= u.token) {
+        if self
+            .unacknowledged
+            .as_ref()
+            .is_some_and(|u| r.token >= u.token)
+        {
             self.unacknowledged = None;
         }
         // Its lease ran out although it was answered well within it.
@@ -159,7 +163,11 @@
     /// An answer with `token` went out to a report that showed `seen`.
     pub(super) fn told(&mut self, seen: u64, token: u64, now: Secs) {
         if seen < token {
-            let u = self.unacknowledged.get_or_insert(Unacknowledged { token, since: now, answers: 0 });
+            let u = self.unacknowledged.get_or_insert(Unacknowledged {
+                token,
+                since: now,
+                answers: 0,
+            });
             u.answers += 1;
         }
     }
@@ -167,7 +175,9 @@
     /// An answer has not been heeded for longer than its worker takes to
     /// report again: no new work until it is.
     pub(super) fn suspect(&self, report_s: Secs, now: Secs) -> bool {
-        self.unacknowledged.as_ref().is_some_and(|u| u.answers >= 2 && now - u.since > report_s * 1.5)
+        self.unacknowledged
+            .as_ref()
+            .is_some_and(|u| u.answers >= 2 && now - u.since > report_s * 1.5)
             || self.unreported_for(now) > report_s * SILENT_REPORTS * 0.75
     }
 
@@ -187,7 +197,12 @@
     pub(super) fn obeyed(&mut self, report_s: Secs, now: Secs) {
         match &mut self.unreported {
             Some(u) if now - u.last < report_s * SILENT_REPORTS / 1.5 => u.last = now,
-            _ => self.unreported = Some(Unreported { since: now, last: now }),
+            _ => {
+                self.unreported = Some(Unreported {
+                    since: now,
+                    last: now,
+                })
+            }
         }
     }
 
@@ -201,15 +216,25 @@
     /// again while owners changed faster than a worker reports.
     pub(super) fn cancelled_stops(&self, mirror: &Mirror) -> Vec<Call> {
         let over = |t: &Task| mirror.jobs.get(&t.job).is_some_and(|j| j.record.cancelled);
-        let runs = self.lines.iter().filter(|(t, l)| l.1 != TaskState::Ended && over(t));
-        runs.map(|(t, l)| Call::Stop { task: t.to_string(), attempt: l.0, grace_s: 0.0 }).collect()
+        let runs = self
+            .lines
+            .iter()
+            .filter(|(t, l)| l.1 != TaskState::Ended && over(t));
+        runs.map(|(t, l)| Call::Stop {
+            task: t.to_string(),
+            attempt: l.0,
+            grace_s: 0.0,
+        })
+        .collect()
     }
 
     /// Its reports arrive, but nothing that it is answered or told reaches it:
     /// for so long that one lost answer, after which a worker tries other
     /// controllers first, can't be why.
     pub(super) fn ignores_commands(&self, report_s: Secs, now: Secs) -> bool {
-        self.unacknowledged.as_ref().is_some_and(|u| u.answers >= 3 && now - u.since > report_s * 3.0)
+        self.unacknowledged
+            .as_ref()
+            .is_some_and(|u| u.answers >= 3 && now - u.since > report_s * 3.0)
     }
 
     /// Makes the token higher than `floor`, if it isn't.
--- a/src/fleet/messages.rs
+++ b/src/fleet/messages.rs
@@ -161,7 +161,10 @@
 impl JobAssignment {
     /// The assignment of a task: its attempt, if nothing else is said.
     pub(super) fn assignment(&self, index: u32, attempt: u64) -> u64 {
-        self.assignments.iter().find(|(i, _)| *i == index).map_or(attempt, |(_, assignment)| *assignment)
+        self.assignments
+            .iter()
+            .find(|(i, _)| *i == index)
+            .map_or(attempt, |(_, assignment)| *assignment)
     }
 }
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -19,7 +19,9 @@
 mod snapshot;
 
 pub use commands::{Direct, DirectRoom, ReportReply};
-pub use messages::{Gone, HeldView, JobAssignment, Leave, MachineView, Orders, PartReport, Phase, Quiet};
+pub use messages::{
+    Gone, HeldView, JobAssignment, Leave, MachineView, Orders, PartReport, Phase, Quiet,
+};
 
 use crate::clock::Secs;
 use crate::failure_detection::ReachedSpan;
@@ -180,10 +182,21 @@
     /// Enters an epoch. What was known is kept only if this incarnation was a
     /// member of the epoch just before: otherwise somebody else may have
     /// owned the machines in between.
-    pub fn enter(&mut self, epoch: u64, inc: u64, mirror: &Mirror, now: Secs, owns: impl Fn(&str) -> bool) {
+    pub fn enter(
+        &mut self,
+        epoch: u64,
+        inc: u64,
+        mirror: &Mirror,
+        now: Secs,
+        owns: impl Fn(&str) -> bool,
+    ) {
         let stays = inc == self.inc && epoch == self.epoch + 1;
         if !stays {
-            let fresh = Part::new(&self.node, self.timing, std::mem::take(&mut self.start_aims));
+            let fresh = Part::new(
+                &self.node,
+                self.timing,
+                std::mem::take(&mut self.start_aims),
+            );
             let record = std::mem::replace(&mut self.record, RestartRecord::new(0));
             *self = Part { record, ..fresh };
         }
@@ -203,7 +216,10 @@
         self.unlisted.clear();
         self.machines.retain(|id, _| owns(id));
         let machines = &self.machines;
-        self.held.retain(|_, h| h.at.as_ref().is_none_or(|p| machines.contains_key(&p.machine)));
+        self.held.retain(|_, h| {
+            h.at.as_ref()
+                .is_none_or(|p| machines.contains_key(&p.machine))
+        });
         for (id, (record, _)) in &mirror.roster {
             if owns(id) {
                 self.list(id, record, now);
@@ -247,7 +263,11 @@
 
     /// The machines of this part that are on the roster.
     pub fn listed_machines(&self) -> Vec<MachineId> {
-        self.machines.iter().filter(|(_, m)| m.listed).map(|(id, _)| id.clone()).collect()
+        self.machines
+            .iter()
+            .filter(|(_, m)| m.listed)
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 
     fn lose(&mut self, id: &MachineId, below_session: u64) {
@@ -314,10 +334,15 @@
     /// Queues the tasks of a job that this part has not been given yet.
     fn take_assignment(&mut self, job: &JobAssignment, mirror: &Mirror, now: Secs) {
         // The mirror may be behind the leader's: the assignment comes again.
-        let Some(known) = mirror.jobs.get(&job.job) else { return };
+        let Some(known) = mirror.jobs.get(&job.job) else {
+            return;
+        };
         let mut fresh = false;
         for &(index, attempt) in &job.tasks {
-            let task = Task { job: job.job.clone(), index };
+            let task = Task {
+                job: job.job.clone(),
+                index,
+            };
             let assignment = job.assignment(index, attempt);
             let seen = self.seen.entry(task.clone()).or_insert(0);
             if assignment <= *seen {
@@ -330,14 +355,26 @@
                 continue;
             }
             let avoid = job.avoid.clone();
-            let held = Held { attempt, assignment, at: None, since: now, avoid, told: None };
+            let held = Held {
+                attempt,
+                assignment,
+                at: None,
+                since: now,
+                avoid,
+                told: None,
+            };
             self.held.insert(task.clone(), held);
             if !known.live() {
                 self.leave(&task, Leave::Stopped);
             }
         }
         if let Some(room) = job.zone_room.as_ref().filter(|_| fresh) {
-            self.bounds.insert(job.job.clone(), Bounds { room: room.iter().cloned().collect() });
+            self.bounds.insert(
+                job.job.clone(),
+                Bounds {
+                    room: room.iter().cloned().collect(),
+                },
+            );
         }
     }
 
@@ -354,10 +391,15 @@
     fn take_recall(&mut self, task: &Task, attempt: u64, mirror: &Mirror, now: Secs) {
         let place = self.held.get(task).and_then(|held| held.at.as_ref());
         let young = place.is_some_and(|place| {
-            place.phase == Phase::Running && place.stop.is_none() && now - place.since < START_COUNTS_S
+            place.phase == Phase::Running
+                && place.stop.is_none()
+                && now - place.since < START_COUNTS_S
         });
         // Guard: the tasks of a gang are stopped together or lose their progress.
-        let spec = mirror.jobs.get(&task.job).and_then(|job| job.record.spec.as_ref());
+        let spec = mirror
+            .jobs
+            .get(&task.job)
+            .and_then(|job| job.record.spec.as_ref());
         let gang = spec.is_some_and(|spec| spec.shape == Shape::Gang);
         if !young || gang {
             self.recall(task, attempt, Stop::Recalled);
@@ -369,7 +411,10 @@
         if self.held.get(task).is_none_or(|h| h.attempt != attempt) {
             return;
         }
-        let machine = self.held.get(task).and_then(|held| Some(held.at.as_ref()?.machine.clone()));
+        let machine = self
+            .held
+            .get(task)
+            .and_then(|held| Some(held.at.as_ref()?.machine.clone()));
         let fenced = machine.is_some_and(|machine| self.handovers.is_fenced(&machine));
         match self.held.place_mut(task) {
             None => self.leave(task, Leave::Stopped),
@@ -403,13 +448,27 @@
     /// A job changed in the mirror: cancelled tasks are stopped, finished
     /// ones are let go of.
     pub fn job_changed(&mut self, id: &JobId, mirror: &Mirror) {
-        let Some(job) = mirror.jobs.get(id) else { return };
-        let from = Task { job: id.clone(), index: 0 };
-        let to = Task { job: id.clone(), index: u32::MAX };
+        let Some(job) = mirror.jobs.get(id) else {
+            return;
+        };
+        let from = Task {
+            job: id.clone(),
+            index: 0,
+        };
+        let to = Task {
+            job: id.clone(),
+            index: u32::MAX,
+        };
         let tasks: Vec<(Task, u64, bool)> = self
             .held
             .range(from..=to)
-            .map(|(t, h)| (t.clone(), h.attempt, h.at.as_ref().is_some_and(|p| p.phase == Phase::Done)))
+            .map(|(t, h)| {
+                (
+                    t.clone(),
+                    h.attempt,
+                    h.at.as_ref().is_some_and(|p| p.phase == Phase::Done),
+                )
+            })
             .collect();
         for (task, attempt, done) in tasks {
             if done && finished(mirror, &task) {
@@ -436,7 +495,9 @@
         let over: Vec<Task> = self
             .held
             .iter()
-            .filter(|(t, h)| h.at.as_ref().is_some_and(|p| p.phase == Phase::Done) && finished(mirror, t))
+            .filter(|(t, h)| {
+                h.at.as_ref().is_some_and(|p| p.phase == Phase::Done) && finished(mirror, t)
+            })
             .map(|(t, _)| t.clone())
             .collect();
         for task in over {
@@ -445,9 +506,11 @@
         // Neither rented nor shown to be alive: a copy of a report, or a machine
         // whose lease is past by now.
         let (lease_s, entered) = (self.timing.lease_s, self.entered);
-        self.machines.retain(|_, m| m.listed || m.heard.is_some() || now - m.since.max(entered) < lease_s);
+        self.machines
+            .retain(|_, m| m.listed || m.heard.is_some() || now - m.since.max(entered) < lease_s);
         let held = &self.held;
-        self.seen.retain(|t, _| held.contains(t) || mirror.jobs.get(&t.job).is_none_or(|j| j.live()));
+        self.seen
+            .retain(|t, _| held.contains(t) || mirror.jobs.get(&t.job).is_none_or(|j| j.live()));
     }
 
     /// Machines heard of, for tests and logs.
