--- a/src/fleet/placement.rs
+++ b/src/fleet/placement.rs
@@ -11,7 +11,12 @@
 
 impl Part {
     pub(super) fn machine_free(&self, id: &MachineId, m: &Machine, mirror: &Mirror) -> Res {
-        let Some(total) = mirror.catalog.as_ref().and_then(|c| c.get(&m.kind)).map(|t| t.total()) else {
+        let Some(total) = mirror
+            .catalog
+            .as_ref()
+            .and_then(|c| c.get(&m.kind))
+            .map(|t| t.total())
+        else {
             return Res::default();
         };
         let mut free = total;
@@ -40,7 +45,8 @@
             && !m.draining
             && m.notice_until.is_none()
             && !m.suspect(self.timing.report_s, now)
-            && m.heard.is_some_and(|h| now - h < self.timing.report_s * 2.5)
+            && m.heard
+                .is_some_and(|h| now - h < self.timing.report_s * 2.5)
     }
 
     /// Places what is queued, the highest rank first, until `more` says that
@@ -71,10 +77,21 @@
                 self.dirty = true;
                 return;
             }
-            let Some(spec) = mirror.jobs.get(&task.job).and_then(|j| j.record.spec.clone()) else { continue };
+            let Some(spec) = mirror
+                .jobs
+                .get(&task.job)
+                .and_then(|j| j.record.spec.clone())
+            else {
+                continue;
+            };
             let quick = best_fit::in_a_hurry(&spec, &self.start_aims, mirror.catalog.as_deref());
             let chosen = self.choose(&task, &spec, quick, &free, &kept);
-            let cold = |id: &MachineId| !self.machines.get(id).is_some_and(|m| m.has_image(&spec.image));
+            let cold = |id: &MachineId| {
+                !self
+                    .machines
+                    .get(id)
+                    .is_some_and(|m| m.has_image(&spec.image))
+            };
             // Making room where the image is takes less time than fetching it.
             let warmer = quick && chosen.as_ref().is_none_or(cold);
             if warmer && self.make_room(&task, &spec, &free, &mut kept, true, mirror, when) {
@@ -106,12 +123,22 @@
     ) -> Option<MachineId> {
         let held = self.held.get(task)?;
         let bounds = self.bounds.get(&task.job);
-        let (mut zones, mut machines): (HashMap<&str, u32>, HashMap<&str, u32>) = Default::default();
+        let (mut zones, mut machines): (HashMap<&str, u32>, HashMap<&str, u32>) =
+            Default::default();
         if spec.whole() {
-            let from = Task { job: task.job.clone(), index: 0 };
-            let to = Task { job: task.job.clone(), index: u32::MAX };
+            let from = Task {
+                job: task.job.clone(),
+                index: 0,
+            };
+            let to = Task {
+                job: task.job.clone(),
+                index: u32::MAX,
+            };
             for (_, h) in self.held.range(from..=to) {
-                if let Some(m) = h.at.as_ref().and_then(|p| Some((p, self.machines.get(&p.machine)?))) {
+                if let Some(m) =
+                    h.at.as_ref()
+                        .and_then(|p| Some((p, self.machines.get(&p.machine)?)))
+                {
                     *zones.entry(&m.1.zone).or_default() += 1;
                     *machines.entry(&m.0.machine).or_default() += 1;
                 }
@@ -143,15 +170,27 @@
         best_fit::pick(spec, quick, candidates).map(|c| c.id.into())
     }
 
-    pub(super) fn put_on(&mut self, task: &Task, spec: &JobSpec, id: &MachineId, mirror: &Mirror, now: Secs) {
-        let cache =
-            mirror.catalog.as_ref().and_then(|c| c.get(&self.machines.get(id)?.kind).map(|t| t.cache_gb));
-        let Some(m) = self.machines.get_mut(id) else { return };
+    pub(super) fn put_on(
+        &mut self,
+        task: &Task,
+        spec: &JobSpec,
+        id: &MachineId,
+        mirror: &Mirror,
+        now: Secs,
+    ) {
+        let cache = mirror
+            .catalog
+            .as_ref()
+            .and_then(|c| c.get(&self.machines.get(id)?.kind).map(|t| t.cache_gb));
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         let cached = m.has_image(&spec.image);
         tracing::debug!(%task, %id, cached, "placed");
         m.images.retain(|i| i.0 != spec.image);
         m.images.push_front((spec.image.clone(), spec.image_gb));
-        while m.images.len() > 1 && m.images.iter().map(|i| i.1).sum::<f64>() > cache.unwrap_or(0.0) {
+        while m.images.len() > 1 && m.images.iter().map(|i| i.1).sum::<f64>() > cache.unwrap_or(0.0)
+        {
             m.images.pop_back();
         }
         m.idle_since = now;
@@ -209,14 +248,18 @@
         mirror: &Mirror,
         when: When,
     ) -> bool {
-        let Some(held) = self.held.get(task) else { return false };
+        let Some(held) = self.held.get(task) else {
+            return false;
+        };
         if when.now - held.since >= self.timing.report_s + spec.save_s {
             return false;
         }
         let bounds = self.bounds.get(&task.job);
         let mut best: Option<((u32, f64), MachineId, Vec<Attempt>)> = None;
         for (id, f) in free {
-            let Some(m) = self.machines.get(id) else { continue };
+            let Some(m) = self.machines.get(id) else {
+                continue;
+            };
             let zone_full = bounds.is_some_and(|b| b.room.get(&m.zone).copied().unwrap_or(0) == 0);
             if held.avoid.contains(id)
                 || zone_full
@@ -233,7 +276,9 @@
                 }
             }
         }
-        let Some((_, id, victims)) = best else { return false };
+        let Some((_, id, victims)) = best else {
+            return false;
+        };
         for (t, attempt) in victims {
             self.recall(&t, attempt, Stop::Preempted);
         }
@@ -246,8 +291,14 @@
     /// minutes lost its only task each time before it had begun.
     fn is_first_start(&self, task: &Task, place: &Place, now: Secs) -> bool {
         let young = place.phase != Phase::Running || now - place.since < START_COUNTS_S;
-        let from = Task { job: task.job.clone(), index: 0 };
-        let to = Task { job: task.job.clone(), index: u32::MAX };
+        let from = Task {
+            job: task.job.clone(),
+            index: 0,
+        };
+        let to = Task {
+            job: task.job.clone(),
+            index: u32::MAX,
+        };
         young && self.held.range(from..=to).nth(1).is_none()
     }
 
@@ -272,7 +323,9 @@
             let Some(p) = h.at.as_ref().filter(|p| p.phase != Phase::Done) else {
                 continue;
             };
-            let Some(s) = mirror.jobs.get(&t.job).and_then(|j| j.record.spec.as_ref()) else { continue };
+            let Some(s) = mirror.jobs.get(&t.job).and_then(|j| j.record.spec.as_ref()) else {
+                continue;
+            };
             if p.stop.is_some() {
                 room.give(&s.ask());
             } else if self.yields(s, p, spec.rank, when.now) {
@@ -280,10 +333,23 @@
                 let age = when.day_ms.saturating_sub(job.at_ms) as f64 / 1000.0;
                 let ran = when.now - p.since;
                 let first = self.is_first_start(t, p, when.now);
-                able.push((s.rank, first, made_late(s, age, ran), p.since, t, h.attempt, s.ask()));
+                able.push((
+                    s.rank,
+                    first,
+                    made_late(s, age, ran),
+                    p.since,
+                    t,
+                    h.attempt,
+                    s.ask(),
+                ));
             }
         }
-        able.sort_by(|a, b| a.1.cmp(&b.1).then(b.0.cmp(&a.0)).then(a.2.cmp(&b.2)).then(b.3.total_cmp(&a.3)));
+        able.sort_by(|a, b| {
+            a.1.cmp(&b.1)
+                .then(b.0.cmp(&a.0))
+                .then(a.2.cmp(&b.2))
+                .then(b.3.total_cmp(&a.3))
+        });
         let (mut victims, mut harmed, mut lost) = (Vec::new(), 0, 0.0);
         for (_, first, made_late, since, t, attempt, res) in able {
             if room.fits(&ask) {
--- a/src/fleet/reconcile.rs
+++ b/src/fleet/reconcile.rs
@@ -9,7 +9,9 @@
 use finchwood_reconcile::caution::{Action, HoldReason};
 use finchwood_reconcile::record::{Entry, RecordView};
 use finchwood_reconcile::stored::StoredJobs;
-use finchwood_reconcile::verdict::{attempt_counts, judge, AdoptReason, Holding, ReportedTask, Verdict};
+use finchwood_reconcile::verdict::{
+    attempt_counts, judge, AdoptReason, Holding, ReportedTask, Verdict,
+};
 use std::collections::BTreeMap;
 
 /// The tasks of a report: attempt, state and cause.
@@ -37,8 +39,16 @@
         }
     }
 
-    pub(super) fn reconcile(&mut self, id: &MachineId, seen_token: u64, mirror: &Mirror, now: Secs) {
-        let Some(m) = self.machines.get_mut(id) else { return };
+    pub(super) fn reconcile(
+        &mut self,
+        id: &MachineId,
+        seen_token: u64,
+        mirror: &Mirror,
+        now: Secs,
+    ) {
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         let lines = std::mem::take(&mut m.lines);
         let judged_before = std::mem::take(&mut m.judged);
         let (session, first_sight) = (m.session, !m.reconciled);
@@ -81,7 +91,10 @@
             }
             // One that is to stop is held until it has: so long it takes its team's
             // room. One that nothing is known of is held as well, and left alone.
-            Verdict::Adopt(_) | Verdict::RecordFinished | Verdict::Stop(_) | Verdict::LeaveInDoubt(_) => {
+            Verdict::Adopt(_)
+            | Verdict::RecordFinished
+            | Verdict::Stop(_)
+            | Verdict::LeaveInDoubt(_) => {
                 let held = Held {
                     attempt,
                     assignment: attempt,
@@ -110,7 +123,10 @@
                 self.progress(task, state, why, now);
                 self.recall(task, attempt, Stop::Cancelled);
             }
-            Verdict::Known | Verdict::Adopt(_) | Verdict::RecordFinished | Verdict::LeaveInDoubt(_) => {
+            Verdict::Known
+            | Verdict::Adopt(_)
+            | Verdict::RecordFinished
+            | Verdict::LeaveInDoubt(_) => {
                 self.progress(task, state, why, now);
             }
         }
@@ -161,9 +177,22 @@
                 })
             })
             .collect();
-        for Absent { task, proven, confirmed, stopping } in absent {
+        for Absent {
+            task,
+            proven,
+            confirmed,
+            stopping,
+        } in absent
+        {
             if proven && (confirmed || stopping) {
-                self.leave(&task, if stopping { Leave::Stopped } else { Leave::Lost });
+                self.leave(
+                    &task,
+                    if stopping {
+                        Leave::Stopped
+                    } else {
+                        Leave::Lost
+                    },
+                );
             } else if proven {
                 // Not there and can't come any more: start it anew.
                 if let Some(place) = self.held.place_mut(&task) {
@@ -188,12 +217,17 @@
     pub fn restart_record(&mut self, now: Secs) -> RecordView {
         let in_doubt = self.machines.values().filter(|m| !m.certain()).count();
         self.record.note_doubt(in_doubt, now);
-        self.record.view(self.machines.values().map(|m| m.state), now)
+        self.record
+            .view(self.machines.values().map(|m| m.state), now)
     }
 
     pub(super) fn progress(&mut self, task: &Task, state: TaskState, why: Option<&str>, now: Secs) {
-        let Some(since) = self.held.get(task).map(|h| h.since) else { return };
-        let Some(p) = self.held.place_mut(task) else { return };
+        let Some(since) = self.held.get(task).map(|h| h.since) else {
+            return;
+        };
+        let Some(p) = self.held.place_mut(task) else {
+            return;
+        };
         p.confirmed = true;
         p.sent = true;
         let phase = match state {
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -35,14 +35,20 @@
         }
         let epoch = self.epoch;
         let giver_renews_until = self.giver_renews_until();
-        let known = mirror.roster.get(&r.machine).map(|(record, _)| record.clone());
-        let m = self.machines.entry(r.machine.clone()).or_insert_with(|| Machine {
-            kind: r.kind.clone(),
-            zone: r.zone.clone(),
-            spot: r.spot,
-            giver_renews_until,
-            ..Machine::unknown(now)
-        });
+        let known = mirror
+            .roster
+            .get(&r.machine)
+            .map(|(record, _)| record.clone());
+        let m = self
+            .machines
+            .entry(r.machine.clone())
+            .or_insert_with(|| Machine {
+                kind: r.kind.clone(),
+                zone: r.zone.clone(),
+                spot: r.spot,
+                giver_renews_until,
+                ..Machine::unknown(now)
+            });
         if let Some(record) = known {
             m.listed = true;
             m.up |= record.up;
@@ -57,7 +63,11 @@
         }
         m.note_seen_token(r, epoch, relayed, self.timing, now);
         self.take_in(r, mirror, now);
-        if let Some(m) = self.machines.get(&r.machine).filter(|m| !relayed && m.heard == Some(now)) {
+        if let Some(m) = self
+            .machines
+            .get(&r.machine)
+            .filter(|m| !relayed && m.heard == Some(now))
+        {
             let zone = m.zone.clone();
             self.reach(&zone, now);
         }
@@ -85,7 +95,9 @@
     /// Takes in the newest known state of a machine.
     pub(super) fn take_in(&mut self, r: &Report, mirror: &Mirror, now: Secs) {
         let id = r.machine.clone();
-        let Some(m) = self.machines.get_mut(&id) else { return };
+        let Some(m) = self.machines.get_mut(&id) else {
+            return;
+        };
         if (r.session, r.seq) <= (m.session, m.seq) || r.session <= m.over {
             return;
         }
@@ -120,7 +132,9 @@
         m.lines = r
             .tasks
             .iter()
-            .filter_map(|l: &TaskLine| Some((Task::parse(&l.task)?, (l.attempt, l.state, l.why.clone()))))
+            .filter_map(|l: &TaskLine| {
+                Some((Task::parse(&l.task)?, (l.attempt, l.state, l.why.clone())))
+            })
             .collect();
         let was_certain = m.certain();
         let transition = m.state.after(MachineEvent::Report {
--- a/src/fleet/snapshot.rs
+++ b/src/fleet/snapshot.rs
@@ -10,11 +10,22 @@
 
 impl Part {
     /// One machine as the leader sees it.
-    pub(super) fn view(&self, id: &MachineId, m: &Machine, mirror: &Mirror, now: Secs) -> MachineView {
+    pub(super) fn view(
+        &self,
+        id: &MachineId,
+        m: &Machine,
+        mirror: &Mirror,
+        now: Secs,
+    ) -> MachineView {
         let (mut yielding, mut yielding_low) = (Res::default(), Res::default());
         for (task, h) in self.held.on(id) {
-            let spec = mirror.jobs.get(&task.job).and_then(|j| j.record.spec.as_ref());
-            let (Some(spec), Some(place)) = (spec, h.at.as_ref()) else { continue };
+            let spec = mirror
+                .jobs
+                .get(&task.job)
+                .and_then(|j| j.record.spec.as_ref());
+            let (Some(spec), Some(place)) = (spec, h.at.as_ref()) else {
+                continue;
+            };
             if self.yields(spec, place, Rank::Prod, now) {
                 yielding.give(&spec.ask());
             }
@@ -80,8 +91,15 @@
             }
         }
         let reached = self.reached.iter();
-        let reached =
-            reached.map(|(z, s)| (z.clone(), Reached { since_s: now - s.first, last_s: now - s.last }));
+        let reached = reached.map(|(z, s)| {
+            (
+                z.clone(),
+                Reached {
+                    since_s: now - s.first,
+                    last_s: now - s.last,
+                },
+            )
+        });
         told.retain(|id, _| self.machines.contains_key(id));
         self.told = told;
         PartReport {
--- a/src/http.rs
+++ b/src/http.rs
@@ -52,16 +52,38 @@
     let most = settings.params.machine_limits.max_connections;
     let (name, addr, limits) = if back {
         let body = largest_message(settings.params.machine_limits.ram_mb);
-        ("listen-back", settings.back, Limits { connections: (most / 10).max(8), body })
+        (
+            "listen-back",
+            settings.back,
+            Limits {
+                connections: (most / 10).max(8),
+                body,
+            },
+        )
     } else {
-        ("listen", settings.client_listen, Limits { connections: (most * 3 / 4).max(8), body: BODY_LIMIT })
+        (
+            "listen",
+            settings.client_listen,
+            Limits {
+                connections: (most * 3 / 4).max(8),
+                body: BODY_LIMIT,
+            },
+        )
     };
-    server::listen(name, addr, limits, move |request: Request, reply| {
-        match parse(&request.method, &request.path, request.body, back) {
+    server::listen(
+        name,
+        addr,
+        limits,
+        move |request: Request, reply| match parse(
+            &request.method,
+            &request.path,
+            request.body,
+            back,
+        ) {
             Ok(ask) => tell(ask, reply),
             Err((status, why)) => reply.send(status, error_body(&why)),
-        }
-    })
+        },
+    )
 }
 
 /// The largest message that a controller takes from another, in bytes: the whole of a
@@ -76,9 +98,9 @@
     let none = || (404, "no such thing".to_string());
     if back {
         return match path {
-            "/peer" => {
-                Envelope::decode(&body).map(|e| Ask::Peer(Box::new(e))).ok_or((400, "not a message".into()))
-            }
+            "/peer" => Envelope::decode(&body)
+                .map(|e| Ask::Peer(Box::new(e)))
+                .ok_or((400, "not a message".into())),
             "/relay" => report(body, true),
             "/restart" if method == "GET" => Ok(Ask::RestartReport),
             "/shares" if method == "GET" => Ok(Ask::SharesReport),
@@ -109,7 +131,11 @@
 
 fn report(raw: Vec<u8>, relayed: bool) -> Result<Ask, Bad> {
     match serde_json::from_slice::<Report>(&raw) {
-        Ok(report) => Ok(Ask::Report { report: Box::new(report), raw, relayed }),
+        Ok(report) => Ok(Ask::Report {
+            report: Box::new(report),
+            raw,
+            relayed,
+        }),
         Err(e) => {
             tracing::warn!(%e, "a worker's report makes no sense");
             Err((400, e.to_string()))
@@ -129,7 +155,10 @@
 
 fn body_of(r: ureq::Response) -> Vec<u8> {
     let mut bytes = Vec::new();
-    let _ = r.into_reader().take(4 * BODY_LIMIT as u64).read_to_end(&mut bytes);
+    let _ = r
+        .into_reader()
+        .take(4 * BODY_LIMIT as u64)
+        .read_to_end(&mut bytes);
     bytes
 }
 
@@ -195,17 +224,28 @@
         let (queue, inbox) = bounded::<Order>(most);
         let agent = agent(timeout, most, 1);
         let grow = move |i: usize| {
-            let (inbox, agent, tell): (Receiver<Order>, _, _) = (inbox.clone(), agent.clone(), tell.clone());
+            let (inbox, agent, tell): (Receiver<Order>, _, _) =
+                (inbox.clone(), agent.clone(), tell.clone());
             spawn(&format!("{name}-{i}"), move || {
                 while let Ok((sent, until)) = inbox.recv() {
-                    let answer = if clock::now() < until { command(&agent, &sent) } else { None };
+                    let answer = if clock::now() < until {
+                        command(&agent, &sent)
+                    } else {
+                        None
+                    };
                     if !tell(DirectDone { sent, answer }) {
                         return;
                     }
                 }
             });
         };
-        DirectPool { queue, most, threads: 0, under_way: 0, grow: Box::new(grow) }
+        DirectPool {
+            queue,
+            most,
+            threads: 0,
+            under_way: 0,
+            grow: Box::new(grow),
+        }
     }
 
     /// How many more it takes now.
@@ -236,7 +276,10 @@
 
 fn command(agent: &ureq::Agent, sent: &Direct) -> Option<Report> {
     let body = serde_json::to_vec(&sent.body).unwrap_or_default();
-    match agent.post(&format!("http://{}/commands", sent.addr)).send_bytes(&body) {
+    match agent
+        .post(&format!("http://{}/commands", sent.addr))
+        .send_bytes(&body)
+    {
         Ok(r) | Err(ureq::Error::Status(409, r)) => serde_json::from_slice(&body_of(r)).ok(),
         Err(_) => None,
     }
--- a/src/http_request.rs
+++ b/src/http_request.rs
@@ -20,7 +20,11 @@
     /// It can't be read; the status says why.
     Malformed(u16),
     /// It is there: `used` bytes of the input, and the `last` on its connection or not.
-    Complete { request: Request, used: usize, last: bool },
+    Complete {
+        request: Request,
+        used: usize,
+        last: bool,
+    },
 }
 
 /// Reads a request, whose body may have up to `limit` bytes, from the beginning of
@@ -30,16 +34,22 @@
     let mut r = httparse::Request::new(&mut headers);
     let head = match r.parse(input) {
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if input.len() > HEAD_LIMIT => return Progress::Malformed(400),
+        Ok(httparse::Status::Partial) if input.len() > HEAD_LIMIT => {
+            return Progress::Malformed(400)
+        }
         Ok(httparse::Status::Partial) => return Progress::Incomplete,
         Err(_) => return Progress::Malformed(400),
     };
     let header = |name: &str| {
-        let found = r.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
+        let found = r
+            .headers
+            .iter()
+            .find(|h| h.name.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(found.value).ok().map(str::trim)
     };
     let says = |name: &str, word: &str| header(name).is_some_and(|v| v.eq_ignore_ascii_case(word));
-    let last = says("Connection", "close") || r.version == Some(0) && !says("Connection", "keep-alive");
+    let last =
+        says("Connection", "close") || r.version == Some(0) && !says("Connection", "keep-alive");
     let (body, used) = if says("Transfer-Encoding", "chunked") {
         match chunked(&input[head..], limit) {
             Ok(Some((body, n))) => (body, head + n),
@@ -58,9 +68,19 @@
         }
         (input[head..head + length].to_vec(), head + length)
     };
-    let path = r.path.unwrap_or_default().split('?').next().unwrap_or_default().to_string();
+    let path = r
+        .path
+        .unwrap_or_default()
+        .split('?')
+        .next()
+        .unwrap_or_default()
+        .to_string();
     let method = r.method.unwrap_or_default().to_string();
-    Progress::Complete { request: Request { method, path, body }, used, last }
+    Progress::Complete {
+        request: Request { method, path, body },
+        used,
+        last,
+    }
 }
 
 /// A body in chunks and how many bytes it took; none while it isn't whole.
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -17,7 +17,10 @@
 
 impl<K, V> Default for InFlight<K, V> {
     fn default() -> Self {
-        InFlight { last: 0, all: HashMap::new() }
+        InFlight {
+            last: 0,
+            all: HashMap::new(),
+        }
     }
 }
 
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -50,7 +50,14 @@
 impl Member {
     /// A member of this version, that goes by the table of shares or not.
     pub fn new(inc: u64, shares: bool) -> Member {
-        Member { inc, capability: if shares { SHARES_CAPABILITY } else { GANG_CAPABILITY } }
+        Member {
+            inc,
+            capability: if shares {
+                SHARES_CAPABILITY
+            } else {
+                GANG_CAPABILITY
+            },
+        }
     }
 
     /// A member of this version without parts that are off by default.
@@ -273,14 +280,22 @@
 impl Mirror {
     /// An empty mirror.
     pub fn new(value_kb: f64) -> Mirror {
-        Mirror { tasks_per_numbered_chunk: tasks_per_chunk(value_kb), ..Mirror::default() }
+        Mirror {
+            tasks_per_numbered_chunk: tasks_per_chunk(value_kb),
+            ..Mirror::default()
+        }
     }
 
     /// Takes a full reading in place of everything.
     pub fn load(&mut self, entries: Vec<Entry>) {
         let tasks_per_numbered_chunk = self.tasks_per_numbered_chunk;
-        *self = Mirror { tasks_per_numbered_chunk, ..Mirror::default() };
-        let (chunks, rest): (Vec<_>, Vec<_>) = entries.into_iter().partition(|e| e.key.starts_with("fw/f/"));
+        *self = Mirror {
+            tasks_per_numbered_chunk,
+            ..Mirror::default()
+        };
+        let (chunks, rest): (Vec<_>, Vec<_>) = entries
+            .into_iter()
+            .partition(|e| e.key.starts_with("fw/f/"));
         for e in rest.into_iter().chain(chunks) {
             self.put(&e.key, e.value, e.version);
         }
@@ -289,13 +304,19 @@
     /// Whether every live member can run gangs. It can change at any time: a
     /// process that ends may come back with the version of before.
     pub fn all_run_gangs(&self) -> bool {
-        self.members.values().all(|(member, _)| member.capability >= GANG_CAPABILITY)
+        self.members
+            .values()
+            .all(|(member, _)| member.capability >= GANG_CAPABILITY)
     }
 
     /// Applies one event.
     pub fn apply(&mut self, event: Event) -> Change {
         match event {
-            Event::Put { key, value, version } => self.put(&key, value, version),
+            Event::Put {
+                key,
+                value,
+                version,
+            } => self.put(&key, value, version),
             Event::Delete { key, version } => self.delete(&key, version),
         }
     }
@@ -378,13 +399,24 @@
         if errors.is_empty() {
             self.unreadable.remove(SHARES_KEY, version);
         } else {
-            tracing::warn!(key = SHARES_KEY, version, ?errors, "stored shares are left out");
-            self.unreadable.add(SHARES_KEY, version, RecordError::Malformed);
+            tracing::warn!(
+                key = SHARES_KEY,
+                version,
+                ?errors,
+                "stored shares are left out"
+            );
+            self.unreadable
+                .add(SHARES_KEY, version, RecordError::Malformed);
         }
         Ok(Change::Shares)
     }
 
-    fn put_member(&mut self, name: &str, value: Value, version: u64) -> Result<Change, RecordError> {
+    fn put_member(
+        &mut self,
+        name: &str,
+        value: Value,
+        version: u64,
+    ) -> Result<Change, RecordError> {
         let known = self.members.get(name).map_or(0, |member| member.1);
         if version > known {
             self.members.insert(name.into(), (read(value)?, version));
@@ -407,7 +439,12 @@
                 }
             }
             None => {
-                let job = Job { record, version, finished: Bits::default(), chunks: BTreeMap::new() };
+                let job = Job {
+                    record,
+                    version,
+                    finished: Bits::default(),
+                    chunks: BTreeMap::new(),
+                };
                 self.jobs.insert(id.clone(), job);
             }
         }
@@ -422,7 +459,9 @@
         version: u64,
     ) -> Result<Change, RecordError> {
         let chunk = Chunk::parse(chunk).ok_or(RecordError::Malformed)?;
-        let first = chunk.first_task(self.tasks_per_numbered_chunk).ok_or(RecordError::NoSuchTask)?;
+        let first = chunk
+            .first_task(self.tasks_per_numbered_chunk)
+            .ok_or(RecordError::NoSuchTask)?;
         let text: String = read(value)?;
         let job = self.jobs.get_mut(id).ok_or(RecordError::NoSuchJob)?;
         if job.record.done || version <= job.chunks.get(&chunk).copied().unwrap_or(0) {
@@ -458,7 +497,11 @@
     /// Takes in a page; what is no longer on it is off the roster, unless
     /// another page has it too.
     fn put_page(&mut self, key: Arc<str>, page: RosterPage, version: u64) -> Change {
-        let known = self.pages.get(&key).map(|p| p.version).or(self.gone_pages.get(&key).copied());
+        let known = self
+            .pages
+            .get(&key)
+            .map(|p| p.version)
+            .or(self.gone_pages.get(&key).copied());
         if known.is_some_and(|v| version <= v) {
             return Change::Nothing;
         }
@@ -477,7 +520,13 @@
         let old = self.pages.insert(key.clone(), Page { page, version });
         let now = &self.pages[&key].page.machines;
         let off: Vec<MachineId> = old
-            .map(|o| o.page.machines.into_keys().filter(|id| !now.contains_key(id)).collect())
+            .map(|o| {
+                o.page
+                    .machines
+                    .into_keys()
+                    .filter(|id| !now.contains_key(id))
+                    .collect()
+            })
             .unwrap_or_default();
         if let Change::Machines(more) = self.off_page(&key, off) {
             changed.extend(more);
@@ -491,10 +540,12 @@
                 continue;
             }
             self.roster.remove(id);
-            let other = self
-                .pages
-                .iter()
-                .find_map(|(k, p)| p.page.machines.get(id).map(|addr| (p.page.record(addr), k.clone())));
+            let other = self.pages.iter().find_map(|(k, p)| {
+                p.page
+                    .machines
+                    .get(id)
+                    .map(|addr| (p.page.record(addr), k.clone()))
+            });
             if let Some(entry) = other {
                 self.roster.insert(id.clone(), entry);
             }
@@ -518,7 +569,9 @@
                 }
                 let gone = self.pages.remove(key);
                 self.gone_pages.insert(key.into(), version);
-                let ids = gone.map(|p| p.page.machines.into_keys().collect()).unwrap_or_default();
+                let ids = gone
+                    .map(|p| p.page.machines.into_keys().collect())
+                    .unwrap_or_default();
                 self.off_page(key, ids)
             }
             (Some("f"), Some(id)) => Change::Job(id.into()),
--- a/src/main.rs
+++ b/src/main.rs
@@ -36,16 +36,18 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     log();
-    let ready = finchwood::settings::Settings::load(&args.config).map_err(|e| e.to_string()).and_then(|s| {
-        let policy = match &args.policy {
-            Some(path) => finchwood::policy::Policy::load(path).map_err(|e| e.to_string())?,
-            None => Default::default(),
-        };
-        let parts = finchwood::with::Parts::load(&args.with).map_err(|e| e.to_string())?;
-        Ok((s, policy, parts))
-    });
-    let ended =
-        ready.and_then(|(settings, policy, parts)| finchwood::controller::run(settings, policy, &parts));
+    let ready = finchwood::settings::Settings::load(&args.config)
+        .map_err(|e| e.to_string())
+        .and_then(|s| {
+            let policy = match &args.policy {
+                Some(path) => finchwood::policy::Policy::load(path).map_err(|e| e.to_string())?,
+                None => Default::default(),
+            };
+            let parts = finchwood::with::Parts::load(&args.with).map_err(|e| e.to_string())?;
+            Ok((s, policy, parts))
+        });
+    let ended = ready
+        .and_then(|(settings, policy, parts)| finchwood::controller::run(settings, policy, &parts));
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -13,30 +13,57 @@
 
 /// The epoch that should follow, if the live members are not those of the
 /// present one. The leader stays while it lives in the same incarnation.
-pub fn next_epoch(present: Option<&Epoch>, live: &BTreeMap<String, (Member, u64)>) -> Option<Epoch> {
-    let members: BTreeMap<String, u64> = live.iter().map(|(name, (m, _))| (name.clone(), m.inc)).collect();
+pub fn next_epoch(
+    present: Option<&Epoch>,
+    live: &BTreeMap<String, (Member, u64)>,
+) -> Option<Epoch> {
+    let members: BTreeMap<String, u64> = live
+        .iter()
+        .map(|(name, (m, _))| (name.clone(), m.inc))
+        .collect();
     let first = members.keys().next()?.clone();
-    let shares = live.values().all(|(member, _)| member.capability >= SHARES_CAPABILITY);
+    let shares = live
+        .values()
+        .all(|(member, _)| member.capability >= SHARES_CAPABILITY);
     match present {
         Some(e) if e.members == members => None,
         Some(e) => {
-            let stays = members.get(&e.leader).is_some_and(|inc| e.members.get(&e.leader) == Some(inc));
+            let stays = members
+                .get(&e.leader)
+                .is_some_and(|inc| e.members.get(&e.leader) == Some(inc));
             // A survivor knows more than a newcomer does.
             let survivor = members
                 .iter()
                 .find(|(name, inc)| e.members.get(*name) == Some(inc))
                 .map(|(name, _)| name.clone());
-            let leader = if stays { e.leader.clone() } else { survivor.unwrap_or(first) };
-            Some(Epoch { n: e.n + 1, members, leader, shares })
+            let leader = if stays {
+                e.leader.clone()
+            } else {
+                survivor.unwrap_or(first)
+            };
+            Some(Epoch {
+                n: e.n + 1,
+                members,
+                leader,
+                shares,
+            })
         }
-        None => Some(Epoch { n: 1, members, leader: first, shares }),
+        None => Some(Epoch {
+            n: 1,
+            members,
+            leader: first,
+            shares,
+        }),
     }
 }
 
 /// The epoch that follows when the present one's leader is about to run out of attempt
 /// numbers: the same members and leader, and all numbers anew.
 pub fn renewed_epoch(present: &Epoch) -> Epoch {
-    Epoch { n: present.n + 1, ..present.clone() }
+    Epoch {
+        n: present.n + 1,
+        ..present.clone()
+    }
 }
 
 /// The live member that owns a machine: the highest hash of both names.
@@ -49,12 +76,18 @@
 
 /// The live member that owns a machine by the table of shares, where all members of the
 /// epoch go by it; else by the hash.
-pub fn owner_by_shares<'a>(epoch: &'a Epoch, table: &'a ShareTable, machine: &str) -> Option<&'a str> {
+pub fn owner_by_shares<'a>(
+    epoch: &'a Epoch,
+    table: &'a ShareTable,
+    machine: &str,
+) -> Option<&'a str> {
     let home = owner(&epoch.members, machine)?;
     if !epoch.shares || table.is_empty() {
         return Some(home);
     }
-    let moved = table.owner(home, machine).filter(|owner| epoch.members.contains_key(*owner));
+    let moved = table
+        .owner(home, machine)
+        .filter(|owner| epoch.members.contains_key(*owner));
     Some(moved.unwrap_or(home))
 }
 
@@ -127,7 +160,13 @@
 }
 
 /// A new lease with the member key attached to it.
-fn join(store: &Store, budget: &Budget, key: &str, life: Secs, shares: bool) -> Option<(u64, Secs)> {
+fn join(
+    store: &Store,
+    budget: &Budget,
+    key: &str,
+    life: Secs,
+    shares: bool,
+) -> Option<(u64, Secs)> {
     budget.force_call();
     let version = store.get(key).ok()?.map_or(0, |e| e.version);
     budget.force_call();
@@ -141,7 +180,11 @@
         Err(CallError::Silent) => return None,
     };
     budget.force_call();
-    let put = Op::Put { key: key.into(), value: json!(Member::new(lease, shares)), lease: Some(lease) };
+    let put = Op::Put {
+        key: key.into(),
+        value: json!(Member::new(lease, shares)),
+        lease: Some(lease),
+    };
     match store.commit(&[(key.into(), version)], &[put]) {
         Outcome::Done(_) => Some((lease, sent)),
         _ => None,
--- a/src/pages.rs
+++ b/src/pages.rs
@@ -57,10 +57,18 @@
 ///
 /// Guard: a leader of the version before may write to the old page meanwhile. A
 /// copy that isn't the same any more is written again before anything is deleted.
-pub fn split_long(to_write: &mut Pages, stored: &BTreeMap<Arc<str>, Page>, limit: PageLimit) -> PageCopies {
-    let present = stored.iter().map(|(key, stored)| (key, to_write.get(key).unwrap_or(&stored.page)));
+pub fn split_long(
+    to_write: &mut Pages,
+    stored: &BTreeMap<Arc<str>, Page>,
+    limit: PageLimit,
+) -> PageCopies {
+    let present = stored
+        .iter()
+        .map(|(key, stored)| (key, to_write.get(key).unwrap_or(&stored.page)));
     let long = present.filter(|(_, page)| limit.is_exceeded_by(page));
-    let long: Vec<(Arc<str>, RosterPage)> = long.map(|(key, page)| (key.clone(), page.clone())).collect();
+    let long: Vec<(Arc<str>, RosterPage)> = long
+        .map(|(key, page)| (key.clone(), page.clone()))
+        .collect();
     let mut copies = PageCopies::new();
     for (key, mut page) in long {
         to_write.remove(&key);
@@ -94,8 +102,17 @@
     let ids: Vec<&MachineId> = page.machines.keys().collect();
     let mut pieces = Vec::new();
     for (number, ids) in ids.chunks(size).enumerate() {
-        let machines = ids.iter().map(|id| ((*id).clone(), page.machines[*id].clone())).collect();
-        pieces.push((format!("{key}.{number}").into(), RosterPage { machines, ..page.clone() }));
+        let machines = ids
+            .iter()
+            .map(|id| ((*id).clone(), page.machines[*id].clone()))
+            .collect();
+        pieces.push((
+            format!("{key}.{number}").into(),
+            RosterPage {
+                machines,
+                ..page.clone()
+            },
+        ));
     }
     pieces
 }
@@ -125,7 +142,10 @@
             order.push((!shrinks, since, key, page));
         }
         order.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
-        order.into_iter().map(|(_, _, key, page)| (key, page)).collect()
+        order
+            .into_iter()
+            .map(|(_, _, key, page)| (key, page))
+            .collect()
     }
 
     /// A page is being written: what changes on it from now on waits anew.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -99,8 +99,12 @@
         let limit = largest_message(settings.params.machine_limits.ram_mb);
         for m in &settings.members {
             let (mailbox, inbox) = bounded::<Envelope>(16);
-            let others: Vec<SocketAddr> =
-                settings.members.iter().filter(|o| o.node_name != m.node_name).map(|o| o.endpoint).collect();
+            let others: Vec<SocketAddr> = settings
+                .members
+                .iter()
+                .filter(|o| o.node_name != m.node_name)
+                .map(|o| o.endpoint)
+                .collect();
             let (to, name, tell) = (m.endpoint, m.node_name.clone(), tell.clone());
             spawn(&format!("peer-{}", m.node_name), move || {
                 let agent = ureq::AgentBuilder::new()
@@ -119,7 +123,12 @@
                     for e in latest.into_values() {
                         let bytes = e.encode();
                         if bytes.len() > limit {
-                            tracing::error!(to = name, bytes = bytes.len(), limit, "a message is too long");
+                            tracing::error!(
+                                to = name,
+                                bytes = bytes.len(),
+                                limit,
+                                "a message is too long"
+                            );
                         }
                         if clock::now() >= apart_until {
                             let reached = send(&agent, to, &bytes);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -29,27 +29,43 @@
 impl Policy {
     /// Reads a script file.
     pub fn load(path: &Path) -> Result<Policy, PolicyError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|e| PolicyError::Unreadable { path: path.display().to_string(), why: e.to_string() })?;
+        let text = std::fs::read_to_string(path).map_err(|e| PolicyError::Unreadable {
+            path: path.display().to_string(),
+            why: e.to_string(),
+        })?;
         Policy::parse(&text)
     }
 
     /// Runs a script; it returns a table of settings.
     pub fn parse(text: &str) -> Result<Policy, PolicyError> {
-        let script =
-            |e: mlua::Error| PolicyError::Script(e.to_string().lines().next().unwrap_or_default().into());
+        let script = |e: mlua::Error| {
+            PolicyError::Script(e.to_string().lines().next().unwrap_or_default().into())
+        };
         let libs = StdLib::MATH | StdLib::STRING | StdLib::TABLE;
         let lua = Lua::new_with(libs, LuaOptions::default()).map_err(script)?;
         lua.set_memory_limit(MEMORY).map_err(script)?;
         let triggers = mlua::HookTriggers::new().every_nth_instruction(STEPS);
-        lua.set_hook(triggers, |_, _| Err(mlua::Error::runtime("the script takes too long")));
+        lua.set_hook(triggers, |_, _| {
+            Err(mlua::Error::runtime("the script takes too long"))
+        });
         let globals = lua.globals();
-        for name in ["load", "loadfile", "dofile", "require", "collectgarbage", "print"] {
+        for name in [
+            "load",
+            "loadfile",
+            "dofile",
+            "require",
+            "collectgarbage",
+            "print",
+        ] {
             globals.set(name, Value::Nil).map_err(script)?;
         }
         let table = match lua.load(text).eval::<Value>().map_err(script)? {
             Value::Table(t) => t,
-            _ => return Err(PolicyError::Script("the script does not return a table".into())),
+            _ => {
+                return Err(PolicyError::Script(
+                    "the script does not return a table".into(),
+                ))
+            }
         };
         let mut policy = Policy::default();
         for pair in table.pairs::<String, f64>() {
@@ -60,10 +76,18 @@
                 "low_waits_boots" => &mut policy.rent_settings.low_waits_boots,
                 "slack_share" => &mut policy.rent_settings.slack_share,
                 "never_boots" => &mut policy.rent_settings.never_boots,
-                _ => return Err(PolicyError::Senseless { field, why: "no such setting".into() }),
+                _ => {
+                    return Err(PolicyError::Senseless {
+                        field,
+                        why: "no such setting".into(),
+                    })
+                }
             };
             if !value.is_finite() || value < 0.0 {
-                return Err(PolicyError::Senseless { field, why: format!("{value} is not zero or more") });
+                return Err(PolicyError::Senseless {
+                    field,
+                    why: format!("{value} is not zero or more"),
+                });
             }
             *knob = value;
         }
--- a/src/published.rs
+++ b/src/published.rs
@@ -18,14 +18,22 @@
 
 impl<T> Clone for Published<T> {
     fn clone(&self) -> Published<T> {
-        Published { part: self.part, switched_on: self.switched_on, report: self.report.clone() }
+        Published {
+            part: self.part,
+            switched_on: self.switched_on,
+            report: self.report.clone(),
+        }
     }
 }
 
 impl<T: Serialize> Published<T> {
     /// Nothing published yet, by a part that is switched on or not.
     pub fn new(part: &'static str, switched_on: bool) -> Published<T> {
-        Published { part, switched_on, report: Arc::new(ArcSwapOption::empty()) }
+        Published {
+            part,
+            switched_on,
+            report: Arc::new(ArcSwapOption::empty()),
+        }
     }
 
     /// Replaces what was published before.
@@ -36,7 +44,10 @@
     /// Answers a question.
     pub fn answer(&self, reply: Reply) {
         if !self.switched_on {
-            return reply.send(404, error_body(&format!("the part {} is not switched on", self.part)));
+            return reply.send(
+                404,
+                error_body(&format!("the part {} is not switched on", self.part)),
+            );
         }
         match self.report.load_full() {
             Some(report) => reply.send(200, serde_json::to_vec(&*report).unwrap_or_default()),
--- a/src/reachability.rs
+++ b/src/reachability.rs
@@ -21,7 +21,12 @@
 impl Reachability {
     /// Nobody is known to be apart.
     pub fn new(zone: &str, others: Vec<(String, String)>, recent: Secs) -> Reachability {
-        Reachability { zone: zone.into(), others, recent, ..Reachability::default() }
+        Reachability {
+            zone: zone.into(),
+            others,
+            recent,
+            ..Reachability::default()
+        }
     }
 
     /// This controller can't reach another one directly, or can again.
@@ -44,7 +49,10 @@
     }
 
     fn says(&self, name: &str, now: Secs) -> Option<&Vec<String>> {
-        self.told.get(name).filter(|(t, _)| now - t < self.recent).map(|(_, apart)| apart)
+        self.told
+            .get(name)
+            .filter(|(t, _)| now - t < self.recent)
+            .map(|(_, apart)| apart)
     }
 
     /// Whether a zone is apart from a controller in another one: some
@@ -54,7 +62,10 @@
             return false;
         }
         let here = self.zone == zone && self.apart.contains(owner);
-        let there = |name: &String| self.says(name, now).is_some_and(|a| a.iter().any(|n| n == owner));
+        let there = |name: &String| {
+            self.says(name, now)
+                .is_some_and(|a| a.iter().any(|n| n == owner))
+        };
         here || self.others.iter().any(|(n, z)| z == zone && there(n))
     }
 
@@ -65,8 +76,13 @@
         if !self.apart.contains(owner) {
             return None;
         }
-        let reaches = |n: &str| self.says(n, now).is_some_and(|a| a.iter().all(|x| x != owner));
+        let reaches = |n: &str| {
+            self.says(n, now)
+                .is_some_and(|a| a.iter().all(|x| x != owner))
+        };
         let names = self.others.iter().map(|(n, _)| n.as_str());
-        names.filter(|n| *n != owner && !self.apart.contains(*n)).find(|n| reaches(n))
+        names
+            .filter(|n| *n != owner && !self.apart.contains(*n))
+            .find(|n| reaches(n))
     }
 }
--- a/src/rent.rs
+++ b/src/rent.rs
@@ -124,12 +124,22 @@
     settings: &RentSettings,
     blocked: &dyn Fn(&Offer) -> bool,
 ) -> BTreeMap<Offer, u32> {
-    let coming: Vec<(Offer, Res)> = booting.iter().filter_map(|b| expected(b, catalog, settings)).collect();
+    let coming: Vec<(Offer, Res)> = booting
+        .iter()
+        .filter_map(|b| expected(b, catalog, settings))
+        .collect();
     let mut machines_in_zone = zones.clone();
     for (offer, _) in &coming {
         *machines_in_zone.entry(offer.1.clone()).or_default() += 1;
     }
-    let mut plan = Plan { catalog, settings, blocked, coming, machines_in_zone, orders: BTreeMap::new() };
+    let mut plan = Plan {
+        catalog,
+        settings,
+        blocked,
+        coming,
+        machines_in_zone,
+        orders: BTreeMap::new(),
+    };
     let mut by_rank: Vec<&Want> = wants.iter().collect();
     by_rank.sort_by_key(|want| want.spec.rank);
     for want in by_rank {
@@ -173,7 +183,8 @@
         if spec.one_zone && !self.in_zone.is_empty() && !self.in_zone.contains_key(zone) {
             return 0;
         }
-        spec.zone_cap().saturating_sub(self.in_zone.get(zone).copied().unwrap_or(0))
+        spec.zone_cap()
+            .saturating_sub(self.in_zone.get(zone).copied().unwrap_or(0))
     }
 
     /// Whether machines of an offer may be used.
@@ -183,7 +194,10 @@
 
     /// Puts as many tasks as fit on a machine; returns their number.
     fn put_on(&mut self, offer: &Offer, free: &mut Res) -> u32 {
-        let count = free.count(&self.want.ask).min(self.count).min(self.zone_left(&offer.1));
+        let count = free
+            .count(&self.want.ask)
+            .min(self.count)
+            .min(self.zone_left(&offer.1));
         for _ in 0..count {
             free.take(&self.want.ask);
         }
@@ -199,7 +213,11 @@
     /// Uses what is coming, and orders the rest.
     fn provide_for(&mut self, want: &Want) {
         let in_zone = want.zones.clone().into_iter().collect();
-        let mut remaining = Remaining { want, count: want.count, in_zone };
+        let mut remaining = Remaining {
+            want,
+            count: want.count,
+            in_zone,
+        };
         for (offer, free) in &mut self.coming {
             if remaining.count == 0 {
                 return;
@@ -209,8 +227,12 @@
             }
         }
         while remaining.count > 0 {
-            let Some(offer) = self.cheapest(&remaining) else { return };
-            let Some(machine_type) = self.catalog.get(&offer.0) else { return };
+            let Some(offer) = self.cheapest(&remaining) else {
+                return;
+            };
+            let Some(machine_type) = self.catalog.get(&offer.0) else {
+                return;
+            };
             let mut free = machine_type.total();
             if remaining.put_on(&offer, &mut free) == 0 {
                 return;
@@ -235,7 +257,8 @@
             let machines = self.machines_in_zone.get(&offer.1).copied().unwrap_or(0);
             Some((price, machines, offer))
         });
-        let cheapest = priced.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
+        let cheapest =
+            priced.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
         cheapest.map(|(_, _, offer)| offer)
     }
 
@@ -243,7 +266,11 @@
     fn price_per_task(&self, want: &Want, offer: &Offer) -> Option<f64> {
         let machine_type = self.catalog.get(&offer.0)?;
         let fit = machine_type.total().count(&want.ask);
-        let price = if offer.2 { machine_type.spot_price } else { machine_type.price };
+        let price = if offer.2 {
+            machine_type.spot_price
+        } else {
+            machine_type.price
+        };
         // A big machine that stays mostly empty is not cheap.
         let used = f64::from(fit.min(want.count.max(1)));
         (fit > 0).then(|| price / used.max(f64::from(fit) * 0.5))
@@ -259,7 +286,9 @@
 
 fn offers(catalog: &Catalog) -> impl Iterator<Item = Offer> + '_ {
     catalog.types.iter().flat_map(|t| {
-        t.zones.iter().flat_map(move |z| [true, false].map(|spot| (t.name.clone(), z.clone(), spot)))
+        t.zones
+            .iter()
+            .flat_map(move |z| [true, false].map(|spot| (t.name.clone(), z.clone(), spot)))
     })
 }
 
@@ -271,7 +300,11 @@
     spare_cpus: f64,
     settings: &RentSettings,
 ) -> Vec<MachineId> {
-    let mut spare: f64 = machines.iter().filter(|m| !m.offer.2 && m.open).map(|m| m.free.cpus.max(0.0)).sum();
+    let mut spare: f64 = machines
+        .iter()
+        .filter(|m| !m.offer.2 && m.open)
+        .map(|m| m.free.cpus.max(0.0))
+        .sum();
     let mut idle: Vec<&InUse> = machines.iter().filter(|m| m.tasks == 0).collect();
     idle.sort_by(|a, b| b.idle_s.total_cmp(&a.idle_s));
     let mut out = Vec::new();
@@ -296,7 +329,9 @@
 
 fn price_per_cpu(m: &InUse, catalog: &Catalog) -> f64 {
     let price = |t: &MachineType| if m.offer.2 { t.spot_price } else { t.price };
-    catalog.get(&m.offer.0).map_or(0.0, |t| price(t) / t.cpus.max(1.0))
+    catalog
+        .get(&m.offer.0)
+        .map_or(0.0, |t| price(t) / t.cpus.max(1.0))
 }
 
 fn cpus(m: &InUse, catalog: &Catalog) -> f64 {
@@ -318,11 +353,16 @@
     let mut free: f64 = open.iter().map(|m| m.free.cpus.max(0.0)).sum();
     let total: f64 = open.iter().map(|m| cpus(m, catalog)).sum();
     let work = total - free;
-    let mut order: Vec<&InUse> =
-        open.iter().copied().filter(|m| m.stays_cpus <= 1e-6 && m.age_s > LEAST_CHARGE_S).collect();
+    let mut order: Vec<&InUse> = open
+        .iter()
+        .copied()
+        .filter(|m| m.stays_cpus <= 1e-6 && m.age_s > LEAST_CHARGE_S)
+        .collect();
     order.sort_by(|a, b| {
         let (pa, pb) = (price_per_cpu(a, catalog), price_per_cpu(b, catalog));
-        pb.total_cmp(&pa).then(b.free.cpus.total_cmp(&a.free.cpus)).then(a.id.cmp(&b.id))
+        pb.total_cmp(&pa)
+            .then(b.free.cpus.total_cmp(&a.free.cpus))
+            .then(a.id.cmp(&b.id))
     });
     let most = ((open.len() as f64 * EMPTIED_SHARE) as usize).max(1);
     let mut out = Vec::new();
@@ -358,7 +398,9 @@
         })
         .min_by(|a, b| {
             let (pa, pb) = (price_per_cpu(a, catalog), price_per_cpu(b, catalog));
-            pb.total_cmp(&pa).then(a.stays_cpus.total_cmp(&b.stays_cpus)).then(a.id.cmp(&b.id))
+            pb.total_cmp(&pa)
+                .then(a.stays_cpus.total_cmp(&b.stays_cpus))
+                .then(a.id.cmp(&b.id))
         })
 }
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -68,7 +68,14 @@
     fn finish(&mut self, status: u16, body: Vec<u8>, retry_s: Option<u32>, until: Option<Secs>) {
         let Some(out) = self.out.take() else { return };
         // As many fit as there are connections, and each awaits one.
-        let answer = Answer { at: self.at, serial: self.serial, status, body, retry_s, until };
+        let answer = Answer {
+            at: self.at,
+            serial: self.serial,
+            status,
+            body,
+            retry_s,
+            until,
+        };
         if out.answers.try_send(answer).is_ok() && !out.woken.swap(true, Ordering::SeqCst) {
             let _ = out.waker.wake();
         }
@@ -109,16 +116,26 @@
 }
 
 /// Listens on `addr` and hands every request to `tell`.
-pub fn listen<F>(name: &'static str, addr: SocketAddr, limits: Limits, tell: F) -> std::io::Result<()>
+pub fn listen<F>(
+    name: &'static str,
+    addr: SocketAddr,
+    limits: Limits,
+    tell: F,
+) -> std::io::Result<()>
 where
     F: Fn(Request, Reply) + Send + 'static,
 {
     let mut listener = TcpListener::bind(addr)?;
     let poll = Poll::new()?;
-    poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
+    poll.registry()
+        .register(&mut listener, LISTENER, Interest::READABLE)?;
     let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
     let (answers, inbox) = bounded(limits.connections + 64);
-    let out = Out { answers, waker, woken: Arc::new(AtomicBool::new(false)) };
+    let out = Out {
+        answers,
+        waker,
+        woken: Arc::new(AtomicBool::new(false)),
+    };
     spawn(name, move || {
         let mut server = Server {
             poll,
@@ -185,7 +202,9 @@
         loop {
             match self.listener.accept() {
                 Ok((mut stream, _)) => {
-                    if self.conns.len() - self.free.len() >= self.limits.connections && !self.make_room(now) {
+                    if self.conns.len() - self.free.len() >= self.limits.connections
+                        && !self.make_room(now)
+                    {
                         // Refused at once: whoever asks tries another node.
                         self.refused += 1;
                         continue;
@@ -196,7 +215,12 @@
                         self.conns.len() - 1
                     });
                     let both = Interest::READABLE | Interest::WRITABLE;
-                    if self.poll.registry().register(&mut stream, Token(at), both).is_err() {
+                    if self
+                        .poll
+                        .registry()
+                        .register(&mut stream, Token(at), both)
+                        .is_err()
+                    {
                         self.free.push(at);
                         continue;
                     }
@@ -225,7 +249,8 @@
 
     /// Closes the connection that has been without a request for longest.
     fn make_room(&mut self, now: Secs) -> bool {
-        let idle = |c: &Conn| !c.busy && c.input.is_empty() && c.output.is_empty() && now - c.since > 1.0;
+        let idle =
+            |c: &Conn| !c.busy && c.input.is_empty() && c.output.is_empty() && now - c.since > 1.0;
         let oldest = self
             .conns
             .iter()
@@ -257,7 +282,8 @@
         for at in 0..self.conns.len() {
             let Some(c) = &self.conns[at] else { continue };
             let age = now - c.since;
-            let stuck = (!c.input.is_empty() && !c.busy || !c.output.is_empty()) && age > PATIENCE_S;
+            let stuck =
+                (!c.input.is_empty() && !c.busy || !c.output.is_empty()) && age > PATIENCE_S;
             if stuck || !c.busy && age > IDLE_S {
                 self.close(at);
             }
@@ -265,7 +291,9 @@
     }
 
     fn serve(&mut self, at: usize, now: Secs) {
-        let Some(Some(c)) = self.conns.get_mut(at) else { return };
+        let Some(Some(c)) = self.conns.get_mut(at) else {
+            return;
+        };
         let most = HEAD_LIMIT + self.limits.body;
         let mut open = flush(c, now);
         let mut buffer = [0u8; 16 * 1024];
@@ -296,7 +324,9 @@
 
     /// Takes the next request of a connection, if it is whole.
     fn next(&mut self, at: usize, now: Secs) {
-        let Some(Some(c)) = self.conns.get_mut(at) else { return };
+        let Some(Some(c)) = self.conns.get_mut(at) else {
+            return;
+        };
         if c.busy || !c.output.is_empty() || c.input.is_empty() {
             return;
         }
@@ -307,9 +337,23 @@
                 c.last = true;
                 let serial = c.serial;
                 let body = error_body("the request can't be read or is too large");
-                self.answer(Answer { at, serial, status, body, retry_s: None, until: None }, now);
+                self.answer(
+                    Answer {
+                        at,
+                        serial,
+                        status,
+                        body,
+                        retry_s: None,
+                        until: None,
+                    },
+                    now,
+                );
             }
-            Progress::Complete { request, used, last } => {
+            Progress::Complete {
+                request,
+                used,
+                last,
+            } => {
                 c.busy = true;
                 c.last = last;
                 c.since = now;
@@ -317,7 +361,11 @@
                 if c.input.is_empty() {
                     c.input.shrink_to(1024);
                 }
-                let reply = Reply { at, serial: c.serial, out: Some(self.out.clone()) };
+                let reply = Reply {
+                    at,
+                    serial: c.serial,
+                    out: Some(self.out.clone()),
+                };
                 (self.tell)(request, reply);
             }
         }
@@ -325,9 +373,17 @@
 
     fn answer(&mut self, mut a: Answer, now: Secs) {
         if a.until.is_some_and(|until| clock::now() >= until) {
-            a = Answer { status: 503, body: error_body("too late"), retry_s: Some(1), until: None, ..a };
+            a = Answer {
+                status: 503,
+                body: error_body("too late"),
+                retry_s: Some(1),
+                until: None,
+                ..a
+            };
         }
-        let Some(Some(c)) = self.conns.get_mut(a.at) else { return };
+        let Some(Some(c)) = self.conns.get_mut(a.at) else {
+            return;
+        };
         if c.serial != a.serial || !c.busy {
             return;
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -166,7 +166,10 @@
     /// The size of a value that is within the limits of now and of later: what is
     /// written meets both from the start, so that the moment need not be noticed.
     pub fn lowest_value_kb(&self) -> f64 {
-        self.next.value_kb.unwrap_or(f64::INFINITY).min(self.value_kb)
+        self.next
+            .value_kb
+            .unwrap_or(f64::INFINITY)
+            .min(self.value_kb)
     }
 
     /// [`StateLimits::lowest_value_kb`] in whole bytes.
@@ -181,7 +184,10 @@
 
     /// The lower of both write rates, down to which refusals slow the writers.
     pub fn lowest_write_rps(&self) -> f64 {
-        self.next.write_rps.unwrap_or(f64::INFINITY).min(self.write_rps)
+        self.next
+            .write_rps
+            .unwrap_or(f64::INFINITY)
+            .min(self.write_rps)
     }
 }
 
@@ -231,9 +237,15 @@
             ("params.state.value_kb", p.state.value_kb),
             ("params.state.txn_ops", p.state.txn_ops as f64),
             ("params.cloud.rps", p.cloud.rps),
-            ("params.machine_limits.core_share", p.machine_limits.core_share),
+            (
+                "params.machine_limits.core_share",
+                p.machine_limits.core_share,
+            ),
             ("params.machine_limits.ram_mb", p.machine_limits.ram_mb),
-            ("params.machine_limits.max_connections", p.machine_limits.max_connections as f64),
+            (
+                "params.machine_limits.max_connections",
+                p.machine_limits.max_connections as f64,
+            ),
             ("params.initial_size", p.initial_size as f64),
         ];
         let next = &p.state.next;
@@ -242,21 +254,28 @@
             ("params.state.next.value_kb", next.value_kb),
             ("params.state.next.txn_ops", next.txn_ops.map(|n| n as f64)),
         ];
-        let next = next.into_iter().filter_map(|(field, value)| Some((field, value?)));
+        let next = next
+            .into_iter()
+            .filter_map(|(field, value)| Some((field, value?)));
         for (field, value) in positive.into_iter().chain(next) {
             if !value.is_finite() || value <= 0.0 {
                 return senseless(field, format!("{value} is not above zero"));
             }
         }
-        let not_negative =
-            [("params.time_bound_ms", p.time_bound_ms), ("params.cloud.list_lag_s", p.cloud.list_lag_s)];
+        let not_negative = [
+            ("params.time_bound_ms", p.time_bound_ms),
+            ("params.cloud.list_lag_s", p.cloud.list_lag_s),
+        ];
         for (field, value) in not_negative {
             if !value.is_finite() || value < 0.0 {
                 return senseless(field, format!("{value} is not zero or more"));
             }
         }
         if p.workers.lease_s <= p.workers.report_s {
-            return senseless("params.workers.lease_s", "is not longer than report_s".into());
+            return senseless(
+                "params.workers.lease_s",
+                "is not longer than report_s".into(),
+            );
         }
         // Guard: a cancelled task may live on for as long as its worker's lease
         // after the last answer that knew nothing of the cancellation. What is
@@ -281,9 +300,12 @@
             }
         }
         for t in &p.teams {
-            for (what, v) in
-                [("cpus", t.cpus), ("cpus_max", t.cpus_max), ("gpus", t.gpus), ("gpus_max", t.gpus_max)]
-            {
+            for (what, v) in [
+                ("cpus", t.cpus),
+                ("cpus_max", t.cpus_max),
+                ("gpus", t.gpus),
+                ("gpus_max", t.gpus_max),
+            ] {
                 if !v.is_finite() || v < 0.0 {
                     return senseless("params.teams", format!("{}: {what} = {v}", t.name));
                 }
@@ -327,12 +349,17 @@
     /// aim in seconds.
     pub fn start_aims(&self) -> HashMap<Arc<str>, f64> {
         let aims = self.params.objectives.iter().filter(|o| o.kind == "wait");
-        aims.filter_map(|o| Some((o.class.as_str().into(), o.within_s?))).collect()
+        aims.filter_map(|o| Some((o.class.as_str().into(), o.within_s?)))
+            .collect()
     }
 
     /// The classes that have an aim of any kind.
     pub fn classes_with_aims(&self) -> HashSet<Arc<str>> {
-        self.params.objectives.iter().map(|o| o.class.as_str().into()).collect()
+        self.params
+            .objectives
+            .iter()
+            .map(|o| o.class.as_str().into())
+            .collect()
     }
 
     /// A team by name.
@@ -342,7 +369,10 @@
 }
 
 fn senseless<T>(field: &str, why: String) -> Result<T, SettingsError> {
-    Err(SettingsError::Senseless { field: field.into(), why })
+    Err(SettingsError::Senseless {
+        field: field.into(),
+        why,
+    })
 }
 
 fn one_line(text: &str) -> String {
--- a/src/state/bucket.rs
+++ b/src/state/bucket.rs
@@ -24,11 +24,21 @@
 impl Bucket {
     /// A full bucket.
     pub fn new(rate: f64, size: f64, now: Secs) -> Bucket {
-        Bucket { rate, full_rate: rate, least_rate: rate, size, level: size, at: now }
+        Bucket {
+            rate,
+            full_rate: rate,
+            least_rate: rate,
+            size,
+            level: size,
+            at: now,
+        }
     }
     /// The same, with a rate that refusals may bring down to `least_rate`.
     pub fn with_least(self, least_rate: f64) -> Bucket {
-        Bucket { least_rate: least_rate.min(self.rate), ..self }
+        Bucket {
+            least_rate: least_rate.min(self.rate),
+            ..self
+        }
     }
     /// The present rate.
     pub fn rate(&self) -> f64 {
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -50,7 +50,12 @@
             let bucket = Bucket::new(rate, rate.max(1.0), now).with_least(least);
             Arc::new(Mutex::new(bucket))
         };
-        let writes = |class: Class| bucket(s.write_rps * class.share(), s.lowest_write_rps() * class.share());
+        let writes = |class: Class| {
+            bucket(
+                s.write_rps * class.share(),
+                s.lowest_write_rps() * class.share(),
+            )
+        };
         Budget {
             calls: bucket(s.rps / n, s.rps / n),
             urgent: writes(Class::Urgent),
@@ -59,7 +64,9 @@
     }
 
     fn lock(bucket: &Mutex<Bucket>) -> std::sync::MutexGuard<'_, Bucket> {
-        bucket.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        bucket
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn wait(bucket: &Mutex<Bucket>, n: f64) {
--- a/src/state/http_client.rs
+++ b/src/state/http_client.rs
@@ -30,7 +30,10 @@
             .max_idle_connections_per_host(2)
             .redirects(0)
             .build();
-        Http { agent, base: format!("http://{addr}") }
+        Http {
+            agent,
+            base: format!("http://{addr}"),
+        }
     }
 
     /// One call; a body makes it a POST.
@@ -54,7 +57,10 @@
             }
             Err(ureq::Error::Status(code, r)) => {
                 let text = r.into_string().unwrap_or_default();
-                Err(CallError::Status(code, serde_json::from_str(&text).unwrap_or(Value::Null)))
+                Err(CallError::Status(
+                    code,
+                    serde_json::from_str(&text).unwrap_or(Value::Null),
+                ))
             }
             Err(ureq::Error::Transport(_)) => Err(CallError::Silent),
         }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -34,8 +34,15 @@
 /// A change of a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    Put { key: String, value: Value, version: u64 },
-    Delete { key: String, version: u64 },
+    Put {
+        key: String,
+        value: Value,
+        version: u64,
+    },
+    Delete {
+        key: String,
+        version: u64,
+    },
 }
 
 /// One operation of a transaction.
@@ -74,7 +81,10 @@
 
 /// Starts a named thread with a small stack.
 pub fn spawn(name: &str, body: impl FnOnce() + Send + 'static) {
-    let started = std::thread::Builder::new().name(name.into()).stack_size(512 * 1024).spawn(body);
+    let started = std::thread::Builder::new()
+        .name(name.into())
+        .stack_size(512 * 1024)
+        .spawn(body);
     if let Err(e) = started {
         tracing::error!(name, %e, "cannot start a thread");
     }
--- a/src/state/poller.rs
+++ b/src/state/poller.rs
@@ -10,9 +10,17 @@
 #[derive(Debug)]
 pub enum Feed {
     /// All keys, read anew.
-    Loaded { began: Secs, ring: u64, entries: Vec<Entry> },
+    Loaded {
+        began: Secs,
+        ring: u64,
+        entries: Vec<Entry>,
+    },
     /// What has changed since the last.
-    Changed { began: Secs, ring: u64, events: Vec<Event> },
+    Changed {
+        began: Secs,
+        ring: u64,
+        events: Vec<Event>,
+    },
     /// A read failed.
     Down,
 }
@@ -49,7 +57,11 @@
             let feed = match at {
                 None => load(&store, &budget, last),
                 Some(from) => match store.changes(from) {
-                    Ok((ring, events)) => Some(Feed::Changed { began: last, ring, events }),
+                    Ok((ring, events)) => Some(Feed::Changed {
+                        began: last,
+                        ring,
+                        events,
+                    }),
                     Err(CallError::Status(410, _)) => {
                         at = None;
                         continue;
@@ -80,7 +92,11 @@
         let empty = page.is_empty();
         entries.extend(page);
         if !more || empty {
-            return Some(Feed::Loaded { began, ring, entries });
+            return Some(Feed::Loaded {
+                began,
+                ring,
+                entries,
+            });
         }
         budget.wait_call();
     }
--- a/src/state/store.rs
+++ b/src/state/store.rs
@@ -15,14 +15,21 @@
     /// A client; calls are given up on after a second, as answers take
     /// hundredths of one and rarely a few tenths.
     pub fn new(settings: &Settings) -> Store {
-        Store { http: Http::new(settings.services.state, 1.0) }
+        Store {
+            http: Http::new(settings.services.state, 1.0),
+        }
     }
 
     /// One page of the keys under our prefix: entries, whether more, ring.
     pub fn page(&self, from: Option<&str>) -> Result<(Vec<Entry>, bool, u64), CallError> {
         let from = from.map(|f| format!("&from={f}")).unwrap_or_default();
-        let v = self.http.call("GET", &format!("/store?starts={PREFIX}{from}&most=1000"), None)?;
-        let entries = serde_json::from_value(v["entries"].clone()).map_err(|_| CallError::Silent)?;
+        let v = self.http.call(
+            "GET",
+            &format!("/store?starts={PREFIX}{from}&most=1000"),
+            None,
+        )?;
+        let entries =
+            serde_json::from_value(v["entries"].clone()).map_err(|_| CallError::Silent)?;
         let ring = v["ring"].as_u64().ok_or(CallError::Silent)?;
         Ok((entries, v["truncated"].as_bool().unwrap_or(false), ring))
     }
@@ -30,7 +37,9 @@
     /// One key, or `None` if it does not exist.
     pub fn get(&self, key: &str) -> Result<Option<Entry>, CallError> {
         match self.http.call("GET", &format!("/store/{key}"), None) {
-            Ok(v) => serde_json::from_value(v).map(Some).map_err(|_| CallError::Silent),
+            Ok(v) => serde_json::from_value(v)
+                .map(Some)
+                .map_err(|_| CallError::Silent),
             Err(CallError::Status(404, _)) => Ok(None),
             Err(e) => Err(e),
         }
@@ -42,12 +51,23 @@
         let v = self.http.call("GET", &path, None)?;
         let ring = v["ring"].as_u64().ok_or(CallError::Silent)?;
         let mut events = Vec::new();
-        for e in v["events"].as_array().map(Vec::as_slice).unwrap_or_default() {
+        for e in v["events"]
+            .as_array()
+            .map(Vec::as_slice)
+            .unwrap_or_default()
+        {
             let version = e["mark"].as_u64().ok_or(CallError::Silent)?;
             if let Some(key) = e["put"].as_str() {
-                events.push(Event::Put { key: key.into(), value: e["value"].clone(), version });
+                events.push(Event::Put {
+                    key: key.into(),
+                    value: e["value"].clone(),
+                    version,
+                });
             } else if let Some(key) = e["delete"].as_str() {
-                events.push(Event::Delete { key: key.into(), version });
+                events.push(Event::Delete {
+                    key: key.into(),
+                    version,
+                });
             }
         }
         Ok((ring, events))
@@ -55,14 +75,21 @@
 
     /// One transaction.
     pub fn commit(&self, conditions: &[(String, u64)], ops: &[Op]) -> Outcome {
-        let conditions: Vec<Value> = conditions.iter().map(|(k, v)| json!({"k": k, "mark": v})).collect();
+        let conditions: Vec<Value> = conditions
+            .iter()
+            .map(|(k, v)| json!({"k": k, "mark": v}))
+            .collect();
         let body = json!({"if": conditions, "writes": ops});
         match self.http.call("POST", "/commit", Some(&body)) {
             Ok(v) => v["ring"].as_u64().map_or(Outcome::Unknown, Outcome::Done),
             Err(CallError::Status(409, v)) => Outcome::Conflict(
                 v["failed"]
                     .as_array()
-                    .map(|a| a.iter().filter_map(|k| k.as_str().map(String::from)).collect())
+                    .map(|a| {
+                        a.iter()
+                            .filter_map(|k| k.as_str().map(String::from))
+                            .collect()
+                    })
                     .unwrap_or_default(),
             ),
             Err(CallError::Status(code, v)) => {
@@ -92,7 +119,10 @@
 
     /// Renews a lease; `Ok(false)` if it has ended.
     pub fn renew(&self, lease: u64) -> Result<bool, CallError> {
-        match self.http.call("POST", &format!("/leases/{lease}/renew"), Some(&json!({}))) {
+        match self
+            .http
+            .call("POST", &format!("/leases/{lease}/renew"), Some(&json!({})))
+        {
             Ok(_) => Ok(true),
             Err(CallError::Status(404, _)) => Ok(false),
             Err(e) => Err(e),
--- a/src/state/writer.rs
+++ b/src/state/writer.rs
@@ -43,8 +43,12 @@
                 let (inbox, budget, tell) = (inbox.clone(), budget.clone(), tell.clone());
                 // A batch waits for as many writes as it holds.
                 let rate = settings.params.state.write_rps * class.share();
-                let most =
-                    settings.params.state.lowest_txn_ops().min((rate * BATCH_S).ceil() as usize).max(1);
+                let most = settings
+                    .params
+                    .state
+                    .lowest_txn_ops()
+                    .min((rate * BATCH_S).ceil() as usize)
+                    .max(1);
                 spawn(&format!("state-{class:?}-{lane}"), move || {
                     let mut left: Option<Write<T>> = None;
                     loop {
@@ -63,7 +67,10 @@
             }
             queue
         };
-        Writer { urgent: start(Class::Urgent), bulk: start(Class::Bulk) }
+        Writer {
+            urgent: start(Class::Urgent),
+            bulk: start(Class::Bulk),
+        }
     }
 
     /// Queues a write, or hands it back if the queue is full.
@@ -85,12 +92,18 @@
 
 /// Takes more waiting writes as long as one transaction can hold them.
 /// Returns the first that did not fit.
-fn gather<T>(inbox: &Receiver<Write<T>>, batch: &mut Vec<Write<T>>, most: usize) -> Option<Write<T>> {
+fn gather<T>(
+    inbox: &Receiver<Write<T>>,
+    batch: &mut Vec<Write<T>>,
+    most: usize,
+) -> Option<Write<T>> {
     let mut ops: usize = batch[0].ops.len();
     let mut conditions = batch[0].conditions.len();
     let mut size = bytes(&batch[0].ops);
     while let Ok(next) = inbox.try_recv() {
-        let clash = batch.iter().any(|w| w.conditions.iter().any(|c| next.conditions.contains(c)));
+        let clash = batch
+            .iter()
+            .any(|w| w.conditions.iter().any(|c| next.conditions.contains(c)));
         let next_size = bytes(&next.ops);
         if clash
             || ops + next.ops.len() > most
@@ -130,8 +143,9 @@
         let ops: Vec<_> = batch.iter().flat_map(|w| w.ops.clone()).collect();
         match store.commit(&conditions, &ops) {
             Outcome::Conflict(keys) => {
-                let (failed, rest): (Vec<_>, Vec<_>) =
-                    batch.into_iter().partition(|w| w.conditions.iter().any(|(k, _)| keys.contains(k)));
+                let (failed, rest): (Vec<_>, Vec<_>) = batch
+                    .into_iter()
+                    .partition(|w| w.conditions.iter().any(|(k, _)| keys.contains(k)));
                 let stuck = failed.is_empty();
                 for w in failed {
                     tell(w.tag, Outcome::Conflict(keys.clone()));
--- a/src/stored_check.rs
+++ b/src/stored_check.rs
@@ -25,22 +25,41 @@
 
 fn jobs_of_unknown_teams(mirror: &Mirror, settings: &Settings) -> Vec<MisfitRecord> {
     let live = mirror.jobs.iter().filter(|(_, job)| job.live());
-    let unknown = live
-        .filter(|(_, job)| job.record.spec.as_ref().is_some_and(|spec| settings.team(&spec.team).is_none()));
-    unknown.map(|(id, _)| MisfitRecord { key: job_key(id), why: RecordError::UnknownTeam }).collect()
+    let unknown = live.filter(|(_, job)| {
+        job.record
+            .spec
+            .as_ref()
+            .is_some_and(|spec| settings.team(&spec.team).is_none())
+    });
+    unknown
+        .map(|(id, _)| MisfitRecord {
+            key: job_key(id),
+            why: RecordError::UnknownTeam,
+        })
+        .collect()
 }
 
 fn pages_that_do_not_fit(mirror: &Mirror, settings: &Settings) -> Vec<MisfitRecord> {
     let mut misfits = Vec::new();
     for (key, page) in &mirror.pages {
-        let zone_known = settings.params.zones.iter().any(|zone| **zone == *page.page.zone);
-        let kind_known = mirror.catalog.as_ref().is_none_or(|c| c.get(&page.page.kind).is_some());
+        let zone_known = settings
+            .params
+            .zones
+            .iter()
+            .any(|zone| **zone == *page.page.zone);
+        let kind_known = mirror
+            .catalog
+            .as_ref()
+            .is_none_or(|c| c.get(&page.page.kind).is_some());
         let why = match (zone_known, kind_known) {
             (false, _) => RecordError::UnknownZone,
             (true, false) => RecordError::UnknownMachineType,
             (true, true) => continue,
         };
-        misfits.push(MisfitRecord { key: key.to_string(), why });
+        misfits.push(MisfitRecord {
+            key: key.to_string(),
+            why,
+        });
     }
     misfits
 }
--- a/src/unreadable.rs
+++ b/src/unreadable.rs
@@ -57,12 +57,17 @@
 impl UnreadableRecords {
     /// A record is left out.
     pub fn add(&mut self, key: &str, version: u64, why: RecordError) {
-        self.by_key.insert(key.into(), UnreadableRecord { version, why });
+        self.by_key
+            .insert(key.into(), UnreadableRecord { version, why });
     }
 
     /// A key holds a good record, or none, as of revision `version`.
     pub fn remove(&mut self, key: &str, version: u64) {
-        if self.by_key.get(key).is_some_and(|record| record.version <= version) {
+        if self
+            .by_key
+            .get(key)
+            .is_some_and(|record| record.version <= version)
+        {
             self.by_key.remove(key);
         }
     }
@@ -74,7 +79,9 @@
 
     /// Whether a page of the roster was left out: its machines are not known.
     pub fn any_roster_page(&self) -> bool {
-        self.by_key.keys().any(|key| key.starts_with(crate::jobs::ROSTER_PREFIX))
+        self.by_key
+            .keys()
+            .any(|key| key.starts_with(crate::jobs::ROSTER_PREFIX))
     }
 
     /// How many there are.
--- a/src/with.rs
+++ b/src/with.rs
@@ -22,7 +22,11 @@
     UnknownPart { path: String, part: String },
     /// A field holds a value that makes no sense.
     #[error("with: {path}: `{field}`: {why}")]
-    Senseless { path: String, field: &'static str, why: String },
+    Senseless {
+        path: String,
+        field: &'static str,
+        why: String,
+    },
     /// Two files switch on the same part.
     #[error("with: {path}: {part} is switched on already")]
     Twice { path: String, part: &'static str },
@@ -111,8 +115,10 @@
     pub fn load(paths: &[PathBuf]) -> Result<Parts, WithError> {
         let mut parts = Parts::default();
         for path in paths {
-            let text = std::fs::read_to_string(path)
-                .map_err(|e| WithError::Unreadable { path: name(path), why: e.to_string() })?;
+            let text = std::fs::read_to_string(path).map_err(|e| WithError::Unreadable {
+                path: name(path),
+                why: e.to_string(),
+            })?;
             parts.add(&name(path), &text)?;
         }
         Ok(parts)
@@ -132,7 +138,10 @@
                 settings.check(path)?;
                 switch_on(&mut self.shared_machines, settings, path, "shared-machines")
             }
-            part => Err(WithError::UnknownPart { path: path.into(), part: part.into() }),
+            part => Err(WithError::UnknownPart {
+                path: path.into(),
+                part: part.into(),
+            }),
         }
     }
 }
@@ -148,7 +157,11 @@
         for (field, value) in amounts {
             if !value.is_finite() || value <= 0.0 {
                 let why = format!("{value} is not above zero");
-                return Err(WithError::Senseless { path: path.into(), field, why });
+                return Err(WithError::Senseless {
+                    path: path.into(),
+                    field,
+                    why,
+                });
             }
         }
         Ok(())
@@ -160,11 +173,19 @@
         let reports = self.answer_reports;
         if !reports.is_finite() || !(0.0..=MOST_ANSWER_REPORTS).contains(&reports) {
             let why = format!("{reports} is not from 0 to {MOST_ANSWER_REPORTS}");
-            return Err(WithError::Senseless { path: path.into(), field: "answer_reports", why });
+            return Err(WithError::Senseless {
+                path: path.into(),
+                field: "answer_reports",
+                why,
+            });
         }
         if self.entries > MOST_ENTRIES {
             let why = format!("{} is above {MOST_ENTRIES}", self.entries);
-            return Err(WithError::Senseless { path: path.into(), field: "entries", why });
+            return Err(WithError::Senseless {
+                path: path.into(),
+                field: "entries",
+                why,
+            });
         }
         Ok(())
     }
@@ -175,16 +196,32 @@
 }
 
 fn malformed(path: &str, why: &str) -> WithError {
-    WithError::Malformed { path: path.into(), why: why.lines().next().unwrap_or_default().into() }
+    WithError::Malformed {
+        path: path.into(),
+        why: why.lines().next().unwrap_or_default().into(),
+    }
 }
 
-fn part_settings<T: serde::de::DeserializeOwned>(path: &str, table: toml::Table) -> Result<T, WithError> {
-    toml::Value::Table(table).try_into().map_err(|e: toml::de::Error| malformed(path, e.message()))
+fn part_settings<T: serde::de::DeserializeOwned>(
+    path: &str,
+    table: toml::Table,
+) -> Result<T, WithError> {
+    toml::Value::Table(table)
+        .try_into()
+        .map_err(|e: toml::de::Error| malformed(path, e.message()))
 }
 
-fn switch_on<T>(slot: &mut Option<T>, part: T, path: &str, name: &'static str) -> Result<(), WithError> {
+fn switch_on<T>(
+    slot: &mut Option<T>,
+    part: T,
+    path: &str,
+    name: &'static str,
+) -> Result<(), WithError> {
     if slot.is_some() {
-        return Err(WithError::Twice { path: path.into(), part: name });
+        return Err(WithError::Twice {
+            path: path.into(),
+            part: name,
+        });
     }
     *slot = Some(part);
     Ok(())
--- a/tests/cancel_bound.rs
+++ b/tests/cancel_bound.rs
@@ -90,7 +90,8 @@
         for (from, _) in arrived {
             // A successor knows of the cancellation, or doesn't answer; it may
             // be certain of nothing, and stops what is shown to run all the same.
-            let later = t > CONFIRMED + f.knowledge_s && (reports as u32).is_multiple_of(s.successors.max(1));
+            let later = t > CONFIRMED + f.knowledge_s
+                && (reports as u32).is_multiple_of(s.successors.max(1));
             let answers = entitled || (s.successors > 0 && later && t < s.outage_at);
             if answers && !hung(t) && t - from < 4.0 {
                 lease_from = from;
@@ -114,8 +115,20 @@
 
 fn scenarios() -> impl Strategy<Value = Scenario> {
     (
-        (0.1..1.0f64, 35.0..60.0f64, 45.0..80.0f64, 30.0..110.0f64, 0.0..60.0f64),
-        (0.0..5.0f64, prop::collection::vec(0.75..1.25f64, 4), 0.0..3.9f64, 0.0..90.0f64, 0..4u32),
+        (
+            0.1..1.0f64,
+            35.0..60.0f64,
+            45.0..80.0f64,
+            30.0..110.0f64,
+            0.0..60.0f64,
+        ),
+        (
+            0.0..5.0f64,
+            prop::collection::vec(0.75..1.25f64, 4),
+            0.0..3.9f64,
+            0.0..90.0f64,
+            0..4u32,
+        ),
     )
         .prop_map(|((poll_s, refused_at, outage_at, hang_at, hang_s), rest)| {
             let (first_report, pace, way_s, late_start_s, successors) = rest;
@@ -148,13 +161,25 @@
         let cancel_s = clock::with_drift_margin(lease_s) + report_s * 1.01 + more;
         let s = settings(report_s, lease_s, cancel_s);
         assert!(s.outlives_cancel_s() < cancel_s);
-        Figures { report_s, lease_s, cancel_s, knowledge_s: s.knowledge_s() }
+        Figures {
+            report_s,
+            lease_s,
+            cancel_s,
+            knowledge_s: s.knowledge_s(),
+        }
     })
 }
 
 fn runner(cases: u32) -> TestRunner {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[13; 32]);
-    TestRunner::new_with_rng(Config { cases, failure_persistence: None, ..Config::default() }, rng)
+    TestRunner::new_with_rng(
+        Config {
+            cases,
+            failure_persistence: None,
+            ..Config::default()
+        },
+        rng,
+    )
 }
 
 /// A step of the model, and the way of an answer within it.
@@ -169,7 +194,9 @@
         prop_assert!(took <= f.cancel_s, "{} of {} s", took, f.cancel_s);
         Ok(())
     };
-    runner(600).run(&(figures(), scenarios()), check).unwrap_or_else(|e| panic!("{e}"));
+    runner(600)
+        .run(&(figures(), scenarios()), check)
+        .unwrap_or_else(|e| panic!("{e}"));
 }
 
 /// With a step wider by more than a report interval the model shows a task that stays for too long: the
@@ -178,8 +205,14 @@
 fn wider_steps_break_the_bound() {
     type Widen = fn(&Figures) -> Figures;
     let wider: [(&str, Widen); 2] = [
-        ("old knowledge", |f| Figures { knowledge_s: f.cancel_s - f.lease_s + f.report_s, ..*f }),
-        ("longer leases", |f| Figures { lease_s: f.cancel_s - f.knowledge_s + f.report_s, ..*f }),
+        ("old knowledge", |f| Figures {
+            knowledge_s: f.cancel_s - f.lease_s + f.report_s,
+            ..*f
+        }),
+        ("longer leases", |f| Figures {
+            lease_s: f.cancel_s - f.knowledge_s + f.report_s,
+            ..*f
+        }),
     ];
     for (name, widen) in wider {
         let mut worst = f64::MIN;
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -23,13 +23,33 @@
         c.until(i, "GET", "/up", None, |s, _| s == 200);
     }
     // A service, spread over both zones, and an array.
-    c.until(0, "POST", "/v2/runs", Some(job("wk-000001", "standing", 2)), |s, _| s == 201 || s == 200);
-    c.until(1, "POST", "/v2/runs", Some(job("wk-000002", "array", 5)), |s, _| s == 201 || s == 200);
-    c.until(2, "GET", "/v2/runs/wk-000001", None, |s, v| s == 200 && v["running"] == 2);
-    c.until(0, "GET", "/v2/runs/wk-000002", None, |_, v| v["mood"] == "done" && v["done"] == 5);
+    c.until(
+        0,
+        "POST",
+        "/v2/runs",
+        Some(job("wk-000001", "standing", 2)),
+        |s, _| s == 201 || s == 200,
+    );
+    c.until(
+        1,
+        "POST",
+        "/v2/runs",
+        Some(job("wk-000002", "array", 5)),
+        |s, _| s == 201 || s == 200,
+    );
+    c.until(2, "GET", "/v2/runs/wk-000001", None, |s, v| {
+        s == 200 && v["running"] == 2
+    });
+    c.until(0, "GET", "/v2/runs/wk-000002", None, |_, v| {
+        v["mood"] == "done" && v["done"] == 5
+    });
     // What is refused, and how.
     assert_eq!(c.call(0, "GET", "/v2/runs/wk-999999", None).0, 404);
-    assert_eq!(c.call(0, "POST", "/v2/runs", Some(json!({"id": "wk-000009"}))).0, 400);
+    assert_eq!(
+        c.call(0, "POST", "/v2/runs", Some(json!({"id": "wk-000009"})))
+            .0,
+        400
+    );
     let mut wide = job("wk-000009", "array", 1);
     wide["cpus"] = 64.0.into();
     c.until(1, "POST", "/v2/runs", Some(wide), |s, _| {
@@ -46,12 +66,22 @@
     let mut both = job("wk-000009", "standing", 3);
     both["one_zone"] = true.into();
     c.until(2, "POST", "/v2/runs", Some(both), |s, _| s == 422);
-    for field in ["shape", "accelerators", "scatter", "molt_s", "stash_s", "rank", "size_gb"] {
+    for field in [
+        "shape",
+        "accelerators",
+        "scatter",
+        "molt_s",
+        "stash_s",
+        "rank",
+        "size_gb",
+    ] {
         let mut odd = job("wk-000009", "array", 1);
         odd.as_object_mut().expect("a job").remove(field);
         assert_eq!(c.call(0, "POST", "/v2/runs", Some(odd)).0, 400, "{field}");
     }
-    c.until(0, "POST", "/v2/runs/wk-999999/withdraw", None, |s, _| s == 404);
+    c.until(0, "POST", "/v2/runs/wk-999999/withdraw", None, |s, _| {
+        s == 404
+    });
     // Every controller goes, one of them for longer; the work stays.
     for i in 0..3 {
         c.kill(i);
@@ -59,11 +89,21 @@
             c.boot(i);
         }
     }
-    c.until(1, "POST", "/v2/runs", Some(job("wk-000004", "array", 4)), |s, _| s == 201 || s == 200);
-    c.until(2, "GET", "/v2/runs/wk-000004", None, |_, v| v["mood"] == "done");
+    c.until(
+        1,
+        "POST",
+        "/v2/runs",
+        Some(job("wk-000004", "array", 4)),
+        |s, _| s == 201 || s == 200,
+    );
+    c.until(2, "GET", "/v2/runs/wk-000004", None, |_, v| {
+        v["mood"] == "done"
+    });
     c.until(1, "GET", "/v2/runs/wk-000001", None, running);
     c.boot(0);
-    c.until(0, "GET", "/v2/runs/wk-000002", None, |s, v| s == 200 && v["mood"] == "done");
+    c.until(0, "GET", "/v2/runs/wk-000002", None, |s, v| {
+        s == 200 && v["mood"] == "done"
+    });
     // A repeated submission is harmless, also after the end.
     let again = c.call(0, "POST", "/v2/runs", Some(job("wk-000002", "array", 5)));
     assert_eq!((again.0, again.1["mood"].as_str()), (200, Some("done")));
@@ -77,20 +117,32 @@
             v["mood"] == "done"
         });
         let path = "/v2/runs/wk-000002/withdraw";
-        c.until(i, "POST", path, None, |s, v| s == 200 && v["mood"] == "done");
+        c.until(i, "POST", path, None, |s, v| {
+            s == 200 && v["mood"] == "done"
+        });
     }
-    c.until(0, "POST", "/v2/runs/wk-000001/withdraw", None, |s, v| s == 200 && v["mood"] == "cancelled");
-    c.until(2, "GET", "/v2/runs/wk-000001", None, |s, v| s == 200 && v["mood"] == "cancelled");
+    c.until(0, "POST", "/v2/runs/wk-000001/withdraw", None, |s, v| {
+        s == 200 && v["mood"] == "cancelled"
+    });
+    c.until(2, "GET", "/v2/runs/wk-000001", None, |s, v| {
+        s == 200 && v["mood"] == "cancelled"
+    });
     let begin = Instant::now();
     loop {
         let left: usize = {
             let s = seen.lock().expect("seen");
-            s.on.iter().filter(|(t, _)| t.starts_with("wk-000001/")).map(|(_, on)| on.len()).sum()
+            s.on.iter()
+                .filter(|(t, _)| t.starts_with("wk-000001/"))
+                .map(|(_, on)| on.len())
+                .sum()
         };
         if left == 0 {
             break;
         }
-        assert!(begin.elapsed() < PATIENCE, "{left} replicas are left after the cancellation");
+        assert!(
+            begin.elapsed() < PATIENCE,
+            "{left} replicas are left after the cancellation"
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
     let s = seen.lock().expect("seen");
@@ -104,7 +156,13 @@
     // Even ends complete by themselves.
     let n = 2 * jobs.len() + if shape == "array" { 2 } else { 1 };
     let id = format!("wk-{n:06}");
-    c.until(node, "POST", "/v2/runs", Some(job(&id, shape, tasks)), |s, _| s == 201 || s == 200);
+    c.until(
+        node,
+        "POST",
+        "/v2/runs",
+        Some(job(&id, shape, tasks)),
+        |s, _| s == 201 || s == 200,
+    );
     jobs.push(id);
 }
 
@@ -112,7 +170,11 @@
 fn refused_at_once(c: &Cluster, node: usize, id: &str) {
     for (method, path, body) in [
         ("GET", format!("/v2/runs/{id}"), None),
-        ("POST", "/v2/runs".to_string(), Some(job("wk-900000", "array", 1))),
+        (
+            "POST",
+            "/v2/runs".to_string(),
+            Some(job("wk-900000", "array", 1)),
+        ),
         ("POST", format!("/v2/runs/{id}/withdraw"), None),
     ] {
         // An answer that were held back would come to nobody: the client
@@ -144,7 +206,13 @@
         c.until(i, "GET", "/up", None, |s, _| s == 200);
     }
     for i in 0..NODES {
-        submit(&c, i, &mut jobs, if i == 0 { "standing" } else { "array" }, 3);
+        submit(
+            &c,
+            i,
+            &mut jobs,
+            if i == 0 { "standing" } else { "array" },
+            3,
+        );
     }
     // One loses the state service and all others, but not its workers.
     c.cut(1, true);
@@ -159,7 +227,10 @@
         ![421, 503].contains(&c.call(1, "POST", "/agent/beat", Some(report)).0)
     };
     while (0..40).any(told_to_stay) {
-        assert!(begin.elapsed() < PATIENCE, "a controller that is cut off keeps its workers");
+        assert!(
+            begin.elapsed() < PATIENCE,
+            "a controller that is cut off keeps its workers"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
     submit(&c, 2, &mut jobs, "array", 4);
@@ -185,8 +256,13 @@
     (0..NODES).for_each(|i| c.boot(i));
     all_known(&c, &jobs);
     // What was accepted runs to its end.
-    for id in jobs.iter().filter(|id| id.ends_with(['0', '2', '4', '6', '8'])) {
-        c.until(4, "GET", &format!("/v2/runs/{id}"), None, |_, v| v["mood"] == "done");
+    for id in jobs
+        .iter()
+        .filter(|id| id.ends_with(['0', '2', '4', '6', '8']))
+    {
+        c.until(4, "GET", &format!("/v2/runs/{id}"), None, |_, v| {
+            v["mood"] == "done"
+        });
     }
     let running = |_: u16, v: &Value| v["mood"] == "running";
     c.until(3, "GET", &format!("/v2/runs/{}", jobs[0]), None, running);
@@ -196,7 +272,10 @@
 
 fn on(seen: &Mutex<Seen>, id: &str) -> usize {
     let s = seen.lock().expect("seen");
-    s.on.iter().filter(|(t, _)| t.starts_with(&format!("{id}/"))).map(|(_, on)| on.len()).sum()
+    s.on.iter()
+        .filter(|(t, _)| t.starts_with(&format!("{id}/")))
+        .map(|(_, on)| on.len())
+        .sum()
 }
 
 fn wait(what: &str, done: impl Fn() -> bool) {
@@ -219,7 +298,13 @@
     for (n, apart) in [(1, true), (3, false)] {
         // A service for each node that may be refused: it owns some of the tasks.
         let id = format!("wk-00000{n}");
-        c.until(0, "POST", "/v2/runs", Some(job(&id, "standing", 6)), |s, _| s == 201 || s == 200);
+        c.until(
+            0,
+            "POST",
+            "/v2/runs",
+            Some(job(&id, "standing", 6)),
+            |s, _| s == 201 || s == 200,
+        );
         wait("the service runs", || on(&seen, &id) == 6);
         let lapsed = seen.lock().expect("seen").lapsed;
         if apart {
@@ -228,13 +313,19 @@
             c.refuse(0, true);
         }
         let path = format!("/v2/runs/{id}/withdraw");
-        c.until(1, "POST", &path, None, |s, v| s == 200 && v["mood"] == "cancelled");
+        c.until(1, "POST", &path, None, |s, v| {
+            s == 200 && v["mood"] == "cancelled"
+        });
         c.outage(true);
-        wait("tasks of a cancelled job are left in the outage", || on(&seen, &id) == 0);
+        wait("tasks of a cancelled job are left in the outage", || {
+            on(&seen, &id) == 0
+        });
         c.outage(false);
         c.cut(0, false);
         for i in 0..3 {
-            c.until(i, "GET", &format!("/v2/runs/{id}"), None, |s, v| s == 200 && v["mood"] == "cancelled");
+            c.until(i, "GET", &format!("/v2/runs/{id}"), None, |s, v| {
+                s == 200 && v["mood"] == "cancelled"
+            });
         }
         assert!(!apart || seen.lock().expect("seen").lapsed >= lapsed);
     }
@@ -262,7 +353,12 @@
                     c.until(at, "POST", "/v2/runs", Some(body.clone()), |s, _| known(s));
                     wait("it begins", || {
                         on(seen, &id) > 0
-                            || seen.lock().expect("seen").completed.iter().any(|t| t.starts_with(&id))
+                            || seen
+                                .lock()
+                                .expect("seen")
+                                .completed
+                                .iter()
+                                .any(|t| t.starts_with(&id))
                     });
                     std::thread::sleep(Duration::from_millis(1100 + 150 * n as u64));
                     let told = Mutex::new(BTreeSet::new());
@@ -284,7 +380,10 @@
                 })
             })
             .collect();
-        users.into_iter().map(|u| u.join().expect("a user")).collect()
+        users
+            .into_iter()
+            .map(|u| u.join().expect("a user"))
+            .collect()
     });
     // What was late has been carried out by then.
     std::thread::sleep(Duration::from_secs(3));
@@ -294,11 +393,18 @@
         for i in 0..3 {
             let (_, v, _) = c.call(i, "GET", &format!("/v2/runs/{id}"), None);
             let again = v["mood"].as_str().unwrap_or_default().to_string();
-            assert!(v.is_null() || told.contains(&again), "{id} was {told:?} and is {again}");
+            assert!(
+                v.is_null() || told.contains(&again),
+                "{id} was {told:?} and is {again}"
+            );
         }
         if told.contains("done") {
             let s = seen.lock().expect("seen");
-            let completed = s.completed.iter().filter(|t| t.starts_with(&format!("{id}/"))).count();
+            let completed = s
+                .completed
+                .iter()
+                .filter(|t| t.starts_with(&format!("{id}/")))
+                .count();
             assert_eq!(completed, 2, "{id} is called done");
         }
     }
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -59,7 +59,11 @@
             .map(|(task, n)| n - self.starts_of.get(task).copied().unwrap_or(0).min(*n))
             .filter(|n| *n > 0)
             .sum();
-        let new = seen.starts_of.keys().filter(|task| !self.starts_of.contains_key(*task)).count() as u32;
+        let new = seen
+            .starts_of
+            .keys()
+            .filter(|task| !self.starts_of.contains_key(*task))
+            .count() as u32;
         let lapsed = seen.lapsed - self.lapsed;
         assert!(
             again <= new + lapsed,
@@ -75,29 +79,57 @@
 /// Waits until the controllers' records say that nothing is in doubt, and compares them
 /// with what the workers saw.
 fn check_records(c: &Cluster, before: &Before, when: &str) {
-    let records = || (0..NODES).map(|i| c.ask(i, "/restart")).collect::<Vec<Value>>();
+    let records = || {
+        (0..NODES)
+            .map(|i| c.ask(i, "/restart"))
+            .collect::<Vec<Value>>()
+    };
     wait("doubt remains", || {
         let all = records();
         let leader = all.iter().find(|r| r["leader"].is_object());
-        leader.is_some_and(|r| r["leader"]["resolved"] == true && r["leader"]["tasks_in_doubt"] == 0)
-            && all.iter().all(|r| r["machines"]["certain_after_s"].is_number())
+        leader
+            .is_some_and(|r| r["leader"]["resolved"] == true && r["leader"]["tasks_in_doubt"] == 0)
+            && all
+                .iter()
+                .all(|r| r["machines"]["certain_after_s"].is_number())
     });
     let all = records();
     let sum = |path: &str| -> u64 { all.iter().filter_map(|r| r.pointer(path)?.as_u64()).sum() };
     let verdicts = |name: &str| -> u64 {
-        let of = |r: &Value| r["machines"]["verdicts"].as_array().cloned().unwrap_or_default();
+        let of = |r: &Value| {
+            r["machines"]["verdicts"]
+                .as_array()
+                .cloned()
+                .unwrap_or_default()
+        };
         let named = all.iter().flat_map(of).filter(|v| v["verdict"] == name);
         named.filter_map(|v| v["count"].as_u64()).sum()
     };
     let adopted = verdicts("adopt");
-    assert!(adopted >= before.tasks as u64, "{when}: {adopted} adopted of {}", before.tasks);
+    assert!(
+        adopted >= before.tasks as u64,
+        "{when}: {adopted} adopted of {}",
+        before.tasks
+    );
     let stops: u64 = all
         .iter()
         .filter_map(|r| r.pointer("/machines/orders/stops")?.as_object().cloned())
-        .flat_map(|stops| stops.into_values().filter_map(|n| n.as_u64()).collect::<Vec<_>>())
+        .flat_map(|stops| {
+            stops
+                .into_values()
+                .filter_map(|n| n.as_u64())
+                .collect::<Vec<_>>()
+        })
         .sum();
-    assert_eq!((stops, verdicts("conflict"), verdicts("stop")), (0, 0, 0), "{when}: {all:?}");
-    let certain = all.iter().filter_map(|r| r["machines"]["certain_after_s"].as_f64()).fold(0.0, f64::max);
+    assert_eq!(
+        (stops, verdicts("conflict"), verdicts("stop")),
+        (0, 0, 0),
+        "{when}: {all:?}"
+    );
+    let certain = all
+        .iter()
+        .filter_map(|r| r["machines"]["certain_after_s"].as_f64())
+        .fold(0.0, f64::max);
     println!(
         "{when}: {} tasks, {adopted} adopted, {} questions, {} starts, {stops} stops, {} reaps; no machine in \
          doubt after {certain:.2} s",
@@ -109,26 +141,43 @@
 }
 
 fn accepted(c: &Cluster, node: usize, id: &str, shape: &str, tasks: u32) {
-    c.until(node, "POST", "/v2/runs", Some(job(id, shape, tasks)), |s, _| s == 201 || s == 200);
+    c.until(
+        node,
+        "POST",
+        "/v2/runs",
+        Some(job(id, shape, tasks)),
+        |s, _| s == 201 || s == 200,
+    );
 }
 
 #[test]
 fn all_controllers_go_down_together_and_running_work_is_trusted() {
     let seen = Arc::new(Mutex::new(Seen::default()));
-    let options =
-        Options { report_s: 3.0, lease_s: 30, team_cpus: 260, with: vec!["deploy/cold-restart.toml"] };
+    let options = Options {
+        report_s: 3.0,
+        lease_s: 30,
+        team_cpus: 260,
+        with: vec!["deploy/cold-restart.toml"],
+    };
     let mut c = Cluster::start_with(NODES, "cold", &seen, options);
     (0..NODES).for_each(|i| c.until(i, "GET", "/up", None, |s, _| s == 200));
     for (n, (id, shape, tasks)) in STAYING.into_iter().enumerate() {
         accepted(&c, n % NODES, id, shape, tasks);
     }
     let all: u32 = STAYING.iter().map(|job| job.2).sum();
-    wait("all of it runs", || running(&seen, &STAYING) == all as usize);
+    wait("all of it runs", || {
+        running(&seen, &STAYING) == all as usize
+    });
     for (n, away_s) in [0.3, 5.0, 13.0].into_iter().enumerate() {
         // Some of it ends while nobody is there.
         let short = format!("wk-00{n}002");
         accepted(&c, n, &short, "array", 12);
-        wait("some of it begins", || lock(&seen).starts_of.keys().any(|task| task.starts_with(&short)));
+        wait("some of it begins", || {
+            lock(&seen)
+                .starts_of
+                .keys()
+                .any(|task| task.starts_with(&short))
+        });
         let before = Before::now(&seen);
         let when = format!("away for {away_s} s");
         (0..NODES).for_each(|i| c.kill(i));
@@ -148,7 +197,9 @@
             c.until(0, "GET", "/up", None, |s, _| s == 200);
             c.boot(2);
         }
-        c.until(n, "GET", &format!("/v2/runs/{short}"), None, |_, v| v["mood"] == "done");
+        c.until(n, "GET", &format!("/v2/runs/{short}"), None, |_, v| {
+            v["mood"] == "done"
+        });
         wait("the rest runs", || running(&seen, &STAYING) == all as usize);
         check_records(&c, &before, &when);
         before.check(&seen, &when);
@@ -160,7 +211,10 @@
 #[test]
 fn a_job_whose_record_can_not_be_read_is_not_called_unknown() {
     let seen = Arc::new(Mutex::new(Seen::default()));
-    let options = Options { with: vec!["deploy/cold-restart.toml"], ..Options::default() };
+    let options = Options {
+        with: vec!["deploy/cold-restart.toml"],
+        ..Options::default()
+    };
     let c = Cluster::start_with(1, "scribble", &seen, options);
     c.until(0, "GET", "/up", None, |s, _| s == 200);
     c.scribble("fw/j/wk-000033", "scribble".into());
@@ -172,7 +226,10 @@
         ("POST", "/v2/runs", Some(job("wk-000033", "array", 1))),
     ] {
         let (status, _, retry) = c.call(0, method, path, body);
-        assert!(status == 503 && retry.is_some(), "{method} {path}: {status}");
+        assert!(
+            status == 503 && retry.is_some(),
+            "{method} {path}: {status}"
+        );
     }
     assert_eq!(c.call(0, "GET", "/v2/runs/wk-000034", None).0, 404);
 }
--- a/tests/cold_restart_cores.rs
+++ b/tests/cold_restart_cores.rs
@@ -34,9 +34,21 @@
 fn shows(p: &mut Part, mirror: &Mirror, machine: usize, tasks: &[Line], now: f64) -> Vec<Call> {
     let old = token(EPOCH - 1, 3);
     let (asked, calls) = answered(p.report(&report(machine, 1, 5, old, tasks), false, mirror, now));
-    assert!(token_epoch(asked) == EPOCH, "it is told the new owner's token");
-    assert!(!calls.iter().any(|c| matches!(c, Call::Start { .. })), "nothing starts on an old word");
-    answered(p.report(&report(machine, 1, 6, asked, tasks), false, mirror, now + 0.1)).1
+    assert!(
+        token_epoch(asked) == EPOCH,
+        "it is told the new owner's token"
+    );
+    assert!(
+        !calls.iter().any(|c| matches!(c, Call::Start { .. })),
+        "nothing starts on an old word"
+    );
+    answered(p.report(
+        &report(machine, 1, 6, asked, tasks),
+        false,
+        mirror,
+        now + 0.1,
+    ))
+    .1
 }
 
 /// What the leader has assigned anew after a round.
@@ -45,11 +57,19 @@
     l.resolve(mirror, &|_| false);
     l.assign_tasks(mirror, now, || true);
     let orders = l.orders("a").expect("orders");
-    orders.assignments.iter().flat_map(|a| a.tasks.iter().map(|t| (a.job.clone(), t.0))).collect()
+    orders
+        .assignments
+        .iter()
+        .flat_map(|a| a.tasks.iter().map(|t| (a.job.clone(), t.0)))
+        .collect()
 }
 
 fn verdicts(p: &mut Part) -> Vec<(String, Verdict)> {
-    p.restart_record(1.0).entries.iter().map(|e| (e.task.clone(), e.verdict)).collect()
+    p.restart_record(1.0)
+        .entries
+        .iter()
+        .map(|e| (e.task.clone(), e.verdict))
+        .collect()
 }
 
 fn job(id: &str, tasks: u32) -> Arc<JobSpec> {
@@ -58,24 +78,50 @@
 
 #[test]
 fn what_runs_is_trusted_and_nothing_is_ordered() {
-    let (s, a) = (spec("wk-1", 2, |v| v["shape"] = json!("standing")), job("wk-2", 2));
+    let (s, a) = (
+        spec("wk-1", 2, |v| v["shape"] = json!("standing")),
+        job("wk-2", 2),
+    );
     let m = mirror(2, &[&s, &a]);
     let (mut l, mut p) = back(&m);
-    assert!(assigned(&mut l, &mut p, &m, 0.0).is_empty(), "all may run somewhere");
-    let first = [("wk-1/0", BEFORE, RUNNING, None), ("wk-2/0", BEFORE, RUNNING, None)];
+    assert!(
+        assigned(&mut l, &mut p, &m, 0.0).is_empty(),
+        "all may run somewhere"
+    );
+    let first = [
+        ("wk-1/0", BEFORE, RUNNING, None),
+        ("wk-2/0", BEFORE, RUNNING, None),
+    ];
     assert_eq!(shows(&mut p, &m, 1, &first, 0.1), []);
-    assert!(assigned(&mut l, &mut p, &m, 0.3).is_empty(), "the rest may run on the other machine");
-    let second = [("wk-1/1", BEFORE, RUNNING, None), ("wk-2/1", BEFORE, TaskState::Fetching, None)];
+    assert!(
+        assigned(&mut l, &mut p, &m, 0.3).is_empty(),
+        "the rest may run on the other machine"
+    );
+    let second = [
+        ("wk-1/1", BEFORE, RUNNING, None),
+        ("wk-2/1", BEFORE, TaskState::Fetching, None),
+    ];
     assert_eq!(shows(&mut p, &m, 2, &second, 0.4), []);
-    assert!(assigned(&mut l, &mut p, &m, 0.6).is_empty(), "all was found");
+    assert!(
+        assigned(&mut l, &mut p, &m, 0.6).is_empty(),
+        "all was found"
+    );
     assert!(l.resolved());
     let record = p.restart_record(1.0);
     assert_eq!(
-        record.verdicts.iter().map(|v| (v.verdict, v.count)).collect::<Vec<_>>(),
+        record
+            .verdicts
+            .iter()
+            .map(|v| (v.verdict, v.count))
+            .collect::<Vec<_>>(),
         [(Verdict::Adopt(AdoptReason::Runs), 4)]
     );
     assert_eq!(
-        (record.orders.starts, record.orders.reaps, record.orders.stops.values().sum::<u64>()),
+        (
+            record.orders.starts,
+            record.orders.reaps,
+            record.orders.stops.values().sum::<u64>()
+        ),
         (0, 0, 0)
     );
     assert!(record.certain_after_s.is_some());
@@ -92,11 +138,22 @@
     let (_, mut p) = back(&m);
     let lines = ["wk-1/0", "wk-1/1", "wk-2/0", "wk-3/0"].map(|t| (t, BEFORE, RUNNING, None));
     let calls = shows(&mut p, &m, 1, &lines, 0.1);
-    let stop = |t: &str| Call::Stop { task: t.into(), attempt: BEFORE, grace_s: 0.0 };
+    let stop = |t: &str| Call::Stop {
+        task: t.into(),
+        attempt: BEFORE,
+        grace_s: 0.0,
+    };
     assert_eq!(calls, [stop("wk-1/0"), stop("wk-2/0"), stop("wk-3/0")]);
-    let because = [StopReason::TaskFinished, StopReason::JobCancelled, StopReason::JobDone];
-    let stopped: Vec<Verdict> =
-        verdicts(&mut p).into_iter().map(|v| v.1).filter(|v| matches!(v, Verdict::Stop(_))).collect();
+    let because = [
+        StopReason::TaskFinished,
+        StopReason::JobCancelled,
+        StopReason::JobDone,
+    ];
+    let stopped: Vec<Verdict> = verdicts(&mut p)
+        .into_iter()
+        .map(|v| v.1)
+        .filter(|v| matches!(v, Verdict::Stop(_)))
+        .collect();
     assert_eq!(stopped, because.map(Verdict::Stop));
 }
 
@@ -105,21 +162,33 @@
     let a = job("wk-1", 2);
     let mut m = mirror(1, &[&a]);
     let (mut l, mut p) = back(&m);
-    let done = [("wk-1/0", BEFORE, ENDED, Some("done")), ("wk-1/1", BEFORE, ENDED, Some("error"))];
+    let done = [
+        ("wk-1/0", BEFORE, ENDED, Some("done")),
+        ("wk-1/1", BEFORE, ENDED, Some("error")),
+    ];
     let calls = shows(&mut p, &m, 1, &done, 0.1);
     assert_eq!(
         calls,
-        [Call::Forget { task: "wk-1/1".into(), attempt: BEFORE }],
+        [Call::Forget {
+            task: "wk-1/1".into(),
+            attempt: BEFORE
+        }],
         "only what leaves no result"
     );
     assert_eq!(assigned(&mut l, &mut p, &m, 0.3), [("wk-1".into(), 1)]);
     let finishes = l.finishes(1.0, 9, &m);
-    assert_eq!(finishes.iter().map(|f| f.tasks.clone()).collect::<Vec<_>>(), [vec![0]]);
+    assert_eq!(
+        finishes.iter().map(|f| f.tasks.clone()).collect::<Vec<_>>(),
+        [vec![0]]
+    );
     m.put("fw/f/wk-1/0", json!("1"), 300);
     p.job_changed(&"wk-1".into(), &m);
     let again = report(1, 1, 9, token(EPOCH, 1 << 10), &done);
     let (_, calls) = answered(p.report(&again, false, &m, 1.0));
-    assert!(calls.contains(&Call::Forget { task: "wk-1/0".into(), attempt: BEFORE }));
+    assert!(calls.contains(&Call::Forget {
+        task: "wk-1/0".into(),
+        attempt: BEFORE
+    }));
 }
 
 #[test]
@@ -129,19 +198,38 @@
     let (mut l, mut p) = back(&m);
     shows(&mut p, &m, 1, &[], 0.1);
     // It has spoken once, but never under the new owner's token.
-    let spoke = report(2, 1, 5, token(EPOCH - 1, 3), &[("wk-1/0", BEFORE, RUNNING, None)]);
+    let spoke = report(
+        2,
+        1,
+        5,
+        token(EPOCH - 1, 3),
+        &[("wk-1/0", BEFORE, RUNNING, None)],
+    );
     answered(p.report(&spoke, false, &m, 0.2));
     for now in [9.0, 18.0, 27.0] {
         shows_again(&mut p, &m, 1, now);
     }
     p.expire_leases(27.0);
-    assert!(assigned(&mut l, &mut p, &m, 27.0).is_empty(), "it may run on the silent one");
+    assert!(
+        assigned(&mut l, &mut p, &m, 27.0).is_empty(),
+        "it may run on the silent one"
+    );
     // Whoever was left out alive may have answered it until its own lease was over.
     p.expire_leases(29.0);
     shows_again(&mut p, &m, 1, 29.1);
     assert_eq!(assigned(&mut l, &mut p, &m, 29.2), [("wk-1".into(), 0)]);
-    let late = report(2, 1, 90, token(EPOCH - 1, 3), &[("wk-1/0", BEFORE, RUNNING, None)]);
-    assert_eq!(p.report(&late, false, &m, 29.3), ReportReply::Refuse, "its session is over");
+    let late = report(
+        2,
+        1,
+        90,
+        token(EPOCH - 1, 3),
+        &[("wk-1/0", BEFORE, RUNNING, None)],
+    );
+    assert_eq!(
+        p.report(&late, false, &m, 29.3),
+        ReportReply::Refuse,
+        "its session is over"
+    );
     let (t, _) = answered(p.report(&report(2, 2, 1, 0, &[]), false, &m, 29.4));
     let (_, calls) = answered(p.report(&report(2, 2, 2, t, &[]), false, &m, 29.5));
     assert_eq!(calls, []);
@@ -154,10 +242,19 @@
     let (mut l, mut p) = back(&m);
     p.expire_leases(29.0);
     // A copy from before the crash, of a session that nobody here has seen.
-    let copy = report(1, 1, 5, token(EPOCH - 1, 3), &[("wk-1/0", BEFORE, RUNNING, None)]);
+    let copy = report(
+        1,
+        1,
+        5,
+        token(EPOCH - 1, 3),
+        &[("wk-1/0", BEFORE, RUNNING, None)],
+    );
     let (_, calls) = answered(p.report(&copy, false, &m, 29.1));
     assert_eq!((calls, verdicts(&mut p)), (Vec::new(), Vec::new()));
-    assert!(assigned(&mut l, &mut p, &m, 29.2).is_empty(), "in doubt until it answers");
+    assert!(
+        assigned(&mut l, &mut p, &m, 29.2).is_empty(),
+        "in doubt until it answers"
+    );
     assert_eq!(p.directs(&m, 29.3).len(), 1, "it is asked");
 }
 
@@ -174,7 +271,11 @@
     let m = mirror(2, &[&here, &there]);
     let (mut l, mut p) = back(&m);
     shows(&mut p, &m, 1, &[], 0.1);
-    assert_eq!(assigned(&mut l, &mut p, &m, 0.3), [("wk-1".into(), 0)], "m-2 is in zone w");
+    assert_eq!(
+        assigned(&mut l, &mut p, &m, 0.3),
+        [("wk-1".into(), 0)],
+        "m-2 is in zone w"
+    );
 }
 
 #[test]
@@ -183,12 +284,21 @@
     let m = mirror(1, &[&a]);
     let (mut l, mut p) = back(&m);
     // Held back since before the crash; its machine has begun a new session since.
-    let old = report(1, 1, 5, token(EPOCH - 1, 3), &[("wk-1/0", BEFORE, RUNNING, None)]);
+    let old = report(
+        1,
+        1,
+        5,
+        token(EPOCH - 1, 3),
+        &[("wk-1/0", BEFORE, RUNNING, None)],
+    );
     answered(p.report(&old, false, &m, 0.1));
     assert!(verdicts(&mut p).is_empty());
     assert!(assigned(&mut l, &mut p, &m, 0.2).is_empty());
     let (t, _) = answered(p.report(&report(1, 2, 1, 0, &[]), false, &m, 0.3));
-    assert!(assigned(&mut l, &mut p, &m, 0.4).is_empty(), "a start under way could still arrive");
+    assert!(
+        assigned(&mut l, &mut p, &m, 0.4).is_empty(),
+        "a start under way could still arrive"
+    );
     answered(p.report(&report(1, 2, 2, t, &[]), false, &m, 0.5));
     assert_eq!(assigned(&mut l, &mut p, &m, 0.6), [("wk-1".into(), 0)]);
 }
@@ -198,10 +308,23 @@
     let a = job("wk-1", 1);
     let m = mirror(2, &[&a]);
     let (mut l, mut p) = back(&m);
-    assert_eq!(shows(&mut p, &m, 1, &[("wk-1/0", BEFORE, RUNNING, None)], 0.1), []);
+    assert_eq!(
+        shows(&mut p, &m, 1, &[("wk-1/0", BEFORE, RUNNING, None)], 0.1),
+        []
+    );
     let calls = shows(&mut p, &m, 2, &[("wk-1/0", BEFORE + 1, RUNNING, None)], 0.3);
-    assert_eq!(calls, [Call::Stop { task: "wk-1/0".into(), attempt: BEFORE + 1, grace_s: 0.0 }]);
-    assert!(verdicts(&mut p).contains(&("wk-1/0".into(), Verdict::Conflict(ConflictReason::RunsTwice))));
+    assert_eq!(
+        calls,
+        [Call::Stop {
+            task: "wk-1/0".into(),
+            attempt: BEFORE + 1,
+            grace_s: 0.0
+        }]
+    );
+    assert!(verdicts(&mut p).contains(&(
+        "wk-1/0".into(),
+        Verdict::Conflict(ConflictReason::RunsTwice)
+    )));
     assert!(assigned(&mut l, &mut p, &m, 0.5).is_empty());
 }
 
@@ -212,11 +335,23 @@
     let (mut l, mut p) = back(&m);
     shows(&mut p, &m, 2, &[], 0.1);
     let absurd = attempt(EPOCH + 1_000_000, 1);
-    assert_eq!(shows(&mut p, &m, 1, &[("wk-1/0", absurd, RUNNING, None)], 0.1), []);
-    assert_eq!(verdicts(&mut p)[0].1, Verdict::Adopt(AdoptReason::AttemptOfLaterEpoch));
+    assert_eq!(
+        shows(&mut p, &m, 1, &[("wk-1/0", absurd, RUNNING, None)], 0.1),
+        []
+    );
+    assert_eq!(
+        verdicts(&mut p)[0].1,
+        Verdict::Adopt(AdoptReason::AttemptOfLaterEpoch)
+    );
     assert!(assigned(&mut l, &mut p, &m, 0.3).is_empty());
     // It is lost; the next attempt is lower, and is taken all the same.
-    let gone = report(1, 1, 9, token(EPOCH, 1 << 10), &[("wk-1/0", absurd, ENDED, Some("error"))]);
+    let gone = report(
+        1,
+        1,
+        9,
+        token(EPOCH, 1 << 10),
+        &[("wk-1/0", absurd, ENDED, Some("error"))],
+    );
     answered(p.report(&gone, false, &m, 1.0));
     assert_eq!(assigned(&mut l, &mut p, &m, 1.1), [("wk-1".into(), 0)]);
     let orders = l.orders("a").expect("orders");
@@ -235,14 +370,24 @@
         ("wk-9/0", BEFORE, RUNNING, None),
     ];
     assert_eq!(shows(&mut p, &m, 1, &lines, 0.1), []);
-    let left = [("wk-1/7", DoubtReason::NoSuchTask), ("wk-9/0", DoubtReason::UnknownJob)];
+    let left = [
+        ("wk-1/7", DoubtReason::NoSuchTask),
+        ("wk-9/0", DoubtReason::UnknownJob),
+    ];
     for (task, why) in left {
-        assert!(verdicts(&mut p).contains(&(task.into(), Verdict::LeaveInDoubt(why))), "{task}");
+        assert!(
+            verdicts(&mut p).contains(&(task.into(), Verdict::LeaveInDoubt(why))),
+            "{task}"
+        );
     }
     assigned(&mut l, &mut p, &m, 0.3);
     let finishes = l.finishes(1.0, 9, &m);
     assert_eq!(finishes.len(), 1);
-    assert_eq!(finishes[0].tasks, [0], "a task that the job doesn't have ends nothing");
+    assert_eq!(
+        finishes[0].tasks,
+        [0],
+        "a task that the job doesn't have ends nothing"
+    );
     // Nor does a notice that lies in the past close the machine.
     let mut odd = report(1, 1, 9, token(EPOCH, 1 << 10), &lines);
     odd.notice_s = Some(-5.0);
@@ -252,13 +397,16 @@
 
 #[test]
 fn a_team_at_its_limit_by_work_not_yet_adopted_gets_nothing_more() {
-    let (old, new) =
-        (spec("wk-1", 1, |v| v["grove"] = json!("w")), spec("wk-2", 1, |v| v["grove"] = json!("e")));
+    let (old, new) = (
+        spec("wk-1", 1, |v| v["grove"] = json!("w")),
+        spec("wk-2", 1, |v| v["grove"] = json!("e")),
+    );
     let mut m = mirror(2, &[&old]);
     let mut fresh = record(&new, false);
     fresh["e"] = json!(EPOCH);
     m.put("fw/j/wk-2", fresh, 300);
-    let mut l = Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 2.0")]).expect("settings"));
+    let mut l =
+        Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 2.0")]).expect("settings"));
     let e = Epoch {
         n: EPOCH,
         members: [("a".to_string(), 7)].into_iter().collect(),
@@ -269,7 +417,10 @@
     let mut p = Part::new("a", TIMING, Default::default());
     p.enter(EPOCH, 7, &m, 0.0, |_| true);
     shows(&mut p, &m, 1, &[], 0.1);
-    assert!(assigned(&mut l, &mut p, &m, 0.3).is_empty(), "the limit may be used up on m-2");
+    assert!(
+        assigned(&mut l, &mut p, &m, 0.3).is_empty(),
+        "the limit may be used up on m-2"
+    );
     shows(&mut p, &m, 2, &[], 0.4);
     let now = assigned(&mut l, &mut p, &m, 0.6);
     assert_eq!(now.len(), 1, "one of both: {now:?}");
@@ -283,13 +434,24 @@
     let mut m = mirror(2, &[&a]);
     m.put("fw/r/m-2", json!("scribble"), 400);
     let mut hidden = Mirror::new(8.0);
-    for (key, value) in [("fw/j/wk-1", record(&a, false)), ("fw/r/m-2", json!("scribble"))] {
+    for (key, value) in [
+        ("fw/j/wk-1", record(&a, false)),
+        ("fw/r/m-2", json!("scribble")),
+    ] {
         hidden.put(key, value, 400);
     }
     assert!(m.roster.contains_key("m-2"), "what was known before stays");
     assert!(hidden.unreadable.any_roster_page() && hidden.roster.is_empty());
-    hidden.put("fw/c", serde_json::to_value(m.catalog.as_deref()).expect("json"), 1);
-    hidden.put("fw/r/m-1", json!({"b": "k", "z": "e", "s": false, "u": true}), 2);
+    hidden.put(
+        "fw/c",
+        serde_json::to_value(m.catalog.as_deref()).expect("json"),
+        1,
+    );
+    hidden.put(
+        "fw/r/m-1",
+        json!({"b": "k", "z": "e", "s": false, "u": true}),
+        2,
+    );
     let (mut l, mut p) = back(&hidden);
     shows(&mut p, &hidden, 1, &[], 0.1);
     for now in [0.3, 10.0, 19.0, 27.0] {
@@ -297,9 +459,26 @@
         assert!(assigned(&mut l, &mut p, &hidden, now).is_empty(), "{now}");
     }
     // The hidden one comes by itself, with one of both tasks.
-    assert_eq!(shows(&mut p, &hidden, 2, &[("wk-1/0", BEFORE, RUNNING, None)], 27.5), []);
-    answered(p.report(&report(1, 1, 60, token(EPOCH, 1 << 11), &[]), false, &hidden, 28.9));
-    assert_eq!(assigned(&mut l, &mut p, &hidden, 29.0), [("wk-1".into(), 1)]);
+    assert_eq!(
+        shows(
+            &mut p,
+            &hidden,
+            2,
+            &[("wk-1/0", BEFORE, RUNNING, None)],
+            27.5
+        ),
+        []
+    );
+    answered(p.report(
+        &report(1, 1, 60, token(EPOCH, 1 << 11), &[]),
+        false,
+        &hidden,
+        28.9,
+    ));
+    assert_eq!(
+        assigned(&mut l, &mut p, &hidden, 29.0),
+        [("wk-1".into(), 1)]
+    );
 }
 
 #[test]
@@ -326,7 +505,11 @@
     }
     assert_eq!(m.unreadable.len(), odd.len());
     assert_eq!(m.jobs.len(), 1);
-    assert_eq!((m.jobs["wk-1"].record.tasks, m.jobs["wk-1"].finished.len()), (3, 0), "what was known stays");
+    assert_eq!(
+        (m.jobs["wk-1"].record.tasks, m.jobs["wk-1"].finished.len()),
+        (3, 0),
+        "what was known stays"
+    );
     m.put("fw/j/wk-2", record(&job("wk-2", 1), false), 600);
     assert!(!m.unreadable.has("fw/j/wk-2"), "mended");
 }
--- a/tests/common/cluster.rs
+++ b/tests/common/cluster.rs
@@ -27,8 +27,13 @@
         let state = shut.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let Ok(onward) = TcpStream::connect(target) else { continue };
-                let (a, b) = (stream.try_clone().expect("cloned"), onward.try_clone().expect("cloned"));
+                let Ok(onward) = TcpStream::connect(target) else {
+                    continue;
+                };
+                let (a, b) = (
+                    stream.try_clone().expect("cloned"),
+                    onward.try_clone().expect("cloned"),
+                );
                 for (from, to) in [(stream, onward), (b, a)] {
                     let state = state.clone();
                     std::thread::spawn(move || pass(from, to, &state));
@@ -104,7 +109,12 @@
 
 impl Default for Options {
     fn default() -> Options {
-        Options { report_s: 0.9, lease_s: 8, team_cpus: 40, with: Vec::new() }
+        Options {
+            report_s: 0.9,
+            lease_s: 8,
+            team_cpus: 40,
+            with: Vec::new(),
+        }
     }
 }
 
@@ -122,8 +132,14 @@
         let refused = Arc::new(AtomicU32::new(0));
         let service = state_service(late.clone(), refused.clone());
         let state: Vec<Gate> = (0..n).map(|_| Gate::to(service)).collect();
-        let links: Vec<Vec<Gate>> = (0..n).map(|_| backs.iter().map(|b| Gate::to(*b)).collect()).collect();
-        let cloud = cloud(users.clone(), seen.clone(), Duration::from_secs(u64::from(options.lease_s)));
+        let links: Vec<Vec<Gate>> = (0..n)
+            .map(|_| backs.iter().map(|b| Gate::to(*b)).collect())
+            .collect();
+        let cloud = cloud(
+            users.clone(),
+            seen.clone(),
+            Duration::from_secs(u64::from(options.lease_s)),
+        );
         let dir = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
         let mut configs = Vec::new();
         for i in 0..n {
@@ -137,7 +153,10 @@
                     links[i][j].addr
                 );
             }
-            text += &format!("[services]\ncloud = \"{cloud}\"\nstate = \"{}\"\n", state[i].addr);
+            text += &format!(
+                "[services]\ncloud = \"{cloud}\"\nstate = \"{}\"\n",
+                state[i].addr
+            );
             text += &format!(
                 "[params]\ninitial_size = {n}\nzones = [\"e\", \"w\"]\ntime_bound_ms = 10.0\n\
                 [[params.teams]]\nname = \"t\"\ncpus_max = {}.0\n\
@@ -155,7 +174,9 @@
             std::fs::write(&path, text).expect("a settings file");
             configs.push(path);
         }
-        let agent = ureq::AgentBuilder::new().timeout(Duration::from_secs(5)).build();
+        let agent = ureq::AgentBuilder::new()
+            .timeout(Duration::from_secs(5))
+            .build();
         let mut c = Cluster {
             users,
             configs,
@@ -175,7 +196,11 @@
     pub fn boot(&mut self, i: usize) {
         let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
         let child = Command::new(env!("CARGO_BIN_EXE_finchwood"))
-            .args(self.with.iter().flat_map(|file| ["--with".into(), root.join(file)]))
+            .args(
+                self.with
+                    .iter()
+                    .flat_map(|file| ["--with".into(), root.join(file)]),
+            )
             .arg("--config")
             .arg(&self.configs[i])
             .stderr(Stdio::inherit())
@@ -215,12 +240,19 @@
     pub fn scribble(&self, key: &str, value: Value) {
         let body = json!({"if": [], "writes": [{"put": key, "value": value}]});
         let url = format!("http://{}/commit", self.state[0].addr);
-        self.agent.post(&url).send_string(&body.to_string()).expect("committed");
+        self.agent
+            .post(&url)
+            .send_string(&body.to_string())
+            .expect("committed");
     }
 
     /// What a controller says to an operator's question; nothing if it doesn't answer.
     pub fn ask(&self, i: usize, path: &str) -> Value {
-        let text = match self.agent.get(&format!("http://{}{path}", self.backs[i])).call() {
+        let text = match self
+            .agent
+            .get(&format!("http://{}{path}", self.backs[i]))
+            .call()
+        {
             Ok(r) | Err(ureq::Error::Status(_, r)) => r.into_string().unwrap_or_default(),
             Err(_) => String::new(),
         };
@@ -229,8 +261,14 @@
 
     /// What a controller answers to what an operator wants.
     pub fn tell(&self, i: usize, path: &str, body: &Value) -> (u16, String) {
-        match self.agent.post(&format!("http://{}{path}", self.backs[i])).send_string(&body.to_string()) {
-            Ok(r) | Err(ureq::Error::Status(_, r)) => (r.status(), r.into_string().unwrap_or_default()),
+        match self
+            .agent
+            .post(&format!("http://{}{path}", self.backs[i]))
+            .send_string(&body.to_string())
+        {
+            Ok(r) | Err(ureq::Error::Status(_, r)) => {
+                (r.status(), r.into_string().unwrap_or_default())
+            }
             Err(_) => (0, String::new()),
         }
     }
@@ -242,7 +280,9 @@
         path: &str,
         body: Option<Value>,
     ) -> (u16, Value, Option<String>) {
-        let request = self.agent.request(method, &format!("http://{}{path}", self.users[i]));
+        let request = self
+            .agent
+            .request(method, &format!("http://{}{path}", self.users[i]));
         let answer = match body {
             Some(b) => request.send_string(&b.to_string()),
             None => request.call(),
@@ -252,7 +292,11 @@
             Err(_) => return (0, Value::Null, None),
         };
         let retry = r.header("Retry-After").map(String::from);
-        (r.status(), serde_json::from_str(&r.into_string().unwrap_or_default()).unwrap_or_default(), retry)
+        (
+            r.status(),
+            serde_json::from_str(&r.into_string().unwrap_or_default()).unwrap_or_default(),
+            retry,
+        )
     }
 
     /// Repeats a call, as users do, until it is answered as wished.
@@ -273,7 +317,11 @@
             }
             // Whatever can't be taken now says when to come back.
             if matches!(last.0, 429 | 503) {
-                assert!(last.2.is_some(), "{method} {path}: {} without Retry-After", last.0);
+                assert!(
+                    last.2.is_some(),
+                    "{method} {path}: {} without Retry-After",
+                    last.0
+                );
             }
             std::thread::sleep(Duration::from_millis(100));
         }
@@ -286,14 +334,18 @@
         (0..self.users.len()).for_each(|i| self.kill(i));
         if !std::thread::panicking() {
             let refused = self.refused.load(Ordering::SeqCst);
-            assert_eq!(refused, 0, "transactions over the limits of the state service");
+            assert_eq!(
+                refused, 0,
+                "transactions over the limits of the state service"
+            );
         }
     }
 }
 
 /// What the workers have seen.
 pub fn lock(seen: &Mutex<Seen>) -> std::sync::MutexGuard<'_, Seen> {
-    seen.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    seen.lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// Waits for what must happen.
@@ -309,7 +361,10 @@
 pub fn running(seen: &Mutex<Seen>, jobs: &[(&str, &str, u32)]) -> usize {
     let seen = lock(seen);
     let theirs = |task: &str| jobs.iter().any(|(id, _, _)| task.starts_with(id));
-    seen.on.iter().filter(|(task, on)| theirs(task) && !on.is_empty()).count()
+    seen.on
+        .iter()
+        .filter(|(task, on)| theirs(task) && !on.is_empty())
+        .count()
 }
 
 /// A submission.
--- a/tests/common/cores.rs
+++ b/tests/common/cores.rs
@@ -17,7 +17,11 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-pub const TIMING: Timing = Timing { report_s: 3.0, lease_s: 20.0, member_life_s: 8.0 };
+pub const TIMING: Timing = Timing {
+    report_s: 3.0,
+    lease_s: 20.0,
+    member_life_s: 8.0,
+};
 pub const EPOCH: u64 = 3;
 
 pub fn spec(id: &str, tasks: u32, change: impl Fn(&mut Value)) -> Arc<JobSpec> {
@@ -170,7 +174,9 @@
 /// A leader and its only part, both sure of `machines` empty machines.
 pub fn pair(mirror: &Mirror, machines: usize) -> (Leader, Part, Vec<u64>) {
     let mut p = part(mirror);
-    let tokens = (1..=machines).map(|i| met(&mut p, mirror, i, 0.2)).collect();
+    let tokens = (1..=machines)
+        .map(|i| met(&mut p, mirror, i, 0.2))
+        .collect();
     let mut l = leader(mirror);
     assert!(l.part_report(p.snapshot(mirror, 0.3), mirror, 0.3));
     l.resolve(mirror, &|_| false);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -20,7 +20,9 @@
 }
 
 /// Serves JSON on a free port of the loopback.
-fn serve(answer: impl Fn(&Method, &str, Value) -> (u16, Value) + Send + Sync + 'static) -> SocketAddr {
+fn serve(
+    answer: impl Fn(&Method, &str, Value) -> (u16, Value) + Send + Sync + 'static,
+) -> SocketAddr {
     let server = Server::http("127.0.0.1:0").expect("a port");
     let addr = server.server_addr().to_ip().expect("an address");
     let (server, answer) = (Arc::new(server), Arc::new(answer));
@@ -32,7 +34,8 @@
                 let _ = r.as_reader().read_to_string(&mut text);
                 let body = serde_json::from_str(&text).unwrap_or(Value::Null);
                 let (status, value) = answer(r.method(), r.url(), body);
-                let _ = r.respond(Response::from_string(value.to_string()).with_status_code(status));
+                let _ =
+                    r.respond(Response::from_string(value.to_string()).with_status_code(status));
             }
         });
     }
@@ -40,7 +43,10 @@
 }
 
 fn query<'a>(url: &'a str, name: &str) -> Option<&'a str> {
-    url.split_once('?')?.1.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
+    url.split_once('?')?
+        .1
+        .split('&')
+        .find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
 }
 
 #[derive(Default)]
@@ -62,18 +68,28 @@
     let conditions = body["if"].as_array().unwrap_or(&empty);
     writes.len() > MOST_WRITES
         || conditions.len() > MOST_WRITES * 4
-        || writes.iter().any(|w| w["value"].to_string().len() > LARGEST_VALUE)
+        || writes
+            .iter()
+            .any(|w| w["value"].to_string().len() > LARGEST_VALUE)
 }
 
 impl Store {
     fn expire(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> =
-            self.leases.iter().filter(|(_, (at, life))| now > *at + *life).map(|(id, _)| *id).collect();
+        let over: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, (at, life))| now > *at + *life)
+            .map(|(id, _)| *id)
+            .collect();
         for id in over {
             self.leases.remove(&id);
-            let keys: Vec<String> =
-                self.keys.iter().filter(|(_, v)| v.2 == Some(id)).map(|(k, _)| k.clone()).collect();
+            let keys: Vec<String> = self
+                .keys
+                .iter()
+                .filter(|(_, v)| v.2 == Some(id))
+                .map(|(k, _)| k.clone())
+                .collect();
             self.ring += u64::from(!keys.is_empty());
             for k in keys {
                 self.keys.remove(&k);
@@ -89,7 +105,10 @@
             .unwrap_or(&empty)
             .iter()
             .filter(|c| {
-                let known = c["k"].as_str().and_then(|k| self.keys.get(k)).map_or(0, |v| v.1);
+                let known = c["k"]
+                    .as_str()
+                    .and_then(|k| self.keys.get(k))
+                    .map_or(0, |v| v.1);
                 known != c["mark"].as_u64().unwrap_or(0)
             })
             .map(|c| &c["k"])
@@ -98,14 +117,22 @@
             return (409, json!({"failed": failed, "ring": self.ring}));
         }
         let writes = body["writes"].as_array().unwrap_or(&empty);
-        if writes.iter().any(|w| w["roost"].as_u64().is_some_and(|l| !self.leases.contains_key(&l))) {
+        if writes.iter().any(|w| {
+            w["roost"]
+                .as_u64()
+                .is_some_and(|l| !self.leases.contains_key(&l))
+        }) {
             return (400, json!({"error": "no such lease"}));
         }
         self.ring += 1;
         for w in writes {
             if let Some(k) = w["put"].as_str() {
-                self.keys.insert(k.into(), (w["value"].clone(), self.ring, w["roost"].as_u64()));
-                self.log.push(json!({"put": k, "value": w["value"], "mark": self.ring}));
+                self.keys.insert(
+                    k.into(),
+                    (w["value"].clone(), self.ring, w["roost"].as_u64()),
+                );
+                self.log
+                    .push(json!({"put": k, "value": w["value"], "mark": self.ring}));
             } else if let Some(k) = w["delete"].as_str() {
                 self.keys.remove(k);
                 self.log.push(json!({"delete": k, "mark": self.ring}));
@@ -127,7 +154,8 @@
             refused.fetch_add(1, Ordering::SeqCst);
             return (400, json!({"error": "over the limits"}));
         }
-        if commit && late.load(Ordering::SeqCst) && commits.fetch_add(1, Ordering::SeqCst) % 3 == 2 {
+        if commit && late.load(Ordering::SeqCst) && commits.fetch_add(1, Ordering::SeqCst) % 3 == 2
+        {
             let store = store.clone();
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_millis(2500));
@@ -143,17 +171,29 @@
         let path = url.split('?').next().unwrap_or_default();
         match (method, path) {
             (Method::Get, "/store") => {
-                let items: Vec<Value> =
-                    s.keys.iter().map(|(k, v)| json!({"k": k, "value": v.0, "mark": v.1})).collect();
-                (200, json!({"entries": items, "truncated": false, "ring": s.ring}))
+                let items: Vec<Value> = s
+                    .keys
+                    .iter()
+                    .map(|(k, v)| json!({"k": k, "value": v.0, "mark": v.1}))
+                    .collect();
+                (
+                    200,
+                    json!({"entries": items, "truncated": false, "ring": s.ring}),
+                )
             }
             (Method::Get, "/changes") => {
                 let from: u64 = query(url, "from").and_then(|f| f.parse().ok()).unwrap_or(0);
-                let events: Vec<&Value> =
-                    s.log.iter().filter(|e| e["mark"].as_u64().unwrap_or(0) > from).collect();
+                let events: Vec<&Value> = s
+                    .log
+                    .iter()
+                    .filter(|e| e["mark"].as_u64().unwrap_or(0) > from)
+                    .collect();
                 (200, json!({"ring": s.ring, "events": events}))
             }
-            (Method::Get, p) => match p.strip_prefix("/store/").and_then(|k| Some((k, s.keys.get(k)?))) {
+            (Method::Get, p) => match p
+                .strip_prefix("/store/")
+                .and_then(|k| Some((k, s.keys.get(k)?)))
+            {
                 Some((k, v)) => (200, json!({"k": k, "value": v.0, "mark": v.1})),
                 None => (404, json!({"ring": s.ring})),
             },
@@ -165,8 +205,9 @@
                 (200, json!({"roost": id}))
             }
             (Method::Post, p) => {
-                let id =
-                    p.strip_prefix("/leases/").and_then(|r| r.strip_suffix("/renew")?.parse::<u64>().ok());
+                let id = p
+                    .strip_prefix("/leases/")
+                    .and_then(|r| r.strip_suffix("/renew")?.parse::<u64>().ok());
                 match id.and_then(|id| s.leases.get_mut(&id)) {
                     Some(lease) => {
                         lease.0 = Instant::now();
@@ -213,7 +254,10 @@
         if self.lease_from.elapsed() <= self.lease {
             return;
         }
-        let id = self.report["perch"].as_str().unwrap_or_default().to_string();
+        let id = self.report["perch"]
+            .as_str()
+            .unwrap_or_default()
+            .to_string();
         for on in seen.on.values_mut().filter(|on| on.contains(&id)) {
             on.retain(|m| *m != id);
             seen.lapsed += 1;
@@ -225,11 +269,16 @@
     }
 
     fn obey(&mut self, calls: &Value, run: Duration, seen: &mut Seen) {
-        let id = self.report["perch"].as_str().unwrap_or_default().to_string();
+        let id = self.report["perch"]
+            .as_str()
+            .unwrap_or_default()
+            .to_string();
         for c in calls.as_array().map(Vec::as_slice).unwrap_or_default() {
             let task = c["chick"].as_str().unwrap_or_default().to_string();
             let lines = self.report["chicks"].as_array_mut().expect("tasks");
-            let at = lines.iter().position(|l| l["chick"] == c["chick"] && l["hatch"] == c["hatch"]);
+            let at = lines
+                .iter()
+                .position(|l| l["chick"] == c["chick"] && l["hatch"] == c["hatch"]);
             match (c["call"].as_str(), at) {
                 (Some("start"), None) => {
                     lines.push(json!({"chick": task, "hatch": c["hatch"], "mood": "running"}));
@@ -274,13 +323,24 @@
                 for _ in 0..body["number"].as_u64().unwrap_or(0) {
                     *lock(&count) += 1;
                     let name = format!("m-{:06}", *lock(&count));
-                    start_worker(&name, &body, nodes.clone(), seen.clone(), machines.clone(), lease);
+                    start_worker(
+                        &name,
+                        &body,
+                        nodes.clone(),
+                        seen.clone(),
+                        machines.clone(),
+                        lease,
+                    );
                     names.push(name);
                 }
                 (200, json!({"perches": names}))
             }
             (Method::Post, "/machines/delete") => {
-                for m in body["perches"].as_array().map(Vec::as_slice).unwrap_or_default() {
+                for m in body["perches"]
+                    .as_array()
+                    .map(Vec::as_slice)
+                    .unwrap_or_default()
+                {
                     let name = m.as_str().unwrap_or_default();
                     lock(&machines).remove(name);
                     let mut seen = lock(&seen);
@@ -311,16 +371,20 @@
     let run = Duration::from_millis(1500);
     let report = json!({"perch": name, "address": "", "breed": rental["breed"], "grove": rental["grove"],
         "windfall": rental["windfall"], "flight": 1, "chirp": 0, "crest": 0, "warning_s": null, "chicks": []});
-    let worker =
-        Arc::new(Mutex::new(Worker { lease, report, ends: BTreeMap::new(), lease_from: Instant::now() }));
+    let worker = Arc::new(Mutex::new(Worker {
+        lease,
+        report,
+        ends: BTreeMap::new(),
+        lease_from: Instant::now(),
+    }));
     let (w, s) = (worker.clone(), seen.clone());
     let addr = serve(move |method, url, body| {
         let mut w = lock(&w);
         w.expire_lease(&mut lock(&s));
         w.report["chirp"] = (w.report["chirp"].as_u64().unwrap_or(0) + 1).into();
         if *method == Method::Post && url == "/commands" {
-            let stale =
-                body["crest"].as_u64() < w.report["crest"].as_u64() || body["flight"] != w.report["flight"];
+            let stale = body["crest"].as_u64() < w.report["crest"].as_u64()
+                || body["flight"] != w.report["flight"];
             if stale {
                 return (409, w.report.clone());
             }
@@ -335,7 +399,9 @@
     lock(&machines).insert(name.into(), listed);
     let name = name.to_string();
     std::thread::spawn(move || {
-        let agent = ureq::AgentBuilder::new().timeout(Duration::from_secs(2)).build();
+        let agent = ureq::AgentBuilder::new()
+            .timeout(Duration::from_secs(2))
+            .build();
         let mut to = 0;
         while lock(&machines).contains_key(&name) {
             std::thread::sleep(Duration::from_millis(200));
@@ -344,8 +410,12 @@
                 let mut w = lock(&worker);
                 w.expire_lease(&mut lock(&seen));
                 let now = Instant::now();
-                let over: Vec<String> =
-                    w.ends.iter().filter(|(_, t)| **t < now).map(|(k, _)| k.clone()).collect();
+                let over: Vec<String> = w
+                    .ends
+                    .iter()
+                    .filter(|(_, t)| **t < now)
+                    .map(|(k, _)| k.clone())
+                    .collect();
                 for task in over.iter().filter(|t| finishes(t)) {
                     w.ends.remove(task);
                     for l in w.report["chicks"].as_array_mut().expect("tasks") {
@@ -353,7 +423,11 @@
                             l["mood"] = "ended".into();
                             l["cause"] = "done".into();
                             lock(&seen).completed.insert(task.clone());
-                            lock(&seen).on.entry(task.clone()).or_default().retain(|m| *m != name);
+                            lock(&seen)
+                                .on
+                                .entry(task.clone())
+                                .or_default()
+                                .retain(|m| *m != name);
                         }
                     }
                 }
@@ -365,8 +439,8 @@
                 .send_string(&report.to_string());
             match answer {
                 Ok(r) => {
-                    let v: Value =
-                        serde_json::from_str(&r.into_string().unwrap_or_default()).unwrap_or_default();
+                    let v: Value = serde_json::from_str(&r.into_string().unwrap_or_default())
+                        .unwrap_or_default();
                     let mut w = lock(&worker);
                     let same = w.report["flight"] == report["flight"];
                     if same && v["crest"].as_u64() >= w.report["crest"].as_u64() {
@@ -376,9 +450,11 @@
                     }
                 }
                 Err(ureq::Error::Status(421, r)) => {
-                    let v: Value =
-                        serde_json::from_str(&r.into_string().unwrap_or_default()).unwrap_or_default();
-                    let n = v["sings_to"].as_str().and_then(|n| n.strip_prefix("n")?.parse::<usize>().ok());
+                    let v: Value = serde_json::from_str(&r.into_string().unwrap_or_default())
+                        .unwrap_or_default();
+                    let n = v["sings_to"]
+                        .as_str()
+                        .and_then(|n| n.strip_prefix("n")?.parse::<usize>().ok());
                     to = n.unwrap_or(to + 1);
                 }
                 Err(_) => to += 1,
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -30,19 +30,33 @@
     };
     done(&mut p, &ask[0].body, &report(1, 4, 1, 0, &[]), 25.0);
     let ask = p.directs(&m, 25.1);
-    done(&mut p, &ask[0].body, &report(1, 4, 2, token(EPOCH, 0), &[]), 25.1);
+    done(
+        &mut p,
+        &ask[0].body,
+        &report(1, 4, 2, token(EPOCH, 0), &[]),
+        25.1,
+    );
     p.orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 25.2);
     place(&mut p, &m, 25.2);
     let start = p.directs(&m, 25.2);
     assert!(matches!(start[0].body.commands[..], [Call::Start { .. }]));
     let runs = [("wk-1/0", 50, TaskState::Running, None)];
-    done(&mut p, &start[0].body, &report(1, 4, 3, start[0].body.token, &runs), 25.3);
+    done(
+        &mut p,
+        &start[0].body,
+        &report(1, 4, 3, start[0].body.token, &runs),
+        25.3,
+    );
     // The epoch and a lease are long past, but not this session's lease.
     p.expire_leases(29.0);
     let told = p.snapshot(&m, 29.0);
     assert!(told.gone.is_empty(), "it runs there: {:?}", told.gone);
     p.expire_leases(46.0);
-    assert_eq!(p.snapshot(&m, 46.0).gone.len(), 1, "now its worker has killed it");
+    assert_eq!(
+        p.snapshot(&m, 46.0).gone.len(),
+        1,
+        "now its worker has killed it"
+    );
 }
 
 #[test]
@@ -56,7 +70,13 @@
         let now = 0.2 + f64::from(i) * 0.5;
         for d in p.directs(&m, now) {
             seq += 1;
-            p.direct_done(&d.machine, &d.body, Some(&report(1, 1, seq, t, &[])), &m, now);
+            p.direct_done(
+                &d.machine,
+                &d.body,
+                Some(&report(1, 1, seq, t, &[])),
+                &m,
+                now,
+            );
         }
         let told = p.snapshot(&m, now);
         let view = told.machines.iter().find(|v| &*v.id == "m-1");
@@ -67,7 +87,10 @@
             found = found.or(Some(now));
         }
     }
-    assert!(open_until < TIMING.report_s * 4.0, "room until {open_until}");
+    assert!(
+        open_until < TIMING.report_s * 4.0,
+        "room until {open_until}"
+    );
     let found = found.expect("never found out");
     assert!(found < TIMING.lease_s, "only after its lease: {found}");
     // It reports again: nothing is wrong with it.
@@ -88,9 +111,18 @@
     let mut obeys = |p: &mut Part, now: f64| {
         for d in p.directs(&m, now) {
             seq += 1;
-            p.direct_done(&d.machine, &d.body, Some(&report(1, 1, seq, t, &[])), &m, now);
+            p.direct_done(
+                &d.machine,
+                &d.body,
+                Some(&report(1, 1, seq, t, &[])),
+                &m,
+                now,
+            );
         }
-        p.snapshot(&m, now).machines.iter().any(|v| v.ignores_commands)
+        p.snapshot(&m, now)
+            .machines
+            .iter()
+            .any(|v| v.ignores_commands)
     };
     assert!(!obeys(&mut p, 5.0));
     assert!(!obeys(&mut p, 65.0), "nothing was sent to it for a minute");
@@ -112,14 +144,19 @@
     let (mut l, mut p, tokens) = pair(&m, 1);
     round(&mut l, &mut p, &m, 0.5);
     let (t, calls) = answered(p.report(&report(1, 1, 3, tokens[0], &[]), false, &m, 0.6));
-    let Call::Start { attempt, .. } = calls[0] else { panic!("{calls:?}") };
+    let Call::Start { attempt, .. } = calls[0] else {
+        panic!("{calls:?}")
+    };
     let behind = mirror(1, &[&s]);
     m.put("fw/j/wk-1", record(&s, true), 200);
     l.job_changed(&"wk-1".into(), &m);
     let ended = [("wk-1/0", attempt, TaskState::Ended, Some("done"))];
     p.report(&report(1, 1, 4, t, &ended), false, &behind, 0.7);
     let told = p.snapshot(&behind, 0.8);
-    assert!(told.held.iter().any(|h| h.phase == Phase::Done), "the part reports its end");
+    assert!(
+        told.held.iter().any(|h| h.phase == Phase::Done),
+        "the part reports its end"
+    );
     assert!(l.part_report(told, &m, 0.8));
     assert_eq!(l.finishes(0.9, 9, &m), Vec::new());
 }
@@ -138,9 +175,21 @@
     p.orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 0.3);
     place(&mut p, &m, 0.3);
     answered(p.report(&report(1, 1, 3, t, &[]), false, &m, 0.4));
-    p.report(&report(1, 1, 4, t, &[("wk-1/0", 50, TaskState::Running, None)]), false, &m, 0.5);
+    p.report(
+        &report(1, 1, 4, t, &[("wk-1/0", 50, TaskState::Running, None)]),
+        false,
+        &m,
+        0.5,
+    );
     let task = finchwood::wire::Task::parse("wk-1/0").expect("a task");
-    p.orders(&Orders { recall: vec![(task, 50)], ..orders(2, Vec::new()) }, &m, 40.0);
+    p.orders(
+        &Orders {
+            recall: vec![(task, 50)],
+            ..orders(2, Vec::new())
+        },
+        &m,
+        40.0,
+    );
     let saving = [("wk-1/0", 50, TaskState::Saving, None)];
     let (_, calls) = answered(p.report(&report(1, 1, 5, t, &saving), false, &m, 40.1));
     assert!(calls.is_empty(), "it saves: {calls:?}");
@@ -148,7 +197,11 @@
     p.job_changed(&"wk-1".into(), &m);
     let direct = p.directs(&m, 40.2);
     let ends = |c: &Call| matches!(c, Call::Stop { grace_s, .. } if *grace_s == 0.0);
-    assert!(direct[0].body.commands.iter().any(ends), "{:?}", direct[0].body);
+    assert!(
+        direct[0].body.commands.iter().any(ends),
+        "{:?}",
+        direct[0].body
+    );
 }
 
 // Owners change faster than a worker reports, and each answers it before it is
@@ -159,9 +212,20 @@
     let mut m = mirror(1, &[&s, &other]);
     m.put("fw/j/wk-1", record(&s, true), 200);
     let mut p = part(&m);
-    let runs = [("wk-1/0", 50, TaskState::Running, None), ("wk-2/0", 51, TaskState::Running, None)];
-    let (_, calls) = answered(p.report(&report(1, 1, 9, token(EPOCH - 1, 4), &runs), false, &m, 0.2));
-    assert_eq!(calls, [Call::Stop { task: "wk-1/0".into(), attempt: 50, grace_s: 0.0 }]);
+    let runs = [
+        ("wk-1/0", 50, TaskState::Running, None),
+        ("wk-2/0", 51, TaskState::Running, None),
+    ];
+    let (_, calls) =
+        answered(p.report(&report(1, 1, 9, token(EPOCH - 1, 4), &runs), false, &m, 0.2));
+    assert_eq!(
+        calls,
+        [Call::Stop {
+            task: "wk-1/0".into(),
+            attempt: 50,
+            grace_s: 0.0
+        }]
+    );
     // The same by a direct command, which may reach it when answers don't.
     let direct = p.directs(&m, 0.3);
     assert_eq!(direct[0].body.commands, calls);
@@ -205,8 +269,14 @@
     place(&mut p, &m, 0.4);
     let (t, calls) = answered(p.report(&report(1, 1, 3, top, &[]), false, &m, 0.5));
     assert_eq!((t, calls), (top, Vec::new()));
-    assert!(p.directs(&m, 0.6).iter().all(|d| d.body.commands.is_empty()));
-    assert!(p.snapshot(&m, 0.7).machines[0].ignores_commands, "it is to be replaced");
+    assert!(p
+        .directs(&m, 0.6)
+        .iter()
+        .all(|d| d.body.commands.is_empty()));
+    assert!(
+        p.snapshot(&m, 0.7).machines[0].ignores_commands,
+        "it is to be replaced"
+    );
 }
 
 // LastReported by another controller while the state service refuses this one.
@@ -231,7 +301,10 @@
         shares: false,
     };
     let next = renewed_epoch(&present);
-    assert_eq!((next.n, &next.members, &next.leader), (EPOCH + 1, &present.members, &present.leader));
+    assert_eq!(
+        (next.n, &next.members, &next.leader),
+        (EPOCH + 1, &present.members, &present.leader)
+    );
     assert!(l.enter(&next, 7, &m) && !l.needs_new_epoch());
 }
 
@@ -240,8 +313,14 @@
     let s = spec("wk-1", 2, |_| {});
     let mut m = mirror(1, &[&s]);
     let id = "wk-1".into();
-    assert!(!m.apply_cancellation(&"wk-9".into(), 200, 5), "a job that isn't known yet");
-    assert!(!m.apply_cancellation(&id, 100, 5), "older than what is known");
+    assert!(
+        !m.apply_cancellation(&"wk-9".into(), 200, 5),
+        "a job that isn't known yet"
+    );
+    assert!(
+        !m.apply_cancellation(&id, 100, 5),
+        "older than what is known"
+    );
     assert!(m.apply_cancellation(&id, 200, 5));
     assert!(!m.apply_cancellation(&id, 200, 5), "said again");
     assert!(!m.jobs["wk-1"].live());
@@ -249,10 +328,16 @@
     m.put("fw/j/wk-1", record(&s, false), 100);
     m.put("fw/j/wk-1", record(&s, true), 200);
     assert!(m.jobs["wk-1"].record.cancelled);
-    let done = JobRecord { done: true, ..serde_json::from_value(record(&s, false)).expect("a record") };
+    let done = JobRecord {
+        done: true,
+        ..serde_json::from_value(record(&s, false)).expect("a record")
+    };
     let mut m = mirror(1, &[&s]);
     m.put("fw/j/wk-1", json!(done), 150);
-    assert!(!m.apply_cancellation(&id, 200, 5), "what is done stays done");
+    assert!(
+        !m.apply_cancellation(&id, 200, 5),
+        "what is done stays done"
+    );
 }
 
 // A worker that hangs, or obeys nothing, holds on to a cancelled task.
@@ -273,35 +358,58 @@
     let at_ms = 10_000;
     let later = |s: f64| at_ms + (s * 1000.0) as u64;
     assert!(
-        l.machines_with_cancelled_tasks(&m, later(after - 1.0), after).is_empty(),
+        l.machines_with_cancelled_tasks(&m, later(after - 1.0), after)
+            .is_empty(),
         "it may be stopped yet"
     );
     assert_eq!(
-        l.machines_with_cancelled_tasks(&m, later(after + 1.0), after).len(),
+        l.machines_with_cancelled_tasks(&m, later(after + 1.0), after)
+            .len(),
         1,
         "the other job's machine stays"
     );
     // Proven gone: nothing is left to do.
-    let gone =
-        l.machines_with_cancelled_tasks(&m, later(after + 1.0), after).into_iter().next().expect("a machine");
+    let gone = l
+        .machines_with_cancelled_tasks(&m, later(after + 1.0), after)
+        .into_iter()
+        .next()
+        .expect("a machine");
     p.unlist(&gone);
     assert!(l.part_report(p.snapshot(&m, 2.0), &m, 2.0));
-    assert!(l.machines_with_cancelled_tasks(&m, later(after + 1.0), after).is_empty());
+    assert!(l
+        .machines_with_cancelled_tasks(&m, later(after + 1.0), after)
+        .is_empty());
 }
 
 // The bound on how long a task can outlive its cancellation, from the settings.
 #[test]
 fn settings_in_which_a_cancellation_can_not_be_kept_end_the_start() {
-    for (lease, cancel) in [(20.0, 40.0), (20.0, 26.0), (31.0, 56.0), (26.5, 46.5), (20.0, 24.0)] {
-        let (l, c) = (format!("lease_s = {lease:.1}"), format!("cancel_s = {cancel:.1}"));
+    for (lease, cancel) in [
+        (20.0, 40.0),
+        (20.0, 26.0),
+        (31.0, 56.0),
+        (26.5, 46.5),
+        (20.0, 24.0),
+    ] {
+        let (l, c) = (
+            format!("lease_s = {lease:.1}"),
+            format!("cancel_s = {cancel:.1}"),
+        );
         let s = settings(&[("lease_s = 20.0", &l), ("cancel_s = 40.0", &c)]).expect(&c);
-        assert!(s.outlives_cancel_s() < cancel, "{} of {cancel}", s.outlives_cancel_s());
+        assert!(
+            s.outlives_cancel_s() < cancel,
+            "{} of {cancel}",
+            s.outlives_cancel_s()
+        );
         assert!(s.knowledge_s() > 0.0 && s.member_life_s() <= lease * 0.4);
         assert!(s.evict_after_s() < cancel);
     }
     for cancel in ["cancel_s = 10.0", "cancel_s = 20.0", "cancel_s = 23.0"] {
         let error = settings(&[("cancel_s = 40.0", cancel)]).expect_err(cancel);
-        assert!(error.contains("cancel_s") && error.lines().count() == 1, "{error}");
+        assert!(
+            error.contains("cancel_s") && error.lines().count() == 1,
+            "{error}"
+        );
     }
 }
 
@@ -316,8 +424,22 @@
     let all = [("w".into(), 5)].into_iter().collect();
     let rented = |spec: &Arc<JobSpec>, there: &[(&str, u32)], count: u32| -> Vec<String> {
         let zones = there.iter().map(|(z, n)| ((*z).into(), *n)).collect();
-        let want = Want { ask: spec.ask(), count, spec: spec.clone(), age_s: 99.0, spot_only: false, zones };
-        let offers = rent(&[want], &[], &all, catalog, &RentSettings::default(), &|_| false);
+        let want = Want {
+            ask: spec.ask(),
+            count,
+            spec: spec.clone(),
+            age_s: 99.0,
+            spot_only: false,
+            zones,
+        };
+        let offers = rent(
+            &[want],
+            &[],
+            &all,
+            catalog,
+            &RentSettings::default(),
+            &|_| false,
+        );
         offers.keys().map(|o| o.1.to_string()).collect()
     };
     assert_eq!(rented(&one, &[], 4), ["e"]);
@@ -329,8 +451,19 @@
 /// Two controllers, machines alternating between them.
 fn two_parts(mirror: &Mirror, machines: usize) -> Leader {
     let mut l = Leader::new(&settings(&[]).expect("settings"));
-    let members: BTreeMap<String, u64> = [("a".to_string(), 7), ("b".to_string(), 8)].into_iter().collect();
-    l.enter(&Epoch { n: EPOCH, members, leader: "a".into(), shares: false }, 7, mirror);
+    let members: BTreeMap<String, u64> = [("a".to_string(), 7), ("b".to_string(), 8)]
+        .into_iter()
+        .collect();
+    l.enter(
+        &Epoch {
+            n: EPOCH,
+            members,
+            leader: "a".into(),
+            shares: false,
+        },
+        7,
+        mirror,
+    );
     for (n, (name, inc)) in [("a", 7), ("b", 8)].into_iter().enumerate() {
         let mut p = Part::new(name, TIMING, HashMap::new());
         let owns = |id: &str| id[2..].parse::<usize>().is_ok_and(|i| (i - 1) / 2 % 2 == n);
@@ -362,7 +495,11 @@
     for node in ["a", "b"] {
         let o = l.orders(node).expect("orders");
         tasks += o.assignments.iter().map(|d| d.tasks.len()).sum::<usize>();
-        let room = o.assignments.iter().filter_map(|d| d.zone_room.clone()).flatten();
+        let room = o
+            .assignments
+            .iter()
+            .filter_map(|d| d.zone_room.clone())
+            .flatten();
         zones.extend(room.map(|(z, _)| z));
     }
     assert_eq!((tasks, zones.len()), (4, 1));
@@ -386,8 +523,11 @@
         seq += 2;
         for i in (1..=4usize).filter(|i| m.roster.contains_key(format!("m-{i}").as_str())) {
             for again in 0..2 {
-                let runs: Vec<Line> =
-                    on.get(&i).iter().map(|(t, a)| (t.as_str(), *a, TaskState::Running, None)).collect();
+                let runs: Vec<Line> = on
+                    .get(&i)
+                    .iter()
+                    .map(|(t, a)| (t.as_str(), *a, TaskState::Running, None))
+                    .collect();
                 let r = report(i, 1, seq + again, tokens[i - 1], &runs);
                 let (t, calls) = answered(p.report(&r, false, m, now));
                 tokens[i - 1] = t;
@@ -409,7 +549,10 @@
     let lost = *on.keys().next().expect("a machine");
     on.remove(&lost);
     let id = format!("m-{lost}");
-    m.apply(finchwood::state::Event::Delete { key: format!("fw/r/{id}"), version: 300 });
+    m.apply(finchwood::state::Event::Delete {
+        key: format!("fw/r/{id}"),
+        version: 300,
+    });
     p.unlist(&id.as_str().into());
     for i in 1..200 {
         let now = 1.0 + f64::from(i) * 0.5;
@@ -417,7 +560,10 @@
         obey(&mut p, &m, &mut on, now);
     }
     assert_eq!(on.len(), 2, "it runs again: {on:?}");
-    assert!(on.keys().all(|i| i % 2 != home), "in the other zone: {on:?}");
+    assert!(
+        on.keys().all(|i| i % 2 != home),
+        "in the other zone: {on:?}"
+    );
 }
 
 // A team is at its limit when the leader changes, one of its machines can't be
@@ -430,7 +576,8 @@
     let mut accepted: JobRecord = serde_json::from_value(record(&new, false)).expect("a record");
     accepted.epoch = EPOCH;
     m.put("fw/j/wk-2", json!(accepted), 150);
-    let mut l = Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 8.0")]).expect("settings"));
+    let mut l =
+        Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 8.0")]).expect("settings"));
     l.enter(
         &Epoch {
             n: EPOCH,
@@ -447,23 +594,47 @@
     let mut dealt = |l: &mut Leader, p: &mut Part, m: &Mirror, now: f64| {
         seq += 1;
         for i in 1..=3 {
-            tokens[i - 1] = answered(p.report(&report(i, 1, seq, tokens[i - 1], &[]), false, m, now)).0;
+            tokens[i - 1] =
+                answered(p.report(&report(i, 1, seq, tokens[i - 1], &[]), false, m, now)).0;
         }
         p.expire_leases(now);
         assert!(l.part_report(p.snapshot(m, now), m, now));
         l.resolve(m, &|_| false);
         l.assign_tasks(m, now, || true);
         let o = l.orders("a").expect("orders");
-        p.orders(&Orders { assignments: Vec::new(), ..o.clone() }, m, now);
+        p.orders(
+            &Orders {
+                assignments: Vec::new(),
+                ..o.clone()
+            },
+            m,
+            now,
+        );
         o.assignments.iter().map(|d| d.tasks.len()).sum::<usize>()
     };
-    assert_eq!(dealt(&mut l, &mut p, &m, 0.5), 0, "the fourth machine may hold all that is allowed");
+    assert_eq!(
+        dealt(&mut l, &mut p, &m, 0.5),
+        0,
+        "the fourth machine may hold all that is allowed"
+    );
     m.put("fw/j/wk-1", record(&old, true), 200);
     l.job_changed(&"wk-1".into(), &m);
     p.job_changed(&"wk-1".into(), &m);
-    assert_eq!(dealt(&mut l, &mut p, &m, 1.0), 0, "a cancellation is no proof");
-    assert_eq!(dealt(&mut l, &mut p, &m, 27.0), 0, "its worker's lease may not be past");
-    assert_eq!(dealt(&mut l, &mut p, &m, 29.0), 4, "it is: the doubt has ended");
+    assert_eq!(
+        dealt(&mut l, &mut p, &m, 1.0),
+        0,
+        "a cancellation is no proof"
+    );
+    assert_eq!(
+        dealt(&mut l, &mut p, &m, 27.0),
+        0,
+        "its worker's lease may not be past"
+    );
+    assert_eq!(
+        dealt(&mut l, &mut p, &m, 29.0),
+        4,
+        "it is: the doubt has ended"
+    );
 }
 
 /// Guard: a machine that is up within a second or two is used at once, while writes
@@ -477,7 +648,10 @@
     mirror.put("fw/r/m-1", json!(record), 200);
     let mut part = part(&mirror);
     let token = met(&mut part, &mirror, 1, 0.2);
-    assert!(!part.snapshot(&mirror, 0.3).machines[0].open, "it reports, and takes nothing yet");
+    assert!(
+        !part.snapshot(&mirror, 0.3).machines[0].open,
+        "it reports, and takes nothing yet"
+    );
     part.orders(&orders(1, deal("wk-1", &[(0, 50)])), &mirror, 0.4);
     place(&mut part, &mirror, 0.5);
     let (token, calls) = answered(part.report(&report(1, 1, 3, token, &[]), false, &mirror, 0.6));
@@ -488,5 +662,8 @@
     part.orders(&orders(2, deal("wk-1", &[(0, 51)])), &mirror, 0.8);
     place(&mut part, &mirror, 0.9);
     let (_, calls) = answered(part.report(&report(1, 1, 4, token, &[]), false, &mirror, 1.0));
-    assert!(matches!(calls[..], [Call::Start { attempt: 51, .. }]), "{calls:?}");
+    assert!(
+        matches!(calls[..], [Call::Start { attempt: 51, .. }]),
+        "{calls:?}"
+    );
 }
--- a/tests/failure_detection_model.rs
+++ b/tests/failure_detection_model.rs
@@ -90,8 +90,10 @@
                 certain: m.heard > 0.0 && now - m.heard >= STEP_S || i % 3 > 0,
                 silent_s: now - m.heard,
                 unanswered_s: m.deaf.map(|d| now - d),
-                reached: reached[m.zone][i % OWNERS]
-                    .map(|s| Reached { since_s: now - s.first, last_s: now - s.last }),
+                reached: reached[m.zone][i % OWNERS].map(|s| Reached {
+                    since_s: now - s.first,
+                    last_s: now - s.last,
+                }),
                 met: false,
                 ignores_commands: false,
                 owner_unheard: false,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -65,10 +65,17 @@
         for machine in 0..self.shown.len() {
             self.seq += 1;
             let shown = &self.shown[machine];
-            let state =
-                |cause: Option<&str>| if cause.is_some() { TaskState::Ended } else { TaskState::Running };
-            let lines: Vec<Line> =
-                shown.iter().map(|(task, s)| (task.as_str(), s.0, state(s.1), s.1)).collect();
+            let state = |cause: Option<&str>| {
+                if cause.is_some() {
+                    TaskState::Ended
+                } else {
+                    TaskState::Running
+                }
+            };
+            let lines: Vec<Line> = shown
+                .iter()
+                .map(|(task, s)| (task.as_str(), s.0, state(s.1), s.1))
+                .collect();
             let r = report(machine + 1, 1, self.seq, self.tokens[machine], &lines);
             let (token, calls) = answered(self.part.report(&r, false, &self.mirror, self.now));
             self.tokens[machine] = token;
@@ -100,14 +107,23 @@
 
     /// Jobs of one task are done once that has completed.
     fn commit_completed_jobs(&mut self) {
-        let single: Vec<String> =
-            self.completed.iter().filter(|t| t.starts_with("wk-sound")).cloned().collect();
+        let single: Vec<String> = self
+            .completed
+            .iter()
+            .filter(|t| t.starts_with("wk-sound"))
+            .cloned()
+            .collect();
         for task in single {
             self.completed.remove(&task);
             let job = task.trim_end_matches("/0").to_string();
             let old = self.mirror.jobs[job.as_str()].clone();
-            let done = JobRecord { done: true, spec: None, ..old.record };
-            self.mirror.put(&format!("fw/j/{job}"), json!(done), old.version + 1_000);
+            let done = JobRecord {
+                done: true,
+                spec: None,
+                ..old.record
+            };
+            self.mirror
+                .put(&format!("fw/j/{job}"), json!(done), old.version + 1_000);
             self.part.job_changed(&job.as_str().into(), &self.mirror);
             self.leader.job_changed(&job.as_str().into(), &self.mirror);
         }
@@ -118,23 +134,34 @@
     }
 
     fn open_machines(&self) -> Vec<String> {
-        self.leader.machines().filter(|m| m.open).map(|m| m.id.to_string()).collect()
+        self.leader
+            .machines()
+            .filter(|m| m.open)
+            .map(|m| m.id.to_string())
+            .collect()
     }
 
     fn faults(&self) -> BTreeMap<String, MachineFault> {
         let faults = self.leader.machine_faults(&self.mirror);
-        faults.into_iter().map(|(id, fault)| (id.to_string(), fault)).collect()
+        faults
+            .into_iter()
+            .map(|(id, fault)| (id.to_string(), fault))
+            .collect()
     }
 }
 
 /// Jobs of one task that are not broken.
 fn sound_jobs(count: usize) -> Vec<Arc<JobSpec>> {
-    (0..count).map(|i| spec(&format!("wk-sound-{i}"), 1, |_| {})).collect()
+    (0..count)
+        .map(|i| spec(&format!("wk-sound-{i}"), 1, |_| {}))
+        .collect()
 }
 
 #[test]
 fn broken_jobs_take_no_machine_out_of_use() {
-    let jobs: Vec<Arc<JobSpec>> = (0..3).map(|i| spec(&format!("{BROKEN}-{i}"), 6, |_| {})).collect();
+    let jobs: Vec<Arc<JobSpec>> = (0..3)
+        .map(|i| spec(&format!("{BROKEN}-{i}"), 6, |_| {}))
+        .collect();
     let mut fleet = Fleet::new(6, &jobs);
     fleet.run(60);
     assert!(fleet.failed.len() > 10, "they are tried");
@@ -149,13 +176,22 @@
     let tried = fleet.failed.len();
     fleet.run(1200);
     let later = &fleet.failed[tried..];
-    assert!(later.windows(2).all(|w| w[1].0 > w[0].0), "one task at a time");
+    assert!(
+        later.windows(2).all(|w| w[1].0 > w[0].0),
+        "one task at a time"
+    );
     let gaps: Vec<f64> = later.windows(2).map(|w| w[1].0 - w[0].0).collect();
-    assert!(gaps.iter().all(|gap| *gap < 80.0), "no job waits 90 s while there is room: {gaps:?}");
+    assert!(
+        gaps.iter().all(|gap| *gap < 80.0),
+        "no job waits 90 s while there is room: {gaps:?}"
+    );
     assert!(later.len() < 25, "{} tries in ten minutes", later.len());
     assert!(fleet.leader.wants.is_empty(), "no machine is rented for it");
     let machines: BTreeSet<usize> = later.iter().map(|l| l.1).collect();
-    assert!(machines.len() > 2, "not always the same machines: {machines:?}");
+    assert!(
+        machines.len() > 2,
+        "not always the same machines: {machines:?}"
+    );
 }
 
 #[test]
@@ -163,7 +199,12 @@
     let mut fleet = Fleet::new(4, &sound_jobs(30));
     fleet.faulty.insert(2);
     fleet.run(60);
-    assert_eq!(fleet.faults(), [("m-3".to_string(), MachineFault::Proven)].into_iter().collect());
+    assert_eq!(
+        fleet.faults(),
+        [("m-3".to_string(), MachineFault::Proven)]
+            .into_iter()
+            .collect()
+    );
     let done = fleet.mirror.jobs.values().filter(|j| j.record.done).count();
     assert_eq!(done, 30, "all jobs run elsewhere");
     assert_eq!(fleet.open_machines(), ["m-1", "m-2", "m-4"]);
@@ -174,9 +215,19 @@
     let mut fleet = Fleet::new(3, &[spec("wk-array", 12, |_| {})]);
     fleet.faulty.extend([0, 1]);
     fleet.run(30);
-    assert!(fleet.completed.is_empty() || fleet.shown[2].len() > 1, "{:?}", fleet.shown);
-    let on_sound = fleet.shown[2].values().filter(|s| s.1 == Some("done")).count();
-    assert_eq!(on_sound, 12, "all its tasks complete on the machine that works");
+    assert!(
+        fleet.completed.is_empty() || fleet.shown[2].len() > 1,
+        "{:?}",
+        fleet.shown
+    );
+    let on_sound = fleet.shown[2]
+        .values()
+        .filter(|s| s.1 == Some("done"))
+        .count();
+    assert_eq!(
+        on_sound, 12,
+        "all its tasks complete on the machine that works"
+    );
 }
 
 #[test]
@@ -185,6 +236,11 @@
     fleet.faulty.extend([0, 1]);
     fleet.long_tasks = true;
     fleet.run(60);
-    let running = fleet.shown.iter().flat_map(BTreeMap::values).filter(|s| s.1.is_none()).count();
+    let running = fleet
+        .shown
+        .iter()
+        .flat_map(BTreeMap::values)
+        .filter(|s| s.1.is_none())
+        .count();
     assert_eq!(running, 16, "none waits for the end of another");
 }
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -21,7 +21,11 @@
 
 const MACHINES: usize = 4000;
 const NODES: [&str; 5] = ["a", "b", "c", "d", "e"];
-const TIMING: Timing = Timing { report_s: 3.0, lease_s: 20.0, member_life_s: 8.0 };
+const TIMING: Timing = Timing {
+    report_s: 3.0,
+    lease_s: 20.0,
+    member_life_s: 8.0,
+};
 /// Jobs, and tasks of each: one task of four CPUs for each machine of 16, and more.
 const JOBS: u32 = 100;
 const TASKS: u32 = 120;
@@ -98,7 +102,8 @@
 }
 
 fn settings() -> Settings {
-    Settings::parse(&base::SETTINGS.replace("cpus_max = 400.0", "cpus_max = 0.0")).expect("settings")
+    Settings::parse(&base::SETTINGS.replace("cpus_max = 400.0", "cpus_max = 0.0"))
+        .expect("settings")
 }
 
 fn catalog() -> serde_json::Value {
@@ -107,7 +112,11 @@
 }
 
 fn spec(n: u32) -> JobSpec {
-    let shape = if n.is_multiple_of(3) { "standing" } else { "array" };
+    let shape = if n.is_multiple_of(3) {
+        "standing"
+    } else {
+        "array"
+    };
     let text = json!({"id": format!("wk-{n:06}"), "flock": "f", "nest": "t", "shape": shape, "rank": "standard",
         "chicks": TASKS, "cpus": 4.0, "accelerators": 0.0, "mem_gb": 8.0, "egg": "i", "size_gb": 1.0,
         "one_zone": false, "scatter": shape == "standing", "windfall": true, "guess_s": 600.0, "molt_s": 0.0,
@@ -128,13 +137,31 @@
             .enumerate()
             .map(|(n, c)| (n, (["e", "w"][n % 2], c)))
         {
-            let machines = chunk.iter().map(|id| (id.clone(), Some(id.clone()))).collect();
-            let page =
-                json!(RosterPage { kind: "k".into(), zone: zone.into(), spot: false, at_ms: 0, machines });
-            assert!(page.to_string().len() <= limit, "a page of {} machines", chunk.len());
+            let machines = chunk
+                .iter()
+                .map(|id| (id.clone(), Some(id.clone())))
+                .collect();
+            let page = json!(RosterPage {
+                kind: "k".into(),
+                zone: zone.into(),
+                spot: false,
+                at_ms: 0,
+                machines
+            });
+            assert!(
+                page.to_string().len() <= limit,
+                "a page of {} machines",
+                chunk.len()
+            );
             mirror.put(&format!("fw/r/page-{n}"), page, 10 + n as u64);
             for id in chunk {
-                let worker = Worker { zone, session: 1, seq: 0, token: 0, tasks: BTreeMap::new() };
+                let worker = Worker {
+                    zone,
+                    session: 1,
+                    seq: 0,
+                    token: 0,
+                    tasks: BTreeMap::new(),
+                };
                 workers.insert(id.clone(), worker);
             }
         }
@@ -149,18 +176,38 @@
                 done: false,
                 cancelled_at_ms: None,
             };
-            mirror.put(&format!("fw/j/{}", spec.id), json!(record), 1000 + u64::from(n));
+            mirror.put(
+                &format!("fw/j/{}", spec.id),
+                json!(record),
+                1000 + u64::from(n),
+            );
         }
-        let epoch = Epoch { n: 0, members: BTreeMap::new(), leader: "a".into(), shares: false };
+        let epoch = Epoch {
+            n: 0,
+            members: BTreeMap::new(),
+            leader: "a".into(),
+            shares: false,
+        };
         let leader = Leader::new(&settings);
-        let mut fleet = Fleet { settings, mirror, epoch, parts: Vec::new(), leader, workers, largest: 0 };
+        let mut fleet = Fleet {
+            settings,
+            mirror,
+            epoch,
+            parts: Vec::new(),
+            leader,
+            workers,
+            largest: 0,
+        };
         fleet.begin_cold(0.0);
         fleet
     }
 
     /// All controllers are new, and know nothing.
     fn begin_cold(&mut self, now: f64) {
-        self.parts = NODES.iter().map(|name| Part::new(name, TIMING, HashMap::new())).collect();
+        self.parts = NODES
+            .iter()
+            .map(|name| Part::new(name, TIMING, HashMap::new()))
+            .collect();
         self.leader = Leader::new(&self.settings);
         self.enter(now, 100 * (self.epoch.n + 1));
     }
@@ -168,13 +215,19 @@
     /// The next epoch, in which controllers have incarnations from `inc` on.
     fn enter(&mut self, now: f64, inc: u64) {
         self.epoch.n += 1;
-        self.epoch.members = NODES.iter().zip(inc..).map(|(name, inc)| (name.to_string(), inc)).collect();
+        self.epoch.members = NODES
+            .iter()
+            .zip(inc..)
+            .map(|(name, inc)| (name.to_string(), inc))
+            .collect();
         let members = self.epoch.members.clone();
         for (name, part) in NODES.iter().zip(&mut self.parts) {
             let owns = |id: &str| owner(&members, id) == Some(*name);
             part.enter(self.epoch.n, members[*name], &self.mirror, now, owns);
         }
-        let _ = self.leader.enter(&self.epoch, members[&self.epoch.leader], &self.mirror);
+        let _ = self
+            .leader
+            .enter(&self.epoch, members[&self.epoch.leader], &self.mirror);
     }
 
     /// A part's report as it goes over the wire; its size counts.
@@ -190,7 +243,11 @@
         };
         let bytes = envelope.encode();
         self.largest = self.largest.max(bytes.len());
-        let Some(Envelope { message: Message::Part(report), .. }) = Envelope::decode(&bytes) else {
+        let Some(Envelope {
+            message: Message::Part(report),
+            ..
+        }) = Envelope::decode(&bytes)
+        else {
             panic!("it is read as it was written");
         };
         self.leader.part_report(report, &self.mirror, 0.0);
@@ -199,8 +256,11 @@
 
     /// Parts report, the leader assigns, parts place. Returns the bytes of all reports.
     fn round(&mut self, now: f64) -> usize {
-        let reports: Vec<PartReport> =
-            self.parts.iter_mut().map(|part| part.snapshot(&self.mirror, now)).collect();
+        let reports: Vec<PartReport> = self
+            .parts
+            .iter_mut()
+            .map(|part| part.snapshot(&self.mirror, now))
+            .collect();
         let bytes = reports.into_iter().map(|report| self.send(report)).sum();
         self.leader.resolve(&self.mirror, &|_| false);
         self.leader.assign_tasks(&self.mirror, now, || true);
@@ -216,7 +276,10 @@
     fn direct(&mut self, now: f64) -> Given {
         let mut given = Given::default();
         for part in &mut self.parts {
-            let room = DirectRoom { sound: 20, doubtful: 125 };
+            let room = DirectRoom {
+                sound: 20,
+                doubtful: 125,
+            };
             for direct in part.directs_within(&self.mirror, now, room) {
                 let worker = self.workers.get_mut(&direct.machine).expect("a worker");
                 if direct.body.session == worker.session && direct.body.token >= worker.token {
@@ -225,7 +288,13 @@
                     given.questions += 1;
                 }
                 let report = worker.report(&direct.machine);
-                part.direct_done(&direct.machine, &direct.body, Some(&report), &self.mirror, now);
+                part.direct_done(
+                    &direct.machine,
+                    &direct.body,
+                    Some(&report),
+                    &self.mirror,
+                    now,
+                );
             }
         }
         given
@@ -239,7 +308,8 @@
             let name = owner(&members, id).expect("an owner");
             let part = &mut self.parts[NODES.iter().position(|n| *n == name).expect("a node")];
             let report = worker.report(id);
-            if let ReportReply::Commands { token, commands } = part.report(&report, false, &self.mirror, now)
+            if let ReportReply::Commands { token, commands } =
+                part.report(&report, false, &self.mirror, now)
             {
                 worker.obey(token, &commands, &mut given);
             }
@@ -290,21 +360,39 @@
     let whole = fleet.largest;
     assert_eq!(fleet.reports(26.0), Given::default());
     let steady = fleet.round(26.0);
-    assert!(steady < MACHINES, "{steady} bytes of five reports in which nothing is new");
+    assert!(
+        steady < MACHINES,
+        "{steady} bytes of five reports in which nothing is new"
+    );
     // Change of leader: the parts live on.
     fleet.largest = 0;
     fleet.epoch.leader = "b".into();
     fleet.leader = Leader::new(&fleet.settings);
     fleet.enter(27.0, fleet.epoch.members["a"]);
     let (given, turns) = fleet.settle(27.0);
-    assert_eq!((given.starts, given.stops, given.reaps), (0, 0, 0), "change of leader");
-    println!("change of leader: {given:?} in {turns} turns, largest message {} bytes", fleet.largest);
+    assert_eq!(
+        (given.starts, given.stops, given.reaps),
+        (0, 0, 0),
+        "change of leader"
+    );
+    println!(
+        "change of leader: {given:?} in {turns} turns, largest message {} bytes",
+        fleet.largest
+    );
     // Cold restart: nobody knows anything.
     fleet.largest = 0;
     fleet.begin_cold(30.0);
     let (given, turns) = fleet.settle(30.0);
-    assert_eq!((given.starts, given.stops, given.reaps), (0, 0, 0), "cold restart");
-    assert!(given.questions <= 3 * MACHINES, "{} questions", given.questions);
+    assert_eq!(
+        (given.starts, given.stops, given.reaps),
+        (0, 0, 0),
+        "cold restart"
+    );
+    assert!(
+        given.questions <= 3 * MACHINES,
+        "{} questions",
+        given.questions
+    );
     println!(
         "cold restart: {given:?}, {:.2} orders for each of {all} adopted tasks, in {turns} turns, largest message {} bytes",
         given.questions as f64 / all as f64,
@@ -330,11 +418,20 @@
     let token = 1 << 24;
     for (n, (id, worker)) in fleet.workers.iter_mut().enumerate() {
         // Machines of 64 CPUs hold as many tasks of two.
-        worker.tasks =
-            (0..32).map(|i| (format!("wk-{:06}/{}", n % JOBS as usize, n / 100 * 32 + i), 5)).collect();
+        worker.tasks = (0..32)
+            .map(|i| {
+                (
+                    format!("wk-{:06}/{}", n % JOBS as usize, n / 100 * 32 + i),
+                    5,
+                )
+            })
+            .collect();
         worker.token = token;
         let report = worker.report(id);
-        assert!(matches!(part.report(&report, false, &fleet.mirror, 0.1), ReportReply::Commands { .. }));
+        assert!(matches!(
+            part.report(&report, false, &fleet.mirror, 0.1),
+            ReportReply::Commands { .. }
+        ));
     }
     let report = part.snapshot(&fleet.mirror, 0.2);
     assert_eq!(report.held.len(), 32 * MACHINES);
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -46,7 +46,16 @@
     fn new(mirror: Mirror, machines: usize) -> Bench {
         let (leader, part, tokens) = pair(&mirror, machines);
         let shown = vec![BTreeMap::new(); machines];
-        Bench { mirror, leader, part, tokens, seq: 10, now: 1.0, shown, commands: Vec::new() }
+        Bench {
+            mirror,
+            leader,
+            part,
+            tokens,
+            seq: 10,
+            now: 1.0,
+            shown,
+            commands: Vec::new(),
+        }
     }
 
     /// Every machine reports and obeys the answer; leader and part take a round.
@@ -56,7 +65,10 @@
         self.commands.clear();
         for i in 0..self.shown.len() {
             self.seq += 1;
-            let lines: Vec<Line> = self.shown[i].iter().map(|(t, s)| (t.as_str(), s.0, s.1, s.2)).collect();
+            let lines: Vec<Line> = self.shown[i]
+                .iter()
+                .map(|(t, s)| (t.as_str(), s.0, s.1, s.2))
+                .collect();
             let r = report(i + 1, 1, self.seq, self.tokens[i], &lines);
             let (token, calls) = answered(self.part.report(&r, false, &self.mirror, self.now));
             self.tokens[i] = token;
@@ -71,7 +83,9 @@
         let shown = &mut self.shown[machine];
         match call {
             Call::Start { task, attempt } => {
-                shown.entry(task.clone()).or_insert((*attempt, TaskState::Gathering, None));
+                shown
+                    .entry(task.clone())
+                    .or_insert((*attempt, TaskState::Gathering, None));
             }
             Call::Stop { task, .. } => {
                 if let Some(s) = shown.get_mut(task).filter(|s| s.1 != TaskState::Ended) {
@@ -85,7 +99,10 @@
     /// A machine reports that it will be taken; returns what it is answered.
     fn notice(&mut self, machine: usize) -> Vec<Call> {
         let shown = &self.shown[machine];
-        let lines: Vec<Line> = shown.iter().map(|(t, s)| (t.as_str(), s.0, s.1, s.2)).collect();
+        let lines: Vec<Line> = shown
+            .iter()
+            .map(|(t, s)| (t.as_str(), s.0, s.1, s.2))
+            .collect();
         self.seq += 1;
         let mut r = report(machine + 1, 1, self.seq, self.tokens[machine], &lines);
         r.notice_s = Some(8.0);
@@ -98,8 +115,14 @@
     /// that of the part, which then knows nothing of what was.
     fn take_over(&mut self, incarnation: u64) {
         let members = [("a".to_string(), incarnation)].into_iter().collect();
-        let epoch = Epoch { n: EPOCH + 1, members, leader: "a".into(), shares: false };
-        self.part.enter(epoch.n, incarnation, &self.mirror, self.now, |_| true);
+        let epoch = Epoch {
+            n: EPOCH + 1,
+            members,
+            leader: "a".into(),
+            shares: false,
+        };
+        self.part
+            .enter(epoch.n, incarnation, &self.mirror, self.now, |_| true);
         self.leader = Leader::new(&settings(&[]).expect("settings"));
         self.leader.enter(&epoch, incarnation, &self.mirror);
     }
@@ -110,7 +133,11 @@
 
     /// Machine, attempt and state of every task that has not ended.
     fn on_machines(&self) -> Vec<(usize, u64, TaskState)> {
-        let all = self.shown.iter().enumerate().flat_map(|(i, m)| m.values().map(move |s| (i, s.0, s.1)));
+        let all = self
+            .shown
+            .iter()
+            .enumerate()
+            .flat_map(|(i, m)| m.values().map(move |s| (i, s.0, s.1)));
         all.filter(|s| s.2 != TaskState::Ended).collect()
     }
 
@@ -125,7 +152,9 @@
     /// Every task that has not ended shows this from now on.
     fn all_show(&mut self, state: TaskState, cause: Option<&'static str>) {
         let lines = self.shown.iter_mut().flat_map(|m| m.values_mut());
-        lines.filter(|s| s.1 != TaskState::Ended).for_each(|s| (s.1, s.2) = (state, cause));
+        lines
+            .filter(|s| s.1 != TaskState::Ended)
+            .for_each(|s| (s.1, s.2) = (state, cause));
     }
 }
 
@@ -152,19 +181,41 @@
     }
     let mut b = Bench::new(m, 2);
     b.steps(3);
-    assert!(b.on_machines().is_empty(), "neither part of the gang nor the job after it starts");
-    let wanted: u32 = b.leader.wants.iter().filter(|w| w.spec.id == s.id).map(|w| w.count).sum();
+    assert!(
+        b.on_machines().is_empty(),
+        "neither part of the gang nor the job after it starts"
+    );
+    let wanted: u32 = b
+        .leader
+        .wants
+        .iter()
+        .filter(|w| w.spec.id == s.id)
+        .map(|w| w.count)
+        .sum();
     assert_eq!(wanted, 3, "machines are rented for the whole gang");
 }
 
 // The team's limit leaves room for two of three tasks: none starts.
 #[test]
 fn a_gang_beyond_what_its_team_has_left_starts_nothing() {
-    let (first, s) = (spec("wk-1", 1, |v| v["rank"] = "urgent".into()), gang("wk-2", 3, |_| {}));
+    let (first, s) = (
+        spec("wk-1", 1, |v| v["rank"] = "urgent".into()),
+        gang("wk-2", 3, |_| {}),
+    );
     let m = mirror(6, &[&first, &s]);
-    let mut l = Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 12.0")]).expect("settings"));
+    let mut l =
+        Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 12.0")]).expect("settings"));
     let members = [("a".to_string(), 7)].into_iter().collect();
-    l.enter(&Epoch { n: EPOCH, members, leader: "a".into(), shares: false }, 7, &m);
+    l.enter(
+        &Epoch {
+            n: EPOCH,
+            members,
+            leader: "a".into(),
+            shares: false,
+        },
+        7,
+        &m,
+    );
     let mut p = part(&m);
     for machine in 1..=6 {
         met(&mut p, &m, machine, 0.2);
@@ -187,21 +238,29 @@
     b.step();
     let attempt = b.shared_attempt(3);
     let refused = b.on_machines()[0].0;
-    b.shown[refused].values_mut().for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("no_room")));
+    b.shown[refused]
+        .values_mut()
+        .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("no_room")));
     b.step();
     let told = b.part.snapshot(&b.mirror, b.now);
     let gone = told.gone.clone();
     assert_eq!(gone.len(), 1, "it is told as gone");
     b.steps(3);
     assert_eq!(b.shared_attempt(3), attempt);
-    assert!(b.on_machines().iter().all(|s| s.0 != refused), "on another machine");
+    assert!(
+        b.on_machines().iter().all(|s| s.0 != refused),
+        "on another machine"
+    );
     // The word of the first assignment comes once more.
     let mut again = b.part.snapshot(&b.mirror, b.now);
     again.gone = gone;
     assert!(b.leader.part_report(again, &b.mirror, b.now));
     b.leader.assign_tasks(&b.mirror, b.now, || true);
     let deals = b.leader.orders("a").expect("orders").assignments;
-    assert!(deals.is_empty(), "the replacement counts as gone: {deals:?}");
+    assert!(
+        deals.is_empty(),
+        "the replacement counts as gone: {deals:?}"
+    );
 }
 
 #[test]
@@ -214,14 +273,22 @@
     b.step();
     // One exits as another is gone; the other has not noticed yet.
     let (one, other) = (b.on_machines()[0].0, b.on_machines()[1].0);
-    b.shown[one].values_mut().for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("peers")));
+    b.shown[one]
+        .values_mut()
+        .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("peers")));
     b.steps(2);
     let on = b.on_machines();
-    assert!(on.iter().all(|s| s.1 == first || !on.iter().any(|o| o.1 == first)), "beside the old: {on:?}");
+    assert!(
+        on.iter()
+            .all(|s| s.1 == first || !on.iter().any(|o| o.1 == first)),
+        "beside the old: {on:?}"
+    );
     b.steps(4);
     let second = b.shared_attempt(2);
     assert!(second > first, "a new attempt");
-    assert!(b.shown[other].values().all(|s| s.1 == TaskState::Ended || s.0 == second));
+    assert!(b.shown[other]
+        .values()
+        .all(|s| s.1 == TaskState::Ended || s.0 == second));
     // `peers` is neither the machines' fault nor the job's.
     let told = b.part.snapshot(&b.mirror, b.now);
     assert!(!told.machines.iter().any(|m| m.faulty));
@@ -267,11 +334,17 @@
     b.all_show(TaskState::Running, None);
     b.step();
     let first = b.on_machines()[0].0;
-    b.shown[first].values_mut().for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("done")));
+    b.shown[first]
+        .values_mut()
+        .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("done")));
     b.step();
     b.step();
     let finishes = b.leader.finishes(b.now, 9, &b.mirror);
-    assert_eq!(finishes.iter().map(|f| f.tasks.len()).collect::<Vec<_>>(), [3], "the whole at once");
+    assert_eq!(
+        finishes.iter().map(|f| f.tasks.len()).collect::<Vec<_>>(),
+        [3],
+        "the whole at once"
+    );
 }
 
 // A machine will be taken: every task is told to save in the same moment, also
@@ -286,7 +359,10 @@
     let noticed = b.on_machines()[0].0;
     b.notice(noticed);
     b.part.stop_for_notices(&b.mirror, b.now);
-    assert!(b.notice(noticed).is_empty(), "the part alone stops none of it");
+    assert!(
+        b.notice(noticed).is_empty(),
+        "the part alone stops none of it"
+    );
     b.step();
     let graces: Vec<f64> = b
         .commands
@@ -353,14 +429,19 @@
     b.shared_attempt(2);
     b.now += 1.0;
     let second = b.on_machines()[1].0;
-    b.shown[second].values_mut().for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("no_room")));
+    b.shown[second]
+        .values_mut()
+        .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("no_room")));
     // From now on that machine refuses whatever is started there.
     let wait = settings(&[]).expect("settings").params.workers.gang_wait_s;
     let deadline = b.now + wait / 2.0;
     let mut withdrawn = false;
     while b.now < deadline {
         b.step();
-        for s in b.shown[second].values_mut().filter(|s| s.1 == TaskState::Gathering) {
+        for s in b.shown[second]
+            .values_mut()
+            .filter(|s| s.1 == TaskState::Gathering)
+        {
             (s.1, s.2) = (TaskState::Ended, Some("no_room"));
         }
         withdrawn |= b.on_machines().is_empty();
@@ -374,11 +455,18 @@
     let mut b = Bench::new(mirror(2, &[&s]), 2);
     let member = |version: u64, value: Value, m: &mut Mirror| drop(m.put("fw/m/b", value, version));
     member(600, json!({"inc": 4}), &mut b.mirror);
-    assert!(!b.mirror.all_run_gangs(), "a member of the version before says nothing of gangs");
+    assert!(
+        !b.mirror.all_run_gangs(),
+        "a member of the version before says nothing of gangs"
+    );
     b.leader.run_gangs(b.mirror.all_run_gangs());
     b.steps(2);
     assert!(b.on_machines().is_empty());
-    member(601, json!(finchwood::jobs::Member::of_this_version(5)), &mut b.mirror);
+    member(
+        601,
+        json!(finchwood::jobs::Member::of_this_version(5)),
+        &mut b.mirror,
+    );
     b.leader.run_gangs(b.mirror.all_run_gangs());
     b.steps(2);
     b.shared_attempt(2);
@@ -409,10 +497,17 @@
     b.steps(2);
     let first = b.shared_attempt(2);
     let one = b.on_machines()[0].0;
-    b.shown[one].values_mut().for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("weather")));
+    b.shown[one]
+        .values_mut()
+        .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("weather")));
     b.steps(6);
     assert!(b.shared_attempt(2) > first);
-    assert!(!b.part.snapshot(&b.mirror, b.now).machines.iter().any(|m| m.faulty));
+    assert!(!b
+        .part
+        .snapshot(&b.mirror, b.now)
+        .machines
+        .iter()
+        .any(|m| m.faulty));
 }
 
 #[test]
@@ -428,7 +523,12 @@
     p.orders(&Orders { ..orders(1, deals) }, &m, 0.4);
     place(&mut p, &m, 0.5);
     let held = p.snapshot(&m, 0.6).held;
-    assert_eq!(held.iter().map(|h| (h.attempt, h.assignment)).collect::<Vec<_>>(), [(50, 50), (50, 50)]);
+    assert_eq!(
+        held.iter()
+            .map(|h| (h.attempt, h.assignment))
+            .collect::<Vec<_>>(),
+        [(50, 50), (50, 50)]
+    );
     let accepted: JobRecord = serde_json::from_value(record(&s, false)).expect("a record");
     assert!(accepted.spec.is_some());
 }
