--- a/tests/handovers.rs
+++ b/tests/handovers.rs
@@ -56,13 +56,24 @@
 impl Two {
     /// Two services and an array run on eight machines.
     fn new() -> Two {
-        let specs = [job("wk-1", "standing", 4), job("wk-2", "array", 6), job("wk-3", "ensemble", 2)];
+        let specs = [
+            job("wk-1", "standing", 4),
+            job("wk-2", "array", 6),
+            job("wk-3", "ensemble", 2),
+        ];
         let mirror = cores::mirror(8, &specs.iter().collect::<Vec<_>>());
-        let workers = (1..=8).map(|i| (format!("m-{i}").into(), Worker::default())).collect();
+        let workers = (1..=8)
+            .map(|i| (format!("m-{i}").into(), Worker::default()))
+            .collect();
         let mut two = Two {
             mirror,
             version: 1000,
-            epoch: Epoch { n: 2, members: BTreeMap::new(), leader: "a".into(), shares: true },
+            epoch: Epoch {
+                n: 2,
+                members: BTreeMap::new(),
+                leader: "a".into(),
+                shares: true,
+            },
             incs: 10,
             parts: BTreeMap::new(),
             leader: Leader::new(&settings(SETTINGS_ALL).expect("settings")),
@@ -88,7 +99,8 @@
     fn begins(&mut self, name: &str) {
         self.incs += 1;
         self.epoch.members.insert(name.into(), self.incs);
-        self.parts.insert(name.into(), Part::new(name, TIMING, HashMap::new()));
+        self.parts
+            .insert(name.into(), Part::new(name, TIMING, HashMap::new()));
     }
 
     fn ends(&mut self, name: &str) {
@@ -114,12 +126,15 @@
         if !self.epoch.members.contains_key(leader) {
             return;
         }
-        self.leader.enter(&epoch, epoch.members[leader], &self.mirror);
+        self.leader
+            .enter(&epoch, epoch.members[leader], &self.mirror);
         self.handovers.new_epoch(self.now);
     }
 
     fn owner(&self, id: &str) -> String {
-        owner_by_shares(&self.epoch, &self.mirror.shares, id).expect("an owner").into()
+        owner_by_shares(&self.epoch, &self.mirror.shares, id)
+            .expect("an owner")
+            .into()
     }
 
     fn tasks(&self) -> usize {
@@ -133,11 +148,25 @@
         let now = self.now;
         let names: Vec<String> = self.parts.keys().cloned().collect();
         for name in &names {
-            let report = self.parts.get_mut(name).expect("a part").snapshot(&self.mirror, now);
+            let report = self
+                .parts
+                .get_mut(name)
+                .expect("a part")
+                .snapshot(&self.mirror, now);
             let size = |message| {
                 let (from, to) = (String::new(), String::new());
                 let (hears, apart, cancellation_notices) = Default::default();
-                Envelope { from, to, fresh: true, hears, apart, cancellation_notices, message }.encode().len()
+                Envelope {
+                    from,
+                    to,
+                    fresh: true,
+                    hears,
+                    apart,
+                    cancellation_notices,
+                    message,
+                }
+                .encode()
+                .len()
             };
             self.bytes += size(Message::Part(report.clone()));
             let handovers = report.handovers.clone();
@@ -150,7 +179,10 @@
             if let Some(mut orders) = self.leader.orders(name) {
                 orders.handovers = self.handovers.orders_for(name);
                 self.bytes += size(Message::Orders(orders.clone()));
-                self.parts.get_mut(name).expect("a part").orders(&orders, &self.mirror, now);
+                self.parts
+                    .get_mut(name)
+                    .expect("a part")
+                    .orders(&orders, &self.mirror, now);
             }
         }
         self.write_table();
@@ -163,10 +195,22 @@
                 self.questions += 1;
                 if direct.body.session == 1 && direct.body.token >= worker.token {
                     worker.token = direct.body.token;
-                    obey(worker, &direct.body.commands, name, &direct.machine, &mut self.given);
+                    obey(
+                        worker,
+                        &direct.body.commands,
+                        name,
+                        &direct.machine,
+                        &mut self.given,
+                    );
                 }
                 let report = report(&direct.machine, worker);
-                part.direct_done(&direct.machine, &direct.body, Some(&report), &self.mirror, now);
+                part.direct_done(
+                    &direct.machine,
+                    &direct.body,
+                    Some(&report),
+                    &self.mirror,
+                    now,
+                );
             }
         }
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
@@ -180,8 +224,11 @@
         let owner = self.owner(id);
         let worker = self.workers.get_mut(id).expect("a worker");
         let report = report(id, worker);
-        let Some(part) = self.parts.get_mut(&owner) else { return false };
-        let ReportReply::Commands { token, commands } = part.report(&report, false, &self.mirror, self.now)
+        let Some(part) = self.parts.get_mut(&owner) else {
+            return false;
+        };
+        let ReportReply::Commands { token, commands } =
+            part.report(&report, false, &self.mirror, self.now)
         else {
             return false;
         };
@@ -198,7 +245,9 @@
         if self.table_waits {
             return;
         }
-        let Some(write) = self.handovers.to_write(&self.mirror.shares, self.now) else { return };
+        let Some(write) = self.handovers.to_write(&self.mirror.shares, self.now) else {
+            return;
+        };
         if self.state_away {
             return;
         }
@@ -214,12 +263,20 @@
     /// All machines whose home is `a` are to go to `b`.
     fn begin(&mut self) {
         let range = ShareRange::whole("a");
-        let wanted = WantedMove { range, giver: "a".into(), taker: "b".into(), reason: MoveReason::Plan };
+        let wanted = WantedMove {
+            range,
+            giver: "a".into(),
+            taker: "b".into(),
+            reason: MoveReason::Plan,
+        };
         assert!(self.handovers.begin(wanted, self.now));
     }
 
     fn state(&self) -> Option<HandoverState> {
-        self.handovers.under_way().next().map(|handover| handover.state)
+        self.handovers
+            .under_way()
+            .next()
+            .map(|handover| handover.state)
     }
 
     /// Goes on until the handover is in a state.
@@ -246,12 +303,25 @@
         (0..12).for_each(|_| self.turn());
         assert_eq!(self.tasks(), 12, "{when}");
         assert_eq!(self.given, [], "{when}");
-        assert_eq!(self.leader.counts(), (3, 12, 0), "{when}: jobs, tasks held, tasks in doubt");
+        assert_eq!(
+            self.leader.counts(),
+            (3, 12, 0),
+            "{when}: jobs, tasks held, tasks in doubt"
+        );
         for id in self.workers.keys() {
             let lists = |part: &&Part| part.listed_machines().contains(id);
-            assert_eq!(self.parts.values().filter(lists).count(), 1, "{when}: owners of {id}");
+            assert_eq!(
+                self.parts.values().filter(lists).count(),
+                1,
+                "{when}: owners of {id}"
+            );
         }
-        assert!(self.parts.values().all(|part| part.fenced_machines().is_empty()), "{when}: fenced");
+        assert!(
+            self.parts
+                .values()
+                .all(|part| part.fenced_machines().is_empty()),
+            "{when}: fenced"
+        );
     }
 }
 
@@ -268,7 +338,12 @@
         machine: id.clone(),
         addr: id.to_string(),
         kind: "k".into(),
-        zone: if id.ends_with(['1', '3', '5', '7']) { "e" } else { "w" }.into(),
+        zone: if id.ends_with(['1', '3', '5', '7']) {
+            "e"
+        } else {
+            "w"
+        }
+        .into(),
         spot: false,
         session: 1,
         seq: worker.seq,
@@ -298,7 +373,12 @@
 #[test]
 fn a_share_moves_with_all_that_runs_on_it_and_nothing_is_ordered() {
     let mut two = Two::new();
-    let moved: Vec<MachineId> = two.workers.keys().filter(|id| two.owner(id) == "a").cloned().collect();
+    let moved: Vec<MachineId> = two
+        .workers
+        .keys()
+        .filter(|id| two.owner(id) == "a")
+        .cloned()
+        .collect();
     assert!(moved.len() >= 2 && moved.len() < 8, "{moved:?}");
     (two.questions, two.bytes) = (0, 0);
     (0..5).for_each(|_| two.turn());
@@ -317,7 +397,10 @@
         moved.len(),
         two.questions
     );
-    assert!(two.questions <= moved.len(), "one question for each machine, none that waits for its answer");
+    assert!(
+        two.questions <= moved.len(),
+        "one question for each machine, none that waits for its answer"
+    );
     assert!(moved.iter().all(|id| two.owner(id) == "b"));
     assert_eq!(two.handovers.ended.get(&HandoverEnd::Owned), Some(&1));
     two.settles("moved");
@@ -332,7 +415,15 @@
 #[test]
 fn whoever_ends_in_whatever_state_nothing_is_lost_or_ordered() {
     for state in STATES {
-        for who in ["a", "b", "leader", "both", "giver back", "taker back", "nobody"] {
+        for who in [
+            "a",
+            "b",
+            "leader",
+            "both",
+            "giver back",
+            "taker back",
+            "nobody",
+        ] {
             let mut two = Two::new();
             two.begin();
             two.until(state);
@@ -377,21 +468,34 @@
         two.begin();
         two.until(state);
         // The state service is away for longer than a lease: nothing ends on that account.
-        let away = if state < HandoverState::Committed { 30 } else { 2 };
+        let away = if state < HandoverState::Committed {
+            30
+        } else {
+            2
+        };
         for _ in 0..away {
             two.now += 1.0;
             let ids: Vec<MachineId> = two.workers.keys().cloned().collect();
             let answered = ids.iter().filter(|id| two.reports(id)).count();
             // In between the table's change and the taker's first orders nobody answers.
-            assert!(answered == ids.len() || state == HandoverState::Committed, "{state:?}: {answered}");
+            assert!(
+                answered == ids.len() || state == HandoverState::Committed,
+                "{state:?}: {answered}"
+            );
         }
         let spec = job("wk-1", "standing", 4);
         two.put("fw/j/wk-1", cores::record(&spec, true));
         let mirror = &two.mirror;
-        two.parts.values_mut().for_each(|part| part.job_changed(&"wk-1".into(), mirror));
+        two.parts
+            .values_mut()
+            .for_each(|part| part.job_changed(&"wk-1".into(), mirror));
         two.leader.job_changed(&"wk-1".into(), &two.mirror);
         let left = |two: &Two| {
-            two.workers.values().flat_map(|w| w.tasks.keys()).filter(|t| t.starts_with("wk-1/")).count()
+            two.workers
+                .values()
+                .flat_map(|w| w.tasks.keys())
+                .filter(|t| t.starts_with("wk-1/"))
+                .count()
         };
         assert_eq!(left(&two), 4);
         two.turn();
@@ -405,7 +509,11 @@
     for refused in [false, true] {
         let mut two = Two::new();
         two.begin();
-        two.until(if refused { HandoverState::Committing } else { HandoverState::Accepted });
+        two.until(if refused {
+            HandoverState::Committing
+        } else {
+            HandoverState::Accepted
+        });
         if refused {
             two.handovers.refused(two.now);
         } else {
@@ -421,7 +529,10 @@
         two.put("fw/j/wk-9", record);
         two.leader.job_changed(&"wk-9".into(), &two.mirror);
         (0..6).for_each(|_| two.turn());
-        assert!(two.given.iter().any(|(by, _, call)| by == "a" && matches!(call, Call::Start { .. })));
+        assert!(two
+            .given
+            .iter()
+            .any(|(by, _, call)| by == "a" && matches!(call, Call::Start { .. })));
     }
 }
 
@@ -438,16 +549,30 @@
         ids.iter().for_each(|id| assert!(two.reports(id)));
     }
     let now = two.now;
-    let told = two.parts.get_mut("a").expect("a part").snapshot(&two.mirror, now);
+    let told = two
+        .parts
+        .get_mut("a")
+        .expect("a part")
+        .snapshot(&two.mirror, now);
     assert!(told.quiet.is_empty(), "{:?}", told.quiet);
     let moving = two.parts["a"].fenced_machines();
     two.until(HandoverState::Committed);
     let mut orders = two.leader.orders("b").expect("orders");
     orders.handovers = two.handovers.orders_for("b");
-    two.parts.get_mut("b").expect("a part").orders(&orders, &two.mirror, now);
-    let report = two.parts.get_mut("b").expect("a part").snapshot(&two.mirror, now);
+    two.parts
+        .get_mut("b")
+        .expect("a part")
+        .orders(&orders, &two.mirror, now);
+    let report = two
+        .parts
+        .get_mut("b")
+        .expect("a part")
+        .snapshot(&two.mirror, now);
     assert!(two.leader.part_report(report, &two.mirror, now));
-    assert!(moving.iter().all(|id| !two.leader.has_one_owner(id)), "its giver has not let go yet");
+    assert!(
+        moving.iter().all(|id| !two.leader.has_one_owner(id)),
+        "its giver has not let go yet"
+    );
     two.settles("moved");
     assert!(moving.iter().all(|id| two.leader.has_one_owner(id)));
 }
@@ -458,7 +583,10 @@
     let mut two = Two::new();
     two.begin();
     two.until(HandoverState::Fenced);
-    let id = (9..99).map(|i| format!("m-{i}")).find(|id| two.owner(id) == "a").expect("one of a's");
+    let id = (9..99)
+        .map(|i| format!("m-{i}"))
+        .find(|id| two.owner(id) == "a")
+        .expect("one of a's");
     let page = json!({"b": "k", "z": "e", "s": false, "u": true, "a": "x:1"});
     two.put(&format!("fw/r/{id}"), page);
     let record = two.mirror.roster[id.as_str()].0.clone();
@@ -466,7 +594,10 @@
     let part = two.parts.get_mut("a").expect("a part");
     part.list(&id.as_str().into(), &record, now);
     assert!(part.fenced_machines().iter().any(|fenced| **fenced == *id));
-    assert!(!part.directs(&two.mirror, now + 9.0).iter().any(|direct| *direct.machine == *id));
+    assert!(!part
+        .directs(&two.mirror, now + 9.0)
+        .iter()
+        .any(|direct| *direct.machine == *id));
     two.workers.insert(id.as_str().into(), Worker::default());
     two.settles("it is the taker's");
     assert_eq!(two.owner(&id), "b");
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -130,7 +130,13 @@
     }
 
     /// Carries out commands at `now`; tasks of the jobs in `gangs` fetch first.
-    fn obey(&mut self, calls: &[Call], gangs: &HashSet<Arc<str>>, now: f64, started: &mut Vec<Task>) {
+    fn obey(
+        &mut self,
+        calls: &[Call],
+        gangs: &HashSet<Arc<str>>,
+        now: f64,
+        started: &mut Vec<Task>,
+    ) {
         for c in calls {
             match c {
                 Call::Start { task, attempt } => match self.tasks.get(task) {
@@ -141,7 +147,11 @@
                     _ => {
                         let named = Task::parse(task).expect("a task");
                         let gang = gangs.contains(&named.job);
-                        let state = if gang { TaskState::Fetching } else { TaskState::Running };
+                        let state = if gang {
+                            TaskState::Fetching
+                        } else {
+                            TaskState::Running
+                        };
                         self.tasks.insert(task.clone(), (*attempt, state, None));
                         // Some images are there, others take seconds.
                         let fetch_s = (self.seq % 4) as f64;
@@ -157,7 +167,11 @@
                     }
                 }
                 Call::Forget { task, attempt } => {
-                    if self.tasks.get(task).is_some_and(|t| t.0 == *attempt && t.1 == TaskState::Ended) {
+                    if self
+                        .tasks
+                        .get(task)
+                        .is_some_and(|t| t.0 == *attempt && t.1 == TaskState::Ended)
+                    {
                         self.tasks.remove(task);
                     }
                 }
@@ -186,13 +200,45 @@
 
 #[derive(Clone)]
 enum Packet {
-    Report { to: usize, report: Report, sent: f64 },
-    Answer { machine: usize, session: u64, seq: u64, sent: f64, token: u64, calls: Vec<Call> },
-    Direct { from: usize, inc: u64, machine: usize, body: Commands },
-    DirectDone { to: usize, inc: u64, body: Commands, report: Option<Report>, machine: usize },
-    Part { to: usize, report: Box<PartReport> },
-    Orders { to: usize, orders: Box<Orders> },
-    CancellationNotice { to: usize, job: Arc<str>, version: u64 },
+    Report {
+        to: usize,
+        report: Report,
+        sent: f64,
+    },
+    Answer {
+        machine: usize,
+        session: u64,
+        seq: u64,
+        sent: f64,
+        token: u64,
+        calls: Vec<Call>,
+    },
+    Direct {
+        from: usize,
+        inc: u64,
+        machine: usize,
+        body: Commands,
+    },
+    DirectDone {
+        to: usize,
+        inc: u64,
+        body: Commands,
+        report: Option<Report>,
+        machine: usize,
+    },
+    Part {
+        to: usize,
+        report: Box<PartReport>,
+    },
+    Orders {
+        to: usize,
+        orders: Box<Orders>,
+    },
+    CancellationNotice {
+        to: usize,
+        job: Arc<str>,
+        version: u64,
+    },
 }
 
 struct World {
@@ -254,7 +300,12 @@
             now: 0.0,
             log: Vec::new(),
             version: 0,
-            epoch: Epoch { n: 0, members: BTreeMap::new(), leader: String::new(), shares: false },
+            epoch: Epoch {
+                n: 0,
+                members: BTreeMap::new(),
+                leader: String::new(),
+                shares: false,
+            },
             shares,
             table: ShareTable::default(),
             table_version: 0,
@@ -298,7 +349,10 @@
             boot_s: 5.0,
             zones: vec!["z0".into(), "z1".into()],
         };
-        w.put("fw/c", serde_json::to_value(Catalog { types: vec![kind] }).expect("json"));
+        w.put(
+            "fw/c",
+            serde_json::to_value(Catalog { types: vec![kind] }).expect("json"),
+        );
         for _ in 0..5 {
             w.rent();
         }
@@ -324,7 +378,10 @@
             at_ms: 0,
             addr: Some(id.as_str().into()),
         };
-        self.put(&format!("fw/r/{id}"), serde_json::to_value(r).expect("json"));
+        self.put(
+            &format!("fw/r/{id}"),
+            serde_json::to_value(r).expect("json"),
+        );
         self.workers.push(Worker {
             id,
             zone,
@@ -338,12 +395,17 @@
     /// The leader has a machine deleted: with the answer it is gone, and off
     /// the roster a little later. Another comes in its place.
     fn delete(&mut self, id: &str) {
-        let Some(w) = self.workers.iter_mut().find(|w| w.id == id && w.alive) else { return };
+        let Some(w) = self.workers.iter_mut().find(|w| w.id == id && w.alive) else {
+            return;
+        };
         w.alive = false;
         w.tasks.clear();
         self.deleted += 1;
         self.version += 1;
-        self.log.push(Event::Delete { key: format!("fw/r/{id}"), version: self.version });
+        self.log.push(Event::Delete {
+            key: format!("fw/r/{id}"),
+            version: self.version,
+        });
         self.rent();
     }
 
@@ -352,7 +414,11 @@
         if let Some(id) = key.strip_prefix("fw/j/") {
             self.versions.insert(id.into(), self.version);
         }
-        self.log.push(Event::Put { key: key.into(), value, version: self.version });
+        self.log.push(Event::Put {
+            key: key.into(),
+            value,
+            version: self.version,
+        });
     }
 
     /// A node starts: its old incarnation is gone, so a new epoch may follow.
@@ -417,7 +483,12 @@
     fn next_epoch(&mut self, members: BTreeMap<String, u64>) {
         let live = members
             .iter()
-            .map(|(n, &inc)| (n.clone(), (finchwood::jobs::Member::new(inc, self.shares), 1)))
+            .map(|(n, &inc)| {
+                (
+                    n.clone(),
+                    (finchwood::jobs::Member::new(inc, self.shares), 1),
+                )
+            })
             .collect();
         let present = (self.epoch.n > 0).then(|| self.epoch.clone());
         if let Some(e) = membership::next_epoch(present.as_ref(), &live) {
@@ -429,11 +500,28 @@
     /// A message is lost; whoever waits for the answer to a direct command gives up.
     fn give_up(&mut self, lost: Packet) {
         let (to, inc, body, machine) = match lost {
-            Packet::Direct { from, inc, machine, body } => (from, inc, body, machine),
-            Packet::DirectDone { to, inc, body, machine, .. } => (to, inc, body, machine),
+            Packet::Direct {
+                from,
+                inc,
+                machine,
+                body,
+            } => (from, inc, body, machine),
+            Packet::DirectDone {
+                to,
+                inc,
+                body,
+                machine,
+                ..
+            } => (to, inc, body, machine),
             _ => return,
         };
-        let given_up = Packet::DirectDone { to, inc, body, report: None, machine };
+        let given_up = Packet::DirectDone {
+            to,
+            inc,
+            body,
+            report: None,
+            machine,
+        };
         self.net.push((self.now + GIVE_UP, given_up));
     }
 
@@ -460,8 +548,10 @@
     fn members_of(&self, job: &Arc<str>) -> Vec<(usize, String, u64, TaskState)> {
         let prefix = format!("{job}/");
         let alive = self.workers.iter().enumerate().filter(|(_, w)| w.alive);
-        let all = alive.flat_map(|(i, w)| w.tasks.iter().map(move |(t, l)| (i, t.clone(), l.0, l.1)));
-        all.filter(|(_, t, _, state)| t.starts_with(&prefix) && *state != TaskState::Ended).collect()
+        let all =
+            alive.flat_map(|(i, w)| w.tasks.iter().map(move |(t, l)| (i, t.clone(), l.0, l.1)));
+        all.filter(|(_, t, _, state)| t.starts_with(&prefix) && *state != TaskState::Ended)
+            .collect()
     }
 
     fn end_member(&mut self, worker: usize, task: &str, why: &str) {
@@ -485,12 +575,16 @@
                     continue;
                 }
                 match state {
-                    TaskState::Fetching if self.completed.contains(&job) => self.end_member(i, &task, "done"),
+                    TaskState::Fetching if self.completed.contains(&job) => {
+                        self.end_member(i, &task, "done")
+                    }
                     TaskState::Fetching => {
                         w.gang_since.insert(task.clone(), now);
                         w.tasks.get_mut(&task).expect("it is there").1 = TaskState::Gathering;
                     }
-                    TaskState::Gathering if now - since > GANG_WAIT => self.end_member(i, &task, "alone"),
+                    TaskState::Gathering if now - since > GANG_WAIT => {
+                        self.end_member(i, &task, "alone")
+                    }
                     _ => {}
                 }
             }
@@ -506,22 +600,40 @@
         }
     }
 
-    fn attempt_round(&mut self, job: &Arc<str>, attempt: u64, members: Vec<(usize, String, u64, TaskState)>) {
+    fn attempt_round(
+        &mut self,
+        job: &Arc<str>,
+        attempt: u64,
+        members: Vec<(usize, String, u64, TaskState)>,
+    ) {
         let now = self.now;
         let tasks = self.specs[job].tasks as usize;
         let awake = |m: &&(usize, String, u64, TaskState)| now >= self.workers[m.0].hung_until;
-        let in_state = |state: TaskState| members.iter().filter(awake).filter(|m| m.3 == state).count();
+        let in_state = |state: TaskState| {
+            members
+                .iter()
+                .filter(awake)
+                .filter(|m| m.3 == state)
+                .count()
+        };
         let key = (job.clone(), attempt);
         if in_state(TaskState::Gathering) == tasks {
-            self.running_gangs.insert(key.clone(), (now + self.rng.gen_range(10.0..90.0), None));
+            self.running_gangs
+                .insert(key.clone(), (now + self.rng.gen_range(10.0..90.0), None));
             self.gang_runs += 1;
             for m in &members {
-                self.workers[m.0].tasks.get_mut(&m.1).expect("it is there").1 = TaskState::Running;
+                self.workers[m.0]
+                    .tasks
+                    .get_mut(&m.1)
+                    .expect("it is there")
+                    .1 = TaskState::Running;
             }
             return;
         }
         let whole = in_state(TaskState::Running) == tasks;
-        let Some((ends, broken)) = self.running_gangs.get_mut(&key) else { return };
+        let Some((ends, broken)) = self.running_gangs.get_mut(&key) else {
+            return;
+        };
         if !whole && broken.is_none() {
             *broken = Some(now);
             self.gang_failures += 1;
@@ -534,9 +646,15 @@
             }
             _ => return,
         };
-        let running: Vec<_> = members.into_iter().filter(|m| m.3 == TaskState::Running).collect();
-        for (i, task, _, _) in
-            running.iter().filter(|m| now >= self.workers[m.0].hung_until).cloned().collect::<Vec<_>>()
+        let running: Vec<_> = members
+            .into_iter()
+            .filter(|m| m.3 == TaskState::Running)
+            .collect();
+        for (i, task, _, _) in running
+            .iter()
+            .filter(|m| now >= self.workers[m.0].hung_until)
+            .cloned()
+            .collect::<Vec<_>>()
         {
             self.end_member(i, &task, why);
         }
@@ -547,10 +665,18 @@
     fn check_gang(&self, machine: usize, task: &Task) {
         let members = self.members_of(&task.job);
         let attempts: HashSet<u64> = members.iter().map(|m| m.2).collect();
-        assert_eq!(attempts.len(), 1, "{task} starts beside another attempt at {}: {members:?}", self.now);
+        assert_eq!(
+            attempts.len(),
+            1,
+            "{task} starts beside another attempt at {}: {members:?}",
+            self.now
+        );
         let zone = &self.workers[machine].zone;
         let elsewhere = members.iter().any(|m| self.workers[m.0].zone != *zone);
-        assert!(!(self.specs[&task.job].one_zone && elsewhere), "{task} starts in {zone}: {members:?}");
+        assert!(
+            !(self.specs[&task.job].one_zone && elsewhere),
+            "{task} starts in {zone}: {members:?}"
+        );
     }
 
     /// The check: at every moment a task is on one machine at most, a team
@@ -560,7 +686,12 @@
             let on: Vec<&str> = self
                 .workers
                 .iter()
-                .filter(|w| w.alive && w.tasks.get(&t.to_string()).is_some_and(|x| x.1 != TaskState::Ended))
+                .filter(|w| {
+                    w.alive
+                        && w.tasks
+                            .get(&t.to_string())
+                            .is_some_and(|x| x.1 != TaskState::Ended)
+                })
                 .map(|w| w.id.as_str())
                 .collect();
             assert_eq!(on.len(), 1, "{t} is on {on:?} at {}", self.now);
@@ -577,11 +708,18 @@
                     .map(|w| {
                         w.tasks
                             .iter()
-                            .filter(|(k, v)| k.starts_with(&format!("{}/", t.job)) && v.1 != TaskState::Ended)
+                            .filter(|(k, v)| {
+                                k.starts_with(&format!("{}/", t.job)) && v.1 != TaskState::Ended
+                            })
                             .count()
                     })
                     .sum();
-                assert!(n as u32 <= spec.zone_cap(), "{} has {n} tasks in {zone} at {}", t.job, self.now);
+                assert!(
+                    n as u32 <= spec.zone_cap(),
+                    "{} has {n} tasks in {zone} at {}",
+                    t.job,
+                    self.now
+                );
             }
         }
         let used: usize = self
@@ -590,29 +728,39 @@
             .filter(|w| w.alive)
             .map(|w| w.tasks.values().filter(|v| v.1 != TaskState::Ended).count())
             .sum();
-        assert!(used as f64 <= TEAM_CPUS, "the team uses {used} CPUs at {}", self.now);
+        assert!(
+            used as f64 <= TEAM_CPUS,
+            "the team uses {used} CPUs at {}",
+            self.now
+        );
     }
 
     fn deliver(&mut self, p: Packet) {
         let now = self.now;
         match p {
             Packet::Report { to, report, sent } => {
-                let mute = self.workers.iter().any(|w| w.id == *report.machine && now < w.mute_until);
+                let mute = self
+                    .workers
+                    .iter()
+                    .any(|w| w.id == *report.machine && now < w.mute_until);
                 if mute {
                     return;
                 }
                 let entitled = self.entitled(to);
                 let node = &mut self.nodes[to];
-                let member =
-                    node.mirror.epoch.as_ref().is_some_and(|e| {
-                        e.members.get(NODES[to]) == Some(&node.inc) && node.part.epoch() == e.n
-                    });
+                let member = node.mirror.epoch.as_ref().is_some_and(|e| {
+                    e.members.get(NODES[to]) == Some(&node.inc) && node.part.epoch() == e.n
+                });
                 if !entitled || !member || node.part.epoch() == 0 {
                     return;
                 }
-                let Some(machine) = self.workers.iter().position(|w| w.id == *report.machine) else { return };
+                let Some(machine) = self.workers.iter().position(|w| w.id == *report.machine)
+                else {
+                    return;
+                };
                 let epoch = node.mirror.epoch.clone().expect("an epoch");
-                let owner = membership::owner_by_shares(&epoch, &node.mirror.shares, &report.machine);
+                let owner =
+                    membership::owner_by_shares(&epoch, &node.mirror.shares, &report.machine);
                 let owner = owner.expect("an owner").to_string();
                 if owner != NODES[to] {
                     return;
@@ -621,10 +769,24 @@
                 if let ReportReply::Commands { token, commands } =
                     node.part.report(&report, false, &node.mirror, now)
                 {
-                    self.send(Packet::Answer { machine, session, seq, sent, token, calls: commands });
+                    self.send(Packet::Answer {
+                        machine,
+                        session,
+                        seq,
+                        sent,
+                        token,
+                        calls: commands,
+                    });
                 }
             }
-            Packet::Answer { machine, session, seq, sent, token, calls } => {
+            Packet::Answer {
+                machine,
+                session,
+                seq,
+                sent,
+                token,
+                calls,
+            } => {
                 let w = &mut self.workers[machine];
                 // Answers come within four seconds or not at all.
                 if !w.alive
@@ -646,14 +808,32 @@
                 self.starts += started.len() as u32;
                 self.check(machine, &started);
             }
-            Packet::Direct { from, inc, machine, body } => {
+            Packet::Direct {
+                from,
+                inc,
+                machine,
+                body,
+            } => {
                 let w = &mut self.workers[machine];
                 if !w.alive || now < w.deaf_until {
-                    return self.give_up(Packet::Direct { from, inc, machine, body });
+                    return self.give_up(Packet::Direct {
+                        from,
+                        inc,
+                        machine,
+                        body,
+                    });
                 }
                 if now < w.hung_until {
                     let after = w.hung_until + 0.05;
-                    return self.net.push((after, Packet::Direct { from, inc, machine, body }));
+                    return self.net.push((
+                        after,
+                        Packet::Direct {
+                            from,
+                            inc,
+                            machine,
+                            body,
+                        },
+                    ));
                 }
                 w.expire_lease(now);
                 let mut started = Vec::new();
@@ -664,13 +844,26 @@
                 let report = Some(w.report());
                 self.starts += started.len() as u32;
                 self.check(machine, &started);
-                self.send(Packet::DirectDone { to: from, inc, body, report, machine });
+                self.send(Packet::DirectDone {
+                    to: from,
+                    inc,
+                    body,
+                    report,
+                    machine,
+                });
             }
-            Packet::DirectDone { to, inc, body, report, machine } => {
+            Packet::DirectDone {
+                to,
+                inc,
+                body,
+                report,
+                machine,
+            } => {
                 let id: Arc<str> = self.workers[machine].id.as_str().into();
                 let node = &mut self.nodes[to];
                 if node.alive && node.inc == inc {
-                    node.part.direct_done(&id, &body, report.as_ref(), &node.mirror, now);
+                    node.part
+                        .direct_done(&id, &body, report.as_ref(), &node.mirror, now);
                 }
             }
             Packet::Part { to, report } => {
@@ -692,7 +885,10 @@
                         if let Some(mut orders) = node.leader.orders(&from) {
                             orders.handovers = node.handovers.orders_for(&from);
                             let to = NODES.iter().position(|n| *n == from).expect("a node");
-                            self.send(Packet::Orders { to, orders: Box::new(orders) });
+                            self.send(Packet::Orders {
+                                to,
+                                orders: Box::new(orders),
+                            });
                         }
                     }
                 }
@@ -701,7 +897,12 @@
                 let (linked, node) = (self.linked(to), &mut self.nodes[to]);
                 if linked && node.alive && node.mirror.apply_cancellation(&job, version, 0) {
                     node.part.job_changed(&job, &node.mirror);
-                    if node.mirror.epoch.as_ref().is_some_and(|e| e.leader == NODES[to]) {
+                    if node
+                        .mirror
+                        .epoch
+                        .as_ref()
+                        .is_some_and(|e| e.leader == NODES[to])
+                    {
                         node.leader.job_changed(&job, &node.mirror);
                     }
                     self.called_off += 1;
@@ -723,11 +924,19 @@
     /// machine, whatever became of stops. A machine that hangs can't kill it.
     fn check_cancelled(&self) {
         let bound = self.settings.outlives_cancel_s() + 0.5;
-        for w in self.workers.iter().filter(|w| w.alive && self.now >= w.hung_until) {
+        for w in self
+            .workers
+            .iter()
+            .filter(|w| w.alive && self.now >= w.hung_until)
+        {
             for (t, _) in w.tasks.iter().filter(|(_, l)| l.1 != TaskState::Ended) {
                 let job = Task::parse(t).expect("a task").job;
                 let age = self.cancelled.get(&job).map_or(0.0, |at| self.now - at);
-                assert!(age <= bound, "{t} is on {} {age:.1} s after its cancellation", w.id);
+                assert!(
+                    age <= bound,
+                    "{t} is on {} {age:.1} s after its cancellation",
+                    w.id
+                );
             }
         }
     }
@@ -756,7 +965,12 @@
                 }
                 finchwood::jobs::Change::Job(id) => {
                     node.part.job_changed(&id, &node.mirror);
-                    if node.mirror.epoch.as_ref().is_some_and(|e| e.leader == NODES[i]) {
+                    if node
+                        .mirror
+                        .epoch
+                        .as_ref()
+                        .is_some_and(|e| e.leader == NODES[i])
+                    {
                         node.leader.job_changed(&id, &node.mirror);
                     }
                 }
@@ -764,7 +978,8 @@
                     let e = node.mirror.epoch.clone();
                     let table = node.mirror.shares.clone();
                     let mine = |id: &str| {
-                        let owner = |e| membership::owner_by_shares(e, &table, id) == Some(NODES[i]);
+                        let owner =
+                            |e| membership::owner_by_shares(e, &table, id) == Some(NODES[i]);
                         e.as_ref().is_some_and(owner)
                     };
                     for id in ids {
@@ -776,7 +991,11 @@
                     }
                 }
                 finchwood::jobs::Change::Shares => {
-                    let Some(e) = node.mirror.epoch.clone().filter(|e| e.shares && e.n == node.part.epoch())
+                    let Some(e) = node
+                        .mirror
+                        .epoch
+                        .clone()
+                        .filter(|e| e.shares && e.n == node.part.epoch())
                     else {
                         continue;
                     };
@@ -795,14 +1014,20 @@
     fn move_shares(&mut self, i: usize, reached: bool) {
         let now = self.now;
         let node = &mut self.nodes[i];
-        let Some(e) = node.mirror.epoch.clone().filter(|e| e.shares) else { return };
+        let Some(e) = node.mirror.epoch.clone().filter(|e| e.shares) else {
+            return;
+        };
         node.handovers.table_is(&node.mirror.shares, now);
         if node.table_refused_at.is_some_and(|at| node.fresh_at > at) {
             node.handovers.refused(now);
             node.table_refused_at = None;
         }
         node.handovers.withdraw_stale(9.0, now);
-        self.moved += node.handovers.ended.remove(&HandoverEnd::Owned).unwrap_or(0);
+        self.moved += node
+            .handovers
+            .ended
+            .remove(&HandoverEnd::Owned)
+            .unwrap_or(0);
         if reached && node.table_refused_at.is_none() {
             if let Some(write) = node.handovers.to_write(&node.mirror.shares, now) {
                 let (version, epoch) = (node.mirror.shares_version, e.n);
@@ -817,7 +1042,9 @@
         if self.calm || !self.rng.gen_bool(0.15) {
             return;
         }
-        let id = self.workers[self.rng.gen_range(0..self.workers.len())].id.clone();
+        let id = self.workers[self.rng.gen_range(0..self.workers.len())]
+            .id
+            .clone();
         let taker = NODES[self.rng.gen_range(0..NODES.len())];
         let node = &mut self.nodes[i];
         let home = membership::owner(&e.members, &id).expect("a home");
@@ -825,10 +1052,21 @@
         // One machine, many, or all of a home.
         let reach = [0, u64::MAX / 4, u64::MAX][self.rng.gen_range(0..3)];
         let (first, last) = (at.saturating_sub(reach), at.saturating_add(reach));
-        let range = ShareRange { home: home.into(), first, last };
-        let Some(giver) = node.mirror.shares.sole_owner(&range).map(String::from) else { return };
+        let range = ShareRange {
+            home: home.into(),
+            first,
+            last,
+        };
+        let Some(giver) = node.mirror.shares.sole_owner(&range).map(String::from) else {
+            return;
+        };
         if e.members.contains_key(&giver) && e.members.contains_key(taker) {
-            let wanted = WantedMove { range, giver, taker: taker.into(), reason: MoveReason::Plan };
+            let wanted = WantedMove {
+                range,
+                giver,
+                taker: taker.into(),
+                reason: MoveReason::Plan,
+            };
             node.handovers.begin(wanted, now);
         }
     }
@@ -880,14 +1118,25 @@
         }
         // The leader that had a machine deleted knows that it is gone; here all
         // leaders do, which is more than they may.
-        let gone: HashSet<String> = self.workers.iter().filter(|w| !w.alive).map(|w| w.id.clone()).collect();
+        let gone: HashSet<String> = self
+            .workers
+            .iter()
+            .filter(|w| !w.alive)
+            .map(|w| w.id.clone())
+            .collect();
         let node = &mut self.nodes[i];
-        let Some(e) = node.mirror.epoch.clone() else { return };
+        let Some(e) = node.mirror.epoch.clone() else {
+            return;
+        };
         if !node.alive || e.members.get(NODES[i]) != Some(&node.inc) || node.part.epoch() != e.n {
             return;
         }
         node.part.expire_leases(now);
-        node.part.place(&node.mirror, finchwood::clock::When { now, day_ms: 0 }, || true);
+        node.part.place(
+            &node.mirror,
+            finchwood::clock::When { now, day_ms: 0 },
+            || true,
+        );
         node.part.forget_what_is_over(&node.mirror, now);
         let directs = node.part.directs(&node.mirror, now);
         let snapshot = node.part.snapshot(&node.mirror, now);
@@ -895,7 +1144,8 @@
         let mut finishes = Vec::new();
         let mut unreached: Vec<String> = Vec::new();
         if e.leader == NODES[i] {
-            node.leader.resolve(&node.mirror, &|id| gone.contains(&**id));
+            node.leader
+                .resolve(&node.mirror, &|id| gone.contains(&**id));
             node.leader.assign_tasks(&node.mirror, now, || true);
             if reached {
                 finishes = node.leader.finishes(now, 9, &node.mirror);
@@ -912,9 +1162,16 @@
                     .take(1)
                     .collect();
                 let after = self.settings.evict_after_s();
-                let machines_with_cancelled_tasks =
-                    node.leader.machines_with_cancelled_tasks(&node.mirror, (now * 1000.0) as u64, after);
-                unreached.extend(machines_with_cancelled_tasks.iter().map(ToString::to_string));
+                let machines_with_cancelled_tasks = node.leader.machines_with_cancelled_tasks(
+                    &node.mirror,
+                    (now * 1000.0) as u64,
+                    after,
+                );
+                unreached.extend(
+                    machines_with_cancelled_tasks
+                        .iter()
+                        .map(ToString::to_string),
+                );
             }
             orders = NODES.iter().filter_map(|n| node.leader.orders(n)).collect();
             for o in &mut orders {
@@ -923,20 +1180,31 @@
         }
         let inc = node.inc;
         for d in directs {
-            let machine = self.workers.iter().position(|w| w.id == *d.machine).expect("a machine");
+            let machine = self
+                .workers
+                .iter()
+                .position(|w| w.id == *d.machine)
+                .expect("a machine");
             if self.rng.gen_bool(0.1) {
                 // No answer will come: the caller gives up, the command may live.
                 let (body, id) = (d.body.clone(), d.machine.clone());
                 let node = &mut self.nodes[i];
                 node.part.direct_done(&id, &body, None, &node.mirror, now);
             }
-            self.send(Packet::Direct { from: i, inc, machine, body: d.body });
+            self.send(Packet::Direct {
+                from: i,
+                inc,
+                machine,
+                body: d.body,
+            });
         }
         for id in unreached {
             self.delete(&id);
         }
         for f in finishes {
-            let Some(version) = self.nodes[i].mirror.jobs.get(&f.job).map(|j| j.version) else { continue };
+            let Some(version) = self.nodes[i].mirror.jobs.get(&f.job).map(|j| j.version) else {
+                continue;
+            };
             if self.rng.gen_bool(0.1) {
                 let at = now + self.rng.gen_range(2.0..12.0);
                 self.late.push((at, version, f.job, f.tasks));
@@ -948,10 +1216,16 @@
             return;
         }
         let to = NODES.iter().position(|n| *n == e.leader).expect("a leader");
-        self.send(Packet::Part { to, report: Box::new(snapshot) });
+        self.send(Packet::Part {
+            to,
+            report: Box::new(snapshot),
+        });
         for o in orders {
             let to = NODES.iter().position(|n| *n == o.node).expect("a node");
-            self.send(Packet::Orders { to, orders: Box::new(o) });
+            self.send(Packet::Orders {
+                to,
+                orders: Box::new(o),
+            });
         }
     }
 
@@ -960,9 +1234,15 @@
         if self.versions.get(job) != Some(&version) {
             return;
         }
-        assert!(!self.cancelled.contains_key(job), "{job} was cancelled and its end is committed");
+        assert!(
+            !self.cancelled.contains_key(job),
+            "{job} was cancelled and its end is committed"
+        );
         let gang = self.gangs.contains(job);
-        assert!(!gang || self.completed.contains(job), "the end of {job} is committed, and it has not ended");
+        assert!(
+            !gang || self.completed.contains(job),
+            "the end of {job} is committed, and it has not ended"
+        );
         let done = self.finished.entry(job.clone()).or_default();
         for &t in tasks {
             if done.insert(t) {
@@ -984,7 +1264,10 @@
                 done: true,
                 cancelled_at_ms: None,
             };
-            self.put(&format!("fw/j/{job}"), serde_json::to_value(r).expect("json"));
+            self.put(
+                &format!("fw/j/{job}"),
+                serde_json::to_value(r).expect("json"),
+            );
         } else {
             self.put(&format!("fw/f/{job}/0"), bits.hex(0, n).into());
         }
@@ -1013,13 +1296,21 @@
             done: false,
             cancelled_at_ms: None,
         };
-        self.put(&format!("fw/j/{}", s.id), serde_json::to_value(r).expect("json"));
+        self.put(
+            &format!("fw/j/{}", s.id),
+            serde_json::to_value(r).expect("json"),
+        );
     }
 
     fn cancel(&mut self, n: u32) {
         let id: Arc<str> = format!("wk-{n}").into();
-        let Some(s) = self.specs.get(&id).cloned() else { return };
-        let over = self.finished.get(&id).is_some_and(|f| f.len() as u32 == s.tasks);
+        let Some(s) = self.specs.get(&id).cloned() else {
+            return;
+        };
+        let over = self
+            .finished
+            .get(&id)
+            .is_some_and(|f| f.len() as u32 == s.tasks);
         if over || self.cancelled.contains_key(&id) {
             return;
         }
@@ -1033,11 +1324,18 @@
             done: false,
             cancelled_at_ms: Some((self.now * 1000.0) as u64),
         };
-        self.put(&format!("fw/j/{id}"), serde_json::to_value(r).expect("json"));
+        self.put(
+            &format!("fw/j/{id}"),
+            serde_json::to_value(r).expect("json"),
+        );
         // The others are told as well; nothing rests on that.
         for to in 0..NODES.len() {
             if self.rng.gen_bool(0.5) {
-                self.send(Packet::CancellationNotice { to, job: id.clone(), version: self.version });
+                self.send(Packet::CancellationNotice {
+                    to,
+                    job: id.clone(),
+                    version: self.version,
+                });
             }
         }
     }
@@ -1079,8 +1377,16 @@
             let to = self.rng.gen_range(0..NODES.len());
             let owner = membership::owner_by_shares(&self.epoch, &self.table, &report.machine)
                 .and_then(|o| NODES.iter().position(|n| *n == o));
-            let to = if self.rng.gen_bool(0.8) { owner.unwrap_or(to) } else { to };
-            self.send(Packet::Report { to, report, sent: now });
+            let to = if self.rng.gen_bool(0.8) {
+                owner.unwrap_or(to)
+            } else {
+                to
+            };
+            self.send(Packet::Report {
+                to,
+                report,
+                sent: now,
+            });
         }
     }
 
@@ -1090,8 +1396,9 @@
         while self.now < seconds {
             self.now += 0.1;
             let now = self.now;
-            let (due, rest): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.net).into_iter().partition(|p| p.0 <= now);
+            let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.net)
+                .into_iter()
+                .partition(|p| p.0 <= now);
             self.net = rest;
             for (_, p) in due {
                 self.deliver(p);
@@ -1122,7 +1429,8 @@
                 // One that is cut off loses its lease, never early.
                 let n = &self.nodes[i];
                 let past = n.cut_until.max(n.refused_until) > now && now - n.fresh_at > LIFE;
-                if past && now >= self.outage_until && self.epoch.members.get(*name) == Some(&n.inc) {
+                if past && now >= self.outage_until && self.epoch.members.get(*name) == Some(&n.inc)
+                {
                     self.shun(i);
                 }
             }
@@ -1163,9 +1471,16 @@
         }
         if self.rng.gen_bool(0.001) {
             // Many fall together: most of a zone, or half of all.
-            let (until, zone) = (now + self.rng.gen_range(5.0..3.0 * LEASE), self.rng.gen_range(0..3));
+            let (until, zone) = (
+                now + self.rng.gen_range(5.0..3.0 * LEASE),
+                self.rng.gen_range(0..3),
+            );
             for (i, w) in self.workers.iter_mut().enumerate() {
-                let falls = if zone == 2 { i % 4 < 2 } else { w.zone == format!("z{zone}") && i % 8 > 1 };
+                let falls = if zone == 2 {
+                    i % 4 < 2
+                } else {
+                    w.zone == format!("z{zone}") && i % 8 > 1
+                };
                 if falls {
                     w.deaf_until = until;
                 }
@@ -1188,8 +1503,15 @@
         if self.rng.gen_bool(0.002) {
             // The gap: one is refused alone, jobs are cancelled through others,
             // and then nobody is answered for longer than a cancellation has.
-            let leader = NODES.iter().position(|n| *n == self.epoch.leader).unwrap_or(0);
-            let i = if self.rng.gen_bool(0.7) { leader } else { self.rng.gen_range(0..NODES.len()) };
+            let leader = NODES
+                .iter()
+                .position(|n| *n == self.epoch.leader)
+                .unwrap_or(0);
+            let i = if self.rng.gen_bool(0.7) {
+                leader
+            } else {
+                self.rng.gen_range(0..NODES.len())
+            };
             self.nodes[i].refused_until = now + self.rng.gen_range(1.0..3.0 * LIFE);
             self.refused += 1;
             self.gap_at = now + self.rng.gen_range(0.2..LIFE);
@@ -1288,7 +1610,11 @@
 }
 
 fn fresh_node(i: usize) -> Node {
-    let timing = Timing { report_s: 3.0, lease_s: LEASE, member_life_s: LIFE };
+    let timing = Timing {
+        report_s: 3.0,
+        lease_s: LEASE,
+        member_life_s: LIFE,
+    };
     Node {
         inc: 0,
         alive: false,
@@ -1319,11 +1645,23 @@
         for worker in w.workers.iter().filter(|worker| worker.alive) {
             let owner = membership::owner_by_shares(&w.epoch, &w.table, &worker.id);
             let lists = |n: &&Node| n.part.listed_machines().iter().any(|id| **id == *worker.id);
-            let owners: Vec<&str> =
-                NODES.iter().zip(&w.nodes).filter(|(_, n)| lists(n)).map(|(name, _)| *name).collect();
-            assert_eq!(owners, owner.into_iter().collect::<Vec<_>>(), "seed {seed}: {}", worker.id);
+            let owners: Vec<&str> = NODES
+                .iter()
+                .zip(&w.nodes)
+                .filter(|(_, n)| lists(n))
+                .map(|(name, _)| *name)
+                .collect();
+            assert_eq!(
+                owners,
+                owner.into_iter().collect::<Vec<_>>(),
+                "seed {seed}: {}",
+                worker.id
+            );
         }
-        assert!(w.nodes.iter().all(|n| n.part.fenced_machines().is_empty()), "seed {seed}: still fenced");
+        assert!(
+            w.nodes.iter().all(|n| n.part.fenced_machines().is_empty()),
+            "seed {seed}: still fenced"
+        );
         moved += w.moved;
         starts += w.starts;
         committed += w.committed;
@@ -1345,10 +1683,18 @@
         w.calm_down();
         w.run(500.0);
         w.check_all_is_over(seed);
-        let gone: HashSet<&str> = w.workers.iter().filter(|w| !w.alive).map(|w| w.id.as_str()).collect();
+        let gone: HashSet<&str> = w
+            .workers
+            .iter()
+            .filter(|w| !w.alive)
+            .map(|w| w.id.as_str())
+            .collect();
         for n in &mut w.nodes {
             let told = n.part.snapshot(&n.mirror, 500.0);
-            assert!(!told.machines.iter().any(|m| gone.contains(&*m.id)), "a deleted machine is back");
+            assert!(
+                !told.machines.iter().any(|m| gone.contains(&*m.id)),
+                "a deleted machine is back"
+            );
         }
         starts += w.starts;
         committed += w.committed;
@@ -1364,7 +1710,10 @@
     }
     println!("{gang_runs} runs of gangs, {gang_failures} failures, {gangs_done} done");
     assert!(gang_runs > 200, "only {gang_runs} times did a gang run");
-    assert!(gang_failures > 20, "only {gang_failures} running gangs lost a task");
+    assert!(
+        gang_failures > 20,
+        "only {gang_failures} running gangs lost a task"
+    );
     assert!(gangs_done > 150, "only {gangs_done} gangs completed");
     // The world is hostile, but work gets through it.
     assert!(starts > 1000, "only {starts} starts");
@@ -1374,5 +1723,8 @@
     assert!(away > 5, "only {away} times was everybody away");
     assert!(refused > 20, "only {refused} controllers refused alone");
     assert!(muted > 20, "only {muted} machines mute");
-    assert!(called_off > 20, "only {called_off} cancellations told by others");
+    assert!(
+        called_off > 20,
+        "only {called_off} cancellations told by others"
+    );
 }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -19,20 +19,31 @@
 use std::time::Duration;
 
 fn echo(connections: usize) -> SocketAddr {
-    let addr = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-    server::listen("echo", addr, Limits { connections, body: 4096 }, |request, reply| {
-        match request.path.as_str() {
+    let addr = TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a port");
+    server::listen(
+        "echo",
+        addr,
+        Limits {
+            connections,
+            body: 4096,
+        },
+        |request, reply| match request.path.as_str() {
             "/past" => reply.send_until(200, request.body, 0.0),
             "/ahead" => reply.send_until(200, request.body, f64::MAX),
             _ => reply.send(200, request.body),
-        }
-    })
+        },
+    )
     .expect("listens");
     addr
 }
 
 fn ask(stream: &mut TcpStream, body: &str) -> String {
-    let text = format!("POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let text = format!(
+        "POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     stream.write_all(text.as_bytes()).expect("written");
     let mut got = Vec::new();
     let mut buffer = [0; 1024];
@@ -49,7 +60,9 @@
 
 fn connect(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).expect("connected");
-    stream.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(30)))
+        .expect("set");
     stream
 }
 
@@ -88,14 +101,18 @@
     let addr = echo(8);
     let answer = |path: &str| {
         let mut s = connect(addr);
-        let text = format!("POST {path} HTTP/1.1\r\nConnection: close\r\nContent-Length: 4\r\n\r\nstay");
+        let text =
+            format!("POST {path} HTTP/1.1\r\nConnection: close\r\nContent-Length: 4\r\n\r\nstay");
         s.write_all(text.as_bytes()).expect("written");
         let mut got = String::new();
         s.read_to_string(&mut got).expect("an answer");
         got
     };
     let ahead = answer("/ahead");
-    assert!(ahead.starts_with("HTTP/1.1 200") && ahead.ends_with("stay"), "{ahead}");
+    assert!(
+        ahead.starts_with("HTTP/1.1 200") && ahead.ends_with("stay"),
+        "{ahead}"
+    );
     let past = answer("/past");
     assert!(
         past.starts_with("HTTP/1.1 503") && past.contains("Retry-After") && !past.contains("stay"),
@@ -113,7 +130,10 @@
     let mut late = connect(addr);
     let _ = late.write_all(b"POST /x HTTP/1.1\r\nContent-Length: 1\r\n\r\nx");
     let mut buffer = [0; 64];
-    assert!(matches!(late.read(&mut buffer), Ok(0) | Err(_)), "the ninth is closed");
+    assert!(
+        matches!(late.read(&mut buffer), Ok(0) | Err(_)),
+        "the ninth is closed"
+    );
     assert!(ask(&mut first[3], "still here").starts_with("HTTP/1.1 200"));
     drop(first);
     // Their places are free again as soon as the server has seen them go.
@@ -145,7 +165,10 @@
         zone: "e".into(),
         spot: false,
         at_ms: 5,
-        machines: ids.iter().map(|(id, a)| ((*id).into(), a.map(Into::into))).collect(),
+        machines: ids
+            .iter()
+            .map(|(id, a)| ((*id).into(), a.map(Into::into)))
+            .collect(),
     }
 }
 
@@ -164,7 +187,8 @@
     fn new() -> Scene {
         let mut mirror = Mirror::new(8.0);
         let names: Vec<String> = (0..MACHINES).map(|i| format!("m-{i:03}")).collect();
-        let all: Vec<(&str, Option<&str>)> = names.iter().map(|n| (n.as_str(), Some("addr"))).collect();
+        let all: Vec<(&str, Option<&str>)> =
+            names.iter().map(|n| (n.as_str(), Some("addr"))).collect();
         mirror.put("fw/r/x.0", json!(page(&all)), 1);
         let spec: JobSpec = serde_json::from_value(json!({
             "id": "wk-1", "flock": "f", "nest": "t", "shape": "array", "rank": "low", "chicks": 1000,
@@ -182,11 +206,20 @@
             cancelled_at_ms: None,
         };
         mirror.put("fw/j/wk-1", json!(r), 2);
-        let timing = Timing { report_s: 3.0, lease_s: 20.0, member_life_s: 8.0 };
+        let timing = Timing {
+            report_s: 3.0,
+            lease_s: 20.0,
+            member_life_s: 8.0,
+        };
         let mut part = Part::new("a", timing, HashMap::new());
         part.enter(EPOCH, 7, &mirror, 0.0, |_| true);
         let tokens = vec![finchwood::membership::token(EPOCH, 0); MACHINES];
-        Scene { mirror, part, seqs: vec![0; MACHINES], tokens }
+        Scene {
+            mirror,
+            part,
+            seqs: vec![0; MACHINES],
+            tokens,
+        }
     }
 
     /// A machine reports that it runs these tasks, or is done with them.
@@ -195,7 +228,11 @@
         let line = |&(t, ended): &(u32, bool)| TaskLine {
             task: format!("wk-1/{t}"),
             attempt: 5,
-            state: if ended { TaskState::Ended } else { TaskState::Running },
+            state: if ended {
+                TaskState::Ended
+            } else {
+                TaskState::Running
+            },
             why: ended.then(|| "stopped".into()),
             saved: None,
         };
@@ -232,7 +269,9 @@
 
 /// What a leader believes of each machine.
 fn belief(l: &Leader) -> BTreeMap<String, (bool, u32)> {
-    l.machines().map(|m| (m.id.to_string(), (m.heard, m.tasks))).collect()
+    l.machines()
+        .map(|m| (m.id.to_string(), (m.heard, m.tasks)))
+        .collect()
 }
 
 /// Messages that hold only changes are lost, repeated and late; what the
@@ -251,10 +290,15 @@
             let now = 1.0 + f64::from(round) * 0.1;
             for _ in 0..3 {
                 let i = rng.gen_range(0..MACHINES);
-                let ended: Vec<u32> = on[i].iter().copied().filter(|_| rng.gen_bool(0.5)).collect();
+                let ended: Vec<u32> = on[i]
+                    .iter()
+                    .copied()
+                    .filter(|_| rng.gen_bool(0.5))
+                    .collect();
                 on[i].insert(next);
                 next += 1;
-                let lines: Vec<(u32, bool)> = on[i].iter().map(|t| (*t, ended.contains(t))).collect();
+                let lines: Vec<(u32, bool)> =
+                    on[i].iter().map(|t| (*t, ended.contains(t))).collect();
                 s.report(i, now, &lines);
                 on[i].retain(|t| !ended.contains(t));
             }
@@ -281,9 +325,15 @@
                 l.part_report(old, &s.mirror, now);
             }
         }
-        assert!(small * 2 > sent, "only {small} of {sent} messages were small");
+        assert!(
+            small * 2 > sent,
+            "only {small} of {sent} messages were small"
+        );
         let last = s.part.snapshot(&s.mirror, 20.0);
-        assert!(l.part_report(last, &s.mirror, 20.0), "the last is whole enough to be taken");
+        assert!(
+            l.part_report(last, &s.mirror, 20.0),
+            "the last is whole enough to be taken"
+        );
         // The same part, told to a leader that has heard nothing.
         let o = finchwood::fleet::Orders {
             epoch: EPOCH,
@@ -315,15 +365,37 @@
     s.report(0, 1.0, &[(1, false)]);
     let first = s.part.snapshot(&s.mirror, 1.0);
     let mut l = leader(&s.mirror);
-    let gap = PartReport { since: first.seq, seq: first.seq + 1, held: Vec::new(), ..first.clone() };
+    let gap = PartReport {
+        since: first.seq,
+        seq: first.seq + 1,
+        held: Vec::new(),
+        ..first.clone()
+    };
     assert!(!l.part_report(gap, &s.mirror, 1.1), "nothing to build on");
     assert_eq!(l.counts().1, 0);
-    assert!(!l.part_report(PartReport { epoch: EPOCH - 1, ..first.clone() }, &s.mirror, 1.2));
-    assert!(!l.part_report(PartReport { inc: 6, ..first.clone() }, &s.mirror, 1.2));
+    assert!(!l.part_report(
+        PartReport {
+            epoch: EPOCH - 1,
+            ..first.clone()
+        },
+        &s.mirror,
+        1.2
+    ));
+    assert!(!l.part_report(
+        PartReport {
+            inc: 6,
+            ..first.clone()
+        },
+        &s.mirror,
+        1.2
+    ));
     assert!(l.part_report(first.clone(), &s.mirror, 1.3));
     assert_eq!(l.counts().1, 1);
     assert_eq!(first.held[0].phase, Phase::Running);
-    assert!(!l.part_report(first, &s.mirror, 1.4), "a copy changes nothing");
+    assert!(
+        !l.part_report(first, &s.mirror, 1.4),
+        "a copy changes nothing"
+    );
 }
 
 /// A machine is off the roster only when no page has it any more, whatever
@@ -331,22 +403,43 @@
 #[test]
 fn roster_pages_come_change_and_go() {
     let mut m = Mirror::new(8.0);
-    m.put("fw/r/a.0", json!(page(&[("m-1", None), ("m-2", Some("x"))])), 1);
+    m.put(
+        "fw/r/a.0",
+        json!(page(&[("m-1", None), ("m-2", Some("x"))])),
+        1,
+    );
     assert!(!m.roster["m-1"].0.up && m.roster["m-2"].0.up);
     let old = json!({"b": "k", "z": "e", "s": true, "u": true, "t": 4, "a": "y"});
-    assert_eq!(m.put("fw/r/m-9", old, 2), Change::Machines(vec!["m-9".into()]));
+    assert_eq!(
+        m.put("fw/r/m-9", old, 2),
+        Change::Machines(vec!["m-9".into()])
+    );
     assert!(m.roster["m-9"].0.up && m.roster["m-9"].0.spot);
     // Found by another leader as well.
     m.put("fw/r/b.0", json!(page(&[("m-2", Some("x"))])), 3);
     m.put("fw/r/a.0", json!(page(&[("m-1", Some("z"))])), 4);
     assert!(m.roster.contains_key("m-2"), "page b still has it");
     assert!(m.roster["m-1"].0.up);
-    assert_eq!(m.put("fw/r/a.0", json!(page(&[])), 3), Change::Nothing, "older than known");
-    m.apply(Event::Delete { key: "fw/r/b.0".into(), version: 5 });
+    assert_eq!(
+        m.put("fw/r/a.0", json!(page(&[])), 3),
+        Change::Nothing,
+        "older than known"
+    );
+    m.apply(Event::Delete {
+        key: "fw/r/b.0".into(),
+        version: 5,
+    });
     assert!(!m.roster.contains_key("m-2"));
-    assert_eq!(m.put("fw/r/b.0", json!(page(&[("m-2", None)])), 4), Change::Nothing, "deleted since");
+    assert_eq!(
+        m.put("fw/r/b.0", json!(page(&[("m-2", None)])), 4),
+        Change::Nothing,
+        "deleted since"
+    );
     assert!(!m.roster.contains_key("m-2"));
-    assert!(m.put("fw/r/c.0", json!({"m": 7}), 6) == Change::Nothing, "nonsense changes nothing");
+    assert!(
+        m.put("fw/r/c.0", json!({"m": 7}), 6) == Change::Nothing,
+        "nonsense changes nothing"
+    );
 }
 
 /// One controller's return left everything that a cut zone had lost in doubt
@@ -360,7 +453,10 @@
         let mut l = Leader::new(&settings());
         let epoch = |n: u64, members: &[(&str, u64)]| Epoch {
             n,
-            members: members.iter().map(|(m, inc)| (m.to_string(), *inc)).collect(),
+            members: members
+                .iter()
+                .map(|(m, inc)| (m.to_string(), *inc))
+                .collect(),
             leader: "a".into(),
             shares: false,
         };
@@ -376,12 +472,35 @@
         s.part.enter(EPOCH + 1, a, &s.mirror, 2.1, |_| true);
         let told = s.part.snapshot(&s.mirror, 2.2);
         assert!(told.since == 0 && told.held.is_empty());
-        assert!(l.part_report(PartReport { kept: told.kept && kept, ..told }, &s.mirror, 2.2));
+        assert!(l.part_report(
+            PartReport {
+                kept: told.kept && kept,
+                ..told
+            },
+            &s.mirror,
+            2.2
+        ));
         l.counts().2
     };
-    assert_eq!(unknown_after(7, &[("b", 10)], true), 999, "another came back");
+    assert_eq!(
+        unknown_after(7, &[("b", 10)], true),
+        999,
+        "another came back"
+    );
     assert_eq!(unknown_after(7, &[], true), 999, "another is gone");
-    assert_eq!(unknown_after(7, &[("b", 8), ("c", 11)], true), 1000, "machines went to a new one");
-    assert_eq!(unknown_after(12, &[("b", 8)], true), 1000, "it came back itself");
-    assert_eq!(unknown_after(7, &[("b", 10)], false), 1000, "it knows only what it heard since");
+    assert_eq!(
+        unknown_after(7, &[("b", 8), ("c", 11)], true),
+        1000,
+        "machines went to a new one"
+    );
+    assert_eq!(
+        unknown_after(12, &[("b", 8)], true),
+        1000,
+        "it came back itself"
+    );
+    assert_eq!(
+        unknown_after(7, &[("b", 10)], false),
+        1000,
+        "it knows only what it heard since"
+    );
 }
--- a/tests/many_small_jobs.rs
+++ b/tests/many_small_jobs.rs
@@ -56,7 +56,8 @@
 
     fn commit(&mut self, id: &JobId, record: &JobRecord) {
         self.version += 1;
-        self.mirror.put(&format!("fw/j/{id}"), json!(record), self.version);
+        self.mirror
+            .put(&format!("fw/j/{id}"), json!(record), self.version);
         self.part.job_changed(id, &self.mirror);
         self.leader.job_changed(id, &self.mirror);
     }
@@ -82,7 +83,14 @@
         let record = self.mirror.jobs[&id].record.clone();
         if !record.done {
             self.cancelled.insert(id.to_string(), self.step);
-            self.commit(&id, &JobRecord { cancelled: true, cancelled_at_ms: Some(0), ..record });
+            self.commit(
+                &id,
+                &JobRecord {
+                    cancelled: true,
+                    cancelled_at_ms: Some(0),
+                    ..record
+                },
+            );
         }
     }
 
@@ -92,7 +100,14 @@
         round(&mut self.leader, &mut self.part, &self.mirror, now);
         for finish in self.leader.finishes(now, 100, &self.mirror) {
             let record = self.mirror.jobs[&finish.job].record.clone();
-            self.commit(&finish.job, &JobRecord { done: true, spec: None, ..record });
+            self.commit(
+                &finish.job,
+                &JobRecord {
+                    done: true,
+                    spec: None,
+                    ..record
+                },
+            );
             self.leader.finish_answered(&finish.job, now, now);
         }
         for machine in 0..MACHINES {
@@ -105,22 +120,40 @@
         let step = self.step;
         for task in self.running[machine].keys() {
             let cancelled = self.cancelled.get(task.trim_end_matches("/0"));
-            assert!(cancelled.is_none_or(|at| step - at <= STOPPED_STEPS), "{task} runs on");
+            assert!(
+                cancelled.is_none_or(|at| step - at <= STOPPED_STEPS),
+                "{task} runs on"
+            );
         }
         let over = self.running[machine].extract_if(.., |_, (_, since)| step - *since >= RUN_STEPS);
-        let over: Vec<_> = over.map(|(task, (attempt, _))| (task, (attempt, "done"))).collect();
+        let over: Vec<_> = over
+            .map(|(task, (attempt, _))| (task, (attempt, "done")))
+            .collect();
         self.ended[machine].extend(over);
-        let running = self.running[machine].iter().map(|(t, s)| (t.as_str(), s.0, TaskState::Running, None));
-        let ended = self.ended[machine].iter().map(|(t, s)| (t.as_str(), s.0, TaskState::Ended, Some(s.1)));
+        let running = self.running[machine]
+            .iter()
+            .map(|(t, s)| (t.as_str(), s.0, TaskState::Running, None));
+        let ended = self.ended[machine]
+            .iter()
+            .map(|(t, s)| (t.as_str(), s.0, TaskState::Ended, Some(s.1)));
         let lines: Vec<Line> = running.chain(ended).collect();
-        let report = report(machine + 1, 1, 10 + u64::from(step), self.tokens[machine], &lines);
+        let report = report(
+            machine + 1,
+            1,
+            10 + u64::from(step),
+            self.tokens[machine],
+            &lines,
+        );
         let (token, calls) = answered(self.part.report(&report, false, &self.mirror, now));
         self.tokens[machine] = token;
         for call in calls {
             match call {
                 Call::Start { task, attempt } => {
                     let job = task.trim_end_matches("/0");
-                    assert!(!self.cancelled.contains_key(job), "{task} starts after its cancellation");
+                    assert!(
+                        !self.cancelled.contains_key(job),
+                        "{task} starts after its cancellation"
+                    );
                     *self.starts.entry(task.clone()).or_default() += 1;
                     self.running[machine].insert(task, (attempt, step));
                 }
@@ -150,12 +183,26 @@
     for _ in 0..60 {
         fleet.advance();
     }
-    assert!(fleet.cancelled.len() > JOBS / 8, "{} were cancelled", fleet.cancelled.len());
+    assert!(
+        fleet.cancelled.len() > JOBS / 8,
+        "{} were cancelled",
+        fleet.cancelled.len()
+    );
     for (id, job) in &fleet.mirror.jobs {
         assert_ne!(job.record.done, job.record.cancelled, "{id} has one end");
     }
-    assert!(fleet.starts.values().all(|starts| *starts == 1), "{:?}", fleet.starts);
-    assert!(fleet.running.iter().all(BTreeMap::is_empty), "nothing runs any more");
-    assert!(fleet.ended.iter().all(BTreeMap::is_empty), "workers need keep no result");
+    assert!(
+        fleet.starts.values().all(|starts| *starts == 1),
+        "{:?}",
+        fleet.starts
+    );
+    assert!(
+        fleet.running.iter().all(BTreeMap::is_empty),
+        "nothing runs any more"
+    );
+    assert!(
+        fleet.ended.iter().all(BTreeMap::is_empty),
+        "workers need keep no result"
+    );
     assert_eq!(fleet.leader.counts(), (0, 0, 0));
 }
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -66,11 +66,23 @@
             continue;
         }
         // Half CPUs count two, GPUs two as well, so that both compare whole.
-        let leftover = if ask[1] > 0 { 2 * (n.free[1] - ask[1]) } else { n.free[0] - ask[0] };
+        let leftover = if ask[1] > 0 {
+            2 * (n.free[1] - ask[1])
+        } else {
+            n.free[0] - ask[0]
+        };
         let cold = u32::from(!n.cached);
         let first = if quick { cold } else { 0 };
         let dear = u32::from(spot && !n.spot);
-        list.push((first, dear, leftover, n.zone_peers, n.machine_peers, cold, n.id.clone()));
+        list.push((
+            first,
+            dear,
+            leftover,
+            n.zone_peers,
+            n.machine_peers,
+            cold,
+            n.id.clone(),
+        ));
     }
     list.sort();
     list.first().map(|x| x.6.clone())
@@ -78,29 +90,50 @@
 
 #[test]
 fn picks_what_the_plain_model_picks() {
-    let config = Config { cases: 3000, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 3000,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let node =
-        (0..2usize, 0..3usize, any::<bool>(), [0..20u32, 0..4u32, 0..24u32], any::<bool>(), 0..3u32, 0..2u32);
-    let amounts = (0..10u32, prop_oneof![3 => Just(0u32), 1 => 1..3u32], 0..12u32);
+    let node = (
+        0..2usize,
+        0..3usize,
+        any::<bool>(),
+        [0..20u32, 0..4u32, 0..24u32],
+        any::<bool>(),
+        0..3u32,
+        0..2u32,
+    );
+    let amounts = (
+        0..10u32,
+        prop_oneof![3 => Just(0u32), 1 => 1..3u32],
+        0..12u32,
+    );
     let ask = (amounts.prop_map(|(c, g, m)| [c, g, m]), any::<bool>());
-    let request = (proptest::option::of(0..2usize), proptest::option::of(0..3usize), any::<bool>());
+    let request = (
+        proptest::option::of(0..2usize),
+        proptest::option::of(0..3usize),
+        any::<bool>(),
+    );
     let case = (ask, request, proptest::collection::vec(node, 0..14));
     let result = runner.run(&case, |((ask, spot), (kind, zone, quick), raw)| {
         let nodes: Vec<Node> = raw
             .into_iter()
             .enumerate()
-            .map(|(i, (kind, zone, spot, free, cached, zone_peers, machine_peers))| Node {
-                id: format!("m-{i:03}"),
-                kind,
-                zone,
-                spot,
-                free,
-                cached,
-                zone_peers,
-                machine_peers,
-            })
+            .map(
+                |(i, (kind, zone, spot, free, cached, zone_peers, machine_peers))| Node {
+                    id: format!("m-{i:03}"),
+                    kind,
+                    zone,
+                    spot,
+                    free,
+                    cached,
+                    zone_peers,
+                    machine_peers,
+                },
+            )
             .collect();
         let spec = spec(ask, spot, kind, zone);
         let candidates = nodes.iter().map(|n| Candidate {
@@ -134,7 +167,11 @@
         heard: true,
         listed: true,
         addr: None,
-        free: Res { cpus: f64::from(n.free[0]) / 2.0, gpus: f64::from(n.free[1]), mem: f64::from(n.free[2]) },
+        free: Res {
+            cpus: f64::from(n.free[0]) / 2.0,
+            gpus: f64::from(n.free[1]),
+            mem: f64::from(n.free[2]),
+        },
         yielding: Res::default(),
         yielding_low: Res::default(),
         open: true,
@@ -143,7 +180,11 @@
         ignores_commands: false,
         draining: false,
         tasks: 0,
-        images: if n.cached { vec!["h".into(), "i".into()] } else { vec!["h".into()] },
+        images: if n.cached {
+            vec!["h".into(), "i".into()]
+        } else {
+            vec!["h".into()]
+        },
     }
 }
 
@@ -152,13 +193,31 @@
 /// plain model does, and gives up on no job that would fit.
 #[test]
 fn a_round_on_hundreds_of_machines_deals_what_the_plain_model_deals() {
-    let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 60,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let node = (0..2usize, 0..3usize, any::<bool>(), [0..20u32, 0..4u32, 0..24u32], any::<bool>());
-    let ask = (0..10u32, prop_oneof![3 => Just(0u32), 1 => 1..3u32], 0..12u32);
-    let request =
-        (any::<bool>(), proptest::option::of(0..2usize), proptest::option::of(0..3usize), any::<bool>());
+    let node = (
+        0..2usize,
+        0..3usize,
+        any::<bool>(),
+        [0..20u32, 0..4u32, 0..24u32],
+        any::<bool>(),
+    );
+    let ask = (
+        0..10u32,
+        prop_oneof![3 => Just(0u32), 1 => 1..3u32],
+        0..12u32,
+    );
+    let request = (
+        any::<bool>(),
+        proptest::option::of(0..2usize),
+        proptest::option::of(0..3usize),
+        any::<bool>(),
+    );
     let case = (
         proptest::collection::vec(node, 200..400),
         proptest::collection::vec((ask.prop_map(|(c, g, m)| [c, g, m]), request), 150..200),
@@ -169,15 +228,28 @@
             .enumerate()
             .map(|(i, (kind, zone, spot, free, cached))| {
                 let id = format!("m-{i:03}");
-                Node { id, kind, zone, spot, free, cached, zone_peers: 0, machine_peers: 0 }
+                Node {
+                    id,
+                    kind,
+                    zone,
+                    spot,
+                    free,
+                    cached,
+                    zone_peers: 0,
+                    machine_peers: 0,
+                }
             })
             .collect();
         let mut names = Names::default();
-        let slots = nodes.iter().map(|n| Slot::new(&view(n), 0, &mut names)).collect();
+        let slots = nodes
+            .iter()
+            .map(|n| Slot::new(&view(n), 0, &mut names))
+            .collect();
         let mut capacity = FreeCapacity::new(slots, 0.0);
         for (ask, (spot, kind, zone, quick)) in jobs {
             let spec = spec(ask, spot, kind, zone);
-            let request = PlacementRequest::new(&spec, &names, Vec::new(), quick, Preempts::Nothing);
+            let request =
+                PlacementRequest::new(&spec, &names, Vec::new(), quick, Preempts::Nothing);
             let expected = model(ask, spot, kind, zone, quick, &nodes);
             if capacity.known_not_to_fit(&request) {
                 prop_assert_eq!(None, expected);
@@ -188,7 +260,11 @@
             match real {
                 Some(slot) => {
                     capacity.take(slot, &request.ask);
-                    nodes[slot].free.iter_mut().zip(ask).for_each(|(have, took)| *have -= took);
+                    nodes[slot]
+                        .free
+                        .iter_mut()
+                        .zip(ask)
+                        .for_each(|(have, took)| *have -= took);
                 }
                 None => capacity.note_no_fit(&request),
             }
@@ -202,18 +278,49 @@
 /// be placed there task by task; of a gang that waits it then keeps as much.
 #[test]
 fn a_zone_is_counted_to_have_room_for_what_can_be_placed_there() {
-    let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 60,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let node = (0..2usize, 0..3usize, any::<bool>(), [0..40u32, 0..4u32, 0..48u32], any::<bool>());
-    let ask = (1..10u32, prop_oneof![3 => Just(0u32), 1 => 1..3u32], 0..12u32);
-    let case = (proptest::collection::vec(node, 1..80), ask, any::<bool>(), proptest::option::of(0..2usize));
+    let node = (
+        0..2usize,
+        0..3usize,
+        any::<bool>(),
+        [0..40u32, 0..4u32, 0..48u32],
+        any::<bool>(),
+    );
+    let ask = (
+        1..10u32,
+        prop_oneof![3 => Just(0u32), 1 => 1..3u32],
+        0..12u32,
+    );
+    let case = (
+        proptest::collection::vec(node, 1..80),
+        ask,
+        any::<bool>(),
+        proptest::option::of(0..2usize),
+    );
     let result = runner.run(&case, |(raw, (cpus, gpus, mem), spot, kind)| {
         let mut names = Names::default();
-        let nodes = raw.into_iter().enumerate().map(|(i, (kind, zone, spot, free, cached))| {
-            let id = format!("m-{i:03}");
-            Node { id, kind, zone, spot, free, cached, zone_peers: 0, machine_peers: 0 }
-        });
+        let nodes = raw
+            .into_iter()
+            .enumerate()
+            .map(|(i, (kind, zone, spot, free, cached))| {
+                let id = format!("m-{i:03}");
+                Node {
+                    id,
+                    kind,
+                    zone,
+                    spot,
+                    free,
+                    cached,
+                    zone_peers: 0,
+                    machine_peers: 0,
+                }
+            });
         let slots = nodes.map(|n| Slot::new(&view(&n), 0, &mut names)).collect();
         let mut capacity = FreeCapacity::new(slots, 0.0);
         let spec = spec([cpus, gpus, mem], spot, kind, None);
@@ -223,10 +330,17 @@
             let counted = counts.get(&zone).copied().unwrap_or_default();
             let placed = capacity.try_place(&request, 10_000, None, &[(zone, u32::MAX)], false);
             prop_assert_eq!(counted.tasks as usize, placed.len());
-            prop_assert_eq!(counted.with_image as usize, capacity.warm(&request, &placed));
+            prop_assert_eq!(
+                counted.with_image as usize,
+                capacity.warm(&request, &placed)
+            );
             let keep = counted.tasks / 2;
             capacity.take_in_zones(&request, &[(zone, u32::MAX)], keep);
-            let left = capacity.count_by_zone(&request).get(&zone).copied().unwrap_or_default();
+            let left = capacity
+                .count_by_zone(&request)
+                .get(&zone)
+                .copied()
+                .unwrap_or_default();
             prop_assert_eq!(left.tasks, counted.tasks - keep);
         }
         Ok(())
@@ -250,7 +364,10 @@
     };
     let nodes = [node(0, false), node(1, false), node(2, true)];
     let mut names = Names::default();
-    let slots = nodes.iter().map(|n| Slot::new(&view(n), 0, &mut names)).collect();
+    let slots = nodes
+        .iter()
+        .map(|n| Slot::new(&view(n), 0, &mut names))
+        .collect();
     let mut capacity = FreeCapacity::new(slots, 4.0);
     let array = spec([2, 0, 1], true, None, None);
     let request = PlacementRequest::new(&array, &names, Vec::new(), false, Preempts::Nothing);
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -40,17 +40,40 @@
     fn new(machines: usize, guaranteed_cpus: f64, aims: &str) -> Fleet {
         let mirror = mirror(machines, &[]);
         let mut part = part(&mirror);
-        let tokens = (1..=machines).map(|machine| met(&mut part, &mirror, machine, 0.2)).collect();
+        let tokens = (1..=machines)
+            .map(|machine| met(&mut part, &mirror, machine, 0.2))
+            .collect();
         let team = format!("cpus = {guaranteed_cpus:.1}\ncpus_max = 400.0");
         let objectives = format!("{aims}[params.workers]");
-        let changes = [("cpus_max = 400.0", team.as_str()), ("[params.workers]", objectives.as_str())];
+        let changes = [
+            ("cpus_max = 400.0", team.as_str()),
+            ("[params.workers]", objectives.as_str()),
+        ];
         let mut leader = Leader::new(&settings(&changes).expect("settings"));
         let members = [("a".to_string(), 7)].into_iter().collect();
-        leader.enter(&Epoch { n: EPOCH, members, leader: "a".into(), shares: false }, 7, &mirror);
+        leader.enter(
+            &Epoch {
+                n: EPOCH,
+                members,
+                leader: "a".into(),
+                shares: false,
+            },
+            7,
+            &mirror,
+        );
         leader.part_report(part.snapshot(&mirror, 0.3), &mirror, 0.3);
         leader.resolve(&mirror, &|_| false);
         let running = vec![BTreeMap::new(); machines];
-        Fleet { mirror, leader, part, tokens, seq: 10, now: 1.0, running, stopped: Vec::new() }
+        Fleet {
+            mirror,
+            leader,
+            part,
+            tokens,
+            seq: 10,
+            now: 1.0,
+            running,
+            stopped: Vec::new(),
+        }
     }
 
     /// A job that was accepted so many seconds ago by the time of day, in this epoch.
@@ -65,17 +88,29 @@
             cancelled_at_ms: None,
         };
         let version = 100 + self.mirror.jobs.len() as u64;
-        self.mirror.put(&format!("fw/j/{}", spec.id), json!(record), version);
+        self.mirror
+            .put(&format!("fw/j/{}", spec.id), json!(record), version);
         self.leader.job_changed(&spec.id, &self.mirror);
     }
 
     fn step(&mut self) {
         self.now += 0.5;
-        self.leader.part_report(self.part.snapshot(&self.mirror, self.now), &self.mirror, self.now);
+        self.leader.part_report(
+            self.part.snapshot(&self.mirror, self.now),
+            &self.mirror,
+            self.now,
+        );
         self.leader.assign_tasks(&self.mirror, self.now, || true);
         let orders = self.leader.orders("a").expect("orders");
         self.part.orders(&orders, &self.mirror, self.now);
-        self.part.place(&self.mirror, When { now: self.now, day_ms: day_ms() }, || true);
+        self.part.place(
+            &self.mirror,
+            When {
+                now: self.now,
+                day_ms: day_ms(),
+            },
+            || true,
+        );
         for machine in 0..self.running.len() {
             self.report(machine);
         }
@@ -108,7 +143,11 @@
     }
 
     fn tasks_of(&self, job: &str) -> usize {
-        self.running.iter().flat_map(BTreeMap::keys).filter(|task| task.starts_with(job)).count()
+        self.running
+            .iter()
+            .flat_map(BTreeMap::keys)
+            .filter(|task| task.starts_with(job))
+            .count()
     }
 }
 
@@ -120,7 +159,12 @@
     assert_eq!(fleet.tasks_of("wk-low"), 4, "they fill all machines");
     fleet.submit(&array("wk-standard", 2, "standard"), 60);
     fleet.run_for(5.0);
-    assert_eq!((fleet.tasks_of("wk-standard"), fleet.tasks_of("wk-low")), (2, 2), "{:?}", fleet.stopped);
+    assert_eq!(
+        (fleet.tasks_of("wk-standard"), fleet.tasks_of("wk-low")),
+        (2, 2),
+        "{:?}",
+        fleet.stopped
+    );
 }
 
 #[test]
@@ -130,7 +174,10 @@
     fleet.run_for(40.0);
     fleet.submit(&array("wk-standard", 2, "standard"), 60);
     fleet.run_for(20.0);
-    assert_eq!((fleet.tasks_of("wk-standard"), fleet.tasks_of("wk-low")), (0, 4));
+    assert_eq!(
+        (fleet.tasks_of("wk-standard"), fleet.tasks_of("wk-low")),
+        (0, 4)
+    );
 }
 
 #[test]
@@ -140,10 +187,18 @@
     fleet.run_for(3.0);
     fleet.submit(&array("wk-standard", 2, "standard"), 60);
     fleet.run_for(20.0);
-    assert_eq!(fleet.tasks_of("wk-standard"), 0, "it waits for the starts to count");
+    assert_eq!(
+        fleet.tasks_of("wk-standard"),
+        0,
+        "it waits for the starts to count"
+    );
     fleet.run_for(20.0);
     assert_eq!(fleet.tasks_of("wk-standard"), 2);
-    assert!(fleet.stopped.iter().all(|stop| stop.1 > 30.0), "{:?}", fleet.stopped);
+    assert!(
+        fleet.stopped.iter().all(|stop| stop.1 > 30.0),
+        "{:?}",
+        fleet.stopped
+    );
 }
 
 #[test]
@@ -164,7 +219,10 @@
     fleet.run_for(10.0);
     fleet.submit(&array("wk-single", 1, "low"), 0);
     fleet.run_for(3.0);
-    assert_eq!((fleet.tasks_of("wk-many"), fleet.tasks_of("wk-single")), (2, 1));
+    assert_eq!(
+        (fleet.tasks_of("wk-many"), fleet.tasks_of("wk-single")),
+        (2, 1)
+    );
     let service = spec("wk-service", 1, |v| {
         v["rank"] = "prod".into();
         v["shape"] = "standing".into();
@@ -173,7 +231,12 @@
     fleet.submit(&service, 0);
     fleet.run_for(5.0);
     assert_eq!(fleet.tasks_of("wk-service"), 1);
-    assert_eq!(fleet.tasks_of("wk-single"), 1, "though it is the youngest: {:?}", fleet.stopped);
+    assert_eq!(
+        fleet.tasks_of("wk-single"),
+        1,
+        "though it is the youngest: {:?}",
+        fleet.stopped
+    );
 }
 
 const AIM: &str =
@@ -187,14 +250,27 @@
     fleet.run_for(3.0);
     fleet.submit(&array("wk-low", 10, "low"), seconds_ago);
     fleet.run_for(1.0);
-    let want = fleet.leader.wants.iter().find(|w| &*w.spec.id == "wk-low").expect("it has no room");
+    let want = fleet
+        .leader
+        .wants
+        .iter()
+        .find(|w| &*w.spec.id == "wk-low")
+        .expect("it has no room");
     (want.count, want.spot_only)
 }
 
 #[test]
 fn ordinary_machines_are_rented_for_low_borrowed_work_only_to_begin_it_or_for_an_aim() {
     assert_eq!(wanted(0.0, "", 20), (10, true));
-    assert_eq!(wanted(0.0, "", 100), (1, false), "one machine, so that it begins");
+    assert_eq!(
+        wanted(0.0, "", 100),
+        (1, false),
+        "one machine, so that it begins"
+    );
     assert_eq!(wanted(0.0, AIM, 20), (10, false), "its class has an aim");
-    assert_eq!(wanted(400.0, "", 20), (10, false), "it is within its team's guarantee");
+    assert_eq!(
+        wanted(400.0, "", 20),
+        (10, false),
+        "it is within its team's guarantee"
+    );
 }
--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -2,7 +2,9 @@
 //! task is nowhere, and what shows that a machine is dead.
 
 use finchwood::clock::When;
-use finchwood::fleet::{DirectRoom, JobAssignment, Orders, Part, PartReport, Phase, ReportReply, Timing};
+use finchwood::fleet::{
+    DirectRoom, JobAssignment, Orders, Part, PartReport, Phase, ReportReply, Timing,
+};
 use finchwood::jobs::{Epoch, JobRecord, Member, Mirror, RosterRecord};
 use finchwood::membership::{next_epoch, owner, token};
 use finchwood::state::Bucket;
@@ -10,7 +12,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-const TIMING: Timing = Timing { report_s: 3.0, lease_s: 20.0, member_life_s: 8.0 };
+const TIMING: Timing = Timing {
+    report_s: 3.0,
+    lease_s: 20.0,
+    member_life_s: 8.0,
+};
 
 fn spec(id: &str, tasks: u32, rank: Rank) -> Arc<JobSpec> {
     let v = serde_json::json!({
@@ -18,7 +24,10 @@
         "accelerators": 0.0, "mem_gb": 1.0, "egg": "i", "size_gb": 1.0, "one_zone": false, "scatter": false,
         "windfall": true, "guess_s": 10.0, "molt_s": 0.0, "stash_s": 0.0
     });
-    Arc::new(JobSpec { rank, ..serde_json::from_value(v).expect("a spec") })
+    Arc::new(JobSpec {
+        rank,
+        ..serde_json::from_value(v).expect("a spec")
+    })
 }
 
 fn kind() -> MachineType {
@@ -39,9 +48,22 @@
 fn mirror(jobs: &[(&str, Rank, bool)]) -> Mirror {
     let mut m = Mirror::new(8.0);
     let put = |m: &mut Mirror, k: &str, v: serde_json::Value, n| drop(m.put(k, v, n));
-    put(&mut m, "fw/c", serde_json::json!(Catalog { types: vec![kind()] }), 1);
-    let record =
-        RosterRecord { kind: "k".into(), zone: "e".into(), spot: false, up: true, at_ms: 0, addr: None };
+    put(
+        &mut m,
+        "fw/c",
+        serde_json::json!(Catalog {
+            types: vec![kind()]
+        }),
+        1,
+    );
+    let record = RosterRecord {
+        kind: "k".into(),
+        zone: "e".into(),
+        spot: false,
+        up: true,
+        at_ms: 0,
+        addr: None,
+    };
     put(&mut m, "fw/r/m-1", serde_json::json!(record), 2);
     for (i, (id, rank, cancelled)) in jobs.iter().enumerate() {
         let r = JobRecord {
@@ -53,12 +75,22 @@
             done: false,
             cancelled_at_ms: None,
         };
-        put(&mut m, &format!("fw/j/{id}"), serde_json::json!(r), 3 + i as u64);
+        put(
+            &mut m,
+            &format!("fw/j/{id}"),
+            serde_json::json!(r),
+            3 + i as u64,
+        );
     }
     m
 }
 
-fn report(session: u64, seq: u64, token: u64, tasks: &[(&str, u64, TaskState, Option<&str>)]) -> Report {
+fn report(
+    session: u64,
+    seq: u64,
+    token: u64,
+    tasks: &[(&str, u64, TaskState, Option<&str>)],
+) -> Report {
     Report {
         machine: "m-1".into(),
         addr: "10.0.0.1:1".into(),
@@ -87,8 +119,13 @@
     let mut p = Part::new("a", TIMING, HashMap::new());
     p.enter(3, 7, mirror, 0.0, |_| true);
     let first = p.report(&report(1, 1, 0, &[]), false, mirror, 0.1);
-    let ReportReply::Commands { token: t, commands } = first else { panic!("refused") };
-    assert!(commands.is_empty(), "no commands before the content is certain");
+    let ReportReply::Commands { token: t, commands } = first else {
+        panic!("refused")
+    };
+    assert!(
+        commands.is_empty(),
+        "no commands before the content is certain"
+    );
     assert_eq!(t, token(3, 0));
     p.report(&report(1, 2, t, &[]), false, mirror, 0.2);
     (p, t)
@@ -143,14 +180,23 @@
     let m = mirror(&[("wk-1", Rank::Low, false)]);
     let (mut p, t) = part(&m);
     deal(&mut p, &m, "wk-1", &[(0, 50)], 1);
-    p.place(&m, When { now: 0.4, day_ms: 0 }, || true);
+    p.place(
+        &m,
+        When {
+            now: 0.4,
+            day_ms: 0,
+        },
+        || true,
+    );
     let directs = p.directs(&m, 0.4);
     assert!(matches!(directs[0].body.commands[0], Call::Start { .. }));
     p.direct_done(&"m-1".into(), &directs[0].body, None, &m, 0.5);
     recall(&mut p, &m, "wk-1/0", 50, 2);
     // A report under the start's own token doesn't list it: it may yet come.
     let reply = p.report(&report(1, 3, t, &[]), false, &m, 0.7);
-    let ReportReply::Commands { token: raised, .. } = reply else { panic!("refused") };
+    let ReportReply::Commands { token: raised, .. } = reply else {
+        panic!("refused")
+    };
     assert!(raised > directs[0].body.token, "the late start must die");
     assert!(snapshot(&mut p, &m).gone.is_empty());
     // A report under the raised token is proof.
@@ -175,12 +221,28 @@
     let m = mirror(&[("wk-1", Rank::Low, false)]);
     let (mut p, t) = part(&m);
     deal(&mut p, &m, "wk-1", &[(0, 50)], 1);
-    p.place(&m, When { now: 0.4, day_ms: 0 }, || true);
+    p.place(
+        &m,
+        When {
+            now: 0.4,
+            day_ms: 0,
+        },
+        || true,
+    );
     let start = p.directs(&m, 0.4).remove(0);
     let ran = report(1, 3, t, &[("wk-1/0", 50, TaskState::Running, None)]);
     p.direct_done(&"m-1".into(), &start.body, Some(&ran), &m, 0.5);
-    let ended = report(1, 4, t, &[("wk-1/0", 50, TaskState::Ended, Some("stopped"))]);
-    let ReportReply::Commands { token: at_reap, commands } = p.report(&ended, false, &m, 0.6) else {
+    let ended = report(
+        1,
+        4,
+        t,
+        &[("wk-1/0", 50, TaskState::Ended, Some("stopped"))],
+    );
+    let ReportReply::Commands {
+        token: at_reap,
+        commands,
+    } = p.report(&ended, false, &m, 0.6)
+    else {
         panic!("refused")
     };
     assert!(matches!(commands[0], Call::Forget { .. }));
@@ -211,9 +273,15 @@
     let m = mirror(&[("wk-1", Rank::Low, true)]);
     let (mut p, t) = part(&m);
     let runs = report(1, 3, t, &[("wk-1/0", 40, TaskState::Running, None)]);
-    let ReportReply::Commands { commands, .. } = p.report(&runs, false, &m, 0.5) else { panic!("refused") };
+    let ReportReply::Commands { commands, .. } = p.report(&runs, false, &m, 0.5) else {
+        panic!("refused")
+    };
     assert!(matches!(commands[0], Call::Stop { .. }));
-    assert_eq!(snapshot(&mut p, &m).held.len(), 1, "the team's room is still taken");
+    assert_eq!(
+        snapshot(&mut p, &m).held.len(),
+        1,
+        "the team's room is still taken"
+    );
 }
 
 #[test]
@@ -228,7 +296,10 @@
     p.expire_leases(27.0 + 21.0);
     assert!(p.snapshot(&m, 48.0).machines[0].certain);
     // Its session is over for good, whatever arrives late.
-    assert_eq!(p.report(&report(1, 2, token(2, 5), &[]), false, &m, 49.0), ReportReply::Refuse);
+    assert_eq!(
+        p.report(&report(1, 2, token(2, 5), &[]), false, &m, 49.0),
+        ReportReply::Refuse
+    );
     assert!(p.report(&report(2, 1, token(2, 5), &[]), false, &m, 49.0) != ReportReply::Refuse);
 }
 
@@ -239,7 +310,10 @@
     p.report(&report(1, 3, t, &[]), true, &m, 9.0);
     let told = p.snapshot(&m, 9.0);
     assert!(told.quiet.is_empty(), "it is alive");
-    assert!(told.zones_met[0].1.last_s > 8.0, "but its zone was not reached");
+    assert!(
+        told.zones_met[0].1.last_s > 8.0,
+        "but its zone was not reached"
+    );
 }
 
 #[test]
@@ -247,37 +321,74 @@
     let m = mirror(&[("wk-1", Rank::Low, false), ("wk-2", Rank::Prod, false)]);
     let (mut p, t) = part(&m);
     deal(&mut p, &m, "wk-1", &[(0, 50), (1, 51)], 1);
-    p.place(&m, When { now: 0.4, day_ms: 0 }, || true);
+    p.place(
+        &m,
+        When {
+            now: 0.4,
+            day_ms: 0,
+        },
+        || true,
+    );
     let start = p.directs(&m, 0.4).remove(0);
     let run = |seq| {
-        let (a, b) = (("wk-1/0", 50, TaskState::Running, None), ("wk-1/1", 51, TaskState::Running, None));
+        let (a, b) = (
+            ("wk-1/0", 50, TaskState::Running, None),
+            ("wk-1/1", 51, TaskState::Running, None),
+        );
         report(1, seq, t, &[a, b])
     };
     p.direct_done(&"m-1".into(), &start.body, Some(&run(3)), &m, 0.5);
     deal(&mut p, &m, "wk-2", &[(0, 60)], 2);
-    p.place(&m, When { now: 0.6, day_ms: 0 }, || true);
+    p.place(
+        &m,
+        When {
+            now: 0.6,
+            day_ms: 0,
+        },
+        || true,
+    );
     let stop = p.directs(&m, 0.6).remove(0);
-    let stops = stop.body.commands.iter().filter(|c| matches!(c, Call::Stop { .. })).count();
+    let stops = stop
+        .body
+        .commands
+        .iter()
+        .filter(|c| matches!(c, Call::Stop { .. }))
+        .count();
     assert_eq!(stops, 1, "one makes room enough: {:?}", stop.body.commands);
 }
 
 #[test]
 fn epochs_keep_the_leader_while_it_lives_and_prefer_survivors() {
     let live = |m: &[(&str, u64)]| -> BTreeMap<String, (Member, u64)> {
-        m.iter().map(|(n, inc)| (n.to_string(), (Member::of_this_version(*inc), 1))).collect()
+        m.iter()
+            .map(|(n, inc)| (n.to_string(), (Member::of_this_version(*inc), 1)))
+            .collect()
     };
     let first = next_epoch(None, &live(&[("a", 1), ("b", 2), ("c", 3)])).expect("an epoch");
     assert_eq!((first.n, first.leader.as_str()), (1, "a"));
-    assert_eq!(next_epoch(Some(&first), &live(&[("a", 1), ("b", 2), ("c", 3)])), None);
-    let without: Epoch = next_epoch(Some(&first), &live(&[("a", 9), ("b", 2), ("c", 3)])).expect("an epoch");
-    assert_eq!((without.n, without.leader.as_str()), (2, "b"), "a restart knows nothing");
+    assert_eq!(
+        next_epoch(Some(&first), &live(&[("a", 1), ("b", 2), ("c", 3)])),
+        None
+    );
+    let without: Epoch =
+        next_epoch(Some(&first), &live(&[("a", 9), ("b", 2), ("c", 3)])).expect("an epoch");
+    assert_eq!(
+        (without.n, without.leader.as_str()),
+        (2, "b"),
+        "a restart knows nothing"
+    );
     let names: BTreeMap<String, u64> = [("a".to_string(), 1), ("b".to_string(), 2)].into();
     let moved = (0..300)
         .map(|i| format!("m-{i:06}"))
-        .filter(|m| owner(&without.members, m) != Some("c") && owner(&names, m) != owner(&without.members, m))
+        .filter(|m| {
+            owner(&without.members, m) != Some("c")
+                && owner(&names, m) != owner(&without.members, m)
+        })
         .count();
     assert_eq!(moved, 0, "only the machines of one that left change hands");
-    let share = (0..300).filter(|i| owner(&names, &format!("m-{i:06}")) == Some("a")).count();
+    let share = (0..300)
+        .filter(|i| owner(&names, &format!("m-{i:06}")) == Some("a"))
+        .count();
     assert!((100..200).contains(&share), "{share} of 300");
 }
 
@@ -285,7 +396,10 @@
 fn services_stop_first_what_is_not_made_late() {
     let mut m = mirror(&[("wk-2", Rank::Prod, false)]);
     for (id, due) in [("wk-3", 17.8), ("wk-4", 600.0)] {
-        let s = JobSpec { deadline_s: Some(due), ..(*spec(id, 1, Rank::Low)).clone() };
+        let s = JobSpec {
+            deadline_s: Some(due),
+            ..(*spec(id, 1, Rank::Low)).clone()
+        };
         let r = JobRecord {
             spec: Some(Arc::new(s)),
             epoch: 1,
@@ -299,20 +413,50 @@
     }
     let (mut p, t) = part(&m);
     deal(&mut p, &m, "wk-4", &[(0, 50)], 1);
-    p.place(&m, When { now: 0.4, day_ms: 0 }, || true);
+    p.place(
+        &m,
+        When {
+            now: 0.4,
+            day_ms: 0,
+        },
+        || true,
+    );
     deal(&mut p, &m, "wk-3", &[(0, 51)], 2);
-    p.place(&m, When { now: 0.5, day_ms: 0 }, || true);
-    let both = [("wk-4/0", 50, TaskState::Running, None), ("wk-3/0", 51, TaskState::Running, None)];
+    p.place(
+        &m,
+        When {
+            now: 0.5,
+            day_ms: 0,
+        },
+        || true,
+    );
+    let both = [
+        ("wk-4/0", 50, TaskState::Running, None),
+        ("wk-3/0", 51, TaskState::Running, None),
+    ];
     p.report(&report(1, 3, t, &both), false, &m, 0.6);
     deal(&mut p, &m, "wk-2", &[(0, 60)], 3);
     // Eight seconds in, the youngest would miss its time if started anew.
-    p.place(&m, When { now: 1.0, day_ms: 8000 }, || true);
+    p.place(
+        &m,
+        When {
+            now: 1.0,
+            day_ms: 8000,
+        },
+        || true,
+    );
     let stop = p.directs(&m, 1.0).remove(0);
     let stopped: Vec<&str> = stop
         .body
         .commands
         .iter()
-        .filter_map(|c| if let Call::Stop { task, .. } = c { Some(task.as_str()) } else { None })
+        .filter_map(|c| {
+            if let Call::Stop { task, .. } = c {
+                Some(task.as_str())
+            } else {
+                None
+            }
+        })
         .collect();
     assert_eq!(stopped, ["wk-4/0"]);
 }
@@ -324,27 +468,51 @@
     let m = mirror(&[("wk-1", Rank::Prod, false)]);
     let (mut p, t) = part(&m);
     deal(&mut p, &m, "wk-1", &[(0, 50)], 1);
-    p.place(&m, When { now: 0.4, day_ms: 0 }, || true);
+    p.place(
+        &m,
+        When {
+            now: 0.4,
+            day_ms: 0,
+        },
+        || true,
+    );
     let start = p.directs(&m, 0.4).remove(0);
     let runs = report(1, 3, t, &[("wk-1/0", 50, TaskState::Running, None)]);
     p.direct_done(&"m-1".into(), &start.body, Some(&runs), &m, 0.5);
     recall(&mut p, &m, "wk-1/0", 50, 2);
-    assert!(p.directs(&m, 0.7).is_empty(), "a start counts for half a minute");
+    assert!(
+        p.directs(&m, 0.7).is_empty(),
+        "a start counts for half a minute"
+    );
     let orders = Orders {
         epoch: 3,
         node: "a".into(),
         seq: 3,
         ack: 0,
         assignments: Vec::new(),
-        recall: vec![(finchwood::wire::Task { job: "wk-1".into(), index: 0 }, 50)],
+        recall: vec![(
+            finchwood::wire::Task {
+                job: "wk-1".into(),
+                index: 0,
+            },
+            50,
+        )],
         drain: Vec::new(),
         running: None,
         borrowing: Vec::new(),
         handovers: Vec::new(),
     };
-    p.report(&report(1, 4, t, &[("wk-1/0", 50, TaskState::Running, None)]), false, &m, 31.0);
+    p.report(
+        &report(1, 4, t, &[("wk-1/0", 50, TaskState::Running, None)]),
+        false,
+        &m,
+        31.0,
+    );
     p.orders(&orders, &m, 31.0);
-    assert!(matches!(p.directs(&m, 31.1)[0].body.commands[0], Call::Stop { .. }));
+    assert!(matches!(
+        p.directs(&m, 31.1)[0].body.commands[0],
+        Call::Stop { .. }
+    ));
 }
 
 #[test]
@@ -367,15 +535,24 @@
     let mut b = Bucket::new(10.0, 10.0, 0.0);
     assert!(b.reserve(10.0, 0.0) <= 0.0, "a full bucket");
     let large = b.reserve(12.0, 0.0);
-    assert!((large - 1.2).abs() < 1e-9, "as long as it takes at the rate: {large}");
+    assert!(
+        (large - 1.2).abs() < 1e-9,
+        "as long as it takes at the rate: {large}"
+    );
     let mut before = large;
     for i in 1..=20 {
         let now = f64::from(i) * 0.05;
         let small = now + b.reserve(1.0, now);
-        assert!(small > before, "whoever comes later waits longer: {small} after {before}");
+        assert!(
+            small > before,
+            "whoever comes later waits longer: {small} after {before}"
+        );
         before = small;
     }
-    assert!((before - 3.2).abs() < 1e-9, "and nothing is lost of the rate: {before}");
+    assert!(
+        (before - 3.2).abs() < 1e-9,
+        "and nothing is lost of the rate: {before}"
+    );
 }
 
 fn token_of(reply: ReportReply) -> u64 {
@@ -394,20 +571,37 @@
     p.enter(3, 7, &m, 0.0, |_| true);
     // On the roster and used before: under an older epoch's token it may be
     // from any time. It is asked, and stays silent.
-    let old = report(1, 90, token(2, 5), &[("wk-1/0", 40, TaskState::Running, None)]);
-    let ReportReply::Commands { commands, .. } = p.report(&old, false, &m, 12.0) else { panic!("refused") };
+    let old = report(
+        1,
+        90,
+        token(2, 5),
+        &[("wk-1/0", 40, TaskState::Running, None)],
+    );
+    let ReportReply::Commands { commands, .. } = p.report(&old, false, &m, 12.0) else {
+        panic!("refused")
+    };
     assert!(commands.is_empty());
     assert_eq!(p.directs(&m, 12.1).len(), 1, "it is asked");
     let told = p.snapshot(&m, 13.0);
-    assert!(!told.machines[0].heard && told.held.is_empty(), "not alive, and its task not found");
+    assert!(
+        !told.machines[0].heard && told.held.is_empty(),
+        "not alive, and its task not found"
+    );
     assert!(told.quiet[0].silent_s > 12.0 && told.zones_met.is_empty());
     // Off the roster: nothing comes back, however many copies come.
     p.unlist(&"m-1".into());
     let mut gone = mirror(&[("wk-1", Rank::Low, false)]);
-    gone.apply(finchwood::state::Event::Delete { key: "fw/r/m-1".into(), version: 99 });
+    gone.apply(finchwood::state::Event::Delete {
+        key: "fw/r/m-1".into(),
+        version: 99,
+    });
     p.report(&report(1, 91, token(2, 5), &[]), false, &gone, 14.0);
     p.report(&report(1, 92, token(2, 5), &[]), false, &gone, 15.0);
-    assert!(!p.snapshot(&gone, 15.0).machines.iter().any(|v| v.heard || v.listed || v.open));
+    assert!(!p
+        .snapshot(&gone, 15.0)
+        .machines
+        .iter()
+        .any(|v| v.heard || v.listed || v.open));
     p.forget_what_is_over(&gone, 14.0 + 21.0);
     assert_eq!(p.machine_count(), 0);
 }
@@ -420,7 +614,10 @@
     let running = report(1, 3, t, &[("wk-1/0", 40, TaskState::Running, None)]);
     p.report(&running, false, &m, 1.0);
     // Sent before the task came; it must not count as seen without it.
-    assert_eq!(p.report(&report(1, 2, t + 9, &[]), false, &m, 9.0), ReportReply::Refuse);
+    assert_eq!(
+        p.report(&report(1, 2, t + 9, &[]), false, &m, 9.0),
+        ReportReply::Refuse
+    );
     assert_eq!(p.report(&running, false, &m, 9.0), ReportReply::Refuse);
     let told = p.snapshot(&m, 9.0);
     assert_eq!(told.held.len(), 1);
@@ -446,7 +643,10 @@
         p.report(&report(1, 4 + i as u64, t, &ended), i % 2 == 1, &m, now);
         let v = p.snapshot(&m, now).machines.pop();
         if i == 1 {
-            assert!(v.is_some_and(|v| !v.open && !v.ignores_commands), "no new work, but not given up");
+            assert!(
+                v.is_some_and(|v| !v.open && !v.ignores_commands),
+                "no new work, but not given up"
+            );
         }
     }
     let whole = |p: &mut Part, now| {
@@ -479,10 +679,18 @@
 fn a_machine_in_doubt_is_told_a_token_that_it_must_show() {
     let m = mirror(&[]);
     let (mut p, t) = part(&m);
-    assert_eq!(token_of(p.report(&report(1, 3, t, &[]), false, &m, 3.0)), t, "no doubt, no test");
+    assert_eq!(
+        token_of(p.report(&report(1, 3, t, &[]), false, &m, 3.0)),
+        t,
+        "no doubt, no test"
+    );
     let tested = token_of(p.report(&report(1, 4, t, &[]), true, &m, 6.0));
     assert!(tested > t);
-    assert_eq!(token_of(p.report(&report(1, 5, tested, &[]), true, &m, 9.0)), tested, "not all the time");
+    assert_eq!(
+        token_of(p.report(&report(1, 5, tested, &[]), true, &m, 9.0)),
+        tested,
+        "not all the time"
+    );
     assert!(token_of(p.report(&report(2, 1, tested, &[]), false, &m, 10.0)) > tested);
 }
 
@@ -506,14 +714,33 @@
     deal(&mut p, &m, "wk-1", &[(0, 50)], 1);
     // Eight seconds on, one machine reports; the other seven never have.
     p.report(&report(1, 3, t, &[]), false, &m, 8.0);
-    p.place(&m, When { now: 8.1, day_ms: 0 }, || true);
-    let room = DirectRoom { sound: 4, doubtful: 2 };
+    p.place(
+        &m,
+        When {
+            now: 8.1,
+            day_ms: 0,
+        },
+        || true,
+    );
+    let room = DirectRoom {
+        sound: 4,
+        doubtful: 2,
+    };
     let out = p.directs_within(&m, 8.1, room);
     let to = |doubtful: bool| out.iter().filter(|d| d.doubtful == doubtful).count();
     assert_eq!((to(false), to(true)), (1, 2));
     // Those without room are asked next, without a word that was never sent
     // having raised their token.
-    let next = p.directs_within(&m, 8.2, DirectRoom { sound: 4, doubtful: 100 });
+    let next = p.directs_within(
+        &m,
+        8.2,
+        DirectRoom {
+            sound: 4,
+            doubtful: 100,
+        },
+    );
     assert_eq!(next.len(), 5);
-    assert!(next.iter().all(|d| d.doubtful && d.body.token == token(3, 0)));
+    assert!(next
+        .iter()
+        .all(|d| d.doubtful && d.body.token == token(3, 0)));
 }
--- a/tests/reachability.rs
+++ b/tests/reachability.rs
@@ -12,14 +12,28 @@
     assert!(!ways.cut("east", "b", 1.0), "nothing is known");
     ways.reached("b", false);
     ways.reached("d", false);
-    assert!(ways.cut("east", "b", 1.0) && !ways.cut("west", "b", 1.0) && !ways.cut("north", "b", 1.0));
-    assert_eq!(ways.around("b", 1.0), None, "nobody has said that it reaches the owner");
+    assert!(
+        ways.cut("east", "b", 1.0) && !ways.cut("west", "b", 1.0) && !ways.cut("north", "b", 1.0)
+    );
+    assert_eq!(
+        ways.around("b", 1.0),
+        None,
+        "nobody has said that it reaches the owner"
+    );
     ways.told("c", vec!["x".into()], 1.0);
     ways.told("d", vec!["a".into(), "c".into()], 1.0);
     assert_eq!(ways.around("b", 2.0), Some("c"));
-    assert_eq!(ways.around("c", 2.0), None, "this one reaches it and passes the report on");
+    assert_eq!(
+        ways.around("c", 2.0),
+        None,
+        "this one reaches it and passes the report on"
+    );
     assert!(ways.cut("west", "c", 2.0), "told by a controller there");
-    assert_eq!((ways.around("b", 10.0), ways.cut("west", "c", 10.0)), (None, false), "long ago");
+    assert_eq!(
+        (ways.around("b", 10.0), ways.cut("west", "c", 10.0)),
+        (None, false),
+        "long ago"
+    );
     ways.reached("b", true);
     assert!(!ways.cut("east", "b", 2.0));
 }
--- a/tests/refusals.rs
+++ b/tests/refusals.rs
@@ -49,7 +49,11 @@
         ("node_name = \"n0\"", "", "node_name"),
         ("node_name = \"n0\"", "node_name = \"a/b\"", "node_name"),
         ("zones = [\"east\"]", "zones = []", "zones"),
-        ("client_listen = \"127.0.0.1:8080\"", "client_listen = \"here\"", "client_listen"),
+        (
+            "client_listen = \"127.0.0.1:8080\"",
+            "client_listen = \"here\"",
+            "client_listen",
+        ),
         ("list_lag_s = 6.0", "list_lag_s = inf", "list_lag_s"),
     ];
     for (good, bad, field) in cases {
@@ -76,11 +80,18 @@
     assert!(job(|_| {}).is_ok());
     assert!(job(|v| v["new_field"] = 1.into()).is_ok());
     for optional in ["breeds", "grove", "dusk_s"] {
-        assert!(job(|v| drop(v.as_object_mut().and_then(|o| o.remove(optional)))).is_ok(), "{optional}");
+        assert!(
+            job(|v| drop(v.as_object_mut().and_then(|o| o.remove(optional)))).is_ok(),
+            "{optional}"
+        );
     }
-    for required in ["id", "flock", "nest", "shape", "chicks", "cpus", "mem_gb", "egg", "windfall", "guess_s"]
-    {
-        assert!(job(|v| drop(v.as_object_mut().and_then(|o| o.remove(required)))).is_err(), "{required}");
+    for required in [
+        "id", "flock", "nest", "shape", "chicks", "cpus", "mem_gb", "egg", "windfall", "guess_s",
+    ] {
+        assert!(
+            job(|v| drop(v.as_object_mut().and_then(|o| o.remove(required)))).is_err(),
+            "{required}"
+        );
     }
     assert!(job(|v| v["cpus"] = (-1.0).into()).is_err());
     assert!(job(|v| v["chicks"] = 0.into()).is_err());
@@ -99,7 +110,8 @@
     assert!(serde_json::from_str::<Report>(r#"{"perch": 4}"#).is_err());
     let odd = r#"{"perch":"m-1","address":"a","breed":"b","grove":"z","windfall":false,"flight":1,"chirp":2,
         "crest":0,"chicks":[{"chick":"wk-1/0","hatch":1,"mood":"moulting"}]}"#;
-    let report: Report = serde_json::from_str(odd).expect("an unknown state is no reason to refuse");
+    let report: Report =
+        serde_json::from_str(odd).expect("an unknown state is no reason to refuse");
     assert_eq!(report.tasks.len(), 1);
 }
 
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -1,8 +1,8 @@
 //! What is rented, and what is still expected of machines that were.
 
 use finchwood::rent::{
-    cloud_is_behind, rent, returns, to_empty, to_move, BootProgress, Booting, InUse, Offer, RentSettings,
-    Want,
+    cloud_is_behind, rent, returns, to_empty, to_move, BootProgress, Booting, InUse, Offer,
+    RentSettings, Want,
 };
 use finchwood::wire::{Catalog, JobSpec, Rank, Res, Shape};
 use serde_json::json;
@@ -28,16 +28,39 @@
 
 /// Low tasks that fill a machine each.
 fn want(count: u32, spot_only: bool) -> Want {
-    let spec = Arc::new(JobSpec { cpus: 4.0, ..(*spec("wk-1", count, Rank::Low)).clone() });
-    Want { ask: spec.ask(), count, spec, age_s: 99.0, spot_only, zones: BTreeMap::new() }
+    let spec = Arc::new(JobSpec {
+        cpus: 4.0,
+        ..(*spec("wk-1", count, Rank::Low)).clone()
+    });
+    Want {
+        ask: spec.ask(),
+        count,
+        spec,
+        age_s: 99.0,
+        spot_only,
+        zones: BTreeMap::new(),
+    }
 }
 
 /// Spot and ordinary machines that are rented for work, beside those that boot.
 fn rented(want: Want, booting: &[Booting], spot_to_be_had: bool) -> (u32, u32) {
     let blocked = |offer: &Offer| offer.2 && !spot_to_be_had;
     let settings = RentSettings::default();
-    let orders = rent(&[want], booting, &BTreeMap::new(), &catalog(), &settings, &blocked);
-    let of_kind = |spot: bool| orders.iter().filter(|(offer, _)| offer.2 == spot).map(|(_, n)| n).sum();
+    let orders = rent(
+        &[want],
+        booting,
+        &BTreeMap::new(),
+        &catalog(),
+        &settings,
+        &blocked,
+    );
+    let of_kind = |spot: bool| {
+        orders
+            .iter()
+            .filter(|(offer, _)| offer.2 == spot)
+            .map(|(_, n)| n)
+            .sum()
+    };
     (of_kind(true), of_kind(false))
 }
 
@@ -52,19 +75,38 @@
 fn a_machine_that_is_late_is_not_counted_on_and_one_that_never_comes_is_given_up() {
     let settings = RentSettings::default();
     let progress = |age_s| settings.boot_progress(age_s, BOOT_S);
-    assert_eq!(progress(BOOT_S * 1.6), BootProgress::Expected, "boots usually take up to 1.6 times as long");
+    assert_eq!(
+        progress(BOOT_S * 1.6),
+        BootProgress::Expected,
+        "boots usually take up to 1.6 times as long"
+    );
     assert_eq!(progress(BOOT_S * 2.0), BootProgress::Late);
     assert_eq!(progress(BOOT_S * 4.0), BootProgress::Never);
-    let booting = |age_s| Booting { id: "m-1".into(), offer: ("k".into(), "e".into(), true), age_s };
-    assert_eq!(rented(want(2, false), &[booting(BOOT_S)], true), (1, 0), "one comes already");
-    assert_eq!(rented(want(2, false), &[booting(BOOT_S * 2.0)], true), (2, 0), "nobody counts on it");
+    let booting = |age_s| Booting {
+        id: "m-1".into(),
+        offer: ("k".into(), "e".into(), true),
+        age_s,
+    };
+    assert_eq!(
+        rented(want(2, false), &[booting(BOOT_S)], true),
+        (1, 0),
+        "one comes already"
+    );
+    assert_eq!(
+        rented(want(2, false), &[booting(BOOT_S * 2.0)], true),
+        (2, 0),
+        "nobody counts on it"
+    );
 }
 
 #[test]
 fn rentals_wait_while_the_cloud_is_behind() {
     assert!(!cloud_is_behind(0, 4.0) && !cloud_is_behind(3, 4.0));
     assert!(cloud_is_behind(4, 4.0));
-    assert!(cloud_is_behind(1, 1.0), "one request at a time where one a second is allowed");
+    assert!(
+        cloud_is_behind(1, 1.0),
+        "one request at a time where one a second is allowed"
+    );
 }
 
 #[test]
@@ -84,12 +126,37 @@
         spot_only: false,
     };
     let zones = BTreeMap::new();
-    let orders = rent(std::slice::from_ref(&want), &[], &zones, &catalog, &settings, &|_| false);
+    let orders = rent(
+        std::slice::from_ref(&want),
+        &[],
+        &zones,
+        &catalog,
+        &settings,
+        &|_| false,
+    );
     let per_zone: Vec<u32> = orders.values().copied().collect();
-    assert_eq!(per_zone, [1, 1], "two fit a machine, half of four a zone: {orders:?}");
-    let coming: Vec<Booting> =
-        orders.keys().map(|o| Booting { id: "".into(), offer: o.clone(), age_s: 1.0 }).collect();
-    assert!(rent(std::slice::from_ref(&want), &coming, &zones, &catalog, &settings, &|_| false).is_empty());
+    assert_eq!(
+        per_zone,
+        [1, 1],
+        "two fit a machine, half of four a zone: {orders:?}"
+    );
+    let coming: Vec<Booting> = orders
+        .keys()
+        .map(|o| Booting {
+            id: "".into(),
+            offer: o.clone(),
+            age_s: 1.0,
+        })
+        .collect();
+    assert!(rent(
+        std::slice::from_ref(&want),
+        &coming,
+        &zones,
+        &catalog,
+        &settings,
+        &|_| false
+    )
+    .is_empty());
     // Where nothing is to be had, nothing is asked for.
     assert!(rent(&[want], &[], &zones, &catalog, &settings, &|_| true).is_empty());
 }
@@ -101,10 +168,33 @@
     let no_spot = |o: &Offer| o.2;
     let count = |rank, age_s| {
         let s = spec("wk-1", 4, rank);
-        let want = Want { zones: BTreeMap::new(), ask: s.ask(), count: 2, spec: s, age_s, spot_only: false };
-        rent(&[want], &[], &BTreeMap::new(), &catalog, &settings, &no_spot).values().sum::<u32>()
+        let want = Want {
+            zones: BTreeMap::new(),
+            ask: s.ask(),
+            count: 2,
+            spec: s,
+            age_s,
+            spot_only: false,
+        };
+        rent(
+            &[want],
+            &[],
+            &BTreeMap::new(),
+            &catalog,
+            &settings,
+            &no_spot,
+        )
+        .values()
+        .sum::<u32>()
     };
-    assert_eq!((count(Rank::Low, 1.0), count(Rank::Low, 60.0), count(Rank::Standard, 1.0)), (0, 1, 1));
+    assert_eq!(
+        (
+            count(Rank::Low, 1.0),
+            count(Rank::Low, 60.0),
+            count(Rank::Standard, 1.0)
+        ),
+        (0, 1, 1)
+    );
 }
 
 #[test]
@@ -114,18 +204,36 @@
     let machine = |id: &str, used: f64, stays: bool| InUse {
         id: id.into(),
         offer: ("k".into(), "e".into(), false),
-        free: Res { cpus: 4.0 - used, gpus: 0.0, mem: 16.0 },
+        free: Res {
+            cpus: 4.0 - used,
+            gpus: 0.0,
+            mem: 16.0,
+        },
         idle_s: if used > 0.0 { 0.0 } else { 100.0 },
         age_s: 200.0,
         tasks: used as u32,
         open: true,
         stays_cpus: if stays { used } else { 0.0 },
     };
-    let fleet = [machine("m-1", 0.0, false), machine("m-2", 0.0, false), machine("m-3", 2.0, true)];
-    assert_eq!(returns(&fleet, &catalog, 6.0, &settings), vec![Arc::<str>::from("m-1")]);
+    let fleet = [
+        machine("m-1", 0.0, false),
+        machine("m-2", 0.0, false),
+        machine("m-3", 2.0, true),
+    ];
+    assert_eq!(
+        returns(&fleet, &catalog, 6.0, &settings),
+        vec![Arc::<str>::from("m-1")]
+    );
     assert!(returns(&fleet, &catalog, 10.0, &settings).is_empty());
-    let busy = [machine("m-1", 1.0, false), machine("m-2", 0.5, true), machine("m-3", 0.5, true)];
-    assert_eq!(to_empty(&busy, &catalog, 2.0, &settings), [Arc::<str>::from("m-1")]);
+    let busy = [
+        machine("m-1", 1.0, false),
+        machine("m-2", 0.5, true),
+        machine("m-3", 0.5, true),
+    ];
+    assert_eq!(
+        to_empty(&busy, &catalog, 2.0, &settings),
+        [Arc::<str>::from("m-1")]
+    );
     assert!(to_empty(&busy, &catalog, 9.0, &settings).is_empty());
 }
 
@@ -135,19 +243,38 @@
     let machine = |id: &str, zone: &str, used: f64, spot: bool| InUse {
         id: id.into(),
         offer: ("k".into(), zone.into(), spot),
-        free: Res { cpus: 4.0 - used, gpus: 0.0, mem: 16.0 },
+        free: Res {
+            cpus: 4.0 - used,
+            gpus: 0.0,
+            mem: 16.0,
+        },
         idle_s: 0.0,
         age_s: 200.0,
         tasks: used as u32,
         open: true,
         stays_cpus: if spot { 0.0 } else { used },
     };
-    let chosen = |fleet: &[InUse], spare: f64| to_move(fleet, &catalog, spare).map(|m| m.id.to_string());
-    let fleet =
-        [machine("m-1", "e", 2.0, false), machine("m-2", "e", 1.0, false), machine("m-3", "e", 1.0, false)];
+    let chosen =
+        |fleet: &[InUse], spare: f64| to_move(fleet, &catalog, spare).map(|m| m.id.to_string());
+    let fleet = [
+        machine("m-1", "e", 2.0, false),
+        machine("m-2", "e", 1.0, false),
+        machine("m-3", "e", 1.0, false),
+    ];
     assert_eq!(chosen(&fleet, 1.0).as_deref(), Some("m-2"), "the emptiest");
-    assert_eq!(chosen(&fleet, 2.5), None, "what is spare stays free twice over");
-    let apart =
-        [machine("m-1", "e", 1.0, false), machine("m-2", "w", 1.0, false), machine("m-3", "e", 1.0, true)];
-    assert_eq!(chosen(&apart, 0.0), None, "not to another zone, not to spot machines");
+    assert_eq!(
+        chosen(&fleet, 2.5),
+        None,
+        "what is spare stays free twice over"
+    );
+    let apart = [
+        machine("m-1", "e", 1.0, false),
+        machine("m-2", "w", 1.0, false),
+        machine("m-3", "e", 1.0, true),
+    ];
+    assert_eq!(
+        chosen(&apart, 0.0),
+        None,
+        "not to another zone, not to spot machines"
+    );
 }
--- a/tests/roster_pages.rs
+++ b/tests/roster_pages.rs
@@ -12,7 +12,9 @@
         zone: "e".into(),
         spot: false,
         at_ms: 0,
-        machines: (0..machines).map(|i| (format!("m-{i:06}").into(), None)).collect(),
+        machines: (0..machines)
+            .map(|i| (format!("m-{i:06}").into(), None))
+            .collect(),
     }
 }
 
@@ -27,13 +29,20 @@
         for name in ["a", "b", "c"] {
             open.insert(name.into(), page(3));
         }
-        for (key, _) in queue.in_turn(open.clone(), |_| Some(3), f64::from(round)).into_iter().take(2) {
+        for (key, _) in queue
+            .in_turn(open.clone(), |_| Some(3), f64::from(round))
+            .into_iter()
+            .take(2)
+        {
             open.remove(&key);
             queue.written(&key);
             written.push(key);
         }
     }
-    assert!(written.iter().any(|k| **k == *"z"), "never written: {written:?}");
+    assert!(
+        written.iter().any(|k| **k == *"z"),
+        "never written: {written:?}"
+    );
     open.insert("y".into(), page(2));
     let next = queue.in_turn(open, |_| Some(3), 9.0);
     assert_eq!(&*next[0].0, "y", "a machine is gone from it");
@@ -57,9 +66,14 @@
             revision += 1;
             if page.machines.is_empty() {
                 // Only if neither the page nor its copies have changed.
-                let same = copies[&key].iter().all(|(k, v)| mirror.pages[k.as_str()].version == *v);
+                let same = copies[&key]
+                    .iter()
+                    .all(|(k, v)| mirror.pages[k.as_str()].version == *v);
                 assert!(same && !copies[&key].is_empty());
-                mirror.apply(finchwood::state::Event::Delete { key: key.to_string(), version: revision });
+                mirror.apply(finchwood::state::Event::Delete {
+                    key: key.to_string(),
+                    version: revision,
+                });
                 deleted = true;
             } else {
                 assert!(json!(page).to_string().len() <= 2048);
@@ -78,5 +92,8 @@
     assert!(deleted);
     let up = mirror.roster.values().filter(|(r, _)| r.up).count();
     assert_eq!(up, long.machines.values().filter(|a| a.is_some()).count());
-    assert!(mirror.pages.values().all(|p| json!(p.page).to_string().len() <= 2048));
+    assert!(mirror
+        .pages
+        .values()
+        .all(|p| json!(p.page).to_string().len() <= 2048));
 }
--- a/tests/shared_machines.rs
+++ b/tests/shared_machines.rs
@@ -17,19 +17,26 @@
 use std::time::{Duration, Instant};
 
 const NODES: usize = 3;
-const STAYING: [(&str, &str, u32); 3] =
-    [("wk-000001", "standing", 30), ("wk-000003", "ensemble", 4), ("wk-000005", "array", 26)];
+const STAYING: [(&str, &str, u32); 3] = [
+    ("wk-000001", "standing", 30),
+    ("wk-000003", "ensemble", 4),
+    ("wk-000005", "array", 26),
+];
 /// Moves that must have ended well in the short form.
 const LEAST_MOVES: u64 = 12;
 
 /// The leader, and what it says of the shares.
 fn leader(c: &Cluster) -> Option<(usize, Value)> {
-    (0..c.users.len()).map(|i| (i, c.ask(i, "/shares"))).find(|(_, report)| report["leader"].is_object())
+    (0..c.users.len())
+        .map(|i| (i, c.ask(i, "/shares")))
+        .find(|(_, report)| report["leader"].is_object())
 }
 
 /// What ended well since the present leader's process began.
 fn owned(c: &Cluster) -> u64 {
-    leader(c).and_then(|(_, report)| report["leader"]["ended"]["owned"].as_u64()).unwrap_or(0)
+    leader(c)
+        .and_then(|(_, report)| report["leader"]["ended"]["owned"].as_u64())
+        .unwrap_or(0)
 }
 
 /// Operators have some machines moved, in a plan of their own.
@@ -47,7 +54,12 @@
 fn counts(seen: &Mutex<Seen>) -> (u32, usize, usize, u32) {
     let seen = lock(seen);
     let again = seen.starts_of.values().map(|n| n - 1).sum();
-    (again, seen.stopped.len(), seen.deleted_in_use.len(), seen.lapsed)
+    (
+        again,
+        seen.stopped.len(),
+        seen.deleted_in_use.len(),
+        seen.lapsed,
+    )
 }
 
 /// Since then nothing was stopped, deleted in use, or started again but what a lease had
@@ -57,34 +69,66 @@
     let seen = lock(seen);
     assert_eq!(seen.twice, [""; 0], "on two machines at once");
     assert_eq!(stopped, before.1, "stopped: {:?}", seen.stopped);
-    assert_eq!(deleted, before.2, "deleted with tasks on them: {:?}", seen.deleted_in_use);
+    assert_eq!(
+        deleted, before.2,
+        "deleted with tasks on them: {:?}",
+        seen.deleted_in_use
+    );
     let (again, lapsed) = (again - before.0, lapsed - before.3);
-    assert!(again <= lapsed, "{again} started again, {lapsed} killed by leases");
+    assert!(
+        again <= lapsed,
+        "{again} started again, {lapsed} killed by leases"
+    );
 }
 
 #[test]
 fn shares_move_while_work_runs_and_nothing_is_lost_or_run_twice() {
     let seen = Arc::new(Mutex::new(Seen::default()));
-    let with = vec!["deploy/cold-restart.toml", "tests/fixtures/shares-that-move.toml"];
-    let options = Options { report_s: 3.0, lease_s: 30, team_cpus: 120, with };
+    let with = vec![
+        "deploy/cold-restart.toml",
+        "tests/fixtures/shares-that-move.toml",
+    ];
+    let options = Options {
+        report_s: 3.0,
+        lease_s: 30,
+        team_cpus: 120,
+        with,
+    };
     let mut c = Cluster::start_with(NODES, "shares", &seen, options);
     (0..NODES).for_each(|i| c.until(i, "GET", "/up", None, |s, _| s == 200));
     for (n, (id, shape, tasks)) in STAYING.into_iter().enumerate() {
-        c.until(n % NODES, "POST", "/v2/runs", Some(job(id, shape, tasks)), |s, _| s == 201 || s == 200);
+        c.until(
+            n % NODES,
+            "POST",
+            "/v2/runs",
+            Some(job(id, shape, tasks)),
+            |s, _| s == 201 || s == 200,
+        );
     }
     let all: u32 = STAYING.iter().map(|job| job.2).sum();
-    wait("all of it runs", || running(&seen, &STAYING) == all as usize);
-    wait("nobody goes by the table", || leader(&c).is_some_and(|(_, report)| report["in_use"] == true));
+    wait("all of it runs", || {
+        running(&seen, &STAYING) == all as usize
+    });
+    wait("nobody goes by the table", || {
+        leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
+    });
     let before = counts(&seen);
     let mut rng = StdRng::seed_from_u64(24);
-    let for_s: u64 = std::env::var("MOVE_SHARES_FOR_S").ok().and_then(|s| s.parse().ok()).unwrap_or(0);
+    let for_s: u64 = std::env::var("MOVE_SHARES_FOR_S")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(0);
     let (begin, mut moves, mut rounds) = (Instant::now(), 0, 0);
     while rounds < 3 || begin.elapsed() < Duration::from_secs(for_s) {
         // Work that ends comes and goes meanwhile.
         let short = format!("wk-{:06}", 100 + 2 * rounds);
-        c.until(rounds % NODES, "POST", "/v2/runs", Some(job(&short, "array", 6)), |s, _| {
-            s == 201 || s == 200
-        });
+        c.until(
+            rounds % NODES,
+            "POST",
+            "/v2/runs",
+            Some(job(&short, "array", 6)),
+            |s, _| s == 201 || s == 200,
+        );
         let (moved_before, round) = (owned(&c), Instant::now());
         while owned(&c) < moved_before + LEAST_MOVES / 3 {
             assert!(round.elapsed() < PATIENCE, "no shares move");
@@ -104,26 +148,44 @@
             c.cut(i, false);
         }
         c.until(i, "GET", "/up", None, |s, _| s == 200);
-        wait("nobody goes by the table", || leader(&c).is_some_and(|(_, report)| report["in_use"] == true));
-        c.until(i, "GET", &format!("/v2/runs/{short}"), None, |_, v| v["mood"] == "done");
+        wait("nobody goes by the table", || {
+            leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
+        });
+        c.until(i, "GET", &format!("/v2/runs/{short}"), None, |_, v| {
+            v["mood"] == "done"
+        });
         wait("the rest runs", || running(&seen, &STAYING) == all as usize);
         check(&seen, before);
         rounds += 1;
     }
     // Each report is of its own moment: at rest every machine is in one of them.
-    wait("machines without an owner, or with two, or handovers that don't end", || {
-        let reports: Vec<Value> = (0..NODES).map(|i| c.ask(i, "/shares")).collect();
-        let leads = reports.iter().map(|report| &report["leader"]).find(|leader| leader.is_object());
-        let at_rest = leads.is_some_and(|leader| {
-            leader["without_owner"] == 0 && leader["under_way"].as_array().is_some_and(Vec::is_empty)
-        });
-        let of = |report: &Value| report["machines"].as_array().cloned().unwrap_or_default();
-        let owned: Vec<String> = reports.iter().flat_map(of).map(|id| id.to_string()).collect();
-        let distinct: BTreeSet<&String> = owned.iter().collect();
-        at_rest && distinct.len() == owned.len() && distinct.len() as u32 >= all / 4
-    });
+    wait(
+        "machines without an owner, or with two, or handovers that don't end",
+        || {
+            let reports: Vec<Value> = (0..NODES).map(|i| c.ask(i, "/shares")).collect();
+            let leads = reports
+                .iter()
+                .map(|report| &report["leader"])
+                .find(|leader| leader.is_object());
+            let at_rest = leads.is_some_and(|leader| {
+                leader["without_owner"] == 0
+                    && leader["under_way"].as_array().is_some_and(Vec::is_empty)
+            });
+            let of = |report: &Value| report["machines"].as_array().cloned().unwrap_or_default();
+            let owned: Vec<String> = reports
+                .iter()
+                .flat_map(of)
+                .map(|id| id.to_string())
+                .collect();
+            let distinct: BTreeSet<&String> = owned.iter().collect();
+            at_rest && distinct.len() == owned.len() && distinct.len() as u32 >= all / 4
+        },
+    );
     let told = leader(&c).expect("a leader").1;
-    println!("{moves} moves in {rounds} rounds; the last leader: {}", told["leader"]);
+    println!(
+        "{moves} moves in {rounds} rounds; the last leader: {}",
+        told["leader"]
+    );
     check(&seen, before);
 }
 
@@ -132,14 +194,32 @@
 #[test]
 fn a_controller_is_drained_before_it_is_exchanged() {
     let seen = Arc::new(Mutex::new(Seen::default()));
-    let with = vec!["deploy/cold-restart.toml", "tests/fixtures/shares-that-move.toml"];
-    let options = Options { report_s: 3.0, lease_s: 30, team_cpus: 80, with };
+    let with = vec![
+        "deploy/cold-restart.toml",
+        "tests/fixtures/shares-that-move.toml",
+    ];
+    let options = Options {
+        report_s: 3.0,
+        lease_s: 30,
+        team_cpus: 80,
+        with,
+    };
     let mut c = Cluster::start_with(NODES, "drain", &seen, options);
     (0..NODES).for_each(|i| c.until(i, "GET", "/up", None, |s, _| s == 200));
     let (id, shape, tasks) = STAYING[0];
-    c.until(0, "POST", "/v2/runs", Some(job(id, shape, tasks)), |s, _| s == 201 || s == 200);
-    wait("all of it runs", || running(&seen, &STAYING) == tasks as usize);
-    wait("nobody goes by the table", || leader(&c).is_some_and(|(_, report)| report["in_use"] == true));
+    c.until(
+        0,
+        "POST",
+        "/v2/runs",
+        Some(job(id, shape, tasks)),
+        |s, _| s == 201 || s == 200,
+    );
+    wait("all of it runs", || {
+        running(&seen, &STAYING) == tasks as usize
+    });
+    wait("nobody goes by the table", || {
+        leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
+    });
     let before = counts(&seen);
     let machines = |c: &Cluster, i: usize| c.ask(i, "/shares")["machines"].as_array().map(Vec::len);
     let plan = |c: &Cluster, plan: Value| {
@@ -149,16 +229,28 @@
     };
     let (leads, _) = leader(&c).expect("a leader");
     let drained = (leads + 1) % NODES;
-    wait("it owns machines", || machines(&c, drained).is_some_and(|n| n > 0));
+    wait("it owns machines", || {
+        machines(&c, drained).is_some_and(|n| n > 0)
+    });
     plan(&c, json!({"drain": [format!("n{drained}")]}));
-    wait("it still owns machines", || machines(&c, drained) == Some(0));
+    wait("it still owns machines", || {
+        machines(&c, drained) == Some(0)
+    });
     c.kill(drained);
     c.boot(drained);
     c.until(drained, "GET", "/up", None, |s, _| s == 200);
-    wait("nobody goes by the table", || leader(&c).is_some_and(|(_, report)| report["in_use"] == true));
-    assert_eq!(machines(&c, drained), Some(0), "the table still says that others own its machines");
+    wait("nobody goes by the table", || {
+        leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
+    });
+    assert_eq!(
+        machines(&c, drained),
+        Some(0),
+        "the table still says that others own its machines"
+    );
     plan(&c, json!({}));
-    wait("it gets nothing back", || machines(&c, drained).is_some_and(|n| n > 0));
+    wait("it gets nothing back", || {
+        machines(&c, drained).is_some_and(|n| n > 0)
+    });
     check(&seen, before);
 }
 
@@ -166,13 +258,21 @@
 #[test]
 fn senseless_plans_are_refused_and_change_nothing() {
     let seen = Arc::new(Mutex::new(Seen::default()));
-    let options = Options { with: vec!["deploy/shared-machines.toml"], ..Options::default() };
+    let options = Options {
+        with: vec!["deploy/shared-machines.toml"],
+        ..Options::default()
+    };
     let c = Cluster::start_with(1, "plans", &seen, options);
     c.until(0, "GET", "/up", None, |s, _| s == 200);
-    wait("it does not lead", || leader(&c).is_some_and(|(_, report)| report["in_use"] == true));
+    wait("it does not lead", || {
+        leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
+    });
     for (plan, names) in [
         (json!({"drain": ["n0"]}), "nobody is left"),
-        (json!({"moves": [{"from": "n0", "to": "n7", "machines": 1}]}), "n7"),
+        (
+            json!({"moves": [{"from": "n0", "to": "n7", "machines": 1}]}),
+            "n7",
+        ),
         (json!({"moves": "all"}), "plan"),
         (json!({"dreain": []}), "dreain"),
     ] {
@@ -183,6 +283,11 @@
         );
     }
     let report = c.ask(0, "/shares");
-    assert!(report["leader"]["plan"] == json!({"drain": [], "moves": []}) && report["generation"] == 0);
-    assert_eq!(c.ask(0, "/restart")["error"], "the part cold-restart is not switched on");
+    assert!(
+        report["leader"]["plan"] == json!({"drain": [], "moves": []}) && report["generation"] == 0
+    );
+    assert_eq!(
+        c.ask(0, "/restart")["error"],
+        "the part cold-restart is not switched on"
+    );
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -134,7 +134,10 @@
 }
 
 fn message(name: &str) -> Envelope {
-    let hex = MESSAGES.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' ')).expect("a message");
+    let hex = MESSAGES
+        .lines()
+        .find_map(|l| l.strip_prefix(name)?.strip_prefix(' '))
+        .expect("a message");
     let byte = |i: usize| u8::from_str_radix(&hex[i..i + 2], 16).expect("hex");
     let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
     Envelope::decode(&bytes).expect("it is read")
@@ -151,7 +154,8 @@
         cancellation_notices: Vec::new(),
         message,
     };
-    let read: production::Envelope = ciborium::from_reader(&envelope.encode()[..]).expect("it is read");
+    let read: production::Envelope =
+        ciborium::from_reader(&envelope.encode()[..]).expect("it is read");
     read.message
 }
 
@@ -161,16 +165,37 @@
     for (i, (key, value)) in state().into_iter().enumerate() {
         m.put(key, value, 1 + i as u64);
     }
-    assert_eq!(m.epoch.as_ref().map(|e| (e.n, e.leader.as_str(), e.members.len())), Some((4, "a", 2)));
+    assert_eq!(
+        m.epoch
+            .as_ref()
+            .map(|e| (e.n, e.leader.as_str(), e.members.len())),
+        Some((4, "a", 2))
+    );
     assert_eq!(m.catalog.as_ref().map(|c| c.types.len()), Some(1));
-    assert_eq!(m.members["a"].0, Member { inc: 7, capability: 0 });
+    assert_eq!(
+        m.members["a"].0,
+        Member {
+            inc: 7,
+            capability: 0
+        }
+    );
     assert!(!m.all_run_gangs(), "production does not run gangs");
     assert_eq!(m.jobs["wk-1"].finished.iter().collect::<Vec<_>>(), [0, 2]);
-    assert_eq!(m.jobs["wk-2"].record.spec.as_ref().map(|s| s.shape), Some(Shape::Gang));
+    assert_eq!(
+        m.jobs["wk-2"].record.spec.as_ref().map(|s| s.shape),
+        Some(Shape::Gang)
+    );
     assert!(m.jobs["wk-3"].record.cancelled && m.jobs["wk-4"].record.done);
-    assert_eq!(m.jobs["wk-5"].finished.iter().collect::<Vec<_>>(), [0, 5000, 16385], "of both its chunks");
+    assert_eq!(
+        m.jobs["wk-5"].finished.iter().collect::<Vec<_>>(),
+        [0, 5000, 16385],
+        "of both its chunks"
+    );
     let up: Vec<(&str, bool)> = m.roster.iter().map(|(id, (r, _))| (&**id, r.up)).collect();
-    assert_eq!(up, [("m-1", true), ("m-2", false), ("m-3", true), ("m-4", true)]);
+    assert_eq!(
+        up,
+        [("m-1", true), ("m-2", false), ("m-3", true), ("m-4", true)]
+    );
     for (key, value) in state() {
         let written = match key.split('/').nth(1).expect("a kind of key") {
             "epoch" => json!(m.epoch),
@@ -186,16 +211,46 @@
 #[test]
 fn every_message_of_production_is_read() {
     let part = message("part");
-    assert_eq!((part.cancellation_notices.len(), part.hears.len(), part.apart.len()), (1, 1, 1));
-    let Message::Part(part) = part.message else { panic!("not a part's report") };
+    assert_eq!(
+        (
+            part.cancellation_notices.len(),
+            part.hears.len(),
+            part.apart.len()
+        ),
+        (1, 1, 1)
+    );
+    let Message::Part(part) = part.message else {
+        panic!("not a part's report")
+    };
     assert_eq!((part.epoch, part.seq, part.machines.len()), (4, 1, 4));
-    let held: Vec<(u64, Phase, u64)> = part.held.iter().map(|h| (h.attempt, h.phase, h.assignment)).collect();
-    assert_eq!(held, [(70, Phase::Running, 0)], "production names no assignment");
-    let gone: Vec<(u64, Leave, u64)> = part.gone.iter().map(|g| (g.attempt, g.how, g.assignment)).collect();
+    let held: Vec<(u64, Phase, u64)> = part
+        .held
+        .iter()
+        .map(|h| (h.attempt, h.phase, h.assignment))
+        .collect();
+    assert_eq!(
+        held,
+        [(70, Phase::Running, 0)],
+        "production names no assignment"
+    );
+    let gone: Vec<(u64, Leave, u64)> = part
+        .gone
+        .iter()
+        .map(|g| (g.attempt, g.how, g.assignment))
+        .collect();
     assert_eq!(gone, [(72, Leave::Passed, 0), (71, Leave::Error, 0)]);
-    let Message::Orders(orders) = message("orders").message else { panic!("not orders") };
+    let Message::Orders(orders) = message("orders").message else {
+        panic!("not orders")
+    };
     let deal = &orders.assignments[0];
-    assert_eq!((deal.tasks.len(), deal.zone_room.is_some(), deal.assignments.len()), (3, true, 0));
+    assert_eq!(
+        (
+            deal.tasks.len(),
+            deal.zone_room.is_some(),
+            deal.assignments.len()
+        ),
+        (3, true, 0)
+    );
     assert_eq!((orders.recall.len(), orders.drain.len()), (1, 1));
     assert!(matches!(message("hello").message, Message::Hello));
 }
@@ -211,26 +266,66 @@
         avoid: vec!["m-9".into()],
         assignments: vec![(1, 51)],
     }];
-    let recall = vec![(Task { job: "wk-2".into(), index: 1 }, 60)];
-    let read =
-        in_production(Message::Orders(Orders { recall, borrowing: vec!["t".into()], ..orders(1, deals) }));
-    let production::Message::Orders(read) = read else { panic!("not orders") };
+    let recall = vec![(
+        Task {
+            job: "wk-2".into(),
+            index: 1,
+        },
+        60,
+    )];
+    let read = in_production(Message::Orders(Orders {
+        recall,
+        borrowing: vec!["t".into()],
+        ..orders(1, deals)
+    }));
+    let production::Message::Orders(read) = read else {
+        panic!("not orders")
+    };
     assert_eq!(read.epoch, EPOCH);
-    assert_eq!((read.deals[0].job.as_str(), &read.deals[0].tasks[..]), ("wk-1", &[(0, 50), (1, 50)][..]));
+    assert_eq!(
+        (read.deals[0].job.as_str(), &read.deals[0].tasks[..]),
+        ("wk-1", &[(0, 50), (1, 50)][..])
+    );
     assert_eq!(read.deals[0].zone_room, Some(vec![("e".to_string(), 2)]));
     assert_eq!(read.deals[0].avoid, ["m-9"]);
-    assert_eq!(read.recall, [(production::Task { job: "wk-2".into(), index: 1 }, 60)]);
+    assert_eq!(
+        read.recall,
+        [(
+            production::Task {
+                job: "wk-2".into(),
+                index: 1
+            },
+            60
+        )]
+    );
 }
 
 // A gang that gathers, and one whose tasks are gone: whatever this version knows
 // of them, its reports hold no phase and no way to leave that production lacks.
 #[test]
 fn production_reads_reports_with_gangs() {
-    for phase in [Phase::Queued, Phase::Starting, Phase::Fetching, Phase::Running, Phase::Saving, Phase::Done]
-    {
-        let Message::Part(before) = message("part").message else { panic!("not a part's report") };
-        let task = Task { job: "wk-2".into(), index: 0 };
-        let held = vec![HeldView { task, attempt: 50, phase, machine: Some("m-1".into()), assignment: 51 }];
+    for phase in [
+        Phase::Queued,
+        Phase::Starting,
+        Phase::Fetching,
+        Phase::Running,
+        Phase::Saving,
+        Phase::Done,
+    ] {
+        let Message::Part(before) = message("part").message else {
+            panic!("not a part's report")
+        };
+        let task = Task {
+            job: "wk-2".into(),
+            index: 0,
+        };
+        let held = vec![HeldView {
+            task,
+            attempt: 50,
+            phase,
+            machine: Some("m-1".into()),
+            assignment: 51,
+        }];
         let gone: Vec<Gone> = [Leave::Stopped, Leave::Error, Leave::Lost, Leave::Passed]
             .into_iter()
             .map(|how| {
@@ -239,31 +334,78 @@
                 gone
             })
             .collect();
-        let dropped = vec![(Task { job: "wk-2".into(), index: 2 }, 50, 3)];
-        let read = in_production(Message::Part(PartReport { held, gone, dropped, ..before }));
-        let production::Message::Part(read) = read else { panic!("not a part's report") };
+        let dropped = vec![(
+            Task {
+                job: "wk-2".into(),
+                index: 2,
+            },
+            50,
+            3,
+        )];
+        let read = in_production(Message::Part(PartReport {
+            held,
+            gone,
+            dropped,
+            ..before
+        }));
+        let production::Message::Part(read) = read else {
+            panic!("not a part's report")
+        };
         assert_eq!((read.epoch, read.seq, read.dropped.len()), (4, 1, 1));
-        assert_eq!((read.held[0].attempt, format!("{:?}", read.held[0].phase)), (50, format!("{phase:?}")));
-        assert_eq!(read.held[0].task, production::Task { job: "wk-2".into(), index: 0 });
+        assert_eq!(
+            (read.held[0].attempt, format!("{:?}", read.held[0].phase)),
+            (50, format!("{phase:?}"))
+        );
+        assert_eq!(
+            read.held[0].task,
+            production::Task {
+                job: "wk-2".into(),
+                index: 0
+            }
+        );
         assert_eq!(read.held[0].machine.as_deref(), Some("m-1"));
         use production::Leave::{Error, Lost, Passed, Stopped};
-        assert_eq!(read.gone.iter().map(|g| &g.how).collect::<Vec<_>>(), [&Stopped, &Error, &Lost, &Passed]);
-        assert!(read.gone.iter().all(|g| g.attempt == 72 && g.task.job == "wk-1"));
+        assert_eq!(
+            read.gone.iter().map(|g| &g.how).collect::<Vec<_>>(),
+            [&Stopped, &Error, &Lost, &Passed]
+        );
+        assert!(read
+            .gone
+            .iter()
+            .all(|g| g.attempt == 72 && g.task.job == "wk-1"));
     }
-    assert!(matches!(in_production(Message::Hello), production::Message::Hello));
+    assert!(matches!(
+        in_production(Message::Hello),
+        production::Message::Hello
+    ));
 }
 
 // What borrowing low work would give up is a field that production leaves out; from
 // production nothing is said of it, and nothing is assigned on its strength.
 #[test]
 fn production_reads_machines_with_low_work_that_yields() {
-    let Message::Part(mut report) = message("part").message else { panic!("not a part's report") };
-    assert!(report.machines.iter().all(|machine| machine.yielding_low.is_empty()));
-    report.machines[0].yielding = Res { cpus: 6.0, gpus: 0.0, mem: 1.0 };
-    report.machines[0].yielding_low = Res { cpus: 4.0, gpus: 0.0, mem: 1.0 };
+    let Message::Part(mut report) = message("part").message else {
+        panic!("not a part's report")
+    };
+    assert!(report
+        .machines
+        .iter()
+        .all(|machine| machine.yielding_low.is_empty()));
+    report.machines[0].yielding = Res {
+        cpus: 6.0,
+        gpus: 0.0,
+        mem: 1.0,
+    };
+    report.machines[0].yielding_low = Res {
+        cpus: 4.0,
+        gpus: 0.0,
+        mem: 1.0,
+    };
     let id = report.machines[0].id.to_string();
     let read = in_production(Message::Part(report));
-    let production::Message::Part(read) = read else { panic!("not a part's report") };
+    let production::Message::Part(read) = read else {
+        panic!("not a part's report")
+    };
     assert_eq!((read.machines.len(), &read.machines[0].id), (4, &id));
     assert_eq!(read.machines[0].yielding.cpus, 6.0);
 }
@@ -271,30 +413,53 @@
 // Names that were changed in the code stay as they were on the wire.
 #[test]
 fn production_reads_silent_machines_and_cancellations_under_their_old_names() {
-    let Message::Part(mut report) = message("part").message else { panic!("not a part's report") };
+    let Message::Part(mut report) = message("part").message else {
+        panic!("not a part's report")
+    };
     report.machines[0].ignores_commands = true;
-    report.quiet = vec![Quiet { id: "m-1".into(), silent_s: 9.0, unanswered_s: Some(4.0) }];
+    report.quiet = vec![Quiet {
+        id: "m-1".into(),
+        silent_s: 9.0,
+        unanswered_s: Some(4.0),
+    }];
     let envelope = Envelope {
         from: "a".into(),
         to: "b".into(),
         fresh: true,
         hears: Vec::new(),
         apart: Vec::new(),
-        cancellation_notices: vec![CancellationNotice { job: "wk-1".into(), version: 3, at_ms: 4 }],
+        cancellation_notices: vec![CancellationNotice {
+            job: "wk-1".into(),
+            version: 3,
+            at_ms: 4,
+        }],
         message: Message::Part(report),
     };
-    let read: production::Envelope = ciborium::from_reader(&envelope.encode()[..]).expect("it is read");
-    assert_eq!(read.called_off.iter().map(|c| c.job.as_str()).collect::<Vec<_>>(), ["wk-1"]);
-    let production::Message::Part(read) = read.message else { panic!("not a part's report") };
+    let read: production::Envelope =
+        ciborium::from_reader(&envelope.encode()[..]).expect("it is read");
+    assert_eq!(
+        read.called_off
+            .iter()
+            .map(|c| c.job.as_str())
+            .collect::<Vec<_>>(),
+        ["wk-1"]
+    );
+    let production::Message::Part(read) = read.message else {
+        panic!("not a part's report")
+    };
     assert!(read.machines[0].heedless && !read.machines[1].heedless);
-    assert_eq!(read.quiet.iter().map(|q| q.deaf_s).collect::<Vec<_>>(), [Some(4.0)]);
+    assert_eq!(
+        read.quiet.iter().map(|q| q.deaf_s).collect::<Vec<_>>(),
+        [Some(4.0)]
+    );
 }
 
 // Shares are fields that production leaves out, and an epoch in which one member is of
 // production doesn't have them.
 #[test]
 fn production_reads_epochs_members_and_messages_with_shares() {
-    let knows = |name: &str, inc: u64, shares: bool| (name.to_string(), (Member::new(inc, shares), 1));
+    let knows =
+        |name: &str, inc: u64, shares: bool| (name.to_string(), (Member::new(inc, shares), 1));
     let next = |live: &[(String, (Member, u64))]| {
         next_epoch(None, &live.iter().cloned().collect()).expect("an epoch")
     };
@@ -309,23 +474,38 @@
         "the bytes of production"
     );
     let read: production::Epoch = serde_json::from_value(json!(all)).expect("it is read");
-    assert_eq!((read.n, read.leader.as_str(), read.members.len()), (1, "a", 2));
-    let read: production::Member = serde_json::from_value(json!(Member::new(9, true))).expect("it is read");
+    assert_eq!(
+        (read.n, read.leader.as_str(), read.members.len()),
+        (1, "a", 2)
+    );
+    let read: production::Member =
+        serde_json::from_value(json!(Member::new(9, true))).expect("it is read");
     assert_eq!(read.inc, 9);
     // Whatever the table says, with production among the members the hash decides.
-    let table = ShareTable::default().moved(&ShareRange::whole("a"), "b").moved(&ShareRange::whole("b"), "a");
+    let table = ShareTable::default()
+        .moved(&ShareRange::whole("a"), "b")
+        .moved(&ShareRange::whole("b"), "a");
     for id in (0..20).map(|i| format!("m-{i}")) {
         let home = owner(&all.members, &id).expect("a home");
         assert_eq!(owner_by_shares(&mixed, &table, &id), Some(home));
         assert_ne!(owner_by_shares(&all, &table, &id), Some(home));
     }
-    let Message::Part(mut report) = message("part").message else { panic!("not a part's report") };
-    let Message::Orders(mut orders) = message("orders").message else { panic!("not orders") };
-    let plain =
-        (in_production(Message::Part(report.clone())), in_production(Message::Orders(orders.clone())));
+    let Message::Part(mut report) = message("part").message else {
+        panic!("not a part's report")
+    };
+    let Message::Orders(mut orders) = message("orders").message else {
+        panic!("not orders")
+    };
+    let plain = (
+        in_production(Message::Part(report.clone())),
+        in_production(Message::Orders(orders.clone())),
+    );
     report.handovers.accepted.push(1);
     orders.handovers.push(HandoverOrder::Offer { id: 1 });
-    let with = (in_production(Message::Part(report)), in_production(Message::Orders(orders)));
+    let with = (
+        in_production(Message::Part(report)),
+        in_production(Message::Orders(orders)),
+    );
     assert_eq!(format!("{plain:?}"), format!("{with:?}"));
 }
 
@@ -337,7 +517,10 @@
     let read: production::Member = serde_json::from_value(written).expect("it is read");
     assert_eq!(read.inc, 9);
     let of_before: Member = serde_json::from_value(json!({"inc": 9})).expect("it is read");
-    assert_eq!((of_before.capability, json!(of_before)), (0, json!({"inc": 9})));
+    assert_eq!(
+        (of_before.capability, json!(of_before)),
+        (0, json!({"inc": 9}))
+    );
 }
 
 // Finished tasks of jobs that fit one chunk under the limits to come are the
@@ -347,7 +530,14 @@
 fn finished_tasks_are_read_in_either_size() {
     let (now, later) = (tasks_per_chunk(8.0), tasks_per_chunk(2.0));
     let whole = chunks_covering(&[0, 2], 3, later);
-    assert_eq!(whole, [ChunkRange { chunk: Chunk::Numbered(0), first: 0, len: 3 }]);
+    assert_eq!(
+        whole,
+        [ChunkRange {
+            chunk: Chunk::Numbered(0),
+            first: 0,
+            len: 3
+        }]
+    );
     assert_eq!(whole[0].chunk.key("wk-1"), "fw/f/wk-1/0");
     assert_eq!(chunks_covering(&[0, 2], 3, now), whole);
     let ranges = chunks_covering(&[1, 5000, 19_999], 20_000, later);
@@ -368,10 +558,18 @@
         assert!(value.to_string().len() <= 2048, "within the limits to come");
         m.put(&r.chunk.key("wk-5"), value, 100 + i as u64);
     }
-    assert_eq!(m.jobs["wk-5"].finished.iter().collect::<Vec<_>>(), [0, 1, 5000, 16_385, 19_999]);
+    assert_eq!(
+        m.jobs["wk-5"].finished.iter().collect::<Vec<_>>(),
+        [0, 1, 5000, 16_385, 19_999]
+    );
     assert_eq!(m.jobs["wk-5"].chunks.len(), 5);
     // No sense in the key or beyond what a job may have: left out.
-    for key in ["fw/f/wk-5/at/x", "fw/f/wk-5/at/4000000000", "fw/f/wk-5/4000000000", "fw/f/wk-5/at/99999"] {
+    for key in [
+        "fw/f/wk-5/at/x",
+        "fw/f/wk-5/at/4000000000",
+        "fw/f/wk-5/4000000000",
+        "fw/f/wk-5/at/99999",
+    ] {
         m.put(key, "ffff".into(), 200);
     }
     assert!(m.jobs["wk-5"].finished.len() <= 6);
--- a/tests/with_files.rs
+++ b/tests/with_files.rs
@@ -10,12 +10,32 @@
 #[test]
 fn the_files_under_deploy_are_taken() {
     let mut parts = Parts::default();
-    parts.add("cold-restart.toml", include_str!("../deploy/cold-restart.toml")).expect("taken");
-    parts.add("shared-machines.toml", include_str!("../deploy/shared-machines.toml")).expect("taken");
-    let shared =
-        SharedMachines { machines_per_move: 20, moves_per_minute: 12.0, imbalance: 0.5, rest_leases: 3.0 };
+    parts
+        .add(
+            "cold-restart.toml",
+            include_str!("../deploy/cold-restart.toml"),
+        )
+        .expect("taken");
+    parts
+        .add(
+            "shared-machines.toml",
+            include_str!("../deploy/shared-machines.toml"),
+        )
+        .expect("taken");
+    let shared = SharedMachines {
+        machines_per_move: 20,
+        moves_per_minute: 12.0,
+        imbalance: 0.5,
+        rest_leases: 3.0,
+    };
     assert_eq!(parts.shared_machines, Some(shared));
-    assert_eq!(parts.cold_restart, Some(ColdRestart { answer_reports: 2.0, entries: 500 }));
+    assert_eq!(
+        parts.cold_restart,
+        Some(ColdRestart {
+            answer_reports: 2.0,
+            entries: 500
+        })
+    );
 }
 
 #[test]
@@ -30,17 +50,33 @@
         (format!("{part}entries = \"many\""), "expected"),
         (format!("{part}entires = 3"), "entires"),
         ("part = ".into(), "TOML"),
-        ("part = \"shared-machines\"\nimbalance = 0.0".into(), "imbalance"),
-        ("part = \"shared-machines\"\nmachines_per_move = 0".into(), "machines_per_move"),
+        (
+            "part = \"shared-machines\"\nimbalance = 0.0".into(),
+            "imbalance",
+        ),
+        (
+            "part = \"shared-machines\"\nmachines_per_move = 0".into(),
+            "machines_per_move",
+        ),
     ];
     for (text, names) in bad {
-        let why = Parts::default().add("x.toml", &text).expect_err(&text).to_string();
-        assert!(why.starts_with("with: x.toml: ") && why.lines().count() == 1, "{text}: {why}");
+        let why = Parts::default()
+            .add("x.toml", &text)
+            .expect_err(&text)
+            .to_string();
+        assert!(
+            why.starts_with("with: x.toml: ") && why.lines().count() == 1,
+            "{text}: {why}"
+        );
         assert!(names == "TOML" || why.contains(names), "{text}: {why}");
     }
     let mut parts = Parts::default();
     parts.add("x.toml", part).expect("taken");
-    assert!(parts.add("y.toml", part).expect_err("twice").to_string().contains("already"));
+    assert!(parts
+        .add("y.toml", part)
+        .expect_err("twice")
+        .to_string()
+        .contains("already"));
 }
 
 #[test]
@@ -59,6 +95,9 @@
             .expect("it ran");
         let said = String::from_utf8_lossy(&end.stderr);
         assert!(!end.status.success());
-        assert!(said.lines().count() == 1 && said.contains("with: "), "{said}");
+        assert!(
+            said.lines().count() == 1 && said.contains("with: "),
+            "{said}"
+        );
     }
 }
