--- /dev/null
+++ b/tests/wire_format.rs
@@ -0,0 +1,196 @@
+//! The bytes that leave the process in JSON, frozen: what users, workers and the cloud
+//! get and send. `fixtures/wire-format/` holds them as they were written before names in
+//! the code changed; each is compared both ways.
+
+#[path = "common/fixtures.rs"]
+mod fixtures;
+
+use finchwood::http::error_body;
+use finchwood::wire::{
+    cause, Call, Catalog, Commands, JobSpec, JobView, Listed, MachineNames, MachinePage, MachineType, Rank,
+    Redirect, RentRequest, Report, ReportAnswer, Shape, TaskLine, TaskState,
+};
+use fixtures::Fixtures;
+
+const USERS: &str = include_str!("fixtures/wire-format/users.txt");
+const WORKERS: &str = include_str!("fixtures/wire-format/workers.txt");
+const CLOUD: &str = include_str!("fixtures/wire-format/cloud.txt");
+
+fn submission(shape: Shape, rank: Rank) -> JobSpec {
+    JobSpec {
+        id: "wk-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        shape,
+        rank,
+        tasks: 16,
+        cpus: 8.0,
+        gpus: 1.0,
+        mem_gb: 64.0,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        types: Some(vec!["g8".into(), "c4".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        scatter: false,
+        spot: true,
+        estimate_s: 240.0,
+        checkpoint_s: 30.0,
+        save_s: 4.0,
+        deadline_s: Some(900.0),
+    }
+}
+
+/// Every shape and every rank occurs.
+fn submissions() -> [(&'static str, JobSpec); 5] {
+    let plain = JobSpec {
+        types: None,
+        zone: None,
+        one_zone: false,
+        scatter: true,
+        spot: false,
+        deadline_s: None,
+        ..submission(Shape::Array, Rank::Low)
+    };
+    [
+        ("submission.array.prod", submission(Shape::Array, Rank::Prod)),
+        ("submission.standing.urgent", submission(Shape::Service, Rank::Urgent)),
+        ("submission.ensemble.standard", submission(Shape::Gang, Rank::Standard)),
+        ("submission.ensemble.low", submission(Shape::Gang, Rank::Low)),
+        ("submission.without-optional-fields", plain),
+    ]
+}
+
+#[test]
+fn submissions_keep_their_bytes() {
+    let fixtures = Fixtures::new(USERS);
+    for (name, spec) in submissions() {
+        fixtures.both_ways(name, &spec);
+        assert_eq!(JobSpec::parse(fixtures.payload(name).as_bytes()), Ok(spec), "{name}");
+    }
+    let nulls = JobSpec::parse(fixtures.payload("submission.with-nulls").as_bytes()).expect("taken");
+    assert_eq!(nulls, submissions()[4].1);
+    let view =
+        |state: &str, done, running| JobView { id: "wk-000412".into(), state: state.into(), done, running };
+    for state in ["pending", "running", "done", "cancelled"] {
+        fixtures.both_ways(&format!("view.{state}"), &view(state, Some(3), Some(13)));
+        fixtures.both_ways(&format!("view.{state}.without-counts"), &view(state, None, None));
+    }
+    fixtures.same("error", std::str::from_utf8(&error_body("no such job")).expect("text"));
+    for refused in fixtures.lines().filter_map(|(name, _)| name.strip_suffix(".refused-body")) {
+        let error = JobSpec::parse(fixtures.text(&format!("{refused}.refused-body")).as_bytes());
+        fixtures.same(&format!("{refused}.why"), &error.expect_err(refused));
+    }
+    fixtures.all_used();
+}
+
+fn line(state: TaskState, why: Option<&str>, saved: Option<bool>) -> TaskLine {
+    TaskLine { task: "wk-000412/3".into(), attempt: 2, state, why: why.map(String::from), saved }
+}
+
+fn report(notice_s: Option<f64>, tasks: Vec<TaskLine>) -> Report {
+    Report {
+        machine: "m-000231".into(),
+        addr: "10.1.0.232:9000".into(),
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 1,
+        seq: 88,
+        token: 41,
+        notice_s,
+        tasks,
+    }
+}
+
+/// Every state and every cause occurs.
+fn lines() -> Vec<TaskLine> {
+    use TaskState::{Ended, Fetching, Gathering, Other, Running, Saving};
+    let states = [Fetching, Gathering, Running, Saving, Other].map(|state| line(state, None, None));
+    let causes = [
+        cause::DONE,
+        cause::STOPPED,
+        cause::ERROR,
+        cause::NO_ROOM,
+        cause::BUSY,
+        cause::UNKNOWN,
+        cause::PEERS,
+        cause::ALONE,
+    ];
+    let kept = [line(Ended, Some(cause::STOPPED), Some(true)), line(Ended, None, Some(false))];
+    states.into_iter().chain(causes.map(|why| line(Ended, Some(why), None))).chain(kept).collect()
+}
+
+fn calls() -> Vec<Call> {
+    vec![
+        Call::Start { task: "wk-000412/4".into(), attempt: 2 },
+        Call::Stop { task: "wk-000377/1".into(), attempt: 1, grace_s: 10.0 },
+        Call::Forget { task: "wk-000398/0".into(), attempt: 1 },
+    ]
+}
+
+#[test]
+fn what_workers_send_and_get_keeps_its_bytes() {
+    let fixtures = Fixtures::new(WORKERS);
+    fixtures.both_ways("report", &report(Some(30.5), lines()));
+    fixtures.both_ways("report.empty", &report(None, Vec::new()));
+    let sparse: Report = fixtures.read("report.without-optional-fields");
+    assert_eq!(sparse, report(None, Vec::new()));
+    let unknown: Report = fixtures.read("report.with-an-unknown-state");
+    assert_eq!(unknown, report(None, vec![line(TaskState::Other, None, None)]));
+    fixtures.both_ways("answer", &ReportAnswer { token: 41, commands: calls() });
+    fixtures.both_ways("answer.empty", &ReportAnswer { token: 0, commands: Vec::new() });
+    fixtures.both_ways("commands", &Commands { token: 41, session: 1, commands: calls() });
+    fixtures.both_ways("commands.empty", &Commands { token: 41, session: 1, commands: Vec::new() });
+    fixtures.both_ways("redirect", &Redirect { report_to: Some("perch-2".into()) });
+    fixtures.both_ways("redirect.to-any", &Redirect { report_to: None });
+    fixtures.all_used();
+}
+
+fn machine_type(name: &str, gpus: f64) -> MachineType {
+    MachineType {
+        name: name.into(),
+        cpus: 96.0,
+        gpus,
+        mem_gb: 768.0,
+        cache_gb: 200.0,
+        fetch_gb_per_s: 1.0,
+        price: 12.0,
+        spot_price: 4.5,
+        boot_s: 45.0,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
+
+fn listed(addr: Option<&str>, state: &str) -> Listed {
+    Listed {
+        id: "m-000231".into(),
+        addr: addr.map(String::from),
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        state: state.into(),
+        age_s: 61.5,
+    }
+}
+
+#[test]
+fn what_the_cloud_sends_and_gets_keeps_its_bytes() {
+    let fixtures = Fixtures::new(CLOUD);
+    fixtures.both_ways("catalog", &Catalog { types: vec![machine_type("g8", 8.0), machine_type("c4", 0.0)] });
+    fixtures.both_ways("catalog.empty", &Catalog::default());
+    let sparse: Catalog = fixtures.read("catalog.without-optional-fields");
+    assert_eq!(sparse, Catalog { types: vec![machine_type("c4", 0.0)] });
+    let rental =
+        RentRequest { request: "r-17".into(), kind: "g8".into(), zone: "a".into(), spot: true, count: 12 };
+    fixtures.both_ways("rental", &rental);
+    let names = MachineNames { machines: vec!["m-000231".into(), "m-000232".into()] };
+    fixtures.both_ways("machine-names", &names);
+    let machines = vec![listed(Some("10.1.0.232:9000"), "running"), listed(None, "booting")];
+    fixtures.both_ways("machine-page", &MachinePage { machines, more: true });
+    let sparse: MachinePage = fixtures.read("machine-page.without-optional-fields");
+    assert_eq!((sparse.machines.len(), sparse.more), (1, false));
+    let machine = &sparse.machines[0];
+    assert_eq!((&*machine.id, machine.addr.as_deref(), &*machine.state), ("m-000231", None, "failed"));
+    fixtures.all_used();
+}
--- /dev/null
+++ b/tests/wire_format_operators.rs
@@ -0,0 +1,371 @@
+//! What operators read and write, frozen: the reports of restarts and of shares, plans,
+//! policies, the files that switch on parts, the platform's settings, and the flags.
+
+#[path = "common/fixtures.rs"]
+mod fixtures;
+
+use finchwood::assignment::RestartProgress;
+use finchwood::policy::Policy;
+use finchwood::restart_report::{RecordLeftAlone, RestartReport};
+use finchwood::settings::Settings;
+use finchwood::shares_report::{HandoversReport, OwnedShare, SharesReport};
+use finchwood::unreadable::RecordError;
+use finchwood::with::{ColdRestart, Parts, SharedMachines};
+use finchwood_reconcile::caution::{Action, HoldReason};
+use finchwood_reconcile::doubt::JobPhase;
+use finchwood_reconcile::machine::MachineState;
+use finchwood_reconcile::record::{Entry, OrderCounts, RestartRecord, StopCause};
+use finchwood_reconcile::verdict::{
+    AdoptReason, ConflictReason, DoubtReason, ReapReason, StopReason, Verdict,
+};
+use finchwood_shares::handover::{HandoverEnd, HandoverReport, Handovers, MoveReason, WantedMove};
+use finchwood_shares::plan::{Plan, PlannedMove};
+use finchwood_shares::table::{ShareRange, ShareTable};
+use fixtures::Fixtures;
+use std::process::Command;
+
+const RESTARTS: &str = include_str!("fixtures/wire-format/restarts.txt");
+const SHARES: &str = include_str!("fixtures/wire-format/shares.txt");
+const POLICIES: &str = include_str!("fixtures/wire-format/policies.txt");
+const PARTS: &str = include_str!("fixtures/wire-format/parts.txt");
+const SETTINGS: &str = include_str!("fixtures/wire-format/settings.txt");
+const PROGRAM: &str = include_str!("fixtures/wire-format/program.txt");
+
+/// Every verdict with every reason.
+fn verdicts() -> Vec<Verdict> {
+    vec![
+        Verdict::Known,
+        Verdict::Adopt(AdoptReason::Runs),
+        Verdict::Adopt(AdoptReason::FoundWhilePlanned),
+        Verdict::Adopt(AdoptReason::AttemptOfLaterEpoch),
+        Verdict::RecordFinished,
+        Verdict::Stop(StopReason::JobCancelled),
+        Verdict::Stop(StopReason::JobDone),
+        Verdict::Stop(StopReason::TaskFinished),
+        Verdict::Stop(StopReason::HeldElsewhere),
+        Verdict::Reap(ReapReason::EndCommitted),
+        Verdict::Reap(ReapReason::NothingToKeep),
+        Verdict::LeaveInDoubt(DoubtReason::UnknownJob),
+        Verdict::LeaveInDoubt(DoubtReason::NoSuchTask),
+        Verdict::Conflict(ConflictReason::RunsTwice),
+        Verdict::Conflict(ConflictReason::CompletedElsewhere),
+    ]
+}
+
+/// Every action and every reason to hold one back.
+const HOLDS: [(Action, HoldReason); 4] = [
+    (Action::Rent, HoldReason::PartsUnheard),
+    (Action::Preempt, HoldReason::MachinesInDoubt),
+    (Action::Consolidate, HoldReason::OwnAbsence),
+    (Action::EvictUnasked, HoldReason::OwnAbsence),
+];
+
+const STATES: [MachineState; 5] = [
+    MachineState::Unused,
+    MachineState::Unheard,
+    MachineState::Heard,
+    MachineState::Proven,
+    MachineState::LeasePast,
+];
+
+fn entry(verdict: Verdict) -> Entry {
+    let (task, machine) = ("wk-1/0".into(), "m-1".into());
+    Entry { at_s: 1.5, task, attempt: 70, machine, session: 2, verdict }
+}
+
+fn orders() -> OrderCounts {
+    let stops = [
+        (StopCause::Over, 1),
+        (StopCause::Recalled, 2),
+        (StopCause::Preempted, 3),
+        (StopCause::Notice, 4),
+        (StopCause::NotHeld, 5),
+    ];
+    OrderCounts { questions: 6, starts: 7, stops: stops.into_iter().collect(), reaps: 8 }
+}
+
+/// A record of all that there is, which has left one decision out.
+fn full_record() -> RestartRecord {
+    let all = verdicts();
+    let mut record = RestartRecord::new(all.len());
+    record.enter(4, false, 10.0);
+    for verdict in [Verdict::Known].into_iter().chain(all) {
+        record.note(entry(verdict));
+    }
+    for (action, reason) in HOLDS {
+        record.note_hold(action, reason);
+    }
+    record.note_doubt(0, 12.5);
+    record.orders = orders();
+    record
+}
+
+fn progress() -> RestartProgress {
+    let phases = [(JobPhase::Awaiting, 1), (JobPhase::Partly, 2), (JobPhase::Certain, 3)];
+    RestartProgress {
+        all_joined: true,
+        resolved: false,
+        jobs: phases.into_iter().collect(),
+        tasks_in_doubt: 5,
+        machines_in_doubt: 6,
+    }
+}
+
+const RECORD_ERRORS: [RecordError; 10] = [
+    RecordError::ForeignKey,
+    RecordError::Malformed,
+    RecordError::OtherJob,
+    RecordError::TaskCount,
+    RecordError::NoDescription,
+    RecordError::NoSuchJob,
+    RecordError::NoSuchTask,
+    RecordError::UnknownTeam,
+    RecordError::UnknownMachineType,
+    RecordError::UnknownZone,
+];
+
+#[test]
+fn reports_of_restarts_keep_their_bytes() {
+    let fixtures = Fixtures::new(RESTARTS);
+    let left_alone = |why: RecordError| RecordLeftAlone { key: "fw/j/wk-9".into(), why: why.to_string() };
+    let full = RestartReport {
+        node: "a".into(),
+        first_accepted_after_s: Some(3.5),
+        machines: full_record().view(STATES.into_iter(), 20.0),
+        leader: Some(progress()),
+        records_left_alone: RECORD_ERRORS.map(left_alone).to_vec(),
+        records_left_alone_count: 10,
+    };
+    fixtures.written("restart", &full);
+    let bare = RestartReport {
+        node: "a".into(),
+        first_accepted_after_s: None,
+        machines: RestartRecord::new(0).view([].into_iter(), 0.0),
+        leader: None,
+        records_left_alone: Vec::new(),
+        records_left_alone_count: 0,
+    };
+    fixtures.written("restart.bare", &bare);
+    let mut kept = full_record();
+    kept.enter(5, true, 21.0);
+    fixtures.written("restart.kept", &kept.view([].into_iter(), 22.0).arrival);
+    fixtures.all_used();
+}
+
+fn range(home: &str) -> ShareRange {
+    ShareRange { home: home.into(), first: 16, last: u64::MAX }
+}
+
+fn begin(handovers: &mut Handovers, home: &str, reason: MoveReason) {
+    let wanted = WantedMove { range: range(home), giver: "a".into(), taker: "b".into(), reason };
+    assert!(handovers.begin(wanted, 1.0));
+}
+
+fn accept(handovers: &mut Handovers, id: u64) {
+    handovers.take_in("b", HandoverReport { accepted: vec![id], ..HandoverReport::default() }, 2.0);
+}
+
+fn fence(handovers: &mut Handovers, id: u64) {
+    accept(handovers, id);
+    handovers.take_in(
+        "a",
+        HandoverReport { fenced: vec![(id, Vec::new())], ..HandoverReport::default() },
+        3.0,
+    );
+}
+
+/// One handover in each state, and one for each reason.
+fn handovers() -> Handovers {
+    let mut handovers = Handovers::default();
+    begin(&mut handovers, "a", MoveReason::Plan);
+    fence(&mut handovers, 1);
+    let table = handovers.to_write(&ShareTable::default(), 4.0).expect("a write").table;
+    handovers.table_is(&table, 5.0);
+    begin(&mut handovers, "b", MoveReason::Drain);
+    fence(&mut handovers, 2);
+    handovers.to_write(&table, 6.0).expect("a write");
+    begin(&mut handovers, "c", MoveReason::Balance);
+    fence(&mut handovers, 3);
+    begin(&mut handovers, "d", MoveReason::Tidy);
+    accept(&mut handovers, 4);
+    begin(&mut handovers, "e", MoveReason::Plan);
+    handovers
+}
+
+fn plan() -> Plan {
+    let moves = vec![PlannedMove { from: "a".into(), to: "b".into(), machines: 12 }];
+    Plan { drain: vec!["c".into()], moves }
+}
+
+#[test]
+fn reports_of_shares_and_plans_keep_their_bytes() {
+    let fixtures = Fixtures::new(SHARES);
+    let ends = [HandoverEnd::Owned, HandoverEnd::TimedOut, HandoverEnd::Refused, HandoverEnd::NewEpoch];
+    let leader = HandoversReport {
+        under_way: handovers().under_way().cloned().collect(),
+        ended: ends.into_iter().zip(1..).collect(),
+        machines_moved: 12,
+        longest_s: 3.5,
+        without_owner: 1,
+        plan: plan(),
+    };
+    let full = SharesReport {
+        node: "a".into(),
+        epoch: 4,
+        in_use: true,
+        generation: 6,
+        shares: vec![OwnedShare { range: range("a"), owner: "b".into() }],
+        machines: vec!["m-1".into(), "m-2".into()],
+        fenced: vec!["m-2".into()],
+        leader: Some(leader),
+    };
+    fixtures.written("shares", &full);
+    let bare = SharesReport {
+        epoch: 0,
+        in_use: false,
+        generation: 0,
+        shares: Vec::new(),
+        machines: Vec::new(),
+        fenced: Vec::new(),
+        leader: None,
+        ..full
+    };
+    fixtures.written("shares.bare", &bare);
+    fixtures.both_ways("plan", &plan());
+    fixtures.both_ways("plan.empty", &Plan::default());
+    assert_eq!(fixtures.read::<Plan>("plan.without-optional-fields"), Plan::default());
+    let members = ["a", "b", "c"].map(String::from).into_iter().collect();
+    plan().check(&members).expect("it makes sense");
+    for name in names(&fixtures, ".senseless-plan") {
+        let plan: Plan = fixtures.read(&format!("{name}.senseless-plan"));
+        fixtures.same(&format!("{name}.why"), &plan.check(&members).expect_err(name).to_string());
+    }
+    fixtures.all_used();
+}
+
+/// The names that have a fixture of a kind.
+fn names(fixtures: &Fixtures, kind: &str) -> Vec<&'static str> {
+    fixtures.lines().filter_map(|(name, _)| name.strip_suffix(kind)).collect()
+}
+
+#[test]
+fn policies_keep_their_names() {
+    let fixtures = Fixtures::new(POLICIES);
+    let values = |name: &str| {
+        let rent = Policy::parse(&fixtures.text(name)).expect("taken").rent_settings;
+        [rent.idle_boots, rent.spare_share, rent.low_waits_boots, rent.slack_share, rent.never_boots]
+    };
+    assert_eq!(values("all"), [1.5, 0.25, 0.75, 0.125, 4.0]);
+    assert_eq!(values("none"), [0.6, 0.08, 0.4, 0.15, 3.0]);
+    for name in names(&fixtures, ".refused-policy") {
+        let error = Policy::parse(&fixtures.text(&format!("{name}.refused-policy"))).expect_err(name);
+        fixtures.same(&format!("{name}.why"), &error.to_string());
+    }
+    fixtures.all_used();
+}
+
+#[test]
+fn files_of_parts_keep_their_names() {
+    let fixtures = Fixtures::new(PARTS);
+    let mut parts = Parts::default();
+    for name in ["cold-restart", "shared-machines"] {
+        parts.add("x.toml", &fixtures.text(name)).expect("taken");
+    }
+    let shared_machines =
+        SharedMachines { machines_per_move: 4, moves_per_minute: 600.0, imbalance: 0.4, rest_leases: 0.1 };
+    let cold_restart = ColdRestart { answer_reports: 3.5, entries: 7 };
+    let all = Parts { cold_restart: Some(cold_restart), shared_machines: Some(shared_machines) };
+    assert_eq!(parts, all);
+    let mut parts = Parts::default();
+    for name in ["cold-restart.defaults", "shared-machines.defaults"] {
+        parts.add("x.toml", &fixtures.text(name)).expect("taken");
+    }
+    let shared_machines =
+        SharedMachines { machines_per_move: 20, moves_per_minute: 12.0, imbalance: 0.5, rest_leases: 3.0 };
+    let cold_restart = ColdRestart { answer_reports: 2.0, entries: 500 };
+    assert_eq!(parts, Parts { cold_restart: Some(cold_restart), shared_machines: Some(shared_machines) });
+    for name in ["cold-restart", "shared-machines"] {
+        let twice = parts.add("y.toml", &fixtures.text(name)).expect_err("twice");
+        fixtures.same(&format!("{name}.twice"), &twice.to_string());
+    }
+    for name in names(&fixtures, ".refused-part") {
+        let text = fixtures.text(&format!("{name}.refused-part"));
+        let error = Parts::default().add("x.toml", &text).expect_err(name);
+        fixtures.same(&format!("{name}.why"), &error.to_string());
+    }
+    fixtures.all_used();
+}
+
+#[test]
+fn settings_keep_their_names() {
+    let fixtures = Fixtures::new(SETTINGS);
+    let all = Settings::parse(&fixtures.text("all")).expect("taken");
+    assert_eq!((&*all.node_name, &*all.zone), ("a", "e"));
+    assert_eq!((all.client_listen.port(), all.back.port()), (8080, 8081));
+    let other = &all.members[0];
+    assert_eq!((&*other.node_name, &*other.zone, other.endpoint.port()), ("b", "w", 8082));
+    assert_eq!((all.services.cloud.port(), all.services.state.port()), (1, 2));
+    let params = &all.params;
+    assert_eq!((params.initial_size, params.zones.len(), params.time_bound_ms), (2, 2, 10.5));
+    let team = &params.teams[0];
+    assert_eq!((&*team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max), ("t", 4.0, 8.0, 1.0, 2.0));
+    let aim = &params.objectives[0];
+    assert_eq!((&*aim.kind, &*aim.class), ("wait", "train"));
+    assert_eq!((aim.within_s, aim.share, aim.times), (Some(4.0), Some(0.96), Some(1.5)));
+    let workers = &params.workers;
+    assert_eq!((workers.report_s, workers.lease_s, workers.cancel_s), (3.0, 20.0, 40.0));
+    assert_eq!((workers.gang_wait_s, workers.gang_peer_s), (46.0, 5.0));
+    let state = &params.state;
+    assert_eq!((state.rps, state.write_rps, state.value_kb, state.txn_ops), (60.0, 20.0, 8.0, 12));
+    let next = &state.next;
+    assert_eq!((next.write_rps, next.value_kb, next.txn_ops), (Some(19.0), Some(2.0), Some(4)));
+    assert_eq!((params.cloud.rps, params.cloud.list_lag_s), (4.0, 6.0));
+    let limits = &params.machine_limits;
+    assert_eq!((limits.core_share, limits.ram_mb, limits.max_connections), (0.2, 128.0, 100));
+    let least = Settings::parse(&fixtures.text("least")).expect("taken");
+    assert_eq!((least.members.len(), least.params.teams.len(), least.params.objectives.len()), (0, 0, 0));
+    assert_eq!((least.params.workers.gang_wait_s, least.params.workers.gang_peer_s), (45.0, 4.0));
+    assert!(least.params.state.next.write_rps.is_none());
+    for name in names(&fixtures, ".instead-of") {
+        let (good, bad) =
+            (fixtures.text(&format!("{name}.instead-of")), fixtures.text(&format!("{name}.put")));
+        let text = fixtures.text("all");
+        assert!(text.contains(&good), "{name}");
+        let error = Settings::parse(&text.replacen(&good, &bad, 1)).expect_err(name);
+        fixtures.same(&format!("{name}.why"), &error.to_string());
+    }
+    fixtures.all_used();
+}
+
+/// What the program says and how it ends, in a directory with the files of the fixtures.
+fn run(fixtures: &Fixtures, name: &str) -> (Option<i32>, String, String) {
+    let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("wire-format-program");
+    std::fs::create_dir_all(&directory).expect("a directory");
+    for file in names(fixtures, ".file") {
+        std::fs::write(directory.join(file), fixtures.text(&format!("{file}.file"))).expect("written");
+    }
+    let words = fixtures.text(&format!("{name}.arguments"));
+    let program = Command::new(env!("CARGO_BIN_EXE_finchwood"))
+        .args(words.split_whitespace())
+        .current_dir(directory)
+        .env_remove("LOG_LEVEL")
+        .output()
+        .expect("it ran");
+    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
+    (program.status.code(), text(&program.stdout), text(&program.stderr))
+}
+
+#[test]
+fn flags_keep_their_names() {
+    let fixtures = Fixtures::new(PROGRAM);
+    let (status, said, _) = run(&fixtures, "help");
+    assert_eq!(status, Some(0));
+    fixtures.same("help.said", &said);
+    for name in names(&fixtures, ".arguments").into_iter().filter(|name| *name != "help") {
+        let (status, _, said) = run(&fixtures, name);
+        fixtures.same(&format!("{name}.said"), &format!("status {status:?}: {said}"));
+        // Its own words take one line; those about flags are the argument parser's.
+        assert!(status == Some(2) || status == Some(1) && said.lines().count() == 1, "{name}: {said}");
+    }
+    fixtures.all_used();
+}
--- /dev/null
+++ b/tests/wire_format_peers.rs
@@ -0,0 +1,309 @@
+//! The bytes that controllers send each other in CBOR, frozen as hex: each message with
+//! every field filled, and with all that may be left out left out.
+
+#[path = "common/fixtures.rs"]
+mod fixtures;
+
+use finchwood::failure_detection::Reached;
+use finchwood::fleet::{Gone, HeldView, JobAssignment, Leave, MachineView, Orders, PartReport, Phase, Quiet};
+use finchwood::peer::{CancellationNotice, Envelope, Message};
+use finchwood::wire::{Res, Task, TaskState};
+use finchwood_reconcile::machine::MachineState;
+use finchwood_shares::handover::{HandoverOrder, HandoverReport};
+use finchwood_shares::knowledge::{LineKnowledge, MachineKnowledge, TaskKnowledge};
+use finchwood_shares::table::ShareRange;
+use fixtures::Fixtures;
+
+const PEERS: &str = include_str!("fixtures/wire-format/peers.txt");
+/// Of another version; a task that is gone is taken from there.
+const PRODUCTION: &str = include_str!("fixtures/production-messages.txt");
+
+fn task(index: u32) -> Task {
+    Task { job: "wk-1".into(), index }
+}
+
+fn resources(cpus: f64) -> Res {
+    Res { cpus, gpus: 1.0, mem: 16.5 }
+}
+
+fn machine_view() -> MachineView {
+    MachineView {
+        id: "m-1".into(),
+        kind: "g8".into(),
+        zone: "e".into(),
+        spot: true,
+        certain: true,
+        heard: true,
+        listed: true,
+        addr: Some("10.0.0.1:9000".into()),
+        free: resources(4.0),
+        yielding: resources(3.0),
+        yielding_low: resources(2.0),
+        open: true,
+        noticed: true,
+        faulty: true,
+        ignores_commands: true,
+        draining: true,
+        tasks: 3,
+        images: vec!["img-1".into(), "img-2".into()],
+    }
+}
+
+fn bare_machine_view() -> MachineView {
+    MachineView {
+        id: "m-2".into(),
+        kind: "c4".into(),
+        zone: "w".into(),
+        spot: false,
+        certain: false,
+        heard: false,
+        listed: false,
+        addr: None,
+        free: Res::default(),
+        yielding: Res::default(),
+        yielding_low: Res::default(),
+        open: false,
+        noticed: false,
+        faulty: false,
+        ignores_commands: false,
+        draining: false,
+        tasks: 0,
+        images: Vec::new(),
+    }
+}
+
+fn held(phase: Phase, machine: Option<&str>, assignment: u64) -> HeldView {
+    HeldView { task: task(0), attempt: 70, phase, machine: machine.map(Into::into), assignment }
+}
+
+/// A task that is gone can't be made from outside: one that production told is changed.
+fn gone(how: Leave, machine: Option<&str>, assignment: u64) -> Gone {
+    let Message::Part(report) = decoded(&Fixtures::new(PRODUCTION), "part").message else {
+        panic!("not a part's report")
+    };
+    let mut gone = report.gone[0].clone();
+    gone.task = task(1);
+    gone.attempt = 71;
+    gone.how = how;
+    gone.machine = machine.map(Into::into);
+    gone.assignment = assignment;
+    gone
+}
+
+fn known_task() -> TaskKnowledge {
+    TaskKnowledge {
+        task: task(0),
+        attempt: 70,
+        assignment: 71,
+        session: 2,
+        start_token: 72,
+        sent: true,
+        confirmed: true,
+        done: true,
+        stopping: true,
+        for_s: 5.5,
+    }
+}
+
+fn known_line(state: TaskState, why: Option<&str>) -> LineKnowledge {
+    LineKnowledge { task: task(0), attempt: 70, state, why: why.map(String::from) }
+}
+
+fn known_machine() -> MachineKnowledge {
+    use TaskState::{Ended, Fetching, Gathering, Other, Running, Saving};
+    let states = [Fetching, Gathering, Running, Saving, Other];
+    let lines = states.map(|state| known_line(state, None)).into_iter();
+    MachineKnowledge {
+        id: "m-1".into(),
+        kind: "g8".into(),
+        zone: "e".into(),
+        spot: true,
+        addr: Some("10.0.0.1:9000".into()),
+        listed: true,
+        up: true,
+        state: MachineState::Proven,
+        session: 2,
+        seq: 88,
+        counter: 9,
+        over: 1,
+        heard_ago_s: Some(1.5),
+        session_seen_ago_s: 100.25,
+        notice_in_s: Some(30.0),
+        lines: lines.chain([known_line(Ended, Some("done"))]).collect(),
+        held: vec![known_task()],
+        images: vec![("img-1".into(), 6.2)],
+    }
+}
+
+fn bare_machine(state: MachineState) -> MachineKnowledge {
+    MachineKnowledge {
+        id: "m-2".into(),
+        spot: false,
+        addr: None,
+        listed: false,
+        up: false,
+        state,
+        heard_ago_s: None,
+        notice_in_s: None,
+        lines: Vec::new(),
+        held: Vec::new(),
+        images: Vec::new(),
+        ..known_machine()
+    }
+}
+
+/// One machine with all that may be known, and one in each state.
+fn machines() -> Vec<MachineKnowledge> {
+    use MachineState::{Heard, LeasePast, Proven, Unheard, Unused};
+    let bare = [Unused, Unheard, Heard, Proven, LeasePast].map(bare_machine);
+    [known_machine()].into_iter().chain(bare).collect()
+}
+
+fn full_part() -> PartReport {
+    use Leave::{Error, Lost, Passed, Stopped};
+    use Phase::{Done, Fetching, Queued, Running, Saving, Starting};
+    let phases = [Queued, Starting, Fetching, Running, Saving, Done];
+    PartReport {
+        epoch: 4,
+        node: "a".into(),
+        inc: 7,
+        kept: true,
+        since: 11,
+        seq: 12,
+        machines: vec![machine_view(), bare_machine_view()],
+        unlisted: vec![("m-9".into(), 3)],
+        held: phases.into_iter().map(|phase| held(phase, Some("m-1"), 71)).collect(),
+        gone: [Stopped, Error, Lost, Passed].into_iter().map(|how| gone(how, Some("m-1"), 72)).collect(),
+        dropped: vec![(task(2), 73, 5)],
+        quiet: vec![
+            Quiet { id: "m-1".into(), silent_s: 9.5, unanswered_s: Some(4.5) },
+            Quiet { id: "m-2".into(), silent_s: 0.0, unanswered_s: None },
+        ],
+        zones_met: vec![("e".into(), Reached { since_s: 100.5, last_s: 0.25 })],
+        met: vec![("m-5".into(), 1.5)],
+        handovers: HandoverReport {
+            accepted: vec![1],
+            fenced: vec![(2, machines())],
+            released: vec![3],
+            taken: vec![4],
+        },
+    }
+}
+
+fn bare_part() -> PartReport {
+    PartReport {
+        epoch: 0,
+        node: "a".into(),
+        inc: 0,
+        kept: false,
+        since: 0,
+        seq: 0,
+        machines: vec![bare_machine_view()],
+        unlisted: Vec::new(),
+        held: vec![held(Phase::Queued, None, 0)],
+        gone: vec![gone(Leave::Lost, None, 0)],
+        dropped: Vec::new(),
+        quiet: Vec::new(),
+        zones_met: Vec::new(),
+        met: Vec::new(),
+        handovers: HandoverReport::default(),
+    }
+}
+
+fn full_orders() -> Orders {
+    let range = ShareRange { home: "b".into(), first: 16, last: u64::MAX };
+    let assignment = JobAssignment {
+        job: "wk-1".into(),
+        tasks: vec![(0, 50), (1, 50)],
+        zone_room: Some(vec![("e".into(), 2)]),
+        avoid: vec!["m-9".into()],
+        assignments: vec![(1, 51)],
+    };
+    Orders {
+        epoch: 4,
+        node: "a".into(),
+        seq: 13,
+        ack: 12,
+        assignments: vec![assignment],
+        recall: vec![(task(3), 60)],
+        drain: vec!["m-8".into()],
+        running: Some(vec![("wk-1".into(), 5)]),
+        borrowing: vec!["vision".into()],
+        handovers: vec![
+            HandoverOrder::Offer { id: 1 },
+            HandoverOrder::Fence { id: 2, range: range.clone() },
+            HandoverOrder::Take { id: 3, range, generation: 6, machines: machines() },
+        ],
+    }
+}
+
+fn bare_orders() -> Orders {
+    let assignment = JobAssignment {
+        job: "wk-1".into(),
+        tasks: Vec::new(),
+        zone_room: None,
+        avoid: Vec::new(),
+        assignments: Vec::new(),
+    };
+    Orders {
+        epoch: 0,
+        node: "a".into(),
+        seq: 0,
+        ack: 0,
+        assignments: vec![assignment],
+        recall: Vec::new(),
+        drain: Vec::new(),
+        running: None,
+        borrowing: Vec::new(),
+        handovers: Vec::new(),
+    }
+}
+
+fn full_envelope(message: Message) -> Envelope {
+    Envelope {
+        from: "a".into(),
+        to: "b".into(),
+        fresh: true,
+        hears: vec!["b".into()],
+        apart: vec!["c".into()],
+        cancellation_notices: vec![CancellationNotice {
+            job: "wk-1".into(),
+            version: 3,
+            at_ms: 1_764_652_900_000,
+        }],
+        message,
+    }
+}
+
+fn bare_envelope(message: Message) -> Envelope {
+    Envelope {
+        fresh: false,
+        hears: Vec::new(),
+        apart: Vec::new(),
+        cancellation_notices: Vec::new(),
+        ..full_envelope(message)
+    }
+}
+
+fn decoded(fixtures: &Fixtures, name: &str) -> Envelope {
+    Envelope::decode(&fixtures.bytes(name)).unwrap_or_else(|| panic!("{name} is not a message"))
+}
+
+fn both_ways(fixtures: &Fixtures, name: &str, envelope: &Envelope) {
+    fixtures.same_bytes(name, &envelope.encode());
+    let read = decoded(fixtures, name);
+    fixtures.same_bytes(name, &read.encode());
+    assert_eq!(format!("{read:?}"), format!("{envelope:?}"), "{name}");
+}
+
+#[test]
+fn messages_keep_their_bytes() {
+    let fixtures = Fixtures::new(PEERS);
+    both_ways(&fixtures, "part", &full_envelope(Message::Part(full_part())));
+    both_ways(&fixtures, "part.bare", &bare_envelope(Message::Part(bare_part())));
+    both_ways(&fixtures, "orders", &full_envelope(Message::Orders(full_orders())));
+    both_ways(&fixtures, "orders.bare", &bare_envelope(Message::Orders(bare_orders())));
+    both_ways(&fixtures, "hello", &full_envelope(Message::Hello));
+    both_ways(&fixtures, "hello.bare", &bare_envelope(Message::Hello));
+    fixtures.all_used();
+}
