--- /dev/null
+++ b/tests/wire_format_commands.rs
@@ -0,0 +1,103 @@
+//! Direct commands, relayed reports and messages between controllers, frozen as they are
+//! sent.
+
+#[path = "common/fixtures.rs"]
+mod fixtures;
+#[path = "common/raw_http.rs"]
+mod raw_http;
+#[path = "common/recorder.rs"]
+mod recorder;
+#[path = "common/settings.rs"]
+mod settings;
+
+use finchwood::clock;
+use finchwood::fleet::Direct;
+use finchwood::http::{listen, relays, Ask, DirectDone, DirectPool, Relay};
+use finchwood::peer::{Envelope, Message, Peers};
+use finchwood::settings::{Member, Settings};
+use finchwood::wire::{Call, Commands};
+use fixtures::Fixtures;
+use raw_http::{ask, free_address};
+use recorder::Recorder;
+use std::net::SocketAddr;
+use std::sync::mpsc::channel;
+use std::time::Duration;
+
+const COMMANDS: &str = include_str!("fixtures/wire-format/commands.txt");
+
+const PATIENCE_S: f64 = 20.0;
+
+#[test]
+fn what_is_sent_on_keeps_its_bytes() {
+    let fixtures = Fixtures::new(COMMANDS);
+    direct_commands(&fixtures);
+    relayed_reports(&fixtures);
+    messages(&fixtures);
+    fixtures.all_used();
+}
+
+/// Sends commands to a worker: its report, if it answered with one.
+fn sent(fixtures: &Fixtures, name: &str) -> DirectDone {
+    let recorder = Recorder::new(&[fixtures.payload(&format!("{name}.answer"))]);
+    let (tell, done) = channel();
+    let mut pool = DirectPool::new("direct", 1, PATIENCE_S, move |end| tell.send(end).is_ok());
+    let commands = vec![Call::Stop { task: "wk-1/0".into(), attempt: 2, grace_s: 10.0 }];
+    let direct = Direct {
+        machine: "m-1".into(),
+        addr: recorder.addr.to_string().into(),
+        body: Commands { token: 41, session: 1, commands },
+        doubtful: false,
+    };
+    pool.send((direct, clock::now() + PATIENCE_S)).expect("there is room");
+    fixtures.same(&format!("{name}.call"), &recorder.call());
+    done.recv_timeout(Duration::from_secs_f64(PATIENCE_S)).expect("an end")
+}
+
+fn direct_commands(fixtures: &Fixtures) {
+    for name in ["direct", "direct-refused"] {
+        let report = sent(fixtures, name).answer.expect("a report");
+        assert_eq!((&*report.machine, report.seq, report.tasks.len()), ("m-1", 88, 0));
+    }
+    assert!(sent(fixtures, "direct-malformed").answer.is_none());
+}
+
+/// What a worker gets whose report is passed on to `owner`, and until when that may be.
+fn relayed(fixtures: &Fixtures, owner: SocketAddr, until: f64) -> String {
+    let mut settings = Settings::parse(settings::SETTINGS).expect("settings");
+    settings.client_listen = free_address();
+    let way = relays(owner, 1, PATIENCE_S);
+    let pass_on = move |asked, reply| {
+        if let Ask::Report { raw, .. } = asked {
+            let _ = way.try_send(Relay { raw, reply, until });
+        }
+    };
+    listen(&settings, false, pass_on).expect("it listens");
+    ask(settings.client_listen, fixtures.text("relay.report").as_bytes())
+}
+
+fn relayed_reports(fixtures: &Fixtures) {
+    let later = clock::now() + 3.0 * PATIENCE_S;
+    for name in ["relay", "relay-refused"] {
+        let recorder = Recorder::new(&[fixtures.payload(&format!("{name}.answer"))]);
+        fixtures.same(&format!("{name}.passed-back"), &relayed(fixtures, recorder.addr, later));
+        fixtures.same(&format!("{name}.call"), &recorder.call());
+    }
+    fixtures.same("relay-unreachable.passed-back", &relayed(fixtures, free_address(), later));
+    fixtures.same("relay-too-late.passed-back", &relayed(fixtures, free_address(), clock::now() - 1.0));
+}
+
+fn messages(fixtures: &Fixtures) {
+    let recorder = Recorder::new(&[fixtures.payload("message.answer")]);
+    let mut settings = Settings::parse(settings::SETTINGS).expect("settings");
+    settings.members = vec![Member { node_name: "b".into(), zone: "w".into(), endpoint: recorder.addr }];
+    Peers::start(&settings, |_, _| true).send(Envelope {
+        from: "a".into(),
+        to: "b".into(),
+        fresh: true,
+        hears: Vec::new(),
+        apart: Vec::new(),
+        cancellation_notices: Vec::new(),
+        message: Message::Hello,
+    });
+    fixtures.same("message.call", &recorder.call());
+}
--- a/tests/wire_format_refusals.rs
+++ b/tests/wire_format_refusals.rs
@@ -3,6 +3,8 @@
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
+#[path = "common/raw_http.rs"]
+mod raw_http;
 #[path = "common/settings.rs"]
 mod settings;
 
@@ -10,17 +12,12 @@
 use finchwood::http::{listen, Ask, Reply};
 use finchwood::settings::Settings;
 use fixtures::Fixtures;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::time::Duration;
+use raw_http::{ask, free_address};
+use std::net::SocketAddr;
 
 const REQUESTS: &str = include_str!("fixtures/wire-format/requests.txt");
 const PEERS: &str = include_str!("fixtures/wire-format/peers.txt");
 
-fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port")
-}
-
 /// A listener that answers what it is asked with what it has understood.
 fn listener(back: bool) -> SocketAddr {
     let addr = free_address();
@@ -58,15 +55,6 @@
     }
 }
 
-fn ask(addr: SocketAddr, request: &[u8]) -> String {
-    let mut stream = TcpStream::connect(addr).expect("a connection");
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
-    stream.write_all(request).expect("sent");
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).expect("an answer");
-    String::from_utf8(answer).expect("text")
-}
-
 #[test]
 fn answers_of_the_listeners_keep_their_bytes() {
     let fixtures = Fixtures::new(REQUESTS);
