--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -19,12 +19,17 @@
 impl Fixtures {
     /// The fixtures of a file's text.
     pub fn new(text: &'static str) -> Fixtures {
-        Fixtures { text, used: RefCell::default() }
+        Fixtures {
+            text,
+            used: RefCell::default(),
+        }
     }
 
     /// All names and payloads, in the order of the file.
     pub fn lines(&self) -> impl Iterator<Item = (&'static str, &'static str)> {
-        self.text.lines().map(|line| line.split_once(' ').expect("a name and a payload"))
+        self.text
+            .lines()
+            .map(|line| line.split_once(' ').expect("a name and a payload"))
     }
 
     /// The payload of a name.
@@ -83,7 +88,14 @@
     /// Every line of the file was looked at.
     pub fn all_used(&self) {
         let used = self.used.borrow();
-        let unused: Vec<&str> = self.lines().map(|(name, _)| name).filter(|n| !used.contains(*n)).collect();
-        assert!(unused.is_empty(), "fixtures that no test looks at: {unused:?}");
+        let unused: Vec<&str> = self
+            .lines()
+            .map(|(name, _)| name)
+            .filter(|n| !used.contains(*n))
+            .collect();
+        assert!(
+            unused.is_empty(),
+            "fixtures that no test looks at: {unused:?}"
+        );
     }
 }
--- a/tests/common/raw_http.rs
+++ b/tests/common/raw_http.rs
@@ -7,13 +7,17 @@
 
 /// An address that nobody listens on.
 pub fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port")
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
+        .expect("a free port")
 }
 
 /// Sends a request after which the connection is closed; the whole answer.
 pub fn ask(addr: SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("a connection");
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("set");
     stream.write_all(request).expect("sent");
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer).expect("an answer");
--- a/tests/common/recorder.rs
+++ b/tests/common/recorder.rs
@@ -21,10 +21,17 @@
         let answers = answers.to_vec();
         std::thread::spawn(move || {
             for answer in answers {
-                let Ok(mut request) = server.recv() else { return };
+                let Ok(mut request) = server.recv() else {
+                    return;
+                };
                 let mut body = Vec::new();
                 let _ = request.as_reader().read_to_end(&mut body);
-                let call = format!("{} {} {}", request.method(), request.url(), text_or_hex(body));
+                let call = format!(
+                    "{} {} {}",
+                    request.method(),
+                    request.url(),
+                    text_or_hex(body)
+                );
                 let _ = tell.send(call.trim_end().into());
                 let (status, body) = answer.split_once(' ').expect("a status and a body");
                 let status: u16 = status.parse().expect("a status");
@@ -36,12 +43,18 @@
 
     /// The next call: method, path and body, if there is one: text, or hex.
     pub fn call(&self) -> String {
-        self.calls.recv_timeout(Duration::from_secs(20)).expect("a call")
+        self.calls
+            .recv_timeout(Duration::from_secs(20))
+            .expect("a call")
     }
 }
 
 fn text_or_hex(bytes: Vec<u8>) -> String {
-    let hex =
-        |e: std::string::FromUtf8Error| e.into_bytes().iter().map(|byte| format!("{byte:02x}")).collect();
+    let hex = |e: std::string::FromUtf8Error| {
+        e.into_bytes()
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect()
+    };
     String::from_utf8(bytes).unwrap_or_else(hex)
 }
--- a/tests/wire_format.rs
+++ b/tests/wire_format.rs
@@ -7,8 +7,8 @@
 
 use finchwood::http::error_body;
 use finchwood::wire::{
-    cause, Call, Catalog, Commands, JobSpec, JobView, Listed, MachineNames, MachinePage, MachineType, Rank,
-    Redirect, RentRequest, Report, ReportAnswer, Shape, TaskLine, TaskState,
+    cause, Call, Catalog, Commands, JobSpec, JobView, Listed, MachineNames, MachinePage,
+    MachineType, Rank, Redirect, RentRequest, Report, ReportAnswer, Shape, TaskLine, TaskState,
 };
 use fixtures::Fixtures;
 
@@ -53,10 +53,22 @@
         ..submission(Shape::Array, Rank::Low)
     };
     [
-        ("submission.array.prod", submission(Shape::Array, Rank::Prod)),
-        ("submission.standing.urgent", submission(Shape::Service, Rank::Urgent)),
-        ("submission.ensemble.standard", submission(Shape::Gang, Rank::Standard)),
-        ("submission.ensemble.low", submission(Shape::Gang, Rank::Low)),
+        (
+            "submission.array.prod",
+            submission(Shape::Array, Rank::Prod),
+        ),
+        (
+            "submission.standing.urgent",
+            submission(Shape::Service, Rank::Urgent),
+        ),
+        (
+            "submission.ensemble.standard",
+            submission(Shape::Gang, Rank::Standard),
+        ),
+        (
+            "submission.ensemble.low",
+            submission(Shape::Gang, Rank::Low),
+        ),
         ("submission.without-optional-fields", plain),
     ]
 }
@@ -66,18 +78,36 @@
     let fixtures = Fixtures::new(USERS);
     for (name, spec) in submissions() {
         fixtures.both_ways(name, &spec);
-        assert_eq!(JobSpec::parse(fixtures.payload(name).as_bytes()), Ok(spec), "{name}");
+        assert_eq!(
+            JobSpec::parse(fixtures.payload(name).as_bytes()),
+            Ok(spec),
+            "{name}"
+        );
     }
-    let nulls = JobSpec::parse(fixtures.payload("submission.with-nulls").as_bytes()).expect("taken");
+    let nulls =
+        JobSpec::parse(fixtures.payload("submission.with-nulls").as_bytes()).expect("taken");
     assert_eq!(nulls, submissions()[4].1);
-    let view =
-        |state: &str, done, running| JobView { id: "wk-000412".into(), state: state.into(), done, running };
+    let view = |state: &str, done, running| JobView {
+        id: "wk-000412".into(),
+        state: state.into(),
+        done,
+        running,
+    };
     for state in ["pending", "running", "done", "cancelled"] {
         fixtures.both_ways(&format!("view.{state}"), &view(state, Some(3), Some(13)));
-        fixtures.both_ways(&format!("view.{state}.without-counts"), &view(state, None, None));
+        fixtures.both_ways(
+            &format!("view.{state}.without-counts"),
+            &view(state, None, None),
+        );
     }
-    fixtures.same("error", std::str::from_utf8(&error_body("no such job")).expect("text"));
-    for refused in fixtures.lines().filter_map(|(name, _)| name.strip_suffix(".refused-body")) {
+    fixtures.same(
+        "error",
+        std::str::from_utf8(&error_body("no such job")).expect("text"),
+    );
+    for refused in fixtures
+        .lines()
+        .filter_map(|(name, _)| name.strip_suffix(".refused-body"))
+    {
         let error = JobSpec::parse(fixtures.text(&format!("{refused}.refused-body")).as_bytes());
         fixtures.same(&format!("{refused}.why"), &error.expect_err(refused));
     }
@@ -85,7 +115,13 @@
 }
 
 fn line(state: TaskState, why: Option<&str>, saved: Option<bool>) -> TaskLine {
-    TaskLine { task: "wk-000412/3".into(), attempt: 2, state, why: why.map(String::from), saved }
+    TaskLine {
+        task: "wk-000412/3".into(),
+        attempt: 2,
+        state,
+        why: why.map(String::from),
+        saved,
+    }
 }
 
 fn report(notice_s: Option<f64>, tasks: Vec<TaskLine>) -> Report {
@@ -117,15 +153,32 @@
         cause::PEERS,
         cause::ALONE,
     ];
-    let kept = [line(Ended, Some(cause::STOPPED), Some(true)), line(Ended, None, Some(false))];
-    states.into_iter().chain(causes.map(|why| line(Ended, Some(why), None))).chain(kept).collect()
+    let kept = [
+        line(Ended, Some(cause::STOPPED), Some(true)),
+        line(Ended, None, Some(false)),
+    ];
+    states
+        .into_iter()
+        .chain(causes.map(|why| line(Ended, Some(why), None)))
+        .chain(kept)
+        .collect()
 }
 
 fn calls() -> Vec<Call> {
     vec![
-        Call::Start { task: "wk-000412/4".into(), attempt: 2 },
-        Call::Stop { task: "wk-000377/1".into(), attempt: 1, grace_s: 10.0 },
-        Call::Forget { task: "wk-000398/0".into(), attempt: 1 },
+        Call::Start {
+            task: "wk-000412/4".into(),
+            attempt: 2,
+        },
+        Call::Stop {
+            task: "wk-000377/1".into(),
+            attempt: 1,
+            grace_s: 10.0,
+        },
+        Call::Forget {
+            task: "wk-000398/0".into(),
+            attempt: 1,
+        },
     ]
 }
 
@@ -137,12 +190,46 @@
     let sparse: Report = fixtures.read("report.without-optional-fields");
     assert_eq!(sparse, report(None, Vec::new()));
     let unknown: Report = fixtures.read("report.with-an-unknown-state");
-    assert_eq!(unknown, report(None, vec![line(TaskState::Other, None, None)]));
-    fixtures.both_ways("answer", &ReportAnswer { token: 41, commands: calls() });
-    fixtures.both_ways("answer.empty", &ReportAnswer { token: 0, commands: Vec::new() });
-    fixtures.both_ways("commands", &Commands { token: 41, session: 1, commands: calls() });
-    fixtures.both_ways("commands.empty", &Commands { token: 41, session: 1, commands: Vec::new() });
-    fixtures.both_ways("redirect", &Redirect { report_to: Some("perch-2".into()) });
+    assert_eq!(
+        unknown,
+        report(None, vec![line(TaskState::Other, None, None)])
+    );
+    fixtures.both_ways(
+        "answer",
+        &ReportAnswer {
+            token: 41,
+            commands: calls(),
+        },
+    );
+    fixtures.both_ways(
+        "answer.empty",
+        &ReportAnswer {
+            token: 0,
+            commands: Vec::new(),
+        },
+    );
+    fixtures.both_ways(
+        "commands",
+        &Commands {
+            token: 41,
+            session: 1,
+            commands: calls(),
+        },
+    );
+    fixtures.both_ways(
+        "commands.empty",
+        &Commands {
+            token: 41,
+            session: 1,
+            commands: Vec::new(),
+        },
+    );
+    fixtures.both_ways(
+        "redirect",
+        &Redirect {
+            report_to: Some("perch-2".into()),
+        },
+    );
     fixtures.both_ways("redirect.to-any", &Redirect { report_to: None });
     fixtures.all_used();
 }
@@ -177,20 +264,49 @@
 #[test]
 fn what_the_cloud_sends_and_gets_keeps_its_bytes() {
     let fixtures = Fixtures::new(CLOUD);
-    fixtures.both_ways("catalog", &Catalog { types: vec![machine_type("g8", 8.0), machine_type("c4", 0.0)] });
+    fixtures.both_ways(
+        "catalog",
+        &Catalog {
+            types: vec![machine_type("g8", 8.0), machine_type("c4", 0.0)],
+        },
+    );
     fixtures.both_ways("catalog.empty", &Catalog::default());
     let sparse: Catalog = fixtures.read("catalog.without-optional-fields");
-    assert_eq!(sparse, Catalog { types: vec![machine_type("c4", 0.0)] });
-    let rental =
-        RentRequest { request: "r-17".into(), kind: "g8".into(), zone: "a".into(), spot: true, count: 12 };
+    assert_eq!(
+        sparse,
+        Catalog {
+            types: vec![machine_type("c4", 0.0)]
+        }
+    );
+    let rental = RentRequest {
+        request: "r-17".into(),
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 12,
+    };
     fixtures.both_ways("rental", &rental);
-    let names = MachineNames { machines: vec!["m-000231".into(), "m-000232".into()] };
+    let names = MachineNames {
+        machines: vec!["m-000231".into(), "m-000232".into()],
+    };
     fixtures.both_ways("machine-names", &names);
-    let machines = vec![listed(Some("10.1.0.232:9000"), "running"), listed(None, "booting")];
-    fixtures.both_ways("machine-page", &MachinePage { machines, more: true });
+    let machines = vec![
+        listed(Some("10.1.0.232:9000"), "running"),
+        listed(None, "booting"),
+    ];
+    fixtures.both_ways(
+        "machine-page",
+        &MachinePage {
+            machines,
+            more: true,
+        },
+    );
     let sparse: MachinePage = fixtures.read("machine-page.without-optional-fields");
     assert_eq!((sparse.machines.len(), sparse.more), (1, false));
     let machine = &sparse.machines[0];
-    assert_eq!((&*machine.id, machine.addr.as_deref(), &*machine.state), ("m-000231", None, "failed"));
+    assert_eq!(
+        (&*machine.id, machine.addr.as_deref(), &*machine.state),
+        ("m-000231", None, "failed")
+    );
     fixtures.all_used();
 }
--- a/tests/wire_format_commands.rs
+++ b/tests/wire_format_commands.rs
@@ -41,22 +41,35 @@
     let recorder = Recorder::new(&[fixtures.payload(&format!("{name}.answer"))]);
     let (tell, done) = channel();
     let mut pool = DirectPool::new("direct", 1, PATIENCE_S, move |end| tell.send(end).is_ok());
-    let commands = vec![Call::Stop { task: "wk-1/0".into(), attempt: 2, grace_s: 10.0 }];
+    let commands = vec![Call::Stop {
+        task: "wk-1/0".into(),
+        attempt: 2,
+        grace_s: 10.0,
+    }];
     let direct = Direct {
         machine: "m-1".into(),
         addr: recorder.addr.to_string().into(),
-        body: Commands { token: 41, session: 1, commands },
+        body: Commands {
+            token: 41,
+            session: 1,
+            commands,
+        },
         doubtful: false,
     };
-    pool.send((direct, clock::now() + PATIENCE_S)).expect("there is room");
+    pool.send((direct, clock::now() + PATIENCE_S))
+        .expect("there is room");
     fixtures.same(&format!("{name}.call"), &recorder.call());
-    done.recv_timeout(Duration::from_secs_f64(PATIENCE_S)).expect("an end")
+    done.recv_timeout(Duration::from_secs_f64(PATIENCE_S))
+        .expect("an end")
 }
 
 fn direct_commands(fixtures: &Fixtures) {
     for name in ["direct", "direct-refused"] {
         let report = sent(fixtures, name).answer.expect("a report");
-        assert_eq!((&*report.machine, report.seq, report.tasks.len()), ("m-1", 88, 0));
+        assert_eq!(
+            (&*report.machine, report.seq, report.tasks.len()),
+            ("m-1", 88, 0)
+        );
     }
     assert!(sent(fixtures, "direct-malformed").answer.is_none());
 }
@@ -72,24 +85,40 @@
         }
     };
     listen(&settings, false, pass_on).expect("it listens");
-    ask(settings.client_listen, fixtures.text("relay.report").as_bytes())
+    ask(
+        settings.client_listen,
+        fixtures.text("relay.report").as_bytes(),
+    )
 }
 
 fn relayed_reports(fixtures: &Fixtures) {
     let later = clock::now() + 3.0 * PATIENCE_S;
     for name in ["relay", "relay-refused"] {
         let recorder = Recorder::new(&[fixtures.payload(&format!("{name}.answer"))]);
-        fixtures.same(&format!("{name}.passed-back"), &relayed(fixtures, recorder.addr, later));
+        fixtures.same(
+            &format!("{name}.passed-back"),
+            &relayed(fixtures, recorder.addr, later),
+        );
         fixtures.same(&format!("{name}.call"), &recorder.call());
     }
-    fixtures.same("relay-unreachable.passed-back", &relayed(fixtures, free_address(), later));
-    fixtures.same("relay-too-late.passed-back", &relayed(fixtures, free_address(), clock::now() - 1.0));
+    fixtures.same(
+        "relay-unreachable.passed-back",
+        &relayed(fixtures, free_address(), later),
+    );
+    fixtures.same(
+        "relay-too-late.passed-back",
+        &relayed(fixtures, free_address(), clock::now() - 1.0),
+    );
 }
 
 fn messages(fixtures: &Fixtures) {
     let recorder = Recorder::new(&[fixtures.payload("message.answer")]);
     let mut settings = Settings::parse(settings::SETTINGS).expect("settings");
-    settings.members = vec![Member { node_name: "b".into(), zone: "w".into(), endpoint: recorder.addr }];
+    settings.members = vec![Member {
+        node_name: "b".into(),
+        zone: "w".into(),
+        endpoint: recorder.addr,
+    }];
     Peers::start(&settings, |_, _| true).send(Envelope {
         from: "a".into(),
         to: "b".into(),
--- a/tests/wire_format_controller.rs
+++ b/tests/wire_format_controller.rs
@@ -17,7 +17,10 @@
 
 /// What a node says to a user or worker who asks as it was frozen.
 fn said(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
-    ask(cluster.users[node], fixtures.text(&format!("{name}.request")).as_bytes())
+    ask(
+        cluster.users[node],
+        fixtures.text(&format!("{name}.request")).as_bytes(),
+    )
 }
 
 fn compare(cluster: &Cluster, fixtures: &Fixtures, name: &str) {
@@ -27,7 +30,9 @@
 /// Waits until a node answers with the frozen status.
 fn wait_for(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) {
     let status = fixtures.payload(&format!("{name}.status"));
-    wait(name, || said(cluster, node, fixtures, name).starts_with(status));
+    wait(name, || {
+        said(cluster, node, fixtures, name).starts_with(status)
+    });
 }
 
 /// What a node says to another controller, or to an operator.
@@ -40,7 +45,11 @@
 #[test]
 fn answers_of_a_controller_keep_their_bytes() {
     let fixtures = Fixtures::new(CONTROLLER);
-    let options = Options { report_s: 3.0, lease_s: 20, ..Options::default() };
+    let options = Options {
+        report_s: 3.0,
+        lease_s: 20,
+        ..Options::default()
+    };
     let cluster = Cluster::start_with(2, "wire-format", &Default::default(), options);
     for node in [0, 1] {
         cluster.until(node, "GET", "/up", None, |status, _| status == 200);
@@ -57,11 +66,27 @@
 }
 
 fn users(cluster: &Cluster, fixtures: &Fixtures) {
-    let refusals = ["unknown-team", "fits-nowhere", "two-zones-in-one", "over-the-limit", "too-long"];
-    for name in refusals.into_iter().chain(["unknown-job", "unknown-job-withdrawn"]) {
+    let refusals = [
+        "unknown-team",
+        "fits-nowhere",
+        "two-zones-in-one",
+        "over-the-limit",
+        "too-long",
+    ];
+    for name in refusals
+        .into_iter()
+        .chain(["unknown-job", "unknown-job-withdrawn"])
+    {
         compare(cluster, fixtures, name);
     }
-    for name in ["accepted", "accepted-again", "pending", "withdrawn", "withdrawn-again", "cancelled"] {
+    for name in [
+        "accepted",
+        "accepted-again",
+        "pending",
+        "withdrawn",
+        "withdrawn-again",
+        "cancelled",
+    ] {
         compare(cluster, fixtures, name);
     }
     cluster.scribble(fixtures.payload("unreadable.key"), json!(5));
@@ -69,12 +94,18 @@
 }
 
 fn workers(cluster: &Cluster, fixtures: &Fixtures) {
-    let members = ["n0", "n1"].map(|name| (name.to_string(), 1)).into_iter().collect();
+    let members = ["n0", "n1"]
+        .map(|name| (name.to_string(), 1))
+        .into_iter()
+        .collect();
     assert_eq!(owner(&members, "m-a"), Some("n0"), "the first node's own");
     for machine in ["m-b", "m-c"] {
         assert_eq!(owner(&members, machine), Some("n1"), "the other node's");
     }
-    fixtures.same("relay-to-another.answer", &told(cluster, 0, fixtures, "relay-to-another"));
+    fixtures.same(
+        "relay-to-another.answer",
+        &told(cluster, 0, fixtures, "relay-to-another"),
+    );
     compare(cluster, fixtures, "first-beat-to-another");
     said(cluster, 0, fixtures, "beat");
     compare(cluster, fixtures, "beat-of-before");
@@ -82,7 +113,11 @@
 
 fn operators(cluster: &Cluster, fixtures: &Fixtures) {
     // The leader is whoever was there first.
-    let of_follower = |leader| fixtures.payload("plan.answer-of-the-follower").replace("LEADER", leader);
+    let of_follower = |leader| {
+        fixtures
+            .payload("plan.answer-of-the-follower")
+            .replace("LEADER", leader)
+    };
     let of_leader = fixtures.payload("plan.answer-of-the-leader").to_string();
     let first_leads = [of_leader.clone(), of_follower("n0")];
     let second_leads = [of_follower("n1"), of_leader];
@@ -95,10 +130,16 @@
 fn outage(cluster: &Cluster, fixtures: &Fixtures) {
     cluster.outage(true);
     wait_for(cluster, 0, fixtures, "up-in-an-outage");
-    for name in ["up-in-an-outage", "submitted-in-an-outage", "asked-in-an-outage"] {
+    for name in [
+        "up-in-an-outage",
+        "submitted-in-an-outage",
+        "asked-in-an-outage",
+    ] {
         compare(cluster, fixtures, name);
     }
     // Answered as before until the node's own lease is past.
     let fenced = fixtures.text("beat-in-an-outage.answer");
-    wait("fenced", || said(cluster, 0, fixtures, "beat-in-an-outage") == fenced);
+    wait("fenced", || {
+        said(cluster, 0, fixtures, "beat-in-an-outage") == fenced
+    });
 }
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -70,7 +70,14 @@
 
 fn entry(verdict: Verdict) -> Entry {
     let (task, machine) = ("wk-1/0".into(), "m-1".into());
-    Entry { at_s: 1.5, task, attempt: 70, machine, session: 2, verdict }
+    Entry {
+        at_s: 1.5,
+        task,
+        attempt: 70,
+        machine,
+        session: 2,
+        verdict,
+    }
 }
 
 fn orders() -> OrderCounts {
@@ -81,7 +88,12 @@
         (StopCause::Notice, 4),
         (StopCause::NotHeld, 5),
     ];
-    OrderCounts { questions: 6, starts: 7, stops: stops.into_iter().collect(), reaps: 8 }
+    OrderCounts {
+        questions: 6,
+        starts: 7,
+        stops: stops.into_iter().collect(),
+        reaps: 8,
+    }
 }
 
 /// A record of all that there is, which has left one decision out.
@@ -101,7 +113,11 @@
 }
 
 fn progress() -> RestartProgress {
-    let phases = [(JobPhase::Awaiting, 1), (JobPhase::Partly, 2), (JobPhase::Certain, 3)];
+    let phases = [
+        (JobPhase::Awaiting, 1),
+        (JobPhase::Partly, 2),
+        (JobPhase::Certain, 3),
+    ];
     RestartProgress {
         all_joined: true,
         resolved: false,
@@ -127,7 +143,10 @@
 #[test]
 fn reports_of_restarts_keep_their_bytes() {
     let fixtures = Fixtures::new(RESTARTS);
-    let left_alone = |why: RecordError| RecordLeftAlone { key: "fw/j/wk-9".into(), why: why.to_string() };
+    let left_alone = |why: RecordError| RecordLeftAlone {
+        key: "fw/j/wk-9".into(),
+        why: why.to_string(),
+    };
     let full = RestartReport {
         node: "a".into(),
         first_accepted_after_s: Some(3.5),
@@ -153,23 +172,42 @@
 }
 
 fn range(home: &str) -> ShareRange {
-    ShareRange { home: home.into(), first: 16, last: u64::MAX }
+    ShareRange {
+        home: home.into(),
+        first: 16,
+        last: u64::MAX,
+    }
 }
 
 fn begin(handovers: &mut Handovers, home: &str, reason: MoveReason) {
-    let wanted = WantedMove { range: range(home), giver: "a".into(), taker: "b".into(), reason };
+    let wanted = WantedMove {
+        range: range(home),
+        giver: "a".into(),
+        taker: "b".into(),
+        reason,
+    };
     assert!(handovers.begin(wanted, 1.0));
 }
 
 fn accept(handovers: &mut Handovers, id: u64) {
-    handovers.take_in("b", HandoverReport { accepted: vec![id], ..HandoverReport::default() }, 2.0);
+    handovers.take_in(
+        "b",
+        HandoverReport {
+            accepted: vec![id],
+            ..HandoverReport::default()
+        },
+        2.0,
+    );
 }
 
 fn fence(handovers: &mut Handovers, id: u64) {
     accept(handovers, id);
     handovers.take_in(
         "a",
-        HandoverReport { fenced: vec![(id, Vec::new())], ..HandoverReport::default() },
+        HandoverReport {
+            fenced: vec![(id, Vec::new())],
+            ..HandoverReport::default()
+        },
         3.0,
     );
 }
@@ -179,7 +217,10 @@
     let mut handovers = Handovers::default();
     begin(&mut handovers, "a", MoveReason::Plan);
     fence(&mut handovers, 1);
-    let table = handovers.to_write(&ShareTable::default(), 4.0).expect("a write").table;
+    let table = handovers
+        .to_write(&ShareTable::default(), 4.0)
+        .expect("a write")
+        .table;
     handovers.table_is(&table, 5.0);
     begin(&mut handovers, "b", MoveReason::Drain);
     fence(&mut handovers, 2);
@@ -193,14 +234,26 @@
 }
 
 fn plan() -> Plan {
-    let moves = vec![PlannedMove { from: "a".into(), to: "b".into(), machines: 12 }];
-    Plan { drain: vec!["c".into()], moves }
+    let moves = vec![PlannedMove {
+        from: "a".into(),
+        to: "b".into(),
+        machines: 12,
+    }];
+    Plan {
+        drain: vec!["c".into()],
+        moves,
+    }
 }
 
 #[test]
 fn reports_of_shares_and_plans_keep_their_bytes() {
     let fixtures = Fixtures::new(SHARES);
-    let ends = [HandoverEnd::Owned, HandoverEnd::TimedOut, HandoverEnd::Refused, HandoverEnd::NewEpoch];
+    let ends = [
+        HandoverEnd::Owned,
+        HandoverEnd::TimedOut,
+        HandoverEnd::Refused,
+        HandoverEnd::NewEpoch,
+    ];
     let leader = HandoversReport {
         under_way: handovers().under_way().cloned().collect(),
         ended: ends.into_iter().zip(1..).collect(),
@@ -214,7 +267,10 @@
         epoch: 4,
         in_use: true,
         generation: 6,
-        shares: vec![OwnedShare { range: range("a"), owner: "b".into() }],
+        shares: vec![OwnedShare {
+            range: range("a"),
+            owner: "b".into(),
+        }],
         machines: vec!["m-1".into(), "m-2".into()],
         fenced: vec!["m-2".into()],
         leader: Some(leader),
@@ -233,32 +289,50 @@
     fixtures.written("shares.bare", &bare);
     fixtures.both_ways("plan", &plan());
     fixtures.both_ways("plan.empty", &Plan::default());
-    assert_eq!(fixtures.read::<Plan>("plan.without-optional-fields"), Plan::default());
+    assert_eq!(
+        fixtures.read::<Plan>("plan.without-optional-fields"),
+        Plan::default()
+    );
     let members = ["a", "b", "c"].map(String::from).into_iter().collect();
     plan().check(&members).expect("it makes sense");
     for name in names(&fixtures, ".senseless-plan") {
         let plan: Plan = fixtures.read(&format!("{name}.senseless-plan"));
-        fixtures.same(&format!("{name}.why"), &plan.check(&members).expect_err(name).to_string());
+        fixtures.same(
+            &format!("{name}.why"),
+            &plan.check(&members).expect_err(name).to_string(),
+        );
     }
     fixtures.all_used();
 }
 
 /// The names that have a fixture of a kind.
 fn names(fixtures: &Fixtures, kind: &str) -> Vec<&'static str> {
-    fixtures.lines().filter_map(|(name, _)| name.strip_suffix(kind)).collect()
+    fixtures
+        .lines()
+        .filter_map(|(name, _)| name.strip_suffix(kind))
+        .collect()
 }
 
 #[test]
 fn policies_keep_their_names() {
     let fixtures = Fixtures::new(POLICIES);
     let values = |name: &str| {
-        let rent = Policy::parse(&fixtures.text(name)).expect("taken").rent_settings;
-        [rent.idle_boots, rent.spare_share, rent.low_waits_boots, rent.slack_share, rent.never_boots]
+        let rent = Policy::parse(&fixtures.text(name))
+            .expect("taken")
+            .rent_settings;
+        [
+            rent.idle_boots,
+            rent.spare_share,
+            rent.low_waits_boots,
+            rent.slack_share,
+            rent.never_boots,
+        ]
     };
     assert_eq!(values("all"), [1.5, 0.25, 0.75, 0.125, 4.0]);
     assert_eq!(values("none"), [0.6, 0.08, 0.4, 0.15, 3.0]);
     for name in names(&fixtures, ".refused-policy") {
-        let error = Policy::parse(&fixtures.text(&format!("{name}.refused-policy"))).expect_err(name);
+        let error =
+            Policy::parse(&fixtures.text(&format!("{name}.refused-policy"))).expect_err(name);
         fixtures.same(&format!("{name}.why"), &error.to_string());
     }
     fixtures.all_used();
@@ -271,21 +345,46 @@
     for name in ["cold-restart", "shared-machines"] {
         parts.add("x.toml", &fixtures.text(name)).expect("taken");
     }
-    let shared_machines =
-        SharedMachines { machines_per_move: 4, moves_per_minute: 600.0, imbalance: 0.4, rest_leases: 0.1 };
-    let cold_restart = ColdRestart { answer_reports: 3.5, entries: 7 };
-    let all = Parts { cold_restart: Some(cold_restart), shared_machines: Some(shared_machines) };
+    let shared_machines = SharedMachines {
+        machines_per_move: 4,
+        moves_per_minute: 600.0,
+        imbalance: 0.4,
+        rest_leases: 0.1,
+    };
+    let cold_restart = ColdRestart {
+        answer_reports: 3.5,
+        entries: 7,
+    };
+    let all = Parts {
+        cold_restart: Some(cold_restart),
+        shared_machines: Some(shared_machines),
+    };
     assert_eq!(parts, all);
     let mut parts = Parts::default();
     for name in ["cold-restart.defaults", "shared-machines.defaults"] {
         parts.add("x.toml", &fixtures.text(name)).expect("taken");
     }
-    let shared_machines =
-        SharedMachines { machines_per_move: 20, moves_per_minute: 12.0, imbalance: 0.5, rest_leases: 3.0 };
-    let cold_restart = ColdRestart { answer_reports: 2.0, entries: 500 };
-    assert_eq!(parts, Parts { cold_restart: Some(cold_restart), shared_machines: Some(shared_machines) });
+    let shared_machines = SharedMachines {
+        machines_per_move: 20,
+        moves_per_minute: 12.0,
+        imbalance: 0.5,
+        rest_leases: 3.0,
+    };
+    let cold_restart = ColdRestart {
+        answer_reports: 2.0,
+        entries: 500,
+    };
+    assert_eq!(
+        parts,
+        Parts {
+            cold_restart: Some(cold_restart),
+            shared_machines: Some(shared_machines)
+        }
+    );
     for name in ["cold-restart", "shared-machines"] {
-        let twice = parts.add("y.toml", &fixtures.text(name)).expect_err("twice");
+        let twice = parts
+            .add("y.toml", &fixtures.text(name))
+            .expect_err("twice");
         fixtures.same(&format!("{name}.twice"), &twice.to_string());
     }
     for name in names(&fixtures, ".refused-part") {
@@ -303,32 +402,84 @@
     assert_eq!((&*all.node_name, &*all.zone), ("a", "e"));
     assert_eq!((all.client_listen.port(), all.back.port()), (8080, 8081));
     let other = &all.members[0];
-    assert_eq!((&*other.node_name, &*other.zone, other.endpoint.port()), ("b", "w", 8082));
-    assert_eq!((all.services.cloud.port(), all.services.state.port()), (1, 2));
+    assert_eq!(
+        (&*other.node_name, &*other.zone, other.endpoint.port()),
+        ("b", "w", 8082)
+    );
+    assert_eq!(
+        (all.services.cloud.port(), all.services.state.port()),
+        (1, 2)
+    );
     let params = &all.params;
-    assert_eq!((params.initial_size, params.zones.len(), params.time_bound_ms), (2, 2, 10.5));
+    assert_eq!(
+        (
+            params.initial_size,
+            params.zones.len(),
+            params.time_bound_ms
+        ),
+        (2, 2, 10.5)
+    );
     let team = &params.teams[0];
-    assert_eq!((&*team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max), ("t", 4.0, 8.0, 1.0, 2.0));
+    assert_eq!(
+        (
+            &*team.name,
+            team.cpus,
+            team.cpus_max,
+            team.gpus,
+            team.gpus_max
+        ),
+        ("t", 4.0, 8.0, 1.0, 2.0)
+    );
     let aim = &params.objectives[0];
     assert_eq!((&*aim.kind, &*aim.class), ("wait", "train"));
-    assert_eq!((aim.within_s, aim.share, aim.times), (Some(4.0), Some(0.96), Some(1.5)));
+    assert_eq!(
+        (aim.within_s, aim.share, aim.times),
+        (Some(4.0), Some(0.96), Some(1.5))
+    );
     let workers = &params.workers;
-    assert_eq!((workers.report_s, workers.lease_s, workers.cancel_s), (3.0, 20.0, 40.0));
+    assert_eq!(
+        (workers.report_s, workers.lease_s, workers.cancel_s),
+        (3.0, 20.0, 40.0)
+    );
     assert_eq!((workers.gang_wait_s, workers.gang_peer_s), (46.0, 5.0));
     let state = &params.state;
-    assert_eq!((state.rps, state.write_rps, state.value_kb, state.txn_ops), (60.0, 20.0, 8.0, 12));
+    assert_eq!(
+        (state.rps, state.write_rps, state.value_kb, state.txn_ops),
+        (60.0, 20.0, 8.0, 12)
+    );
     let next = &state.next;
-    assert_eq!((next.write_rps, next.value_kb, next.txn_ops), (Some(19.0), Some(2.0), Some(4)));
+    assert_eq!(
+        (next.write_rps, next.value_kb, next.txn_ops),
+        (Some(19.0), Some(2.0), Some(4))
+    );
     assert_eq!((params.cloud.rps, params.cloud.list_lag_s), (4.0, 6.0));
     let limits = &params.machine_limits;
-    assert_eq!((limits.core_share, limits.ram_mb, limits.max_connections), (0.2, 128.0, 100));
+    assert_eq!(
+        (limits.core_share, limits.ram_mb, limits.max_connections),
+        (0.2, 128.0, 100)
+    );
     let least = Settings::parse(&fixtures.text("least")).expect("taken");
-    assert_eq!((least.members.len(), least.params.teams.len(), least.params.objectives.len()), (0, 0, 0));
-    assert_eq!((least.params.workers.gang_wait_s, least.params.workers.gang_peer_s), (45.0, 4.0));
+    assert_eq!(
+        (
+            least.members.len(),
+            least.params.teams.len(),
+            least.params.objectives.len()
+        ),
+        (0, 0, 0)
+    );
+    assert_eq!(
+        (
+            least.params.workers.gang_wait_s,
+            least.params.workers.gang_peer_s
+        ),
+        (45.0, 4.0)
+    );
     assert!(least.params.state.next.write_rps.is_none());
     for name in names(&fixtures, ".instead-of") {
-        let (good, bad) =
-            (fixtures.text(&format!("{name}.instead-of")), fixtures.text(&format!("{name}.put")));
+        let (good, bad) = (
+            fixtures.text(&format!("{name}.instead-of")),
+            fixtures.text(&format!("{name}.put")),
+        );
         let text = fixtures.text("all");
         assert!(text.contains(&good), "{name}");
         let error = Settings::parse(&text.replacen(&good, &bad, 1)).expect_err(name);
@@ -342,7 +493,8 @@
     let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("wire-format-program");
     std::fs::create_dir_all(&directory).expect("a directory");
     for file in names(fixtures, ".file") {
-        std::fs::write(directory.join(file), fixtures.text(&format!("{file}.file"))).expect("written");
+        std::fs::write(directory.join(file), fixtures.text(&format!("{file}.file")))
+            .expect("written");
     }
     let words = fixtures.text(&format!("{name}.arguments"));
     let program = Command::new(env!("CARGO_BIN_EXE_finchwood"))
@@ -352,7 +504,11 @@
         .output()
         .expect("it ran");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (program.status.code(), text(&program.stdout), text(&program.stderr))
+    (
+        program.status.code(),
+        text(&program.stdout),
+        text(&program.stderr),
+    )
 }
 
 #[test]
@@ -361,11 +517,20 @@
     let (status, said, _) = run(&fixtures, "help");
     assert_eq!(status, Some(0));
     fixtures.same("help.said", &said);
-    for name in names(&fixtures, ".arguments").into_iter().filter(|name| *name != "help") {
+    for name in names(&fixtures, ".arguments")
+        .into_iter()
+        .filter(|name| *name != "help")
+    {
         let (status, _, said) = run(&fixtures, name);
-        fixtures.same(&format!("{name}.said"), &format!("status {status:?}: {said}"));
+        fixtures.same(
+            &format!("{name}.said"),
+            &format!("status {status:?}: {said}"),
+        );
         // Its own words take one line; those about flags are the argument parser's.
-        assert!(status == Some(2) || status == Some(1) && said.lines().count() == 1, "{name}: {said}");
+        assert!(
+            status == Some(2) || status == Some(1) && said.lines().count() == 1,
+            "{name}: {said}"
+        );
     }
     fixtures.all_used();
 }
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -5,7 +5,9 @@
 mod fixtures;
 
 use finchwood::failure_detection::Reached;
-use finchwood::fleet::{Gone, HeldView, JobAssignment, Leave, MachineView, Orders, PartReport, Phase, Quiet};
+use finchwood::fleet::{
+    Gone, HeldView, JobAssignment, Leave, MachineView, Orders, PartReport, Phase, Quiet,
+};
 use finchwood::peer::{CancellationNotice, Envelope, Message};
 use finchwood::wire::{Res, Task, TaskState};
 use finchwood_reconcile::machine::MachineState;
@@ -19,11 +21,18 @@
 const PRODUCTION: &str = include_str!("fixtures/production-messages.txt");
 
 fn task(index: u32) -> Task {
-    Task { job: "wk-1".into(), index }
+    Task {
+        job: "wk-1".into(),
+        index,
+    }
 }
 
 fn resources(cpus: f64) -> Res {
-    Res { cpus, gpus: 1.0, mem: 16.5 }
+    Res {
+        cpus,
+        gpus: 1.0,
+        mem: 16.5,
+    }
 }
 
 fn machine_view() -> MachineView {
@@ -73,7 +82,13 @@
 }
 
 fn held(phase: Phase, machine: Option<&str>, assignment: u64) -> HeldView {
-    HeldView { task: task(0), attempt: 70, phase, machine: machine.map(Into::into), assignment }
+    HeldView {
+        task: task(0),
+        attempt: 70,
+        phase,
+        machine: machine.map(Into::into),
+        assignment,
+    }
 }
 
 /// A task that is gone can't be made from outside: one that production told is changed.
@@ -106,7 +121,12 @@
 }
 
 fn known_line(state: TaskState, why: Option<&str>) -> LineKnowledge {
-    LineKnowledge { task: task(0), attempt: 70, state, why: why.map(String::from) }
+    LineKnowledge {
+        task: task(0),
+        attempt: 70,
+        state,
+        why: why.map(String::from),
+    }
 }
 
 fn known_machine() -> MachineKnowledge {
@@ -172,14 +192,34 @@
         seq: 12,
         machines: vec![machine_view(), bare_machine_view()],
         unlisted: vec![("m-9".into(), 3)],
-        held: phases.into_iter().map(|phase| held(phase, Some("m-1"), 71)).collect(),
-        gone: [Stopped, Error, Lost, Passed].into_iter().map(|how| gone(how, Some("m-1"), 72)).collect(),
+        held: phases
+            .into_iter()
+            .map(|phase| held(phase, Some("m-1"), 71))
+            .collect(),
+        gone: [Stopped, Error, Lost, Passed]
+            .into_iter()
+            .map(|how| gone(how, Some("m-1"), 72))
+            .collect(),
         dropped: vec![(task(2), 73, 5)],
         quiet: vec![
-            Quiet { id: "m-1".into(), silent_s: 9.5, unanswered_s: Some(4.5) },
-            Quiet { id: "m-2".into(), silent_s: 0.0, unanswered_s: None },
+            Quiet {
+                id: "m-1".into(),
+                silent_s: 9.5,
+                unanswered_s: Some(4.5),
+            },
+            Quiet {
+                id: "m-2".into(),
+                silent_s: 0.0,
+                unanswered_s: None,
+            },
         ],
-        zones_met: vec![("e".into(), Reached { since_s: 100.5, last_s: 0.25 })],
+        zones_met: vec![(
+            "e".into(),
+            Reached {
+                since_s: 100.5,
+                last_s: 0.25,
+            },
+        )],
         met: vec![("m-5".into(), 1.5)],
         handovers: HandoverReport {
             accepted: vec![1],
@@ -211,7 +251,11 @@
 }
 
 fn full_orders() -> Orders {
-    let range = ShareRange { home: "b".into(), first: 16, last: u64::MAX };
+    let range = ShareRange {
+        home: "b".into(),
+        first: 16,
+        last: u64::MAX,
+    };
     let assignment = JobAssignment {
         job: "wk-1".into(),
         tasks: vec![(0, 50), (1, 50)],
@@ -231,8 +275,16 @@
         borrowing: vec!["vision".into()],
         handovers: vec![
             HandoverOrder::Offer { id: 1 },
-            HandoverOrder::Fence { id: 2, range: range.clone() },
-            HandoverOrder::Take { id: 3, range, generation: 6, machines: machines() },
+            HandoverOrder::Fence {
+                id: 2,
+                range: range.clone(),
+            },
+            HandoverOrder::Take {
+                id: 3,
+                range,
+                generation: 6,
+                machines: machines(),
+            },
         ],
     }
 }
@@ -299,10 +351,26 @@
 #[test]
 fn messages_keep_their_bytes() {
     let fixtures = Fixtures::new(PEERS);
-    both_ways(&fixtures, "part", &full_envelope(Message::Part(full_part())));
-    both_ways(&fixtures, "part.bare", &bare_envelope(Message::Part(bare_part())));
-    both_ways(&fixtures, "orders", &full_envelope(Message::Orders(full_orders())));
-    both_ways(&fixtures, "orders.bare", &bare_envelope(Message::Orders(bare_orders())));
+    both_ways(
+        &fixtures,
+        "part",
+        &full_envelope(Message::Part(full_part())),
+    );
+    both_ways(
+        &fixtures,
+        "part.bare",
+        &bare_envelope(Message::Part(bare_part())),
+    );
+    both_ways(
+        &fixtures,
+        "orders",
+        &full_envelope(Message::Orders(full_orders())),
+    );
+    both_ways(
+        &fixtures,
+        "orders.bare",
+        &bare_envelope(Message::Orders(bare_orders())),
+    );
     both_ways(&fixtures, "hello", &full_envelope(Message::Hello));
     both_ways(&fixtures, "hello.bare", &bare_envelope(Message::Hello));
     fixtures.all_used();
--- a/tests/wire_format_refusals.rs
+++ b/tests/wire_format_refusals.rs
@@ -35,8 +35,16 @@
         Ask::Withdraw(id) => format!("withdraw {id}"),
         Ask::Submit(spec) => format!("submit {}", spec.id),
         Ask::Up => "up".into(),
-        Ask::Report { report, raw, relayed } => {
-            format!("report of {}, {} bytes, relayed {relayed}", report.machine, raw.len())
+        Ask::Report {
+            report,
+            raw,
+            relayed,
+        } => {
+            format!(
+                "report of {}, {} bytes, relayed {relayed}",
+                report.machine,
+                raw.len()
+            )
         }
         Ask::Peer(envelope) => format!("message from {}", envelope.from),
         Ask::RestartReport => "report of a restart".into(),
@@ -48,7 +56,10 @@
 
 /// A job's id says what is answered.
 fn answer_query(id: &str, reply: Reply) {
-    match id.strip_prefix("wk-status-").and_then(|status| status.parse().ok()) {
+    match id
+        .strip_prefix("wk-status-")
+        .and_then(|status| status.parse().ok())
+    {
         Some(status) => reply.send(status, b"{}".to_vec()),
         None if id == "wk-too-late" => reply.send_until(200, b"{}".to_vec(), clock::now() - 1.0),
         None => reply.later(503, 7, "come again"),
@@ -60,7 +71,10 @@
     let fixtures = Fixtures::new(REQUESTS);
     for (kind, back) in [(".front", false), (".back", true)] {
         let addr = listener(back);
-        for name in fixtures.lines().filter_map(|(name, _)| name.strip_suffix(kind)) {
+        for name in fixtures
+            .lines()
+            .filter_map(|(name, _)| name.strip_suffix(kind))
+        {
             let said = ask(addr, fixtures.text(&format!("{name}{kind}")).as_bytes());
             fixtures.same(&format!("{name}.answer"), &said);
         }
