--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,49 +1,49 @@
-//! The actor that ties the pure cores together: it owns the mirror, this
+//! The actor that ties the pure cores together: it owns the cache, this
 //! node's part of the fleet and, while it leads, the leader's table. Everything
 //! else speaks to it by messages, and it never waits for the network.
 
-mod cloud_answers;
-mod commits;
-mod leading;
-mod members;
-mod mirror_feed;
-mod peers;
-mod renting;
+mod autoscaling;
+mod cloud_responses;
+mod completions;
+mod heartbeats;
+mod job_requests;
+mod leader_round;
+mod member;
+mod peer_messages;
+mod registry;
 mod restart;
-mod roster;
-mod shares;
-mod users;
-mod worker_reports;
+mod shard_transfers;
+mod watch_events;
 
-use crate::assignment::Leader;
-use crate::clock::{self, Secs, When};
-use crate::cloud;
-use crate::fleet::{DirectRoom, Part, Timing};
-use crate::http::{self, Ask, DirectDone, DirectPool, Relay, Reply};
-use crate::in_flight::Serial;
-use crate::jobs::Mirror;
-use crate::membership::{self, LeaseNews};
-use crate::peer::{CancellationNotice, Message, Peers};
-use crate::policy::Policy;
-use crate::published::Published;
-use crate::reachability::Reachability;
-use crate::restart_report::RestartReport;
-use crate::settings::Settings;
-use crate::shares_report::SharesReport;
-use crate::state::{self, Budget, Feed, Outcome, Writer};
+use crate::api::http::{self, CommandPool, CommandResult, RelayedHeartbeat, Request, Responder};
+use crate::api::published_report::PublishedReport;
+use crate::api::restart_report::RestartReport;
+use crate::api::shard_map_report::ShardMapReport;
+use crate::autoscaler::cloud;
+use crate::clock::{self, Moment, Seconds};
+use crate::cluster::membership::{self, LeaseEvent};
+use crate::cluster::peer::{CancellationNotice, PeerMessage, PeerTransport};
+use crate::cluster::reachability::Reachability;
+use crate::config::features::Features;
+use crate::config::policy::Policy;
+use crate::config::settings::Settings;
+use crate::scheduler::Leader;
+use crate::shard::{CommandCapacity, Shard, Timing};
+use crate::store::cache::StoreCache;
+use crate::store::pending_writes::WriteId;
+use crate::store::{self, CommitOutcome, GroupCommitter, RateBudget, WatchEvent};
 use crate::wire::{JobId, MachineId};
-use crate::with::Parts;
-use commits::FinishesInFlight;
+use autoscaling::Autoscaler;
+use completions::PendingFinishes;
 use crossbeam::channel::{bounded, Receiver, RecvTimeoutError, Sender};
-use leading::LeaderPace;
-use renting::Renting;
+use heartbeats::PassingWorker;
+use job_requests::Users;
+use leader_round::LeaderPace;
+use registry::RegistryWriter;
 use restart::Restart;
-use roster::Roster;
-use shares::Shares;
+use shard_transfers::Shares;
 use std::collections::HashMap;
 use std::time::Duration;
-use users::Users;
-use worker_reports::PassingWorker;
 
 /// The share of the sockets that direct commands to machines heard lately may
 /// take at once, and that of those to machines in doubt, each of which takes a
@@ -57,7 +57,7 @@
 
 /// The most threads of one pool, and of all relays, however many sockets there
 /// are: a process stays far below the 2,000 that it may have.
-const MOST_THREADS: f64 = 300.0;
+const MAX_THREADS: f64 = 300.0;
 
 /// How long a relayed report may take, in report intervals: its worker waits
 /// for about that.
@@ -65,23 +65,23 @@
 
 /// What a write was for.
 #[derive(Debug, Clone)]
-pub(crate) enum Tag {
+pub(crate) enum WritePurpose {
     Submit(JobId),
     Withdraw(JobId),
     Epoch,
-    Finish(JobId, Serial),
-    Roster(Serial),
+    Finish(JobId, WriteId),
+    RegistryWriter(WriteId),
     Catalog,
     Shares,
 }
 
-enum Msg {
-    Ask(Ask, Reply),
-    Feed(Feed),
-    Lease(LeaseNews),
-    Written(Tag, Outcome),
-    Cloud(cloud::Answer),
-    Direct(DirectDone),
+enum ControllerEvent {
+    Request(Request, Responder),
+    WatchEvent(WatchEvent),
+    Lease(LeaseEvent),
+    Written(WritePurpose, CommitOutcome),
+    Cloud(cloud::CloudResponse),
+    CommandCompleted(CommandResult),
     /// Another controller can't be reached directly, or can again.
     Apart(String, bool),
 }
@@ -90,70 +90,70 @@
 pub(crate) struct Controller {
     settings: Settings,
     policy: Policy,
-    mirror: Mirror,
-    /// When the newest reading of the mirror was asked for.
-    fresh_at: Option<Secs>,
+    cache: StoreCache,
+    /// When the newest reading of the cache was asked for.
+    last_synced_at: Option<Seconds>,
     /// The last reading failed.
-    state_down: bool,
-    inc: u64,
-    lease_until: Secs,
-    part: Part,
+    store_unreachable: bool,
+    incarnation: u64,
+    lease_until: Seconds,
+    shard: Shard,
     leader: Leader,
     /// Caution and the record of a restart, if they are switched on.
     restart: Option<Restart>,
     /// Shares that move, if that is switched on.
     shares: Option<Shares>,
     users: Users,
-    renting: Renting,
+    autoscaler: Autoscaler,
     pace: LeaderPace,
-    finishes: FinishesInFlight,
-    roster: Roster,
-    /// Workers of other parts that came here.
+    finishes: PendingFinishes,
+    registry: RegistryWriter,
+    /// Workers of other shards that came here.
     redirected: HashMap<MachineId, PassingWorker>,
     /// Cancellations committed here a moment ago, and since when.
-    cancellation_notices: Vec<(CancellationNotice, Secs)>,
+    cancellation_notices: Vec<(CancellationNotice, Seconds)>,
     /// Running tasks per job, as the leader last told.
     running: HashMap<JobId, u32>,
-    /// Which of the others said that they reach the state service, and when.
-    healthy: HashMap<String, Secs>,
+    /// Which of the others said that they reach the key-value store, and when.
+    healthy: HashMap<String, Seconds>,
     /// Whom each of the others hears, and when it said so.
-    hears: HashMap<String, (Secs, Vec<String>)>,
+    hears: HashMap<String, (Seconds, Vec<String>)>,
     reachability: Reachability,
-    began: Secs,
-    epoch_wanted: Option<Secs>,
+    began: Seconds,
+    epoch_wanted: Option<Seconds>,
     epoch_pending: bool,
-    told_leader: Secs,
-    said_hello: Secs,
-    worked: Secs,
-    tidied: Secs,
-    writer: Writer<Tag>,
-    kicks: Sender<()>,
-    peers: Peers,
+    told_leader: Seconds,
+    said_hello: Seconds,
+    worked: Seconds,
+    tidied: Seconds,
+    writer: GroupCommitter<WritePurpose>,
+    watch_wakeups: Sender<()>,
+    peers: PeerTransport,
     /// The ways on for reports that belong to each of the others.
-    relays: HashMap<String, Sender<Relay>>,
-    directs: DirectPool,
-    doubtful: DirectPool,
-    cloud: Sender<cloud::Ask>,
+    relay_pools: HashMap<String, Sender<RelayedHeartbeat>>,
+    command_pool: CommandPool,
+    unverified_pool: CommandPool,
+    cloud: Sender<cloud::CloudRequest>,
 }
 
 /// Starts a controller; returns only if it can't run.
-pub fn run(settings: Settings, policy: Policy, parts: &Parts) -> Result<(), String> {
+pub fn run(settings: Settings, policy: Policy, features: &Features) -> Result<(), String> {
     let published = (
-        Published::new("cold-restart", parts.cold_restart.is_some()),
-        Published::new("shared-machines", parts.shared_machines.is_some()),
+        PublishedReport::new("cold-restart", features.cold_restart.is_some()),
+        PublishedReport::new("shared-machines", features.shared_machines.is_some()),
     );
-    let (tx, rx) = bounded::<Msg>(8192);
+    let (tx, rx) = bounded::<ControllerEvent>(8192);
     for back in [false, true] {
         let (tx, published) = (tx.clone(), published.clone());
-        http::listen(&settings, back, move |ask, reply| match ask {
-            Ask::RestartReport => published.0.answer(reply),
-            Ask::SharesReport => published.1.answer(reply),
+        http::listen(&settings, back, move |ask, responder| match ask {
+            Request::RestartReport => published.0.answer(responder),
+            Request::ShardMapReport => published.1.answer(responder),
             // A full queue drops the reply, which then says 503.
-            ask => drop(tx.try_send(Msg::Ask(ask, reply))),
+            ask => drop(tx.try_send(ControllerEvent::Request(ask, responder))),
         })
         .map_err(|e| format!("cannot listen: {e}"))?;
     }
-    let mut c = Controller::start(settings, policy, parts, published, &tx);
+    let mut c = Controller::start(settings, policy, features, published, &tx);
     c.work_forever(&rx);
     Ok(())
 }
@@ -162,45 +162,52 @@
     fn start(
         settings: Settings,
         policy: Policy,
-        parts: &Parts,
-        (published, shares_published): (Published<RestartReport>, Published<SharesReport>),
-        tx: &Sender<Msg>,
+        features: &Features,
+        (published, shares_published): (
+            PublishedReport<RestartReport>,
+            PublishedReport<ShardMapReport>,
+        ),
+        tx: &Sender<ControllerEvent>,
     ) -> Controller {
-        let budget = Budget::new(&settings);
-        let (kicks, kicked) = bounded(1);
+        let budget = RateBudget::new(&settings);
+        let (watch_wakeups, wakeups) = bounded(1);
         let to = tx.clone();
-        state::poller(&settings, budget.clone(), kicked, move |f| {
-            to.send(Msg::Feed(f)).is_ok()
+        store::start_watch(&settings, budget.clone(), wakeups, move |f| {
+            to.send(ControllerEvent::WatchEvent(f)).is_ok()
         });
         let to = tx.clone();
-        membership::lease_actor(
+        membership::start_lease_actor(
             &settings,
             budget.clone(),
-            parts.shared_machines.is_some(),
-            move |l| to.send(Msg::Lease(l)).is_ok(),
+            features.shared_machines.is_some(),
+            move |l| to.send(ControllerEvent::Lease(l)).is_ok(),
         );
         let to = tx.clone();
-        let writer = Writer::start(&settings, budget, move |t, o| {
-            to.send(Msg::Written(t, o)).is_ok()
+        let writer = GroupCommitter::start(&settings, budget, move |t, o| {
+            to.send(ControllerEvent::Written(t, o)).is_ok()
         });
         let to = tx.clone();
-        let cloud = cloud::start(&settings, move |a| to.send(Msg::Cloud(a)).is_ok());
+        let cloud = cloud::start(&settings, move |a| {
+            to.send(ControllerEvent::Cloud(a)).is_ok()
+        });
         let to = tx.clone();
         let report_s = settings.params.workers.report_s;
         let sockets = settings.params.machine_limits.max_connections as f64;
-        let share = |of: f64| (sockets * of).clamp(4.0, MOST_THREADS) as usize;
+        let share = |of: f64| (sockets * of).clamp(4.0, MAX_THREADS) as usize;
         let others = settings.members.len().max(1) as f64;
-        let relay_threads = (sockets * RELAY_SHARE).min(MOST_THREADS / others).max(1.0) as usize;
-        let tell = move |d| to.send(Msg::Direct(d)).is_ok();
-        let directs = DirectPool::new("direct", share(DIRECT_SHARE), report_s / 2.0, tell.clone());
-        let doubtful = DirectPool::new("doubtful", share(DOUBTFUL_SHARE), report_s / 2.0, tell);
-        let relay = |m: &crate::settings::Member| {
+        let relay_threads = (sockets * RELAY_SHARE).min(MAX_THREADS / others).max(1.0) as usize;
+        let tell = move |d| to.send(ControllerEvent::CommandCompleted(d)).is_ok();
+        let command_pool =
+            CommandPool::new("direct", share(DIRECT_SHARE), report_s / 2.0, tell.clone());
+        let unverified_pool =
+            CommandPool::new("doubtful", share(DOUBTFUL_SHARE), report_s / 2.0, tell);
+        let relay = |m: &crate::config::settings::Member| {
             (
                 m.node_name.clone(),
-                http::relays(m.endpoint, relay_threads, report_s * RELAY_REPORTS),
+                http::start_relay_pool(m.endpoint, relay_threads, report_s * RELAY_REPORTS),
             )
         };
-        let relays = settings.members.iter().map(relay).collect();
+        let relay_pools = settings.members.iter().map(relay).collect();
         let timing = Timing {
             report_s,
             lease_s: settings.params.workers.lease_s,
@@ -211,37 +218,40 @@
             .iter()
             .map(|m| (m.node_name.clone(), m.zone.clone()))
             .collect();
-        let mut part = Part::new(&settings.node_name, timing, settings.start_aims());
-        let restart = parts
+        let mut shard = Shard::new(&settings.node_name, timing, settings.start_aims());
+        let restart = features
             .cold_restart
             .as_ref()
             .map(|with| Restart::new(with, &settings, published));
-        let shares = parts
+        let shares = features
             .shared_machines
             .as_ref()
             .map(|with| Shares::new(with, &settings, shares_published));
-        if let Some(with) = &parts.cold_restart {
-            part.keep_record(with.entries);
+        if let Some(with) = &features.cold_restart {
+            shard.keep_record(with.entries);
         }
         Controller {
-            part,
+            shard,
             restart,
             shares,
             leader: Leader::new(&settings),
-            mirror: Mirror::new(settings.params.state.value_kb),
-            peers: Peers::start(&settings, {
+            cache: StoreCache::new(settings.params.state.value_kb),
+            peers: PeerTransport::start(&settings, {
                 let to = tx.clone();
-                move |name, apart| to.send(Msg::Apart(name.to_string(), apart)).is_ok()
+                move |name, apart| {
+                    to.send(ControllerEvent::Apart(name.to_string(), apart))
+                        .is_ok()
+                }
             }),
-            fresh_at: None,
-            state_down: false,
-            inc: 0,
+            last_synced_at: None,
+            store_unreachable: false,
+            incarnation: 0,
             lease_until: 0.0,
             users: Users::default(),
-            renting: Renting::default(),
+            autoscaler: Autoscaler::default(),
             pace: LeaderPace::default(),
-            finishes: FinishesInFlight::default(),
-            roster: Roster::default(),
+            finishes: PendingFinishes::default(),
+            registry: RegistryWriter::default(),
             redirected: HashMap::new(),
             cancellation_notices: Vec::new(),
             running: HashMap::new(),
@@ -256,10 +266,10 @@
             worked: 0.0,
             tidied: 0.0,
             writer,
-            kicks,
-            relays,
-            directs,
-            doubtful,
+            watch_wakeups,
+            relay_pools,
+            command_pool,
+            unverified_pool,
             cloud,
             settings,
             policy,
@@ -267,17 +277,17 @@
     }
 
     /// The least time between two rounds of decisions.
-    fn round_gap(&self) -> Secs {
+    fn round_gap(&self) -> Seconds {
         self.settings.params.workers.report_s / 60.0
     }
 
     /// How long a round of decisions may take: what a fifth of the round's
     /// share of the core allows.
-    fn round_time(&self) -> Secs {
+    fn round_time(&self) -> Seconds {
         self.round_gap() * self.settings.params.machine_limits.core_share
     }
 
-    fn work_forever(&mut self, rx: &Receiver<Msg>) {
+    fn work_forever(&mut self, rx: &Receiver<ControllerEvent>) {
         loop {
             let wait = (self.worked + self.round_gap() - clock::now()).max(0.0);
             match rx.recv_timeout(Duration::from_secs_f64(wait)) {
@@ -301,42 +311,42 @@
         }
     }
 
-    fn handle(&mut self, msg: Msg) {
+    fn handle(&mut self, msg: ControllerEvent) {
         let now = clock::now();
         match msg {
-            Msg::Ask(ask, reply) => self.ask(ask, reply, now),
-            Msg::Feed(feed) => self.feed(feed, now),
-            Msg::Lease(LeaseNews::Until { inc, until }) => {
-                if inc != self.inc {
-                    tracing::info!(inc, "joined with a new lease");
+            ControllerEvent::Request(ask, responder) => self.ask(ask, responder, now),
+            ControllerEvent::WatchEvent(feed) => self.feed(feed, now),
+            ControllerEvent::Lease(LeaseEvent::Renewed { incarnation, until }) => {
+                if incarnation != self.incarnation {
+                    tracing::info!(incarnation, "joined with a new lease");
                 }
-                self.inc = inc;
+                self.incarnation = incarnation;
                 self.lease_until = until;
             }
-            Msg::Lease(LeaseNews::Lost) => {
-                self.inc = 0;
+            ControllerEvent::Lease(LeaseEvent::Expired) => {
+                self.incarnation = 0;
                 self.lease_until = 0.0;
             }
-            Msg::Written(tag, outcome) => self.written(tag, outcome, now),
-            Msg::Cloud(answer) => self.cloud_answer(answer, now),
-            Msg::Apart(name, apart) => {
+            ControllerEvent::Written(purpose, outcome) => self.written(purpose, outcome, now),
+            ControllerEvent::Cloud(answer) => self.cloud_answer(answer, now),
+            ControllerEvent::Apart(name, apart) => {
                 tracing::info!(name, apart, "the way to another controller changed");
                 self.reachability.reached(&name, !apart);
             }
-            Msg::Direct(d) => {
-                let pool = if d.sent.doubtful {
-                    &mut self.doubtful
+            ControllerEvent::CommandCompleted(d) => {
+                let pool = if d.sent.unverified {
+                    &mut self.unverified_pool
                 } else {
-                    &mut self.directs
+                    &mut self.command_pool
                 };
                 pool.done();
-                let mine = self.part.epoch() > 0;
+                let mine = self.shard.epoch() > 0;
                 if mine {
-                    self.part.direct_done(
+                    self.shard.command_completed(
                         &d.sent.machine,
                         &d.sent.body,
                         d.answer.as_ref(),
-                        &self.mirror,
+                        &self.cache,
                         now,
                     );
                 }
@@ -344,39 +354,41 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask, reply: Reply, now: Secs) {
+    fn ask(&mut self, ask: Request, responder: Responder, now: Seconds) {
         match ask {
-            Ask::Up => {
+            Request::Up => {
                 if self.healthy_now(now) {
-                    reply.send(200, b"{}".to_vec());
+                    responder.send(200, b"{}".to_vec());
                 } else {
-                    reply.later(503, 1, "no state service");
+                    responder.retry_later(503, 1, "no state service");
                 }
             }
-            Ask::Submit(spec) => self.submit(*spec, reply, now),
-            Ask::Query(id) => self.query(id.as_str().into(), reply, now),
-            Ask::Withdraw(id) => self.withdraw(id.as_str().into(), reply, now),
-            Ask::Report {
+            Request::Submit(spec) => self.submit(*spec, responder, now),
+            Request::Query(id) => self.query(id.as_str().into(), responder, now),
+            Request::Withdraw(id) => self.withdraw(id.as_str().into(), responder, now),
+            Request::Heartbeat {
                 report,
                 raw,
                 relayed,
-            } => self.report(*report, raw, relayed, reply, now),
-            Ask::Peer(envelope) => {
-                reply.send(200, Vec::new());
+            } => self.report(*report, raw, relayed, responder, now),
+            Request::Peer(envelope) => {
+                responder.send(200, Vec::new());
                 self.peer(*envelope, now);
             }
             // Answered by the listener, from what was published last.
-            Ask::RestartReport | Ask::SharesReport => reply.later(503, 1, "no report yet"),
-            Ask::SharesPlan(plan) => self.take_plan(plan, reply),
+            Request::RestartReport | Request::ShardMapReport => {
+                responder.retry_later(503, 1, "no report yet")
+            }
+            Request::SharesPlan(plan) => self.take_plan(plan, responder),
         }
     }
 
-    fn round(&mut self, now: Secs) {
+    fn round(&mut self, now: Seconds) {
         // Joined after the epoch was seen: enter it now.
-        let waiting_epoch = self.mirror.epoch.as_ref().is_some_and(|e| {
-            self.inc != 0
-                && e.members.get(&self.settings.node_name) == Some(&self.inc)
-                && self.part.epoch() != e.n
+        let waiting_epoch = self.cache.epoch.as_ref().is_some_and(|e| {
+            self.incarnation != 0
+                && e.members.get(&self.settings.node_name) == Some(&self.incarnation)
+                && self.shard.epoch() != e.n
         });
         if waiting_epoch {
             self.epoch_changed(now);
@@ -386,26 +398,26 @@
         let until = self.entitled_until();
         if now < until {
             let end = now + self.round_time();
-            self.part.expire_leases(now);
-            self.part.stop_for_notices(&self.mirror, now);
+            self.shard.expire_leases(now);
+            self.shard.stop_for_notices(&self.cache, now);
             if self.leading() {
                 self.lead(now, end);
             }
-            self.part
-                .place(&self.mirror, When::present(), || clock::now() < end);
-            let room = DirectRoom {
-                sound: self.directs.room(),
-                doubtful: self.doubtful.room(),
+            self.shard
+                .place(&self.cache, Moment::present(), || clock::now() < end);
+            let room = CommandCapacity {
+                responsive: self.command_pool.room(),
+                unverified: self.unverified_pool.room(),
             };
-            for direct in self.part.directs_within(&self.mirror, now, room) {
-                let pool = if direct.doubtful {
-                    &mut self.doubtful
+            for direct in self.shard.due_commands_within(&self.cache, now, room) {
+                let pool = if direct.unverified {
+                    &mut self.unverified_pool
                 } else {
-                    &mut self.directs
+                    &mut self.command_pool
                 };
                 if let Err(d) = pool.send((direct, until)) {
-                    self.part
-                        .direct_done(&d.machine, &d.body, None, &self.mirror, now);
+                    self.shard
+                        .command_completed(&d.machine, &d.body, None, &self.cache, now);
                 }
             }
             self.tell_leader(now);
@@ -414,7 +426,7 @@
         self.publish_shares(now);
         if now - self.tidied > self.settings.params.workers.report_s {
             self.tidied = now;
-            self.part.forget_what_is_over(&self.mirror, now);
+            self.shard.forget_what_is_over(&self.cache, now);
             let lease_s = self.settings.params.workers.lease_s;
             self.redirected.retain(|_, p| now - p.at < lease_s);
         }
@@ -426,25 +438,29 @@
             self.said_hello = now;
             let names: Vec<String> = self.peers.names().cloned().collect();
             for name in names {
-                self.send_peer(&name, Message::Hello);
+                self.send_peer(&name, PeerMessage::KeepAlive);
             }
         }
     }
 
-    fn written(&mut self, tag: Tag, outcome: Outcome, now: Secs) {
-        let _ = self.kicks.try_send(());
-        match tag {
-            Tag::Submit(id) => self.submit_written(id, outcome, now),
-            Tag::Withdraw(id) => self.withdraw_written(id, outcome, now),
-            Tag::Epoch => {
+    fn written(&mut self, purpose: WritePurpose, outcome: CommitOutcome, now: Seconds) {
+        let _ = self.watch_wakeups.try_send(());
+        match purpose {
+            WritePurpose::Submit(id) => self.submit_written(id, outcome, now),
+            WritePurpose::Withdraw(id) => self.withdraw_written(id, outcome, now),
+            WritePurpose::Epoch => {
                 self.epoch_pending = false;
-                // Let the mirror catch up before another proposal.
+                // Let the cache catch up before another proposal.
                 self.epoch_wanted = Some(now);
             }
-            Tag::Finish(job, serial) => self.finish_written(&job, serial, outcome, now),
-            Tag::Roster(serial) => self.roster_written(serial, outcome, now),
-            Tag::Catalog => self.renting.catalog_written(),
-            Tag::Shares => self.shares_written(outcome, now),
+            WritePurpose::Finish(job, write_id) => {
+                self.finish_written(&job, write_id, outcome, now)
+            }
+            WritePurpose::RegistryWriter(write_id) => {
+                self.registry_page_written(write_id, outcome, now)
+            }
+            WritePurpose::Catalog => self.autoscaler.catalog_written(),
+            WritePurpose::Shares => self.shares_written(outcome, now),
         }
     }
 }
--- a/src/controller/peers.rs
+++ b/src/controller/peer_messages.rs
@@ -1,22 +1,22 @@
-//! What controllers tell each other: cancellations, parts' reports and the leader's
+//! What controllers tell each other: cancellations, shards' reports and the leader's
 //! orders.
 
 use super::Controller;
-use crate::clock::{self, Secs};
-use crate::fleet::{Orders, PartReport};
-use crate::peer::{Envelope, Message};
+use crate::clock::{self, Seconds};
+use crate::cluster::peer::{Envelope, PeerMessage};
+use crate::shard::{Orders, ShardReport};
 
 impl Controller {
-    pub(super) fn peer(&mut self, e: Envelope, now: Secs) {
+    pub(super) fn peer(&mut self, e: Envelope, now: Seconds) {
         self.hears.insert(e.from.clone(), (now, e.hears.clone()));
         self.reachability.told(&e.from, e.apart.clone(), now);
         if e.fresh {
             self.healthy.insert(e.from.clone(), now);
         }
         // What is committed is so for whoever hears of it: a controller that
-        // the state service refuses need not wait until it is answered again.
+        // the key-value store refuses need not wait until it is answered again.
         for c in &e.cancellation_notices {
-            if self.mirror.apply_cancellation(&c.job, c.version, c.at_ms) {
+            if self.cache.apply_cancellation(&c.job, c.revision, c.at_ms) {
                 self.job_changed(&c.job);
             }
         }
@@ -28,25 +28,25 @@
             return;
         }
         match e.message {
-            Message::Part(r) => self.take_part_report(r, now),
-            Message::Orders(o) => self.take_orders(&o, now),
-            Message::Hello => {}
+            PeerMessage::ShardReport(r) => self.apply_shard_report(r, now),
+            PeerMessage::Orders(o) => self.take_orders(&o, now),
+            PeerMessage::KeepAlive => {}
         }
     }
 
-    /// The leader takes in a part's report, and answers it with orders.
-    fn take_part_report(&mut self, mut report: PartReport, now: Secs) {
-        let handovers = std::mem::take(&mut report.handovers);
+    /// The leader takes in a shard's report, and answers it with orders.
+    fn apply_shard_report(&mut self, mut report: ShardReport, now: Seconds) {
+        let transfers = std::mem::take(&mut report.transfers);
         let from = report.node.clone();
-        if self.leading() && self.leader.part_report(report, &self.mirror, now) {
-            self.take_handover_report(&from, handovers, now);
+        if self.leading() && self.leader.apply_shard_report(report, &self.cache, now) {
+            self.apply_transfer_report(&from, transfers, now);
             self.send_orders(&from);
         }
     }
 
-    pub(super) fn take_orders(&mut self, o: &Orders, now: Secs) {
-        if o.epoch == self.part.epoch() {
-            self.part.orders(o, &self.mirror, now);
+    pub(super) fn take_orders(&mut self, o: &Orders, now: Seconds) {
+        if o.epoch == self.shard.epoch() {
+            self.shard.orders(o, &self.cache, now);
             if let Some(running) = &o.running {
                 self.running = running.iter().cloned().collect();
             }
@@ -55,20 +55,20 @@
 
     pub(super) fn send_orders(&mut self, to: &str) {
         if let Some(mut orders) = self.leader.orders(to) {
-            orders.handovers = self.handover_orders(to);
+            orders.transfers = self.transfer_orders(to);
             if to == self.settings.node_name {
                 self.take_orders(&orders, clock::now());
             } else {
-                self.send_peer(to, Message::Orders(orders));
+                self.send_peer(to, PeerMessage::Orders(orders));
             }
         }
     }
 
-    pub(super) fn send_peer(&self, to: &str, message: Message) {
+    pub(super) fn send_peer(&self, to: &str, message: PeerMessage) {
         self.peers.send(Envelope {
             from: self.settings.node_name.clone(),
             to: to.into(),
-            fresh: !self.state_down && self.fresh_at.is_some(),
+            fresh: !self.store_unreachable && self.last_synced_at.is_some(),
             hears: self.healthy.keys().cloned().collect(),
             apart: self.reachability.apart(),
             cancellation_notices: self
@@ -80,9 +80,9 @@
         });
     }
 
-    pub(super) fn tell_leader(&mut self, now: Secs) {
+    pub(super) fn tell_leader(&mut self, now: Seconds) {
         let report_s = self.settings.params.workers.report_s;
-        let gap = if self.part.dirty {
+        let gap = if self.shard.dirty {
             report_s / 20.0
         } else {
             report_s / 3.0
@@ -94,16 +94,16 @@
             return;
         };
         self.told_leader = now;
-        let mut snapshot = self.part.snapshot(&self.mirror, now);
+        let mut snapshot = self.shard.snapshot(&self.cache, now);
         snapshot.met = self
             .redirected
             .iter()
             .filter_map(|(id, p)| Some((id.clone(), now - p.met?)))
             .collect();
         if leader == self.settings.node_name {
-            self.take_part_report(snapshot, now);
+            self.apply_shard_report(snapshot, now);
         } else {
-            self.send_peer(&leader, Message::Part(snapshot));
+            self.send_peer(&leader, PeerMessage::ShardReport(snapshot));
         }
     }
 }
--- a/src/controller/roster.rs
+++ b/src/controller/registry.rs
@@ -1,33 +1,33 @@
-//! Keeping the roster: pages of machines on the state service, brought up to
+//! Keeping the machine registry: pages of machines on the key-value store, brought up to
 //! what is known with few writes. A page has one write under way at a time;
 //! what happens meanwhile goes into its next.
 
-use super::{Controller, Tag};
-use crate::clock::{self, Secs};
-use crate::in_flight::{InFlight, Serial};
-use crate::jobs::{page_key, RosterPage, RosterRecord};
-use crate::pages::{self, PageCopies, PageLimit, PageQueue};
-use crate::rent::Offer;
-use crate::state::{Class, Op, Outcome, Write};
+use super::{Controller, WritePurpose};
+use crate::autoscaler::scaling::Offer;
+use crate::clock::{self, Seconds};
+use crate::store::cache::{page_key, MachineRecord, RegistryPage};
+use crate::store::pending_writes::{PendingWrites, WriteId};
+use crate::store::registry_pages::{self, PageCopies, PageLimit, PageQueue};
+use crate::store::{CommitOutcome, ConditionalWrite, WriteClass, WriteOp};
 use crate::wire::MachineId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// What the leader is writing to the roster.
+/// What the leader is writing to the machine registry.
 #[derive(Debug, Default)]
-pub(crate) struct Roster {
+pub(crate) struct RegistryWriter {
     /// Pages being written, and the value (none: deletion).
-    writing: InFlight<Arc<str>, Option<RosterPage>>,
-    /// Rented or found, on their way to the roster: page key and record.
-    pub(super) fresh: BTreeMap<MachineId, (Arc<str>, RosterRecord)>,
+    writing: PendingWrites<Arc<str>, Option<RegistryPage>>,
+    /// Rented or found, on their way to the machine registry: page key and record.
+    pub(super) fresh: BTreeMap<MachineId, (Arc<str>, MachineRecord)>,
     found: u64,
-    /// Answered writes that the mirror may not show yet.
-    tried: HashMap<Arc<str>, Secs>,
+    /// Answered writes that the cache may not show yet.
+    tried: HashMap<Arc<str>, Seconds>,
     /// Pages that wait to be written.
     queue: PageQueue,
 }
 
-impl Roster {
+impl RegistryWriter {
     pub(super) fn lead(&mut self) {
         self.tried.clear();
     }
@@ -38,12 +38,12 @@
         PageLimit::new(self.settings.params.state.lowest_value_bytes())
     }
 
-    /// Puts machines of one kind on their way to the roster.
-    pub(super) fn enlist(&mut self, ids: Vec<MachineId>, name: &str, record: &RosterRecord) {
+    /// Puts machines of one kind on their way to the machine registry.
+    pub(super) fn enlist(&mut self, ids: Vec<MachineId>, name: &str, record: &MachineRecord) {
         for (n, chunk) in ids.chunks(self.page_limit().machines()).enumerate() {
             let key: Arc<str> = page_key(&format!("{name}.{n}")).into();
             for id in chunk {
-                self.roster
+                self.registry
                     .fresh
                     .insert(id.clone(), (key.clone(), record.clone()));
             }
@@ -51,60 +51,60 @@
     }
 
     /// Machines that nobody here rented.
-    fn enlist_found(&mut self, found: Vec<(MachineId, RosterRecord)>) {
-        let mut kinds: BTreeMap<Offer, Vec<(MachineId, RosterRecord)>> = BTreeMap::new();
+    fn enlist_found(&mut self, found: Vec<(MachineId, MachineRecord)>) {
+        let mut kinds: BTreeMap<Offer, Vec<(MachineId, MachineRecord)>> = BTreeMap::new();
         for (id, r) in found {
             kinds
-                .entry((r.kind.clone(), r.zone.clone(), r.spot))
+                .entry((r.machine_type.clone(), r.zone.clone(), r.spot))
                 .or_default()
                 .push((id, r));
         }
         for of_kind in kinds.into_values() {
-            self.roster.found += 1;
-            let name = format!("found-{}-{}", self.inc, self.roster.found);
+            self.registry.found += 1;
+            let name = format!("found-{}-{}", self.incarnation, self.registry.found);
             let record = of_kind[0].1.clone();
             self.enlist(of_kind.into_iter().map(|m| m.0).collect(), &name, &record);
         }
     }
 
     /// Takes in a machine that the list shows and nobody knows.
-    pub(super) fn enlist_stray(&mut self, id: MachineId, record: RosterRecord) {
+    pub(super) fn enlist_stray(&mut self, id: MachineId, record: MachineRecord) {
         self.enlist_found(vec![(id, record)]);
     }
 
-    /// Brings the roster up to what is known: rented machines, machines that
+    /// Brings the machine registry up to what is known: rented machines, machines that
     /// report for the first time, machines that are gone.
-    pub(super) fn keep_roster(&mut self, now: Secs) {
-        self.roster.tried.retain(|_, t| now - *t < 0.5);
+    pub(super) fn update_registry(&mut self, now: Seconds) {
+        self.registry.tried.retain(|_, t| now - *t < 0.5);
         let mut up: Vec<(MachineId, Arc<str>)> = Vec::new();
         let mut found = Vec::new();
         for m in self.leader.machines() {
-            if !m.heard || self.renting.deleted.contains_key(&m.id) {
+            if !m.heard || self.autoscaler.deleted.contains_key(&m.id) {
                 continue;
             }
-            let addr = m.addr.clone().unwrap_or_else(|| "".into());
-            match self.mirror.roster.get(&m.id) {
-                Some((r, _)) if !r.up => up.push((m.id.clone(), addr)),
+            let address = m.address.clone().unwrap_or_else(|| "".into());
+            match self.cache.registry.get(&m.id) {
+                Some((r, _)) if !r.up => up.push((m.id.clone(), address)),
                 Some(_) => {}
-                None if self.roster.fresh.contains_key(&m.id) => {}
+                None if self.registry.fresh.contains_key(&m.id) => {}
                 None => found.push((
                     m.id.clone(),
-                    RosterRecord {
-                        kind: m.kind.clone(),
+                    MachineRecord {
+                        machine_type: m.machine_type.clone(),
                         zone: m.zone.clone(),
                         spot: m.spot,
                         up: false,
-                        at_ms: clock::day_ms(),
-                        addr: None,
+                        at_ms: clock::wall_clock_ms(),
+                        address: None,
                     },
                 )),
             }
         }
         self.enlist_found(found);
-        let mut pages: BTreeMap<Arc<str>, RosterPage> = BTreeMap::new();
-        let known = |key: &Arc<str>| self.mirror.pages.get(key).map(|p| p.page.clone());
-        for (id, addr) in up {
-            let Some((_, key)) = self.mirror.roster.get(&id) else {
+        let mut pages: BTreeMap<Arc<str>, RegistryPage> = BTreeMap::new();
+        let known = |key: &Arc<str>| self.cache.registry_pages.get(key).map(|p| p.page.clone());
+        for (id, address) in up {
+            let Some((_, key)) = self.cache.registry.get(&id) else {
                 continue;
             };
             let Some(page) = pages.get(key).cloned().or_else(|| known(key)) else {
@@ -114,19 +114,19 @@
                 .entry(key.clone())
                 .or_insert(page)
                 .machines
-                .insert(id, Some(addr));
+                .insert(id, Some(address));
         }
-        self.roster
+        self.registry
             .fresh
-            .retain(|id, _| !self.mirror.roster.contains_key(id));
-        for (id, (key, r)) in &self.roster.fresh {
+            .retain(|id, _| !self.cache.registry.contains_key(id));
+        for (id, (key, r)) in &self.registry.fresh {
             let page = pages.entry(key.clone()).or_insert_with(|| {
-                self.mirror
-                    .pages
+                self.cache
+                    .registry_pages
                     .get(key)
                     .map(|p| p.page.clone())
-                    .unwrap_or_else(|| RosterPage {
-                        kind: r.kind.clone(),
+                    .unwrap_or_else(|| RegistryPage {
+                        machine_type: r.machine_type.clone(),
                         zone: r.zone.clone(),
                         spot: r.spot,
                         at_ms: r.at_ms,
@@ -136,95 +136,110 @@
             page.machines.entry(id.clone()).or_insert(None);
         }
         let gone: BTreeSet<&MachineId> = self
-            .renting
+            .autoscaler
             .deleted
             .keys()
-            .filter(|id| self.mirror.roster.contains_key(*id))
+            .filter(|id| self.cache.registry.contains_key(*id))
             .collect();
         if !gone.is_empty() {
-            for (key, p) in &self.mirror.pages {
+            for (key, p) in &self.cache.registry_pages {
                 if p.page.machines.keys().any(|id| gone.contains(id)) {
                     let page = pages.entry(key.clone()).or_insert_with(|| p.page.clone());
                     page.machines.retain(|id, _| !gone.contains(id));
                 }
             }
         }
-        let copied = pages::split_long(&mut pages, &self.mirror.pages, self.page_limit());
+        let copied =
+            registry_pages::split_long(&mut pages, &self.cache.registry_pages, self.page_limit());
         self.write_pages(pages, &copied, now);
-        let roster = &self.mirror.roster;
+        let registry = &self.cache.registry;
         let forget =
             self.settings.params.cloud.list_lag_s * 4.0 + self.settings.params.workers.lease_s;
-        self.renting
+        self.autoscaler
             .deleted
-            .retain(|id, t| now - *t < forget || roster.contains_key(id));
+            .retain(|id, t| now - *t < forget || registry.contains_key(id));
     }
 
     /// Writes pages that have no write under way, as many at a time as half a
     /// transaction holds: the longer it takes, the more goes into the next.
     fn write_pages(
         &mut self,
-        pages: BTreeMap<Arc<str>, RosterPage>,
+        pages: BTreeMap<Arc<str>, RegistryPage>,
         copies: &PageCopies,
-        now: Secs,
+        now: Seconds,
     ) {
         let most = (self.settings.params.state.lowest_txn_ops() / 2).max(2);
-        let known = |key: &Arc<str>| self.mirror.pages.get(key).map(|p| p.page.machines.len());
-        for (key, page) in self.roster.queue.in_turn(pages, known, now) {
-            if self.roster.writing.count() >= most {
+        let known = |key: &Arc<str>| {
+            self.cache
+                .registry_pages
+                .get(key)
+                .map(|p| p.page.machines.len())
+        };
+        for (key, page) in self.registry.queue.in_turn(pages, known, now) {
+            if self.registry.writing.count() >= most {
                 return;
             }
-            if self.roster.writing.has(&key) || self.roster.tried.contains_key(&key) {
+            if self.registry.writing.contains(&key) || self.registry.tried.contains_key(&key) {
                 continue;
             }
-            let version = self.mirror.pages.get(&key).map_or(0, |p| p.version);
+            let revision = self
+                .cache
+                .registry_pages
+                .get(&key)
+                .map_or(0, |p| p.revision);
             let keep = (!page.machines.is_empty()).then_some(page);
-            if keep.is_none() && version == 0 {
+            if keep.is_none() && revision == 0 {
                 continue;
             }
             let op = match &keep {
-                Some(p) => Op::Put {
+                Some(p) => WriteOp::Put {
                     key: key.to_string(),
                     value: serde_json::to_value(p).unwrap_or_default(),
                     lease: None,
                 },
-                None => Op::Delete {
+                None => WriteOp::Delete {
                     key: key.to_string(),
                 },
             };
-            let serial = self.roster.writing.next_serial();
-            let mut conditions = vec![(key.to_string(), version)];
+            let write_id = self.registry.writing.next_id();
+            let mut conditions = vec![(key.to_string(), revision)];
             conditions.extend(copies.get(&key).into_iter().flatten().cloned());
-            let write = Write {
+            let write = ConditionalWrite {
                 conditions,
                 ops: vec![op],
                 deadline: now + 2.0,
-                tag: Tag::Roster(serial),
+                purpose: WritePurpose::RegistryWriter(write_id),
             };
-            if self.writer.send(Class::Bulk, write).is_err() {
+            if self.writer.send(WriteClass::Bulk, write).is_err() {
                 return;
             }
-            tracing::debug!(%key, version, left = keep.as_ref().map_or(0, |p| p.machines.len()), "writing a page");
+            tracing::debug!(%key, revision, left = keep.as_ref().map_or(0, |p| p.machines.len()), "writing a page");
             // What changes on it from now on waits anew.
-            self.roster.queue.written(&key);
-            self.roster.writing.sent(serial, key, keep);
+            self.registry.queue.written(&key);
+            self.registry.writing.sent(write_id, key, keep);
         }
     }
 
     /// A page's write was answered. What is committed is known at once.
-    pub(super) fn roster_written(&mut self, serial: Serial, outcome: Outcome, now: Secs) {
-        let Some((key, value)) = self.roster.writing.answered(serial) else {
+    pub(super) fn registry_page_written(
+        &mut self,
+        write_id: WriteId,
+        outcome: CommitOutcome,
+        now: Seconds,
+    ) {
+        let Some((key, value)) = self.registry.writing.answered(write_id) else {
             return;
         };
         tracing::debug!(%key, ?outcome, "a page's write was answered");
         match (outcome, value) {
-            (Outcome::Done(version), Some(page)) => {
+            (CommitOutcome::Committed(revision), Some(page)) => {
                 let value = serde_json::to_value(&page).unwrap_or_default();
-                let change = self.mirror.put(&key, value, version);
+                let change = self.cache.put(&key, value, revision);
                 self.changed(change, now);
             }
-            // Deleted, or somebody else's version: the mirror's next reading shows it.
+            // Deleted, or somebody else's version: the cache's next reading shows it.
             _ => {
-                self.roster.tried.insert(key, now);
+                self.registry.tried.insert(key, now);
             }
         }
     }
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -1,45 +1,45 @@
-//! Caution after a restart, and its report, where the part `cold-restart` is switched
+//! Caution after a restart, and its report, where the shard `cold-restart` is switched
 //! on.
 
 use super::Controller;
-use crate::clock::{self, Secs};
-use crate::published::Published;
-use crate::restart_report::{RecordLeftAlone, RestartReport};
-use crate::settings::Settings;
-use crate::stored_check::misfit_records;
+use crate::api::published_report::PublishedReport;
+use crate::api::restart_report::{RecordLeftAlone, RestartReport};
+use crate::clock::{self, Seconds};
+use crate::config::features::ColdRestartConfig;
+use crate::config::settings::Settings;
+use crate::store::consistency::misfit_records;
 use crate::wire::JobSpec;
-use crate::with::ColdRestart;
-use finchwood_reconcile::caution::{Action, Caution, CautionLimits, Situation};
-use finchwood_reconcile::doubt::DoubtfulMachines;
+use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffLimits, Situation};
+use finchwood_reconciliation::unreconciled::UnreconciledMachines;
 
 /// The share of a report interval after which the report is published anew.
 const PUBLISH_SHARE: f64 = 1.0 / 6.0;
 
 /// The most records left alone that a report names.
-const MOST_RECORDS_NAMED: usize = 100;
+const MAX_RECORDS_NAMED: usize = 100;
 
-/// What the part `cold-restart` keeps.
+/// What the shard `cold-restart` keeps.
 pub(super) struct Restart {
-    caution: Caution,
-    published: Published<RestartReport>,
-    published_at: Secs,
+    hold_off: HoldOff,
+    published: PublishedReport<RestartReport>,
+    published_at: Seconds,
     /// The first job was accepted so long after the start of the process.
-    first_accepted_s: Option<Secs>,
+    first_accepted_s: Option<Seconds>,
 }
 
 impl Restart {
     pub(super) fn new(
-        with: &ColdRestart,
+        with: &ColdRestartConfig,
         settings: &Settings,
-        published: Published<RestartReport>,
+        published: PublishedReport<RestartReport>,
     ) -> Restart {
         let workers = &settings.params.workers;
-        let limits = CautionLimits {
+        let limits = HoldOffLimits {
             answer_s: workers.report_s * with.answer_reports,
             lease_s: clock::with_drift_margin(workers.lease_s),
         };
         Restart {
-            caution: Caution::new(limits),
+            hold_off: HoldOff::new(limits),
             published,
             published_at: f64::MIN,
             first_accepted_s: None,
@@ -49,21 +49,21 @@
 
 impl Controller {
     /// This node leads from now on, with what it knew before or with nothing.
-    pub(super) fn began_to_lead(&mut self, kept: bool, now: Secs) {
+    pub(super) fn began_to_lead(&mut self, kept: bool, now: Seconds) {
         if let Some(restart) = self.restart.as_mut().filter(|_| !kept) {
-            restart.caution.begin(now);
+            restart.hold_off.begin(now);
         }
     }
 
     /// The machines in doubt, if caution may rest on them now.
-    pub(super) fn doubt(&self, now: Secs) -> Option<DoubtfulMachines> {
+    pub(super) fn doubt(&self, now: Seconds) -> Option<UnreconciledMachines> {
         let restart = self.restart.as_ref()?;
-        let deleted = &self.renting.deleted;
-        let doubtful = || {
+        let deleted = &self.autoscaler.deleted;
+        let unreconciled = || {
             self.leader
-                .doubtful_machines(&self.mirror, &|id| deleted.contains_key(id))
+                .unreconciled_machines(&self.cache, &|id| deleted.contains_key(id))
         };
-        restart.caution.is_on(now).then(doubtful)
+        restart.hold_off.is_on(now).then(unreconciled)
     }
 
     /// Whether an action is held back while machines are in doubt; counted, if so.
@@ -71,20 +71,20 @@
         &mut self,
         action: Action,
         spec: Option<&JobSpec>,
-        doubt: Option<&DoubtfulMachines>,
-        now: Secs,
+        doubt: Option<&UnreconciledMachines>,
+        now: Seconds,
     ) -> bool {
-        let (Some(restart), Some(doubtful)) = (&self.restart, doubt) else {
+        let (Some(restart), Some(unreconciled)) = (&self.restart, doubt) else {
             return false;
         };
         let situation = Situation {
             now,
             all_joined: self.leader.all_joined(),
-            doubtful,
+            unreconciled,
         };
-        match restart.caution.hold(action, spec, situation) {
+        match restart.hold_off.hold(action, spec, situation) {
             Some(reason) => {
-                self.part.note_hold(action, reason);
+                self.shard.note_hold(action, reason);
                 true
             }
             None => false,
@@ -92,7 +92,7 @@
     }
 
     /// A job was accepted here.
-    pub(super) fn note_accepted(&mut self, now: Secs) {
+    pub(super) fn note_accepted(&mut self, now: Seconds) {
         if let Some(restart) = &mut self.restart {
             restart.first_accepted_s.get_or_insert(now - self.began);
         }
@@ -100,13 +100,13 @@
 
     /// Logs stored records that name what nobody knows.
     pub(super) fn report_misfits(&self) {
-        for misfit in misfit_records(&self.mirror, &self.settings) {
+        for misfit in misfit_records(&self.cache, &self.settings) {
             tracing::warn!(key = misfit.key, why = %misfit.why, "a stored record doesn't fit");
         }
     }
 
     /// Publishes the report, now and then.
-    pub(super) fn publish_restart(&mut self, now: Secs) {
+    pub(super) fn publish_restart(&mut self, now: Seconds) {
         let gap = self.settings.params.workers.report_s * PUBLISH_SHARE;
         let due = self
             .restart
@@ -122,12 +122,12 @@
         }
     }
 
-    fn restart_report(&mut self, now: Secs) -> RestartReport {
+    fn restart_report(&mut self, now: Seconds) -> RestartReport {
         let left_alone = self.records_left_alone();
-        let deleted = &self.renting.deleted;
+        let deleted = &self.autoscaler.deleted;
         let progress = || {
             self.leader
-                .restart_progress(&self.mirror, &|id| deleted.contains_key(id))
+                .restart_progress(&self.cache, &|id| deleted.contains_key(id))
         };
         RestartReport {
             node: self.settings.node_name.clone(),
@@ -136,19 +136,19 @@
                 .as_ref()
                 .and_then(|restart| restart.first_accepted_s),
             leader: self.leading().then(progress),
-            machines: self.part.restart_record(now),
+            machines: self.shard.restart_record(now),
             records_left_alone_count: left_alone.len(),
-            records_left_alone: left_alone.into_iter().take(MOST_RECORDS_NAMED).collect(),
+            records_left_alone: left_alone.into_iter().take(MAX_RECORDS_NAMED).collect(),
         }
     }
 
     fn records_left_alone(&self) -> Vec<RecordLeftAlone> {
-        let unreadable = self.mirror.unreadable.iter();
+        let unreadable = self.cache.unreadable.iter();
         let unreadable = unreadable.map(|(key, record)| RecordLeftAlone {
             key: key.clone(),
             why: record.why.to_string(),
         });
-        let misfits = misfit_records(&self.mirror, &self.settings).into_iter();
+        let misfits = misfit_records(&self.cache, &self.settings).into_iter();
         let misfits = misfits.map(|misfit| RecordLeftAlone {
             key: misfit.key,
             why: misfit.why.to_string(),
--- a/src/controller/shares.rs
+++ b/src/controller/shard_transfers.rs
@@ -1,31 +1,31 @@
-//! Shares that move between live controllers, where the part `shared-machines` is
-//! switched on: the leader's handovers, and what every controller makes of the table.
+//! Shares that move between live controllers, where the shard `shared-machines` is
+//! switched on: the leader's transfers, and what every controller makes of the table.
 
-use super::{Controller, Tag};
-use crate::clock::Secs;
-use crate::http::{error_body, Reply};
-use crate::jobs::{EPOCH_KEY, SHARES_KEY};
-use crate::membership;
-use crate::published::Published;
-use crate::settings::Settings;
-use crate::shares_report::{HandoversReport, OwnedShare, SharesReport};
-use crate::state::{Class, Op, Outcome, Write};
+use super::{Controller, WritePurpose};
+use crate::api::http::{error_body, Responder};
+use crate::api::published_report::PublishedReport;
+use crate::api::shard_map_report::{OwnedRange, ShardMapReport, TransfersReport};
+use crate::clock::Seconds;
+use crate::cluster::membership;
+use crate::config::features::SharedMachinesConfig;
+use crate::config::settings::Settings;
+use crate::store::cache::{EPOCH_KEY, SHARES_KEY};
+use crate::store::{CommitOutcome, ConditionalWrite, WriteClass, WriteOp};
 use crate::wire::MachineId;
-use crate::with::SharedMachines;
-use finchwood_shares::handover::{HandoverOrder, HandoverReport, Handovers};
-use finchwood_shares::plan::Plan;
-use finchwood_shares::planner::{Fleet, OwnedMachine, Planner, PlannerLimits};
-use finchwood_shares::position::position;
+use finchwood_sharding::hash_position::position;
+use finchwood_sharding::plan::Plan;
+use finchwood_sharding::planner::{Fleet, OwnedMachine, Planner, PlannerLimits};
+use finchwood_sharding::transfer::{TransferOrder, TransferReport, Transfers};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes that a share takes in the stored table, with room to spare.
 const SHARE_BYTES: usize = 120;
 
-/// For how many report intervals a side of a handover may stay silent.
+/// For how many report intervals a side of a transfer may stay silent.
 const PATIENCE_REPORTS: f64 = 3.0;
 
 /// How long a write of the table may take, in seconds.
-const TABLE_WRITE_S: Secs = 2.0;
+const TABLE_WRITE_S: Seconds = 2.0;
 
 /// The share of a report interval after which the planner looks over the fleet again.
 const PLAN_SHARE: f64 = 1.0 / 4.0;
@@ -33,25 +33,25 @@
 /// The share of a report interval after which the report is published anew.
 const PUBLISH_SHARE: f64 = 1.0 / 6.0;
 
-/// What the part `shared-machines` keeps.
+/// What the shard `shared-machines` keeps.
 pub(super) struct Shares {
-    handovers: Handovers,
+    transfers: Transfers,
     planner: Planner,
     /// A write of the table is under way.
     writing: bool,
     /// When a write of the table was refused for certain.
-    refused_at: Option<Secs>,
-    published: Published<SharesReport>,
-    published_at: Secs,
+    refused_at: Option<Seconds>,
+    published: PublishedReport<ShardMapReport>,
+    published_at: Seconds,
     /// When the planner was last asked.
-    planned_at: Secs,
+    planned_at: Seconds,
 }
 
 impl Shares {
     pub(super) fn new(
-        with: &SharedMachines,
+        with: &SharedMachinesConfig,
         settings: &Settings,
-        published: Published<SharesReport>,
+        published: PublishedReport<ShardMapReport>,
     ) -> Shares {
         let limits = PlannerLimits {
             machines_per_move: with.machines_per_move,
@@ -61,7 +61,7 @@
             rest_s: settings.params.workers.lease_s * with.rest_leases,
         };
         Shares {
-            handovers: Handovers::default(),
+            transfers: Transfers::default(),
             planner: Planner::new(limits, 0.0),
             writing: false,
             refused_at: None,
@@ -75,48 +75,54 @@
 impl Controller {
     /// The owner of a machine, by the table of shares or the hash.
     pub(super) fn owner_of(&self, machine: &str) -> Option<&str> {
-        membership::owner_by_shares(self.my_epoch()?, &self.mirror.shares, machine)
+        membership::owner_by_shard_map(self.my_epoch()?, &self.cache.shares, machine)
     }
 
     /// The table of shares has changed.
-    pub(super) fn shares_changed(&mut self, now: Secs) {
+    pub(super) fn shares_changed(&mut self, now: Seconds) {
         let Some(epoch) = self.my_epoch().cloned() else {
             return;
         };
         if !epoch.shares {
             return;
         }
-        let (table, me) = (self.mirror.shares.clone(), self.settings.node_name.clone());
-        let owns = |id: &str| membership::owner_by_shares(&epoch, &table, id) == Some(me.as_str());
-        self.part.shares_changed(&self.mirror, now, owns);
+        let (table, me) = (self.cache.shares.clone(), self.settings.node_name.clone());
+        let owns =
+            |id: &str| membership::owner_by_shard_map(&epoch, &table, id) == Some(me.as_str());
+        self.shard.shares_changed(&self.cache, now, owns);
         // The leader hears of it in this round.
         self.told_leader = f64::MIN;
     }
 
-    /// A new epoch has begun: whatever handovers had reached stays as it is.
-    pub(super) fn forget_handovers(&mut self, now: Secs) {
+    /// A new epoch has begun: whatever transfers had reached stays as it is.
+    pub(super) fn forget_transfers(&mut self, now: Seconds) {
         if let Some(shares) = &mut self.shares {
-            shares.handovers.new_epoch(now);
+            shares.transfers.new_epoch(now);
             shares.refused_at = None;
         }
     }
 
-    /// What a part is told of handovers.
-    pub(super) fn handover_orders(&self, node: &str) -> Vec<HandoverOrder> {
+    /// What a shard is told of transfers.
+    pub(super) fn transfer_orders(&self, node: &str) -> Vec<TransferOrder> {
         self.shares
             .as_ref()
-            .map(|shares| shares.handovers.orders_for(node))
+            .map(|shares| shares.transfers.orders_for(node))
             .unwrap_or_default()
     }
 
-    /// The leader takes in what a part tells of handovers.
-    pub(super) fn take_handover_report(&mut self, from: &str, report: HandoverReport, now: Secs) {
+    /// The leader takes in what a shard tells of transfers.
+    pub(super) fn apply_transfer_report(
+        &mut self,
+        from: &str,
+        report: TransferReport,
+        now: Seconds,
+    ) {
         let Some(shares) = self.shares.as_mut().filter(|_| !report.is_empty()) else {
             return;
         };
-        let before: Vec<_> = shares.handovers.under_way().map(|h| h.state).collect();
-        shares.handovers.take_in(from, report, now);
-        let after: Vec<_> = shares.handovers.under_way().map(|h| h.state).collect();
+        let before: Vec<_> = shares.transfers.under_way().map(|h| h.state).collect();
+        shares.transfers.take_in(from, report, now);
+        let after: Vec<_> = shares.transfers.under_way().map(|h| h.state).collect();
         if before != after {
             self.tell_sides(from);
         }
@@ -127,24 +133,24 @@
         let (Some(shares), Some(epoch)) = (&self.shares, self.my_epoch()) else {
             return false;
         };
-        let Some(home) = membership::owner(&epoch.members, machine) else {
+        let Some(hash_owner) = membership::owner(&epoch.members, machine) else {
             return false;
         };
         let at = position(machine);
         let moves = shares
-            .handovers
+            .transfers
             .under_way()
-            .any(|h| h.wanted.range.contains(home, at));
+            .any(|h| h.wanted.range.contains(hash_owner, at));
         moves || !self.leader.has_one_owner(machine)
     }
 
-    /// Sends orders to all who take part in handovers, but for one who gets them anyway.
+    /// Sends orders to all who take shard in transfers, but for one who gets them anyway.
     fn tell_sides(&mut self, but: &str) {
         let Some(shares) = &self.shares else { return };
         let sides: BTreeSet<String> = shares
-            .handovers
+            .transfers
             .under_way()
-            .flat_map(|h| [h.wanted.giver.clone(), h.wanted.taker.clone()])
+            .flat_map(|h| [h.wanted.source.clone(), h.wanted.target.clone()])
             .filter(|side| side != but)
             .collect();
         for side in sides {
@@ -154,25 +160,25 @@
 
     /// One step of the leader: takes in the table, writes its next state, withdraws what
     /// nobody answers, begins what is wanted.
-    pub(super) fn move_shares(&mut self, now: Secs) {
+    pub(super) fn move_shares(&mut self, now: Seconds) {
         let in_use = self.my_epoch().is_some_and(|epoch| epoch.shares);
         let patience = self.settings.params.workers.report_s * PATIENCE_REPORTS;
         let Some(shares) = self.shares.as_mut().filter(|_| in_use) else {
             return;
         };
-        shares.handovers.table_is(&self.mirror.shares, now);
+        shares.transfers.table_is(&self.cache.shares, now);
         // Refused for certain, and what has been read since does not hold it either.
-        let read_since = |at: &Secs| self.fresh_at.is_some_and(|fresh| fresh > *at);
+        let read_since = |at: &Seconds| self.last_synced_at.is_some_and(|fresh| fresh > *at);
         if shares.refused_at.as_ref().is_some_and(read_since) {
-            shares.handovers.refused(now);
+            shares.transfers.refused(now);
             shares.refused_at = None;
         }
-        shares.handovers.withdraw_stale(patience, now);
+        shares.transfers.withdraw_stale(patience, now);
         self.write_table(now);
-        self.begin_handover(now);
+        self.begin_transfer(now);
     }
 
-    fn write_table(&mut self, now: Secs) {
+    fn write_table(&mut self, now: Seconds) {
         let Some(shares) = self
             .shares
             .as_mut()
@@ -180,60 +186,60 @@
         else {
             return;
         };
-        let Some(change) = shares.handovers.to_write(&self.mirror.shares, now) else {
+        let Some(change) = shares.transfers.to_write(&self.cache.shares, now) else {
             return;
         };
-        let write = Write {
+        let write = ConditionalWrite {
             // The table of another leader, or of another epoch, is not overwritten.
             conditions: vec![
-                (SHARES_KEY.into(), self.mirror.shares_version),
-                (EPOCH_KEY.into(), self.mirror.epoch_version),
+                (SHARES_KEY.into(), self.cache.shares_revision),
+                (EPOCH_KEY.into(), self.cache.epoch_revision),
             ],
-            ops: vec![Op::Put {
+            ops: vec![WriteOp::Put {
                 key: SHARES_KEY.into(),
                 value: serde_json::to_value(change.table.stored()).unwrap_or_default(),
                 lease: None,
             }],
             deadline: now + TABLE_WRITE_S,
-            tag: Tag::Shares,
+            purpose: WritePurpose::Shares,
         };
-        shares.writing = self.writer.send(Class::Urgent, write).is_ok();
+        shares.writing = self.writer.send(WriteClass::Urgent, write).is_ok();
     }
 
     /// A write of the table was answered, or given up. What has no certain answer is
     /// written again, under the same conditions.
-    pub(super) fn shares_written(&mut self, outcome: Outcome, now: Secs) {
+    pub(super) fn shares_written(&mut self, outcome: CommitOutcome, now: Seconds) {
         let Some(shares) = &mut self.shares else {
             return;
         };
         shares.writing = false;
         match outcome {
-            Outcome::Done(version) => {
-                let Some(change) = shares.handovers.to_write(&self.mirror.shares, now) else {
+            CommitOutcome::Committed(revision) => {
+                let Some(change) = shares.transfers.to_write(&self.cache.shares, now) else {
                     return;
                 };
                 let value = serde_json::to_value(change.table.stored()).unwrap_or_default();
-                let change = self.mirror.put(SHARES_KEY, value, version);
+                let change = self.cache.put(SHARES_KEY, value, revision);
                 self.changed(change, now);
                 if let Some(shares) = &mut self.shares {
-                    shares.handovers.table_is(&self.mirror.shares, now);
+                    shares.transfers.table_is(&self.cache.shares, now);
                 }
                 self.tell_sides("");
             }
-            Outcome::Conflict(_) | Outcome::Invalid | Outcome::TooMuch => {
+            CommitOutcome::Conflict(_) | CommitOutcome::Invalid | CommitOutcome::RateLimited => {
                 shares.refused_at = Some(now)
             }
-            Outcome::Refused | Outcome::Unknown => {}
+            CommitOutcome::Refused | CommitOutcome::Unknown => {}
         }
     }
 
-    fn begin_handover(&mut self, now: Secs) {
+    fn begin_transfer(&mut self, now: Seconds) {
         let gap = self.settings.params.workers.report_s * PLAN_SHARE;
         let due = self
             .shares
             .as_ref()
             .is_some_and(|shares| now - shares.planned_at >= gap);
-        if !due || self.state_down || !self.leader.all_joined() {
+        if !due || self.store_unreachable || !self.leader.all_joined() {
             return;
         }
         let Some(epoch) = self.my_epoch() else { return };
@@ -246,56 +252,56 @@
         let fleet = Fleet {
             members: &members,
             machines: &machines,
-            table: &self.mirror.shares,
+            table: &self.cache.shares,
         };
-        let Some(wanted) = shares.planner.next(fleet, &shares.handovers, now) else {
+        let Some(wanted) = shares.planner.next(fleet, &shares.transfers, now) else {
             return;
         };
-        tracing::info!(range = %wanted.range, giver = wanted.giver, taker = wanted.taker, reason = ?wanted.reason, "a share is to move");
-        if shares.handovers.begin(wanted, now) {
+        tracing::info!(range = %wanted.range, source = wanted.source, target = wanted.target, reason = ?wanted.reason, "a share is to move");
+        if shares.transfers.begin(wanted, now) {
             self.tell_sides("");
         }
     }
 
-    /// All machines on the roster, with home and owner.
+    /// All machines on the machine registry, with home and owner.
     fn owned_machines(&self, members: &BTreeMap<String, u64>) -> Vec<OwnedMachine> {
         let owned = |id: &MachineId| {
-            let home = membership::owner(members, id)?;
+            let hash_owner = membership::owner(members, id)?;
             let owner = self.owner_of(id)?;
             Some(OwnedMachine {
-                home: home.into(),
+                hash_owner: hash_owner.into(),
                 position: position(id),
                 owner: owner.into(),
             })
         };
-        self.mirror.roster.keys().filter_map(owned).collect()
+        self.cache.registry.keys().filter_map(owned).collect()
     }
 
     /// Operators want shares to move.
-    pub(super) fn take_plan(&mut self, plan: Plan, reply: Reply) {
+    pub(super) fn take_plan(&mut self, plan: Plan, responder: Responder) {
         let leads = self.leading();
         let Some(epoch) = self.my_epoch() else {
-            return reply.later(503, 1, "not a member now");
+            return responder.retry_later(503, 1, "not a member now");
         };
         let members: BTreeSet<String> = epoch.members.keys().cloned().collect();
         if !leads {
-            return reply.send(421, error_body(&format!("plan: {} leads", epoch.leader)));
+            return responder.send(421, error_body(&format!("plan: {} leads", epoch.leader)));
         }
         if !epoch.shares {
-            return reply.later(503, 5, "not all controllers go by the table of shares");
+            return responder.retry_later(503, 5, "not all controllers go by the table of shares");
         }
         if let Err(why) = plan.check(&members) {
-            return reply.send(400, error_body(&why.to_string()));
+            return responder.send(400, error_body(&why.to_string()));
         }
         tracing::info!(?plan, "a plan of shares");
         if let Some(shares) = &mut self.shares {
             shares.planner.set_plan(plan);
         }
-        reply.send(200, b"{}".to_vec());
+        responder.send(200, b"{}".to_vec());
     }
 
     /// Publishes the report, now and then.
-    pub(super) fn publish_shares(&mut self, now: Secs) {
+    pub(super) fn publish_shares(&mut self, now: Seconds) {
         let gap = self.settings.params.workers.report_s * PUBLISH_SHARE;
         let due = self
             .shares
@@ -311,38 +317,38 @@
         }
     }
 
-    fn shares_report(&self) -> SharesReport {
-        let table = &self.mirror.shares;
-        let share = |(range, owner): (&_, &str)| OwnedShare {
+    fn shares_report(&self) -> ShardMapReport {
+        let table = &self.cache.shares;
+        let share = |(range, owner): (&_, &str)| OwnedRange {
             range: Clone::clone(range),
             owner: owner.into(),
         };
-        SharesReport {
+        ShardMapReport {
             node: self.settings.node_name.clone(),
-            epoch: self.part.epoch(),
+            epoch: self.shard.epoch(),
             in_use: self.my_epoch().is_some_and(|epoch| epoch.shares),
             generation: table.generation,
             shares: table.shares().map(share).collect(),
-            machines: self.part.listed_machines(),
-            fenced: self.part.fenced_machines(),
+            machines: self.shard.listed_machines(),
+            fenced: self.shard.fenced_machines(),
             leader: self
                 .shares
                 .as_ref()
                 .filter(|_| self.leading())
-                .map(|shares| self.handovers_report(shares)),
+                .map(|shares| self.transfers_report(shares)),
         }
     }
 
-    fn handovers_report(&self, shares: &Shares) -> HandoversReport {
+    fn transfers_report(&self, shares: &Shares) -> TransfersReport {
         let told: BTreeSet<&MachineId> = self.leader.machines().map(|m| &m.id).collect();
-        HandoversReport {
-            under_way: shares.handovers.under_way().cloned().collect(),
-            ended: shares.handovers.ended.clone(),
-            machines_moved: shares.handovers.machines_moved,
-            longest_s: shares.handovers.longest_s,
+        TransfersReport {
+            under_way: shares.transfers.under_way().cloned().collect(),
+            ended: shares.transfers.ended.clone(),
+            machines_moved: shares.transfers.machines_moved,
+            longest_s: shares.transfers.longest_s,
             without_owner: self
-                .mirror
-                .roster
+                .cache
+                .registry
                 .keys()
                 .filter(|id| !told.contains(id))
                 .count(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -14,7 +14,7 @@
     /// The operators' own settings, a Lua script.
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
-    /// A file that switches on a part of the program (TOML); once for each part.
+    /// A file that switches on a part of the program (TOML); once for each shard.
     #[arg(long = "with", value_name = "FILE")]
     with: Vec<PathBuf>,
 }
@@ -36,18 +36,22 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     log();
-    let ready = finchwood::settings::Settings::load(&args.config)
+    let ready = finchwood::config::settings::Settings::load(&args.config)
         .map_err(|e| e.to_string())
         .and_then(|s| {
             let policy = match &args.policy {
-                Some(path) => finchwood::policy::Policy::load(path).map_err(|e| e.to_string())?,
+                Some(path) => {
+                    finchwood::config::policy::Policy::load(path).map_err(|e| e.to_string())?
+                }
                 None => Default::default(),
             };
-            let parts = finchwood::with::Parts::load(&args.with).map_err(|e| e.to_string())?;
-            Ok((s, policy, parts))
+            let features = finchwood::config::features::Features::load(&args.with)
+                .map_err(|e| e.to_string())?;
+            Ok((s, policy, features))
         });
-    let ended = ready
-        .and_then(|(settings, policy, parts)| finchwood::controller::run(settings, policy, &parts));
+    let ended = ready.and_then(|(settings, policy, features)| {
+        finchwood::controller::run(settings, policy, &features)
+    });
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
--- a/src/best_fit.rs
+++ b/src/scheduler/bin_packing.rs
@@ -1,6 +1,6 @@
 //! Where a task goes: the paper's filter and cost, and our order of ties.
 
-use crate::wire::{Catalog, JobSpec, Res};
+use crate::wire::{Catalog, JobSpec, Resources};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 #[derive(Debug, Clone)]
 pub struct Candidate<'a> {
     pub id: &'a str,
-    pub kind: &'a str,
+    pub machine_type: &'a str,
     pub zone: &'a str,
     pub spot: bool,
-    pub free: Res,
+    pub free: Resources,
     /// Whether the task's image is likely there.
     pub cached: bool,
     /// Tasks of the same job in the machine's zone, and on the machine.
@@ -19,11 +19,11 @@
     pub machine_peers: u32,
 }
 
-/// Whether a job is in too much of a hurry for a fetch: its class has an aim
+/// Whether a job is latency-sensitive for a fetch: its class has an aim
 /// for the start, and the image takes more than half of that to fetch.
-pub fn in_a_hurry(
+pub fn is_latency_sensitive(
     spec: &JobSpec,
-    aims: &HashMap<Arc<str>, f64>,
+    objectives: &HashMap<Arc<str>, f64>,
     catalog: Option<&Catalog>,
 ) -> bool {
     let slowest = |c: &Catalog| {
@@ -32,14 +32,14 @@
             .map(|t| t.fetch_gb_per_s)
             .fold(f64::INFINITY, f64::min)
     };
-    match (aims.get(&spec.class), catalog.map(slowest)) {
+    match (objectives.get(&spec.class), catalog.map(slowest)) {
         (Some(within), Some(rate)) => spec.image_gb / rate > within / 2.0,
         _ => false,
     }
 }
 
 /// HIOBS' fragmentation cost: what is left of the resource that counts.
-pub fn cost(free: &Res, ask: &Res) -> f64 {
+pub fn cost(free: &Resources, ask: &Resources) -> f64 {
     if ask.gpus > 0.0 {
         free.gpus - ask.gpus
     } else {
@@ -64,15 +64,15 @@
 /// the aim allows.
 pub fn pick<'a>(
     spec: &JobSpec,
-    quick: bool,
+    latency_sensitive: bool,
     machines: impl Iterator<Item = Candidate<'a>>,
 ) -> Option<Candidate<'a>> {
     let ask = spec.ask();
     machines
-        .filter(|m| spec.allowed_on(m.kind, m.zone, m.spot) && m.free.fits(&ask))
+        .filter(|m| spec.allowed_on(m.machine_type, m.zone, m.spot) && m.free.fits(&ask))
         .min_by_key(|m| {
             (
-                quick && !m.cached,
+                latency_sensitive && !m.cached,
                 spec.spot && !m.spot,
                 steps(cost(&m.free, &ask)),
                 m.zone_peers,
--- a/src/capacity.rs
+++ b/src/scheduler/capacity.rs
@@ -1,15 +1,15 @@
-//! The free room of all parts while one round of dealing lasts: each open
+//! The free room of all shards while one round of dealing lasts: each open
 //! machine as a few small numbers, so that choosing among a thousand costs
-//! microseconds. It chooses what [`crate::best_fit::pick`] would;
+//! microseconds. It chooses what [`crate::scheduler::bin_packing::pick`] would;
 //! `tests/placement_model.rs` compares the two.
 
-use crate::best_fit;
-use crate::fleet::MachineView;
-use crate::wire::{JobSpec, MachineId, Res};
+use crate::scheduler::bin_packing;
+use crate::shard::MachineStatus;
+use crate::wire::{JobSpec, MachineId, Resources};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Numbers for the names of types, zones, parts and images.
+/// Numbers for the names of types, zones, shards and images.
 #[derive(Debug, Default)]
 pub struct Names {
     all: HashMap<Arc<str>, u32>,
@@ -41,28 +41,28 @@
 #[derive(Debug, Clone)]
 pub struct Slot {
     pub id: MachineId,
-    pub part: u32,
-    pub kind: u32,
+    pub shard: u32,
+    pub machine_type: u32,
     pub zone: u32,
     pub spot: bool,
-    pub free: Res,
-    /// What lower work would give up for the highest rank.
-    pub yielding: Res,
-    /// What borrowing low work would give up for the ranks between.
-    pub yielding_low: Res,
+    pub free: Resources,
+    /// What lower work would give up for the highest priority.
+    pub yielding: Resources,
+    /// What borrowing low work would give up for the priorities between.
+    pub yielding_low: Resources,
     /// Numbers of its images, in order.
     pub images: Arc<[u32]>,
 }
 
 impl Slot {
-    /// The slot of a machine of `part`.
-    pub fn new(view: &MachineView, part: u32, names: &mut Names) -> Slot {
+    /// The slot of a machine of `shard`.
+    pub fn new(view: &MachineStatus, shard: u32, names: &mut Names) -> Slot {
         let mut images: Vec<u32> = view.images.iter().map(|i| names.number(i)).collect();
         images.sort_unstable();
         Slot {
             id: view.id.clone(),
-            part,
-            kind: names.number(&view.kind),
+            shard,
+            machine_type: names.number(&view.machine_type),
             zone: names.number(&view.zone),
             spot: view.spot,
             free: view.free,
@@ -82,9 +82,9 @@
     }
 
     /// What other work would give up for a request.
-    fn given_up_for(&self, preempts: Preempts) -> Res {
+    fn given_up_for(&self, preempts: Preempts) -> Resources {
         match preempts {
-            Preempts::Nothing => Res::default(),
+            Preempts::Nothing => Resources::default(),
             Preempts::BorrowingLowWork => self.yielding_low,
             Preempts::AllLowerWork => self.yielding,
         }
@@ -113,21 +113,21 @@
     Nothing,
     /// Low arrays of teams that use more than they are guaranteed.
     BorrowingLowWork,
-    /// Every array of a lower rank.
+    /// Every array of a lower priority.
     AllLowerWork,
 }
 
 /// A job's wishes as far as they matter to where it goes.
 #[derive(Debug, Clone)]
 pub struct PlacementRequest {
-    pub ask: Res,
-    kinds: Option<Vec<u32>>,
+    pub ask: Resources,
+    machine_types: Option<Vec<u32>>,
     zone: Option<u32>,
     spot: bool,
     image: Option<u32>,
     avoid: Vec<MachineId>,
     /// Its class has an aim for its start.
-    pub quick: bool,
+    pub latency_sensitive: bool,
     /// Lower work makes room for it.
     pub preempts: Preempts,
     /// It may take what is kept free for services.
@@ -140,19 +140,19 @@
         spec: &JobSpec,
         names: &Names,
         avoid: Vec<MachineId>,
-        quick: bool,
+        latency_sensitive: bool,
         preempts: Preempts,
     ) -> PlacementRequest {
         // A name that no machine has gets a number that none has.
         let number = |n: &Arc<str>| names.known(n).unwrap_or(u32::MAX);
         PlacementRequest {
             ask: spec.ask(),
-            kinds: spec.types.as_ref().map(|t| t.iter().map(number).collect()),
+            machine_types: spec.types.as_ref().map(|t| t.iter().map(number).collect()),
             zone: spec.zone.as_ref().map(number),
             spot: spec.spot,
             image: names.known(&spec.image),
             avoid,
-            quick,
+            latency_sensitive,
             preempts,
             uses_reserve: preempts == Preempts::AllLowerWork,
         }
@@ -171,15 +171,15 @@
         (self.spot || !slot.spot)
             && self.zone.is_none_or(|zone| zone == slot.zone)
             && self
-                .kinds
+                .machine_types
                 .as_ref()
-                .is_none_or(|kinds| kinds.contains(&slot.kind))
+                .is_none_or(|machine_types| machine_types.contains(&slot.machine_type))
             && !self.avoid.contains(&slot.id)
     }
 
     /// Whether what doesn't fit for `other` can't fit for this one either.
     fn harder(&self, other: &PlacementRequest) -> bool {
-        self.kinds == other.kinds
+        self.machine_types == other.machine_types
             && self.zone == other.zone
             && (!self.spot || other.spot)
             && self.preempts <= other.preempts
@@ -191,20 +191,20 @@
     }
 }
 
-/// What decides between machines, the lowest first: cold for one in a hurry,
+/// What decides between machines, the lowest first: cold for one latency-sensitive,
 /// others driven out, dearer than need be, what is left over, cold.
 type Key = (bool, bool, bool, i64, bool);
 
-/// What a part's machines have free.
+/// What a shard's machines have free.
 #[derive(Debug)]
-struct PartRoom {
-    part: u32,
+struct ShardCapacity {
+    shard: u32,
     free: f64,
     /// Of that, on ordinary machines.
     ordinary: f64,
 }
 
-impl PartRoom {
+impl ShardCapacity {
     fn count(&mut self, spot: bool, cpus: f64) {
         self.free += cpus;
         if !spot {
@@ -213,12 +213,12 @@
     }
 }
 
-/// The room of all parts.
+/// The room of all shards.
 #[derive(Debug, Default)]
 pub struct FreeCapacity {
     pub slots: Vec<Slot>,
-    parts: Vec<PartRoom>,
-    /// CPUs on each part's ordinary machines that only work which makes others
+    shards: Vec<ShardCapacity>,
+    /// CPUs on each shard's ordinary machines that only work which makes others
     /// give way may take: what it would else drive out loses its progress.
     reserve: f64,
     /// Wishes that nothing had room for in this round: room only shrinks.
@@ -227,57 +227,57 @@
 
 impl FreeCapacity {
     /// FreeCapacity of these machines, of which `reserve` CPUs on ordinary ones are
-    /// kept for the highest rank.
+    /// kept for the highest priority.
     pub fn new(slots: Vec<Slot>, reserve: f64) -> FreeCapacity {
-        let mut parts: Vec<PartRoom> = Vec::new();
+        let mut shards: Vec<ShardCapacity> = Vec::new();
         for s in &slots {
-            if !parts.iter().any(|p| p.part == s.part) {
-                parts.push(PartRoom {
-                    part: s.part,
+            if !shards.iter().any(|p| p.shard == s.shard) {
+                shards.push(ShardCapacity {
+                    shard: s.shard,
                     free: 0.0,
                     ordinary: 0.0,
                 });
             }
-            if let Some(p) = parts.iter_mut().find(|p| p.part == s.part) {
+            if let Some(p) = shards.iter_mut().find(|p| p.shard == s.shard) {
                 p.count(s.spot, s.free.cpus.max(0.0));
             }
         }
-        let reserve = reserve / parts.len().max(1) as f64;
+        let reserve = reserve / shards.len().max(1) as f64;
         FreeCapacity {
             slots,
-            parts,
+            shards,
             reserve,
             known_not_to_fit: Vec::new(),
         }
     }
 
-    /// The parts whose ordinary machines this request must leave alone.
+    /// The shards whose ordinary machines this request must leave alone.
     fn kept(&self, request: &PlacementRequest) -> Vec<u32> {
         if request.uses_reserve || self.reserve <= 0.0 {
             return Vec::new();
         }
         let kept = self
-            .parts
+            .shards
             .iter()
             .filter(|p| p.ordinary - request.ask.cpus < self.reserve);
-        kept.map(|p| p.part).collect()
+        kept.map(|p| p.shard).collect()
     }
 
-    /// The machine that the paper's cost chooses, of a part or of all, among
+    /// The machine that the paper's cost chooses, of a shard or of all, among
     /// the zones that may take more.
     pub fn best(
         &self,
         request: &PlacementRequest,
-        part: Option<u32>,
+        shard: Option<u32>,
         zones: Option<&[(u32, u32)]>,
     ) -> Option<usize> {
         let mut best: Option<(Key, usize)> = None;
         let kept = self.kept(request);
         for (i, s) in self.slots.iter().enumerate() {
-            if part.is_some_and(|p| p != s.part)
+            if shard.is_some_and(|p| p != s.shard)
                 || zones.is_some_and(|z| !z.iter().any(|(name, n)| *name == s.zone && *n > 0))
                 || !request.allows(s)
-                || !s.spot && kept.contains(&s.part)
+                || !s.spot && kept.contains(&s.shard)
             {
                 continue;
             }
@@ -292,9 +292,9 @@
             let cold = request
                 .image
                 .is_none_or(|i| s.images.binary_search(&i).is_err());
-            let cost = best_fit::steps(best_fit::cost(&free, &request.ask));
+            let cost = bin_packing::steps(bin_packing::cost(&free, &request.ask));
             let key = (
-                request.quick && cold,
+                request.latency_sensitive && cold,
                 drives_out,
                 request.spot && !s.spot,
                 cost,
@@ -315,7 +315,7 @@
     pub fn count_by_zone(&self, request: &PlacementRequest) -> BTreeMap<u32, ZoneCount> {
         let kept = self.kept(request);
         let mut zones: BTreeMap<u32, ZoneCount> = BTreeMap::new();
-        let open = |s: &&Slot| request.allows(s) && (s.spot || !kept.contains(&s.part));
+        let open = |s: &&Slot| request.allows(s) && (s.spot || !kept.contains(&s.shard));
         for slot in self.slots.iter().filter(open) {
             let tasks = slot.count(request);
             let zone = zones.entry(slot.zone).or_default();
@@ -344,7 +344,7 @@
             let (ask, taken) = (request.ask, f64::from(tasks));
             self.take(
                 at,
-                &Res {
+                &Resources {
                     cpus: ask.cpus * taken,
                     gpus: ask.gpus * taken,
                     mem: ask.mem * taken,
@@ -366,47 +366,47 @@
     }
 
     /// Takes a task's room.
-    pub fn take(&mut self, slot: usize, ask: &Res) {
+    pub fn take(&mut self, slot: usize, ask: &Resources) {
         self.change(slot, |free| free.take(ask));
     }
 
-    fn give_back(&mut self, slot: usize, ask: &Res) {
+    fn give_back(&mut self, slot: usize, ask: &Resources) {
         self.change(slot, |free| free.give(ask));
     }
 
-    fn change(&mut self, slot: usize, change: impl Fn(&mut Res)) {
+    fn change(&mut self, slot: usize, change: impl Fn(&mut Resources)) {
         let s = &mut self.slots[slot];
         let before = s.free.cpus.max(0.0);
         change(&mut s.free);
         let more = s.free.cpus.max(0.0) - before;
-        if let Some(p) = self.parts.iter_mut().find(|p| p.part == s.part) {
+        if let Some(p) = self.shards.iter_mut().find(|p| p.shard == s.shard) {
             p.count(s.spot, more);
         }
     }
 
-    /// The parts that have open machines.
-    pub fn parts(&self) -> Vec<u32> {
-        self.parts.iter().map(|p| p.part).collect()
+    /// The shards that have open machines.
+    pub fn shards(&self) -> Vec<u32> {
+        self.shards.iter().map(|p| p.shard).collect()
     }
 
-    /// What a part's machines have free.
-    pub fn total(&self, part: u32) -> f64 {
-        self.parts
+    /// What a shard's machines have free.
+    pub fn total(&self, shard: u32) -> f64 {
+        self.shards
             .iter()
-            .find(|p| p.part == part)
+            .find(|p| p.shard == shard)
             .map_or(0.0, |p| p.free)
     }
 
-    /// The part with the most room, of those not in `full`; the first by name
+    /// The shard with the most room, of those not in `full`; the first by name
     /// of several.
     pub fn roomiest(&self, full: &[u32], names: &Names) -> Option<u32> {
-        let open = self.parts.iter().filter(|p| !full.contains(&p.part));
+        let open = self.shards.iter().filter(|p| !full.contains(&p.shard));
         open.max_by(|a, b| {
             a.free
                 .total_cmp(&b.free)
-                .then(names.name(b.part).cmp(names.name(a.part)))
+                .then(names.name(b.shard).cmp(names.name(a.shard)))
         })
-        .map(|p| p.part)
+        .map(|p| p.shard)
     }
 
     /// As many of `n` tasks as fit one after another under the zones' bounds;
@@ -415,16 +415,16 @@
         &mut self,
         request: &PlacementRequest,
         n: usize,
-        part: Option<u32>,
+        shard: Option<u32>,
         room: &[(u32, u32)],
         one_zone: bool,
     ) -> Vec<usize> {
         if !one_zone {
-            return self.attempt(request, n, part, room.to_vec());
+            return self.attempt(request, n, shard, room.to_vec());
         }
         let tries: Vec<Vec<usize>> = room
             .iter()
-            .map(|z| self.attempt(request, n, part, vec![*z]))
+            .map(|z| self.attempt(request, n, shard, vec![*z]))
             .collect();
         tries.into_iter().max_by_key(Vec::len).unwrap_or_default()
     }
@@ -433,12 +433,12 @@
         &mut self,
         request: &PlacementRequest,
         n: usize,
-        part: Option<u32>,
+        shard: Option<u32>,
         mut room: Vec<(u32, u32)>,
     ) -> Vec<usize> {
         let mut chosen = Vec::new();
         for _ in 0..n {
-            let Some(slot) = self.best(request, part, Some(&room)) else {
+            let Some(slot) = self.best(request, shard, Some(&room)) else {
                 break;
             };
             self.take(slot, &request.ask);
@@ -454,11 +454,11 @@
         chosen
     }
 
-    /// How many of the chosen machines have the image of a job in a hurry, and
+    /// How many of the chosen machines have the image of a job latency-sensitive, and
     /// room for it without driving anybody out.
     pub fn warm(&self, request: &PlacementRequest, chosen: &[usize]) -> usize {
         match request.image {
-            Some(i) if request.quick => {
+            Some(i) if request.latency_sensitive => {
                 let ready =
                     |s: &Slot| s.images.binary_search(&i).is_ok() && s.free.fits(&request.ask);
                 chosen.iter().filter(|&&s| ready(&self.slots[s])).count()
--- a/src/assignment/finishes.rs
+++ b/src/scheduler/completions.rs
@@ -1,8 +1,8 @@
 //! Which finished tasks are to be committed next.
 
 use super::Leader;
-use crate::clock::Secs;
-use crate::jobs::Mirror;
+use crate::clock::Seconds;
+use crate::store::cache::StoreCache;
 use crate::wire::{JobId, MachineId, Task};
 use std::collections::HashSet;
 
@@ -18,18 +18,18 @@
     /// The ends of jobs come first, as users wait for them. Then come up to
     /// `room` jobs that have got further: a worker keeps a result until it is
     /// committed, so that this is in no hurry, unless its machine is to go.
-    pub fn finishes(&mut self, now: Secs, room: usize, mirror: &Mirror) -> Vec<Finish> {
+    pub fn finishes(&mut self, now: Seconds, room: usize, cache: &StoreCache) -> Vec<Finish> {
         let mut out = Vec::new();
-        let mut some: Vec<(bool, Secs, JobId)> = Vec::new();
+        let mut some: Vec<(bool, Seconds, JobId)> = Vec::new();
         let leaving: HashSet<&MachineId> = self
-            .parts
+            .shards
             .values()
             .flat_map(|p| p.machines.values())
             .filter(|m| m.view.noticed || m.view.draining)
             .map(|m| &m.view.id)
             .collect();
         for (id, e) in &mut self.jobs {
-            let Some(job) = mirror.jobs.get(id).filter(|j| j.live()) else {
+            let Some(job) = cache.jobs.get(id).filter(|j| j.live()) else {
                 continue;
             };
             if e.committing || e.finishing.is_empty() || now < e.retry_after {
@@ -70,7 +70,7 @@
 
     /// A commit of finished tasks has been answered; the same job's next
     /// progress follows after a report interval, a refused one from `retry` on.
-    pub fn finish_answered(&mut self, job: &JobId, now: Secs, retry: Secs) {
+    pub fn finish_answered(&mut self, job: &JobId, now: Seconds, retry: Seconds) {
         if let Some(e) = self.jobs.get_mut(job) {
             e.committing = false;
             e.retry_after = retry;
@@ -80,11 +80,11 @@
 }
 
 /// Whether a task's end is still to be committed. Guard: not once its job is
-/// cancelled, which a part may hear later than the leader. Its last task's end,
+/// cancelled, which a shard may hear later than the leader. Its last task's end,
 /// reported in between, made a job done that its user had been told is cancelled.
-pub(super) fn wanted(mirror: &Mirror, task: &Task) -> bool {
-    mirror
+pub(super) fn wanted(cache: &StoreCache, task: &Task) -> bool {
+    cache
         .jobs
         .get(&task.job)
-        .is_some_and(|j| j.live() && !j.finished.has(task.index))
+        .is_some_and(|j| j.live() && !j.finished.contains(task.index))
 }
--- a/src/assignment/failures.rs
+++ b/src/scheduler/failures.rs
@@ -5,9 +5,9 @@
 //! was: the other failures of the same job, and its successes, do.
 
 use super::{JobEntry, Leader};
-use crate::clock::Secs;
-use crate::jobs::Mirror;
-use crate::wire::{JobId, MachineId, Shape, BEGIN_WITHIN_S};
+use crate::clock::Seconds;
+use crate::store::cache::StoreCache;
+use crate::wire::{JobId, JobKind, MachineId, BEGIN_WITHIN_S};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// On how many machines a job without any success must have failed to be
@@ -22,7 +22,7 @@
 const AVOIDED_BY_SUSPECTED_JOB: usize = 2;
 
 /// The most machines that any job avoids, as each assignment names them.
-const MOST_AVOIDED: usize = 16;
+const MAX_AVOIDED: usize = 16;
 
 /// The longest wait of a job between two tries, as a share of the time in which
 /// users expect a job to begin.
@@ -36,7 +36,7 @@
     /// How many tries, of one task or of many at once, have failed.
     failed_tries: u32,
     /// No task is started before this time.
-    retry_at: Secs,
+    retry_at: Seconds,
     /// Some task has completed: the job has no mistake.
     succeeded: bool,
 }
@@ -50,7 +50,7 @@
 
     /// A task has failed. All that fail until the next try is due belong to the
     /// same try, so that a large job doesn't wait longer than a small one.
-    pub fn note_failure(&mut self, machine: Option<MachineId>, report_s: Secs, now: Secs) {
+    pub fn note_failure(&mut self, machine: Option<MachineId>, report_s: Seconds, now: Seconds) {
         if let Some(machine) = machine {
             self.machines.retain(|known| *known != machine);
             self.machines.push(machine);
@@ -71,7 +71,7 @@
     }
 
     /// Whether its tasks must wait for the next try.
-    pub fn waits(&self, now: Secs) -> bool {
+    pub fn waits(&self, now: Seconds) -> bool {
         now < self.retry_at
     }
 
@@ -80,7 +80,7 @@
         let most = if self.suspected() {
             AVOIDED_BY_SUSPECTED_JOB
         } else {
-            MOST_AVOIDED
+            MAX_AVOIDED
         };
         &self.machines[self.machines.len().saturating_sub(most)..]
     }
@@ -92,7 +92,7 @@
     /// many more follow as are seen to run, or one long task would hold up a job
     /// that only met faulty machines.
     pub(super) fn tries_allowed(&self, free: usize) -> usize {
-        if !self.failures.suspected() || self.spec.shape == Shape::Gang {
+        if !self.failures.suspected() || self.spec.job_kind == JobKind::Gang {
             return free;
         }
         let at_once = (self.running_tasks() * 2).max(1);
@@ -128,9 +128,9 @@
     /// Machines that failures speak against. Guard: jobs that fail everywhere say
     /// nothing about the machines, or each broken job would take away those that
     /// it was tried on.
-    pub fn machine_faults(&self, mirror: &Mirror) -> BTreeMap<MachineId, MachineFault> {
+    pub fn machine_faults(&self, cache: &StoreCache) -> BTreeMap<MachineId, MachineFault> {
         let fault = |jobs: &BTreeSet<JobId>| {
-            let evidence = || jobs.iter().map(|job| self.evidence(job, mirror));
+            let evidence = || jobs.iter().map(|job| self.evidence(job, cache));
             let strong = evidence().filter(|e| *e == Evidence::Strong).count();
             let any = evidence().filter(|e| *e != Evidence::None).count();
             if strong >= JOBS_OF_SUSPECTED_MACHINE {
@@ -145,21 +145,21 @@
             .collect()
     }
 
-    fn evidence(&self, job: &JobId, mirror: &Mirror) -> Evidence {
+    fn evidence(&self, job: &JobId, cache: &StoreCache) -> Evidence {
         match self.jobs.get(job) {
             Some(entry) if entry.failures.succeeded => Evidence::Strong,
             Some(entry) if entry.failures.suspected() => Evidence::None,
             Some(_) => Evidence::Weak,
-            None if mirror.jobs.get(job).is_some_and(|j| j.record.done) => Evidence::Strong,
+            None if cache.jobs.get(job).is_some_and(|j| j.record.done) => Evidence::Strong,
             None => Evidence::None,
         }
     }
 
     /// Notes which machines failures speak against; they get no new tasks.
-    pub fn close_faulty(&mut self, mirror: &Mirror) -> BTreeMap<MachineId, MachineFault> {
+    pub fn close_faulty(&mut self, cache: &StoreCache) -> BTreeMap<MachineId, MachineFault> {
         self.failed_on
-            .retain(|machine, _| mirror.roster.contains_key(machine));
-        let faults = self.machine_faults(mirror);
+            .retain(|machine, _| cache.registry.contains_key(machine));
+        let faults = self.machine_faults(cache);
         self.faulty = faults.keys().cloned().collect();
         faults
     }
--- a/src/assignment/gang.rs
+++ b/src/scheduler/gang.rs
@@ -1,17 +1,17 @@
 //! Gangs: jobs whose tasks run all together or not at all. Only the leader
 //! assigns them: every task at once, all under one attempt number.
 //!
-//! An attempt gathers, runs and is over. While it gathers, a task that its part
+//! An attempt gathers, runs and is over. While it gathers, a task that its shard
 //! could not start is replaced under the same attempt. Whatever else becomes of
 //! one task ends the attempt: all others are stopped, and the next attempt
 //! begins when every task of this one is proven to be nowhere.
 
 use super::{Assignment, JobEntry, Leader, ZoneRoom};
-use crate::capacity::{FreeCapacity, PlacementRequest, ZoneCount};
-use crate::clock::Secs;
-use crate::fleet::Phase;
-use crate::jobs::Mirror;
-use crate::wire::{JobId, MachineId, Shape};
+use crate::clock::Seconds;
+use crate::scheduler::capacity::{FreeCapacity, PlacementRequest, ZoneCount};
+use crate::shard::TaskPhase;
+use crate::store::cache::StoreCache;
+use crate::wire::{JobId, JobKind, MachineId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +28,7 @@
 pub(super) struct Attempt {
     /// Shared by all tasks, never used for another attempt.
     pub number: u64,
-    since: Secs,
+    since: Seconds,
     /// Some task has been seen to run.
     started: bool,
     /// Some task was lost after it may have had its image: the attempt may
@@ -41,7 +41,7 @@
 
 impl Attempt {
     /// An attempt that begins.
-    pub fn begun(number: u64, now: Secs) -> Attempt {
+    pub fn begun(number: u64, now: Seconds) -> Attempt {
         Attempt {
             number,
             since: now,
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
     /// Nothing: it gathers, runs or ends. What it lacks may be assigned.
-    Leave,
+    KeepGoing,
     /// The attempt is over: all its tasks are to be stopped.
     Withdraw,
 }
@@ -78,19 +78,19 @@
         // Guard: where the team's limit leaves room for some only, or some may be
         // anywhere yet, none starts.
         let whole = self.assigned.len() + free == self.spec.tasks as usize;
-        // A part is told how many tasks a zone may take of all that it hasn't listed.
+        // A shard is told how many tasks a zone may take of all that it hasn't listed.
         whole && !self.leaving && self.unlisted.is_empty()
     }
 
     /// The attempt number for a task of a gang that is assigned now.
-    pub(super) fn gang_attempt(&mut self, new_number: u64, now: Secs) -> u64 {
+    pub(super) fn gang_attempt(&mut self, new_number: u64, now: Seconds) -> u64 {
         self.attempt
             .get_or_insert_with(|| Attempt::begun(new_number, now))
             .number
     }
 
-    /// Takes the attempt from what parts hold, after a change of leader.
-    fn adopt_attempt(&mut self, now: Secs) {
+    /// Takes the attempt from what shards hold, after a change of leader.
+    fn adopt_attempt(&mut self, now: Seconds) {
         if self.attempt.is_none() {
             let number = self.assigned.values().map(|d| d.attempt).max();
             self.attempt = number.map(|number| Attempt {
@@ -100,13 +100,18 @@
         }
     }
 
-    fn next_step(&mut self, gang_wait_s: Secs, now: Secs) -> Step {
+    fn next_step(&mut self, gang_wait_s: Seconds, now: Seconds) -> Step {
         self.adopt_attempt(now);
         let complete = self.assigned.len() == self.spec.tasks as usize;
         let Some(attempt) = self.attempt.as_mut() else {
-            return Step::Leave;
+            return Step::KeepGoing;
+        };
+        let runs = |phase: TaskPhase| {
+            matches!(
+                phase,
+                TaskPhase::Running | TaskPhase::Saving | TaskPhase::Done
+            )
         };
-        let runs = |phase: Phase| matches!(phase, Phase::Running | Phase::Saving | Phase::Done);
         attempt.started |= self.assigned.values().any(|d| runs(d.phase));
         let mixed = self.assigned.values().any(|d| d.attempt != attempt.number);
         let waits_too_long = now - attempt.since > gang_wait_s * INCOMPLETE_SHARE;
@@ -114,23 +119,23 @@
         if attempt.broken || mixed || over && !complete {
             Step::Withdraw
         } else {
-            Step::Leave
+            Step::KeepGoing
         }
     }
 }
 
 impl Leader {
     /// Looks after all gangs: withdraws attempts that can't run any more and
-    /// those whose machine is about to be taken. Returns the parts that have
+    /// those whose machine is about to be taken. Returns the shards that have
     /// new orders: a stop must reach all tasks within `gang_peer_s`.
-    pub(super) fn watch_gangs(&mut self, mirror: &Mirror, now: Secs) -> BTreeSet<String> {
+    pub(super) fn watch_gangs(&mut self, cache: &StoreCache, now: Seconds) -> BTreeSet<String> {
         let mut touched = BTreeSet::new();
         let to_be_taken = self.gangs_to_be_taken(now);
         let gang_wait_s = self.gang_wait_s;
         let gangs = self
             .jobs
             .iter_mut()
-            .filter(|(_, e)| e.spec.shape == Shape::Gang);
+            .filter(|(_, e)| e.spec.job_kind == JobKind::Gang);
         for (id, entry) in gangs {
             if entry.assigned.is_empty() {
                 if entry.unknown.is_empty() {
@@ -139,7 +144,7 @@
                 }
                 continue;
             }
-            let live = mirror.jobs.get(id).is_some_and(|job| job.live());
+            let live = cache.jobs.get(id).is_some_and(|job| job.live());
             if !live || !entry.unknown.is_empty() || !entry.finishing.is_empty() || entry.leaving {
                 continue;
             }
@@ -147,7 +152,7 @@
             if step == Step::Withdraw || to_be_taken.contains(id) {
                 tracing::info!(%id, attempt = ?entry.attempt, held = entry.assigned.len(), "a gang's attempt is withdrawn");
                 entry.leaving = true;
-                touched.extend(entry.assigned.values().map(|d| d.part.to_string()));
+                touched.extend(entry.assigned.values().map(|d| d.shard.to_string()));
             }
         }
         touched
@@ -156,7 +161,7 @@
     /// Gangs with a task on a machine that will be taken before they end, all of
     /// whose machines a stop reaches now: they save together. Of the others the
     /// progress since their last checkpoint is lost with the machine.
-    fn gangs_to_be_taken(&self, now: Secs) -> BTreeSet<JobId> {
+    fn gangs_to_be_taken(&self, now: Seconds) -> BTreeSet<JobId> {
         let noticed: BTreeSet<&MachineId> = self
             .machines()
             .filter(|m| m.noticed)
@@ -183,7 +188,7 @@
         let gangs = self
             .jobs
             .iter()
-            .filter(|(_, e)| e.spec.shape == Shape::Gang && !e.assigned.is_empty());
+            .filter(|(_, e)| e.spec.job_kind == JobKind::Gang && !e.assigned.is_empty());
         gangs
             .filter(|(_, e)| saves(e))
             .filter(|(_, e)| on(e, &noticed) > 0 && on(e, &reached) == e.assigned.len())
@@ -200,14 +205,14 @@
         request: &PlacementRequest,
         free: &[u32],
         capacity: &mut FreeCapacity,
-        mirror: &Mirror,
+        cache: &StoreCache,
         keeps_room: bool,
     ) -> Assignment {
         let Some(entry) = self.jobs.get(id) else {
             return Vec::new();
         };
         let spec = entry.spec.clone();
-        let Some(caps) = self.zone_room(entry, capacity, mirror) else {
+        let Some(caps) = self.zone_room(entry, capacity, cache) else {
             return Vec::new();
         };
         let counts = capacity.count_by_zone(request);
--- a/src/assignment/machines.rs
+++ b/src/scheduler/machines.rs
@@ -1,27 +1,27 @@
-//! The machines of all parts, as the leader last heard of them.
+//! The machines of all shards, as the leader last heard of them.
 
 use super::Leader;
-use crate::capacity::Slot;
-use crate::clock::Secs;
-use crate::failure_detection::Reached;
-use crate::fleet::{MachineView, Quiet};
+use crate::clock::Seconds;
+use crate::cluster::failure_detection::Reached;
+use crate::scheduler::capacity::Slot;
+use crate::shard::{MachineStatus, SilentMachine};
 use crate::wire::MachineId;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
 /// A machine as the leader last heard of it.
 #[derive(Debug)]
-pub struct MachineNews {
-    pub view: MachineView,
+pub struct TrackedMachine {
+    pub view: MachineStatus,
     pub(super) slot: Slot,
     /// Since when it holds nothing.
-    pub(super) idle_since: Secs,
+    pub(super) idle_since: Seconds,
 }
 
 /// A machine with how long ago things were.
 #[derive(Debug, Clone, Copy)]
-pub struct MachineNow<'a> {
-    pub view: &'a MachineView,
+pub struct MachineSnapshot<'a> {
+    pub view: &'a MachineStatus,
     pub silent_s: f64,
     pub unanswered_s: Option<f64>,
     pub idle_s: f64,
@@ -30,31 +30,31 @@
     pub reached: Option<Reached>,
 }
 
-impl std::ops::Deref for MachineNow<'_> {
-    type Target = MachineView;
-    fn deref(&self) -> &MachineView {
+impl std::ops::Deref for MachineSnapshot<'_> {
+    type Target = MachineStatus;
+    fn deref(&self) -> &MachineStatus {
         self.view
     }
 }
 
-/// A part as its reports tell it.
+/// A shard as its reports tell it.
 #[derive(Debug)]
-pub struct PartView {
-    pub(super) inc: u64,
+pub struct ShardView {
+    pub(super) incarnation: u64,
     pub(super) seq: u64,
-    pub(super) machines: BTreeMap<MachineId, MachineNews>,
-    pub(super) quiet: HashMap<MachineId, Quiet>,
+    pub(super) machines: BTreeMap<MachineId, TrackedMachine>,
+    pub(super) quiet: HashMap<MachineId, SilentMachine>,
     pub(super) zones_met: HashMap<Arc<str>, Reached>,
     pub(super) met: HashMap<MachineId, f64>,
     pub(super) orders_seq: u64,
-    pub(super) heard: Secs,
+    pub(super) heard: Seconds,
 }
 
-impl PartView {
-    /// A part that has only just come.
-    pub(super) fn new(inc: u64, now: Secs) -> PartView {
-        PartView {
-            inc,
+impl ShardView {
+    /// A shard that has only just come.
+    pub(super) fn new(incarnation: u64, now: Seconds) -> ShardView {
+        ShardView {
+            incarnation,
             seq: 0,
             machines: BTreeMap::new(),
             quiet: HashMap::new(),
@@ -67,14 +67,14 @@
 }
 
 impl Leader {
-    /// Every machine that some part reports, as of `now`. A part tells only
+    /// Every machine that some shard reports, as of `now`. A shard tells only
     /// of machines that are its own in this epoch.
-    pub fn machines_at(&self, now: Secs) -> impl Iterator<Item = MachineNow<'_>> {
-        self.parts.values().flat_map(move |p| {
+    pub fn machines_at(&self, now: Seconds) -> impl Iterator<Item = MachineSnapshot<'_>> {
+        self.shards.values().flat_map(move |p| {
             p.machines.values().map(move |m| {
                 let quiet = p.quiet.get(&m.view.id);
                 let age = now - p.heard;
-                MachineNow {
+                MachineSnapshot {
                     view: &m.view,
                     silent_s: quiet.map_or(0.0, |q| q.silent_s + age),
                     unanswered_s: quiet.and_then(|q| q.unanswered_s).map(|d| d + age),
@@ -92,34 +92,34 @@
         })
     }
 
-    /// Whether a single part tells of a machine. For a moment of a handover two do: what
-    /// its giver last said of it is not what its taker makes of it.
+    /// Whether a single shard tells of a machine. For a moment of a transfer two do: what
+    /// its source last said of it is not what its target makes of it.
     pub fn has_one_owner(&self, id: &MachineId) -> bool {
-        self.parts
+        self.shards
             .values()
-            .filter(|part| part.machines.contains_key(id))
+            .filter(|shard| shard.machines.contains_key(id))
             .count()
             == 1
     }
 
-    /// Every machine that some part reports.
-    pub fn machines(&self) -> impl Iterator<Item = &MachineView> {
-        self.parts
+    /// Every machine that some shard reports.
+    pub fn machines(&self) -> impl Iterator<Item = &MachineStatus> {
+        self.shards
             .values()
             .flat_map(|p| p.machines.values().map(|m| &m.view))
     }
 
     /// Machines that may be silent for their owners only: some other controller
     /// has met their workers within `age`.
-    pub fn met(&self, age: Secs) -> HashSet<&MachineId> {
-        let all = self.parts.values().flat_map(|p| p.met.iter());
+    pub fn met(&self, age: Seconds) -> HashSet<&MachineId> {
+        let all = self.shards.values().flat_map(|p| p.met.iter());
         all.filter(|(_, &a)| a < age).map(|(id, _)| id).collect()
     }
 
     /// Whether a quarter of the machines of this one's owner heed nothing: then
     /// it is the owner whose answers come too late, not the machines.
     pub fn owner_unheard(&self, id: &MachineId) -> bool {
-        self.parts
+        self.shards
             .values()
             .find(|p| p.machines.contains_key(id))
             .is_some_and(|p| {
@@ -132,8 +132,8 @@
             })
     }
 
-    /// A part's age of news.
-    pub fn part_silence(&self, node: &str, now: Secs) -> Option<Secs> {
-        self.parts.get(node).map(|p| now - p.heard)
+    /// A shard's age of news.
+    pub fn shard_silence(&self, node: &str, now: Seconds) -> Option<Seconds> {
+        self.shards.get(node).map(|p| now - p.heard)
     }
 }
--- a/src/assignment/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,48 +1,50 @@
-//! The leader: which tasks wait, which part holds which, what is to be
-//! committed as finished. Pure, like [`crate::fleet`].
+//! The leader: which tasks wait, which shard holds which, what is to be
+//! committed as finished. Pure, like [`crate::shard`].
 //!
 //! A task is in exactly one of three conditions: free (certainly nowhere),
-//! assigned (one part answers for it), or unknown (since the epoch began nobody
+//! assigned (one shard answers for it), or unknown (since the epoch began nobody
 //! has proven where it is). Only free tasks are assigned.
 
-mod choice;
+pub mod bin_packing;
+pub mod capacity;
+mod completions;
 mod failures;
-mod finishes;
 mod gang;
 mod machines;
 mod orders;
-mod reports;
+mod placement;
 mod round;
+mod shard_reports;
 mod urgency;
 
+pub use completions::Finish;
 pub use failures::MachineFault;
-pub use finishes::Finish;
-pub use machines::{MachineNews, MachineNow, PartView};
-pub use urgency::Aims;
+pub use machines::{MachineSnapshot, ShardView, TrackedMachine};
+pub use urgency::ServiceObjectives;
 
-use crate::capacity::Names;
-use crate::clock::{self, Secs};
-use crate::finished::Bits;
-use crate::fleet::Phase;
-use crate::jobs::{Epoch, Mirror};
-use crate::rent::Want;
-use crate::settings::{Settings, Team};
-use crate::wire::{JobId, JobSpec, MachineId, Shape};
-use finchwood_model::token::MOST_COUNTER;
-use finchwood_reconcile::doubt::JobPhase;
+use crate::autoscaler::scaling::PendingDemand;
+use crate::clock::{self, Seconds};
+use crate::config::settings::{Settings, Team};
+use crate::finished::TaskSet;
+use crate::scheduler::capacity::Names;
+use crate::shard::TaskPhase;
+use crate::store::cache::{Epoch, StoreCache};
+use crate::wire::{JobId, JobKind, JobSpec, MachineId};
+use finchwood_reconciliation::unreconciled::ReconciliationPhase;
+use finchwood_types::token::MAX_COUNTER;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
 #[derive(Debug, Clone)]
-struct AssignedTask {
-    part: Arc<str>,
+struct TaskAssignment {
+    shard: Arc<str>,
     attempt: u64,
-    /// Tells one assignment of an attempt from the next; 0 if its part doesn't say.
+    /// Tells one assignment of an attempt from the next; 0 if its shard doesn't say.
     assignment: u64,
-    /// The part has listed it: it need not be sent again.
+    /// The shard has listed it: it need not be sent again.
     listed: bool,
-    phase: Phase,
+    phase: TaskPhase,
     machine: Option<MachineId>,
 }
 
@@ -50,31 +52,31 @@
 struct JobEntry {
     spec: Arc<JobSpec>,
     at_ms: u64,
-    unknown: Bits,
-    /// Of the unknown, those that can only be with one part, which has kept all
+    unknown: TaskSet,
+    /// Of the unknown, those that can only be with one shard, which has kept all
     /// that it knew: its word alone is proof.
     with: BTreeMap<u32, Arc<str>>,
-    assigned: BTreeMap<u32, AssignedTask>,
-    /// Those of the assigned that their part has not listed yet.
+    assigned: BTreeMap<u32, TaskAssignment>,
+    /// Those of the assigned that their shard has not listed yet.
     unlisted: BTreeSet<u32>,
-    /// Seen done by a part, not yet committed.
-    finishing: Bits,
+    /// Seen done by a shard, not yet committed.
+    finishing: TaskSet,
     committing: bool,
-    commit_after: Secs,
-    retry_after: Secs,
+    commit_after: Seconds,
+    retry_after: Seconds,
     failures: failures::JobFailures,
     /// Of a gang: the attempt that its tasks share.
     attempt: Option<gang::Attempt>,
     /// Since when a service that is bound to the zone of its tasks has had no
     /// room there.
-    stuck_since: Option<Secs>,
+    stuck_since: Option<Seconds>,
     /// All its tasks are being stopped, to begin together in another zone.
     leaving: bool,
-    /// What each part was told that zones may still take.
+    /// What each shard was told that zones may still take.
     room: BTreeMap<Arc<str>, Vec<(Arc<str>, u32)>>,
 }
 
-impl AssignedTask {
+impl TaskAssignment {
     /// The order of assignments of a task.
     fn order(&self) -> (u64, u64) {
         (self.attempt, self.assignment)
@@ -82,27 +84,27 @@
 }
 
 impl JobEntry {
-    /// The assignments that differ from their attempts, of tasks that a part
+    /// The assignments that differ from their attempts, of tasks that a shard
     /// has not listed yet.
     fn assignments(&self, node: &str) -> Vec<(u32, u64)> {
         let unlisted = self
             .unlisted
             .iter()
             .filter_map(|index| Some((*index, self.assigned.get(index)?)));
-        let differ = unlisted.filter(|(_, d)| &*d.part == node && d.assignment != d.attempt);
+        let differ = unlisted.filter(|(_, d)| &*d.shard == node && d.assignment != d.attempt);
         differ.map(|(index, d)| (index, d.assignment)).collect()
     }
     fn running_tasks(&self) -> usize {
         self.assigned
             .values()
-            .filter(|assigned| assigned.phase == Phase::Running)
+            .filter(|assigned| assigned.phase == TaskPhase::Running)
             .count()
     }
-    fn unassign(&mut self, index: u32) -> Option<AssignedTask> {
+    fn unassign(&mut self, index: u32) -> Option<TaskAssignment> {
         self.unlisted.remove(&index);
         self.assigned.remove(&index)
     }
-    fn assign(&mut self, index: u32, assigned: AssignedTask) {
+    fn assign(&mut self, index: u32, assigned: TaskAssignment) {
         if assigned.listed {
             self.unlisted.remove(&index);
         } else {
@@ -114,13 +116,13 @@
 
 /// How far a leader that began without knowledge has found out where tasks are.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct RestartProgress {
+pub struct ReconciliationProgress {
     /// Every member has told what it holds.
     pub all_joined: bool,
     /// Nothing is in doubt any more.
     pub resolved: bool,
     /// Unfinished jobs, by what is known of their tasks.
-    pub jobs: BTreeMap<JobPhase, u32>,
+    pub jobs: BTreeMap<ReconciliationPhase, u32>,
     /// Tasks that nobody has proven to be anywhere, or nowhere.
     pub tasks_in_doubt: u32,
     /// Machines whose content is not known.
@@ -131,15 +133,15 @@
 #[derive(Debug)]
 pub struct Leader {
     epoch: u64,
-    inc: u64,
+    incarnation: u64,
     members: BTreeMap<String, u64>,
     jobs: BTreeMap<JobId, JobEntry>,
-    pub parts: BTreeMap<String, PartView>,
+    pub shards: BTreeMap<String, ShardView>,
     names: Names,
     resolved: bool,
     /// Something came in that may prove where tasks are.
     news: bool,
-    /// Parts whose holdings have come in since the last task became unknown.
+    /// Shards whose holdings have come in since the last task became unknown.
     joined: BTreeSet<String>,
     attempts: u64,
     /// No attempt number above this one is used in an epoch.
@@ -147,15 +149,15 @@
     teams: HashMap<Arc<str>, Team>,
     start_aims: HashMap<Arc<str>, f64>,
     classes_with_aims: HashSet<Arc<str>>,
-    aims: Aims,
-    report_s: Secs,
-    gang_wait_s: Secs,
+    objectives: ServiceObjectives,
+    report_s: Seconds,
+    gang_wait_s: Seconds,
     gangs_allowed: bool,
     /// When the first report of this epoch came, and the latest of all.
-    first_report_at: Option<Secs>,
-    latest_at: Secs,
+    first_report_at: Option<Seconds>,
+    latest_at: Seconds,
     /// After how long whatever an earlier owner renewed is over.
-    takeover_s: Secs,
+    takeover_s: Seconds,
     /// Machines that take no more tasks.
     pub drain: BTreeSet<MachineId>,
     /// Jobs with tasks that failed on each machine.
@@ -169,7 +171,7 @@
     /// Machines whose replicas are to move to others.
     pub moving: BTreeSet<MachineId>,
     /// What could not be assigned in the last round, for renting.
-    pub wants: Vec<Want>,
+    pub pending_demand: Vec<PendingDemand>,
     /// Teams that use more than they are guaranteed.
     borrowing: Vec<Arc<str>>,
     cursor: Option<JobId>,
@@ -180,16 +182,16 @@
     pub fn new(settings: &Settings) -> Leader {
         Leader {
             epoch: 0,
-            inc: 0,
+            incarnation: 0,
             members: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            parts: BTreeMap::new(),
+            shards: BTreeMap::new(),
             names: Names::default(),
             resolved: false,
             news: true,
             joined: BTreeSet::new(),
             attempts: 0,
-            attempt_limit: MOST_COUNTER,
+            attempt_limit: MAX_COUNTER,
             teams: settings
                 .params
                 .teams
@@ -198,7 +200,7 @@
                 .collect(),
             start_aims: settings.start_aims(),
             classes_with_aims: settings.classes_with_aims(),
-            aims: Aims::new(settings),
+            objectives: ServiceObjectives::new(settings),
             report_s: settings.params.workers.report_s,
             gang_wait_s: settings.params.workers.gang_wait_s,
             gangs_allowed: true,
@@ -212,7 +214,7 @@
             faulty: BTreeSet::new(),
             reserve: 0.0,
             preemption_held: false,
-            wants: Vec::new(),
+            pending_demand: Vec::new(),
             borrowing: Vec::new(),
             cursor: None,
         }
@@ -221,8 +223,8 @@
     /// Enters an epoch as its leader. The table is kept if this incarnation
     /// led the one just before; what was assigned is unknown until it is seen.
     /// Says whether it is.
-    pub fn enter(&mut self, e: &Epoch, inc: u64, mirror: &Mirror) -> bool {
-        let stays = self.inc == inc && self.epoch + 1 == e.n;
+    pub fn enter(&mut self, e: &Epoch, incarnation: u64, cache: &StoreCache) -> bool {
+        let stays = self.incarnation == incarnation && self.epoch + 1 == e.n;
         if !stays {
             self.jobs.clear();
             self.drain.clear();
@@ -230,19 +232,19 @@
             self.failed_on.clear();
             self.faulty.clear();
         }
-        // Parts that live on and hand no machine over, as nobody is new: what
+        // Shards that live on and hand no machine over, as nobody is new: what
         // was assigned to them is theirs still, or nowhere. Without this, one
         // controller's return left all that a cut zone had lost in doubt until
         // the last machine of the zone had been heard.
-        // Guard: where shares have moved, a part that lives on may have handed machines over.
-        let by_hash = mirror.shares.is_empty();
+        // Guard: where shares have moved, a shard that lives on may have handed machines over.
+        let by_hash = cache.shares.is_empty();
         let nobody_new = stays && by_hash && e.members.keys().all(|m| self.members.contains_key(m));
         let same = |m: &&String| nobody_new && self.members.get(*m) == e.members.get(*m);
         let steady: BTreeSet<String> = e.members.keys().filter(same).cloned().collect();
         self.epoch = e.n;
-        self.inc = inc;
+        self.incarnation = incarnation;
         self.members = e.members.clone();
-        self.parts.clear();
+        self.shards.clear();
         self.joined.clear();
         self.first_report_at = None;
         self.resolved = false;
@@ -256,15 +258,15 @@
             }
             for (index, d) in assigned {
                 job.unknown.add(index);
-                if steady.contains(&*d.part) {
-                    job.with.insert(index, d.part);
+                if steady.contains(&*d.shard) {
+                    job.with.insert(index, d.shard);
                 }
             }
             job.committing = false;
         }
-        let ids: Vec<JobId> = mirror.jobs.keys().cloned().collect();
+        let ids: Vec<JobId> = cache.jobs.keys().cloned().collect();
         for id in ids {
-            self.job_changed(&id, mirror);
+            self.job_changed(&id, cache);
         }
         stays
     }
@@ -272,19 +274,19 @@
     /// How far what was in doubt has been found out.
     pub fn restart_progress(
         &self,
-        mirror: &Mirror,
+        cache: &StoreCache,
         gone: &dyn Fn(&MachineId) -> bool,
-    ) -> RestartProgress {
-        let mut progress = RestartProgress {
+    ) -> ReconciliationProgress {
+        let mut progress = ReconciliationProgress {
             all_joined: self.all_joined(),
             resolved: self.resolved,
-            machines_in_doubt: self.doubtful_machines(mirror, gone).count(),
-            ..RestartProgress::default()
+            machines_in_doubt: self.unreconciled_machines(cache, gone).count(),
+            ..ReconciliationProgress::default()
         };
         for entry in self.jobs.values() {
             let in_doubt = entry.unknown.len();
             progress.tasks_in_doubt += in_doubt;
-            let phase = JobPhase::of(in_doubt, entry.assigned.len());
+            let phase = ReconciliationPhase::of(in_doubt, entry.assigned.len());
             *progress.jobs.entry(phase).or_default() += 1;
         }
         progress
@@ -296,9 +298,9 @@
         self.attempts > self.attempt_limit / 2
     }
 
-    /// A job is new or has changed in the mirror.
-    pub fn job_changed(&mut self, id: &JobId, mirror: &Mirror) {
-        let Some(job) = mirror.jobs.get(id) else {
+    /// A job is new or has changed in the cache.
+    pub fn job_changed(&mut self, id: &JobId, cache: &StoreCache) {
+        let Some(job) = cache.jobs.get(id) else {
             return;
         };
         let Some(spec) = job.record.spec.clone().filter(|_| !job.record.done) else {
@@ -308,10 +310,10 @@
             return;
         };
         if !self.jobs.contains_key(id) {
-            let mut unknown = Bits::default();
+            let mut unknown = TaskSet::default();
             // Accepted in this epoch: nobody can have assigned it before us.
             if job.record.epoch < self.epoch {
-                for index in (0..spec.tasks).filter(|&i| !job.finished.has(i)) {
+                for index in (0..spec.tasks).filter(|&i| !job.finished.contains(i)) {
                     unknown.add(index);
                 }
             }
@@ -330,7 +332,7 @@
                 with: BTreeMap::new(),
                 assigned: BTreeMap::new(),
                 unlisted: BTreeSet::new(),
-                finishing: Bits::default(),
+                finishing: TaskSet::default(),
                 committing: false,
                 commit_after: 0.0,
                 retry_after: 0.0,
@@ -351,7 +353,7 @@
         let over: Vec<u32> = entry
             .finishing
             .iter()
-            .filter(|&i| job.finished.has(i))
+            .filter(|&i| job.finished.contains(i))
             .collect();
         for i in over {
             entry.finishing.remove(i);
@@ -359,7 +361,7 @@
             entry.unassign(i);
         }
         if job.record.cancelled {
-            entry.finishing = Bits::default();
+            entry.finishing = TaskSet::default();
             if entry.unknown.is_empty() && entry.assigned.is_empty() {
                 self.jobs.remove(id);
             }
@@ -370,18 +372,18 @@
     /// ago: whatever stops were sent there, none is proven to have been obeyed.
     pub fn machines_with_cancelled_tasks(
         &self,
-        mirror: &Mirror,
-        day_ms: u64,
-        after_s: Secs,
+        cache: &StoreCache,
+        wall_clock_ms: u64,
+        after_s: Seconds,
     ) -> BTreeSet<MachineId> {
         let mut out = BTreeSet::new();
         for (id, e) in &self.jobs {
-            let Some(job) = mirror.jobs.get(id).filter(|j| j.record.cancelled) else {
+            let Some(job) = cache.jobs.get(id).filter(|j| j.record.cancelled) else {
                 continue;
             };
-            let at_ms = job.record.cancelled_at_ms.unwrap_or(day_ms);
-            if day_ms.saturating_sub(at_ms) as f64 / 1000.0 > after_s {
-                let there = e.assigned.values().filter(|d| d.phase != Phase::Done);
+            let at_ms = job.record.cancelled_at_ms.unwrap_or(wall_clock_ms);
+            if wall_clock_ms.saturating_sub(at_ms) as f64 / 1000.0 > after_s {
+                let there = e.assigned.values().filter(|d| d.phase != TaskPhase::Done);
                 out.extend(there.filter_map(|d| d.machine.clone()));
             }
         }
@@ -399,13 +401,13 @@
     pub fn service_cpus(&self) -> f64 {
         self.jobs
             .values()
-            .filter(|e| e.spec.shape == Shape::Service)
+            .filter(|e| e.spec.job_kind == JobKind::Service)
             .map(|e| e.spec.cpus * e.assigned.len() as f64)
             .sum()
     }
 }
 
-/// Parts with the tasks that go to each.
+/// Shards with the tasks that go to each.
 type Assignment = Vec<(Arc<str>, Vec<u32>)>;
 
 /// How many more tasks of a job each zone may take.
--- a/src/assignment/orders.rs
+++ b/src/scheduler/orders.rs
@@ -1,13 +1,13 @@
-//! What the leader tells each part, again and again until the part shows it.
+//! What the leader tells each shard, again and again until the shard shows it.
 
-use super::{AssignedTask, JobEntry, Leader};
-use crate::fleet::{JobAssignment, Orders, Phase};
-use crate::wire::{Shape, Task};
+use super::{JobEntry, Leader, TaskAssignment};
+use crate::shard::{JobAssignment, Orders, TaskPhase};
+use crate::wire::{JobKind, Task};
 
 impl Leader {
-    /// The orders for a part: everything it hasn't listed yet, again and again.
+    /// The orders for a shard: everything it hasn't listed yet, again and again.
     pub fn orders(&mut self, node: &str) -> Option<Orders> {
-        let view = self.parts.get_mut(node)?;
+        let view = self.shards.get_mut(node)?;
         view.orders_seq += 1;
         let (seq, ack) = (view.orders_seq, view.seq);
         let mut assignments = Vec::new();
@@ -17,7 +17,7 @@
                 .iter()
                 .filter_map(|i| Some((*i, e.assigned.get(i)?)));
             let tasks: Vec<(u32, u64)> = assigned
-                .filter(|(_, d)| &*d.part == node)
+                .filter(|(_, d)| &*d.shard == node)
                 .map(|(i, d)| (i, d.attempt))
                 .collect();
             if !tasks.is_empty() {
@@ -39,7 +39,7 @@
             let running = |e: &JobEntry| {
                 e.assigned
                     .values()
-                    .filter(|d| matches!(d.phase, Phase::Running | Phase::Saving))
+                    .filter(|d| matches!(d.phase, TaskPhase::Running | TaskPhase::Saving))
                     .count() as u32
             };
             self.jobs
@@ -50,7 +50,7 @@
         });
         let mut recall = Vec::new();
         for (id, e) in self.jobs.iter().filter(|(_, e)| e.leaving) {
-            let theirs = e.assigned.iter().filter(|(_, d)| &*d.part == node);
+            let theirs = e.assigned.iter().filter(|(_, d)| &*d.shard == node);
             recall.extend(theirs.map(|(i, d)| {
                 (
                     Task {
@@ -65,14 +65,15 @@
             for (id, e) in self
                 .jobs
                 .iter()
-                .filter(|(_, e)| e.spec.shape == Shape::Service)
+                .filter(|(_, e)| e.spec.job_kind == JobKind::Service)
             {
-                let there =
-                    |d: &AssignedTask| d.machine.as_ref().is_some_and(|m| self.moving.contains(m));
+                let there = |d: &TaskAssignment| {
+                    d.machine.as_ref().is_some_and(|m| self.moving.contains(m))
+                };
                 let on = e
                     .assigned
                     .iter()
-                    .filter(|(_, d)| &*d.part == node && d.phase == Phase::Running);
+                    .filter(|(_, d)| &*d.shard == node && d.phase == TaskPhase::Running);
                 recall.extend(on.filter(|(_, d)| there(d)).map(|(i, d)| {
                     (
                         Task {
@@ -94,7 +95,7 @@
             drain: self.drain.union(&self.faulty).cloned().collect(),
             running,
             borrowing: self.borrowing.clone(),
-            handovers: Vec::new(),
+            transfers: Vec::new(),
         })
     }
 }
--- a/src/assignment/choice.rs
+++ b/src/scheduler/placement.rs
@@ -1,9 +1,9 @@
-//! Which parts the free tasks of one job go to, by its shape and its zones.
+//! Which shards the free tasks of one job go to, by its shape and its zones.
 
 use super::{Assignment, JobEntry, Leader, ZoneRoom};
-use crate::capacity::{FreeCapacity, Names, PlacementRequest};
-use crate::clock::Secs;
-use crate::jobs::Mirror;
+use crate::clock::Seconds;
+use crate::scheduler::capacity::{FreeCapacity, Names, PlacementRequest};
+use crate::store::cache::StoreCache;
 use crate::wire::{JobId, BEGIN_WITHIN_S};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,14 +11,14 @@
 impl Leader {
     /// Jobs whose tasks depend on each other. The leader counts the zones, so
     /// nothing is assigned while any task's zone isn't known, and what is assigned
-    /// goes whole to one part with what each zone may still take.
+    /// goes whole to one shard with what each zone may still take.
     pub(super) fn assign_bound_to_zones(
         &mut self,
         id: &JobId,
         request: &PlacementRequest,
         free: &[u32],
         capacity: &mut FreeCapacity,
-        mirror: &Mirror,
+        cache: &StoreCache,
     ) -> Assignment {
         let Some(e) = self.jobs.get(id) else {
             return Vec::new();
@@ -27,12 +27,12 @@
         if !e.unknown.is_empty() || e.leaving {
             return Vec::new();
         }
-        let Some(room) = self.zone_room(e, capacity, mirror) else {
+        let Some(room) = self.zone_room(e, capacity, cache) else {
             return Vec::new();
         };
-        // The roomiest part that can take them all; else the one that takes
+        // The roomiest shard that can take them all; else the one that takes
         // the most.
-        let Some((part, chosen)) = roomiest_for(
+        let Some((shard, chosen)) = roomiest_for(
             request,
             free.len(),
             capacity,
@@ -42,9 +42,12 @@
         ) else {
             return Vec::new();
         };
-        // No part has room where the image is for all of a job in a hurry:
-        // several parts share it, each told how many a zone may take of it.
-        if request.quick && capacity.warm(request, &chosen) < free.len() && !spec.one_zone {
+        // No shard has room where the image is for all of a job latency-sensitive:
+        // several shards share it, each told how many a zone may take of it.
+        if request.latency_sensitive
+            && capacity.warm(request, &chosen) < free.len()
+            && !spec.one_zone
+        {
             let spread = capacity.try_place(request, free.len(), None, &room, false);
             if spread.len() >= chosen.len()
                 && capacity.warm(request, &spread) > capacity.warm(request, &chosen)
@@ -52,8 +55,8 @@
                 return self.assign_over_parts(id, request, &spread, free, capacity);
             }
         }
-        // One part's machines of one zone may be too few for a job that the
-        // zone has room for: then several parts share it.
+        // One shard's machines of one zone may be too few for a job that the
+        // zone has room for: then several shards share it.
         if spec.one_zone && chosen.len() < free.len() {
             let spread = capacity.try_place(request, free.len(), None, &room, true);
             if spread.len() > chosen.len() && (spread.len() == free.len() || !e.assigned.is_empty())
@@ -68,8 +71,8 @@
             capacity.take(slot, &request.ask);
         }
         let tasks = free[..chosen.len()].to_vec();
-        let part = self.names.name(part).clone();
-        // Guard: a job for one zone is told which. Left to choose, the part began
+        let shard = self.names.name(shard).clone();
+        // Guard: a job for one zone is told which. Left to choose, the shard began
         // it where only some of its tasks had room.
         let into: BTreeSet<u32> = chosen.iter().map(|&s| capacity.slots[s].zone).collect();
         let told = room
@@ -79,9 +82,9 @@
             .map(|(z, n)| (self.names.name(*z).clone(), *n))
             .collect();
         if let Some(e) = self.jobs.get_mut(id) {
-            e.room = [(part.clone(), told)].into_iter().collect();
+            e.room = [(shard.clone(), told)].into_iter().collect();
         }
-        vec![(part, tasks)]
+        vec![(shard, tasks)]
     }
 
     /// How many more tasks of a job each zone may take, by where the others are;
@@ -90,11 +93,11 @@
         &self,
         e: &JobEntry,
         capacity: &FreeCapacity,
-        mirror: &Mirror,
+        cache: &StoreCache,
     ) -> Option<ZoneRoom> {
         let mut counts: BTreeMap<u32, u32> = BTreeMap::new();
         for d in e.assigned.values() {
-            let (record, _) = mirror.roster.get(d.machine.as_ref()?)?;
+            let (record, _) = cache.registry.get(d.machine.as_ref()?)?;
             *counts.entry(self.names.known(&record.zone)?).or_default() += 1;
         }
         let zones: BTreeSet<u32> = capacity.slots.iter().map(|s| s.zone).collect();
@@ -112,14 +115,14 @@
 
     /// Where a job's tasks are, as far as that is known, if it matters for the
     /// rest of them.
-    pub(super) fn zones_of(&self, id: &JobId, mirror: &Mirror) -> BTreeMap<Arc<str>, u32> {
+    pub(super) fn zones_of(&self, id: &JobId, cache: &StoreCache) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
         let bound = |e: &&JobEntry| (e.spec.one_zone || e.spec.scatter) && !e.leaving;
         let Some(e) = self.jobs.get(id).filter(bound) else {
             return zones;
         };
         for d in e.assigned.values() {
-            let record = d.machine.as_ref().and_then(|m| mirror.roster.get(m));
+            let record = d.machine.as_ref().and_then(|m| cache.registry.get(m));
             if let Some((r, _)) = record {
                 *zones.entry(r.zone.clone()).or_default() += 1;
             }
@@ -136,7 +139,7 @@
         request: &PlacementRequest,
         stuck: bool,
         capacity: &mut FreeCapacity,
-        now: Secs,
+        now: Seconds,
     ) {
         let patience = BEGIN_WITHIN_S / 6.0;
         let Some(e) = self.jobs.get_mut(id) else {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Deals tasks to the parts of the chosen machines, and tells each part
+    /// Deals tasks to the parts of the chosen machines, and tells each shard
     /// how many of them a zone may take there.
     pub(super) fn assign_over_parts(
         &mut self,
@@ -179,22 +182,22 @@
         let mut out: BTreeMap<Arc<str>, Vec<u32>> = BTreeMap::new();
         e.room.clear();
         for (&slot, &index) in chosen.iter().zip(free) {
-            let part = self.names.name(capacity.slots[slot].part).clone();
+            let shard = self.names.name(capacity.slots[slot].shard).clone();
             let zone = self.names.name(capacity.slots[slot].zone);
-            let told = e.room.entry(part.clone()).or_default();
+            let told = e.room.entry(shard.clone()).or_default();
             match told.iter_mut().find(|(z, _)| z == zone) {
                 Some((_, n)) => *n += 1,
                 None => told.push((zone.clone(), 1)),
             }
             capacity.take(slot, &request.ask);
-            out.entry(part).or_default().push(index);
+            out.entry(shard).or_default().push(index);
         }
         out.into_iter().collect()
     }
 }
 
-/// The part that takes the most of `n` tasks; of several, the one with more
-/// machines that have the image of a job in a hurry, then the roomiest.
+/// The shard that takes the most of `n` tasks; of several, the one with more
+/// machines that have the image of a job latency-sensitive, then the roomiest.
 fn roomiest_for(
     request: &PlacementRequest,
     n: usize,
@@ -204,17 +207,17 @@
     names: &Names,
 ) -> Option<(u32, Vec<usize>)> {
     let mut best: Option<(usize, usize, f64, u32, Vec<usize>)> = None;
-    let mut parts = capacity.parts();
-    parts.sort_by(|a, b| names.name(*a).cmp(names.name(*b)));
-    for part in parts {
-        let chosen = capacity.try_place(request, n, Some(part), room, one_zone);
+    let mut shards = capacity.shards();
+    shards.sort_by(|a, b| names.name(*a).cmp(names.name(*b)));
+    for shard in shards {
+        let chosen = capacity.try_place(request, n, Some(shard), room, one_zone);
         let key = (
             chosen.len(),
             capacity.warm(request, &chosen),
-            capacity.total(part),
+            capacity.total(shard),
         );
         if !chosen.is_empty() && best.as_ref().is_none_or(|b| key > (b.0, b.1, b.2)) {
-            best = Some((key.0, key.1, key.2, part, chosen));
+            best = Some((key.0, key.1, key.2, shard, chosen));
         }
     }
     best.map(|b| (b.3, b.4))
@@ -228,17 +231,17 @@
 ) -> Assignment {
     let zones: BTreeSet<u32> = capacity.slots.iter().map(|s| s.zone).collect();
     let all: Vec<(u32, u32)> = zones.into_iter().map(|z| (z, u32::MAX)).collect();
-    let Some((part, chosen)) = roomiest_for(request, free.len(), capacity, &all, false, names)
+    let Some((shard, chosen)) = roomiest_for(request, free.len(), capacity, &all, false, names)
     else {
         return Vec::new();
     };
     for &slot in &chosen {
         capacity.take(slot, &request.ask);
     }
-    vec![(names.name(part).clone(), free[..chosen.len()].to_vec())]
+    vec![(names.name(shard).clone(), free[..chosen.len()].to_vec())]
 }
 
-/// An array's tasks go one by one to the part with the most room left.
+/// An array's tasks go one by one to the shard with the most room left.
 pub(super) fn assign_array(
     request: &PlacementRequest,
     free: &[u32],
@@ -250,16 +253,18 @@
     let mut left = free.iter();
     let mut next = left.next();
     while let Some(&index) = next {
-        let Some(part) = capacity.roomiest(&full, names) else {
+        let Some(shard) = capacity.roomiest(&full, names) else {
             break;
         };
-        match capacity.best(request, Some(part), None) {
+        match capacity.best(request, Some(shard), None) {
             Some(slot) => {
                 capacity.take(slot, &request.ask);
-                out.entry(names.name(part).clone()).or_default().push(index);
+                out.entry(names.name(shard).clone())
+                    .or_default()
+                    .push(index);
                 next = left.next();
             }
-            None => full.push(part),
+            None => full.push(shard),
         }
     }
     out.into_iter().collect()
--- a/src/assignment/round.rs
+++ b/src/scheduler/round.rs
@@ -1,22 +1,22 @@
 //! One round of assignment: which jobs come first, and what each may take.
 
-use super::choice::{assign_array, assign_whole};
+use super::placement::{assign_array, assign_whole};
 use super::urgency::urgency;
-use super::{AssignedTask, Assignment, JobEntry, Leader};
-use crate::best_fit;
-use crate::capacity::{FreeCapacity, PlacementRequest, Preempts};
-use crate::clock::{self, Secs};
-use crate::fleet::Phase;
-use crate::jobs::{Job, Mirror};
-use crate::rent::Want;
-use crate::wire::{JobId, Rank, Res, Shape, BEGIN_WITHIN_S};
-use finchwood_model::token;
+use super::{Assignment, JobEntry, Leader, TaskAssignment};
+use crate::autoscaler::scaling::PendingDemand;
+use crate::clock::{self, Seconds};
+use crate::scheduler::bin_packing;
+use crate::scheduler::capacity::{FreeCapacity, PlacementRequest, Preempts};
+use crate::shard::TaskPhase;
+use crate::store::cache::{Job, StoreCache};
+use crate::wire::{JobId, JobKind, Priority, Resources, BEGIN_WITHIN_S};
+use finchwood_types::token;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
 impl Leader {
-    pub(super) fn used(&self) -> HashMap<Arc<str>, Res> {
-        let mut used: HashMap<Arc<str>, Res> = HashMap::new();
+    pub(super) fn used(&self) -> HashMap<Arc<str>, Resources> {
+        let mut used: HashMap<Arc<str>, Resources> = HashMap::new();
         for e in self.jobs.values() {
             let n = f64::from(e.assigned.len() as u32 + e.unknown.len());
             let u = used.entry(e.spec.team.clone()).or_default();
@@ -27,8 +27,8 @@
     }
 
     /// Free room of every open machine, less what is assigned and not placed.
-    pub(super) fn capacity(&self, day_ms: u64) -> FreeCapacity {
-        let open = self.parts.values().flat_map(|p| p.machines.values());
+    pub(super) fn capacity(&self, wall_clock_ms: u64) -> FreeCapacity {
+        let open = self.shards.values().flat_map(|p| p.machines.values());
         let open = open.filter(|m| {
             m.view.open && !self.drain.contains(&m.view.id) && !self.faulty.contains(&m.view.id)
         });
@@ -37,13 +37,13 @@
             let mut request = None;
             for d in e.assigned.values().filter(|d| d.machine.is_none()) {
                 let request = request.get_or_insert_with(|| {
-                    let preempts = match self.preempts(e, day_ms) {
+                    let preempts = match self.preempts(e, wall_clock_ms) {
                         Preempts::AllLowerWork => Preempts::Nothing,
                         others => others,
                     };
                     PlacementRequest::new(&e.spec, &self.names, Vec::new(), false, preempts)
                 });
-                if let Some(slot) = capacity.best(request, self.names.known(&d.part), None) {
+                if let Some(slot) = capacity.best(request, self.names.known(&d.shard), None) {
                     capacity.take(slot, &request.ask);
                 }
             }
@@ -53,17 +53,17 @@
 
     /// Jobs that fit their team's guarantee together with the team's earlier
     /// unfinished jobs: they need not wait for what others borrow.
-    pub(super) fn guaranteed(&self, mirror: &Mirror) -> HashSet<JobId> {
+    pub(super) fn guaranteed(&self, cache: &StoreCache) -> HashSet<JobId> {
         let mut by_age: Vec<(u64, &JobId, &JobEntry)> =
             self.jobs.iter().map(|(id, e)| (e.at_ms, id, e)).collect();
         by_age.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
-        let mut used: HashMap<&str, Res> = HashMap::new();
+        let mut used: HashMap<&str, Resources> = HashMap::new();
         let mut out = HashSet::new();
         for (_, id, e) in by_age {
             let Some(team) = self.teams.get(&e.spec.team) else {
                 continue;
             };
-            let Some(job) = mirror.jobs.get(id).filter(|j| j.live()) else {
+            let Some(job) = cache.jobs.get(id).filter(|j| j.live()) else {
                 continue;
             };
             let left = f64::from(e.spec.tasks.saturating_sub(job.finished.len()));
@@ -77,28 +77,28 @@
         out
     }
 
-    /// One round of assignment: as many free tasks as fit, in order of rank and
+    /// One round of assignment: as many free tasks as fit, in order of priority and
     /// age, until `more` says that the time is over; the next round goes on
-    /// from there. Returns the parts that have new orders.
+    /// from there. Returns the shards that have new orders.
     pub fn assign_tasks(
         &mut self,
-        mirror: &Mirror,
-        now: Secs,
+        cache: &StoreCache,
+        now: Seconds,
         mut more: impl FnMut() -> bool,
     ) -> BTreeSet<String> {
-        let touched = self.watch_gangs(mirror, now);
-        if self.parts.is_empty() {
+        let touched = self.watch_gangs(cache, now);
+        if self.shards.is_empty() {
             return touched;
         }
-        let (day_ms, used) = (clock::day_ms(), self.used());
+        let (wall_clock_ms, used) = (clock::wall_clock_ms(), self.used());
         self.borrowing = self.borrowing_teams(&used);
         let mut round = Round {
-            mirror,
+            cache,
             now,
-            day_ms,
+            wall_clock_ms,
             used,
-            capacity: self.capacity(day_ms),
-            wants: Vec::new(),
+            capacity: self.capacity(wall_clock_ms),
+            pending_demand: Vec::new(),
             gang_waits: false,
             touched,
         };
@@ -109,18 +109,22 @@
             }
             self.assign_job(&id, &mut round);
         }
-        for w in round.wants.iter().filter(|w| w.spec.rank == Rank::Prod) {
+        for w in round
+            .pending_demand
+            .iter()
+            .filter(|w| w.spec.priority == Priority::Prod)
+        {
             tracing::debug!(job = %w.spec.id, count = w.count, "no room");
         }
-        self.wants = round.wants;
+        self.pending_demand = round.pending_demand;
         round.touched
     }
 
     /// Jobs that may have free tasks, the most pressing first; from where the last
     /// round stopped, if its time was over.
     fn jobs_in_order(&mut self, round: &Round) -> Vec<JobId> {
-        let guaranteed = self.guaranteed(round.mirror);
-        let live = |id: &JobId| round.mirror.jobs.get(id).is_some_and(|j| j.live());
+        let guaranteed = self.guaranteed(round.cache);
+        let live = |id: &JobId| round.cache.jobs.get(id).is_some_and(|j| j.live());
         let may_have_free = |e: &JobEntry| {
             !e.failures.waits(round.now)
                 && (e.assigned.len() as u32 + e.unknown.len()) < e.spec.tasks
@@ -129,11 +133,11 @@
             .jobs
             .iter()
             .filter(|(id, e)| live(id) && may_have_free(e));
-        let mut order: Vec<(Stage, Rank, u8, i64, JobId)> = waiting
+        let mut order: Vec<(Stage, Priority, u8, i64, JobId)> = waiting
             .map(|(id, e)| {
-                let (tier, due) = urgency(&e.spec, e.at_ms, round.day_ms, &self.aims);
+                let (tier, due) = urgency(&e.spec, e.at_ms, round.wall_clock_ms, &self.objectives);
                 let stage = stage(id, e, guaranteed.contains(id), round);
-                (stage, e.spec.rank, tier, due, id.clone())
+                (stage, e.spec.priority, tier, due, id.clone())
             })
             .collect();
         order.sort();
@@ -146,22 +150,22 @@
     }
 
     /// The free tasks of a job, as many as its team's limit allows.
-    fn free_tasks(&self, e: &JobEntry, job: &Job, used: &Res) -> Vec<u32> {
+    fn free_tasks(&self, e: &JobEntry, job: &Job, used: &Resources) -> Vec<u32> {
         let team = self.teams.get(&e.spec.team);
-        let left = Res {
+        let left = Resources {
             cpus: team.map_or(0.0, |t| t.cpu_cap()) - used.cpus,
             gpus: team.map_or(0.0, |t| t.gpu_cap()) - used.gpus,
             mem: f64::INFINITY,
         };
-        let quota = left.count(&Res {
+        let quota = left.count(&Resources {
             mem: 0.0,
             ..e.spec.ask()
         }) as usize;
         let most = e.tries_allowed(quota);
         let free = |i: &u32| {
-            !job.finished.has(*i)
-                && !e.finishing.has(*i)
-                && !e.unknown.has(*i)
+            !job.finished.contains(*i)
+                && !e.finishing.contains(*i)
+                && !e.unknown.contains(*i)
                 && !e.assigned.contains_key(i)
         };
         (0..e.spec.tasks).filter(free).take(most).collect()
@@ -169,7 +173,7 @@
 
     /// Assigns what is free of one job; what has no room is wanted.
     fn assign_job(&mut self, id: &JobId, round: &mut Round) {
-        let Some(job) = round.mirror.jobs.get(id) else {
+        let Some(job) = round.cache.jobs.get(id) else {
             return;
         };
         let Some(e) = self.jobs.get(id) else { return };
@@ -177,7 +181,7 @@
         let used = round.used.entry(spec.team.clone()).or_default();
         let free = self.free_tasks(e, job, used);
         let gang_may_not =
-            spec.shape == Shape::Gang && !(self.gangs_allowed && e.gang_may_start(free.len()));
+            spec.job_kind == JobKind::Gang && !(self.gangs_allowed && e.gang_may_start(free.len()));
         // Guard: a number beyond the limit would be one of a later epoch.
         let numbers_left = self.attempts + free.len() as u64 <= self.attempt_limit;
         if free.is_empty() || gang_may_not || !numbers_left {
@@ -191,23 +195,23 @@
             round.capacity.note_no_fit(&request);
         }
         if placed < free.len() {
-            let want = self.want(id, (free.len() - placed) as u32, age_s, round);
-            round.wants.extend(want);
+            let demand = self.want(id, (free.len() - placed) as u32, age_s, round);
+            round.pending_demand.extend(demand);
         }
         let used = round.used.entry(spec.team.clone()).or_default();
         used.cpus += placed as f64 * spec.cpus;
         used.gpus += placed as f64 * spec.gpus;
-        for (part, tasks) in chosen {
-            round.touched.insert(part.to_string());
+        for (shard, tasks) in chosen {
+            round.touched.insert(shard.to_string());
             for index in tasks {
-                self.assign_task(id, index, &part, round.now);
+                self.assign_task(id, index, &shard, round.now);
             }
         }
     }
 
     /// Teams that use more than they are guaranteed.
-    fn borrowing_teams(&self, used: &HashMap<Arc<str>, Res>) -> Vec<Arc<str>> {
-        let borrows = |name: &Arc<str>, used: &Res| {
+    fn borrowing_teams(&self, used: &HashMap<Arc<str>, Resources>) -> Vec<Arc<str>> {
+        let borrows = |name: &Arc<str>, used: &Resources| {
             self.teams
                 .get(name)
                 .is_none_or(|team| used.cpus > team.cpus || used.gpus > team.gpus)
@@ -224,17 +228,17 @@
     /// What is stopped for the tasks of a job that have no room. Guard: without it,
     /// guests' low arrays that run for minutes held the machines which a team's own
     /// work then waited for.
-    fn preempts(&self, e: &JobEntry, day_ms: u64) -> Preempts {
-        let waited_s = day_ms.saturating_sub(e.at_ms) as f64 / 1000.0;
-        match e.spec.rank {
+    fn preempts(&self, e: &JobEntry, wall_clock_ms: u64) -> Preempts {
+        let waited_s = wall_clock_ms.saturating_sub(e.at_ms) as f64 / 1000.0;
+        match e.spec.priority {
             _ if self.preemption_held => Preempts::Nothing,
-            Rank::Prod => Preempts::AllLowerWork,
-            Rank::Urgent | Rank::Standard
+            Priority::Prod => Preempts::AllLowerWork,
+            Priority::Urgent | Priority::Standard
                 if !e.spec.whole() && waited_s > self.report_s * PREEMPTS_AFTER_REPORTS =>
             {
                 Preempts::BorrowingLowWork
             }
-            Rank::Urgent | Rank::Standard | Rank::Low => Preempts::Nothing,
+            Priority::Urgent | Priority::Standard | Priority::Low => Preempts::Nothing,
         }
     }
 
@@ -242,16 +246,16 @@
     /// that nobody has an aim for and that its team only borrows room for, no
     /// ordinary machine is rented but the first, so that it begins: the cloud has
     /// too few of them for all.
-    fn want(&self, id: &JobId, count: u32, age_s: Secs, round: &Round) -> Option<Want> {
+    fn want(&self, id: &JobId, count: u32, age_s: Seconds, round: &Round) -> Option<PendingDemand> {
         let entry = self.jobs.get(id)?;
         let spec = &entry.spec;
         let idle_work = spec.spot
-            && spec.rank == Rank::Low
+            && spec.priority == Priority::Low
             && !self.classes_with_aims.contains(&spec.class)
             && self.borrowing.contains(&spec.team);
         let is_late = stage(id, entry, false, round) == Stage::Unbegun;
-        Some(Want {
-            zones: self.zones_of(id, round.mirror),
+        Some(PendingDemand {
+            zones: self.zones_of(id, round.cache),
             ask: spec.ask(),
             count: if idle_work && is_late { 1 } else { count },
             spec: spec.clone(),
@@ -262,19 +266,23 @@
 
     fn request(&self, e: &JobEntry, round: &Round) -> PlacementRequest {
         let spec = &e.spec;
-        let quick = best_fit::in_a_hurry(spec, &self.start_aims, round.mirror.catalog.as_deref());
+        let latency_sensitive = bin_packing::is_latency_sensitive(
+            spec,
+            &self.start_aims,
+            round.cache.catalog.as_deref(),
+        );
         let avoid = e.failures.avoided().to_vec();
-        let preempts = self.preempts(e, round.day_ms);
-        let request = PlacementRequest::new(spec, &self.names, avoid, quick, preempts);
+        let preempts = self.preempts(e, round.wall_clock_ms);
+        let request = PlacementRequest::new(spec, &self.names, avoid, latency_sensitive, preempts);
         // The start of a gang with an aim needs room at once in a single zone.
-        if spec.shape == Shape::Gang && self.start_aims.contains_key(&spec.class) {
+        if spec.job_kind == JobKind::Gang && self.start_aims.contains_key(&spec.class) {
             request.with_reserve()
         } else {
             request
         }
     }
 
-    /// The parts that take tasks of a job, by its shape.
+    /// The shards that take tasks of a job, by its shape.
     fn choose_parts(
         &mut self,
         id: &JobId,
@@ -290,7 +298,7 @@
             return Vec::new();
         };
         let spec = e.spec.clone();
-        if spec.shape == Shape::Gang {
+        if spec.job_kind == JobKind::Gang {
             // The first of those that wait; for the others its room comes later.
             let keeps_room = !round.gang_waits && round.age_s(e) < BEGIN_WITHIN_S * 2.0;
             let chosen = self.assign_gang(
@@ -298,15 +306,15 @@
                 request,
                 free,
                 &mut round.capacity,
-                round.mirror,
+                round.cache,
                 keeps_room,
             );
             round.gang_waits |= chosen.is_empty() && keeps_room;
             chosen
         } else if spec.one_zone || spec.scatter {
             let chosen =
-                self.assign_bound_to_zones(id, request, free, &mut round.capacity, round.mirror);
-            if spec.one_zone && spec.shape == Shape::Service {
+                self.assign_bound_to_zones(id, request, free, &mut round.capacity, round.cache);
+            if spec.one_zone && spec.job_kind == JobKind::Service {
                 self.leave_zone(
                     id,
                     request,
@@ -323,23 +331,23 @@
         }
     }
 
-    /// Gives a task to a part, under an attempt of its own or that of its gang.
-    fn assign_task(&mut self, id: &JobId, index: u32, part: &Arc<str>, now: Secs) {
+    /// Gives a task to a shard, under an attempt of its own or that of its gang.
+    fn assign_task(&mut self, id: &JobId, index: u32, shard: &Arc<str>, now: Seconds) {
         self.attempts += 1;
         let assignment = token::attempt(self.epoch, self.attempts);
         let Some(e) = self.jobs.get_mut(id) else {
             return;
         };
-        let attempt = match e.spec.shape {
-            Shape::Gang => e.gang_attempt(assignment, now),
-            Shape::Array | Shape::Service => assignment,
+        let attempt = match e.spec.job_kind {
+            JobKind::Gang => e.gang_attempt(assignment, now),
+            JobKind::Array | JobKind::Service => assignment,
         };
-        let assigned = AssignedTask {
-            part: part.clone(),
+        let assigned = TaskAssignment {
+            shard: shard.clone(),
             attempt,
             assignment,
             listed: false,
-            phase: Phase::Queued,
+            phase: TaskPhase::Queued,
             machine: None,
         };
         e.assign(index, assigned);
@@ -352,29 +360,29 @@
 
 /// What one round of assignment works with.
 struct Round<'a> {
-    mirror: &'a Mirror,
-    now: Secs,
-    day_ms: u64,
+    cache: &'a StoreCache,
+    now: Seconds,
+    wall_clock_ms: u64,
     /// What each team uses, with what was assigned in this round.
-    used: HashMap<Arc<str>, Res>,
+    used: HashMap<Arc<str>, Resources>,
     capacity: FreeCapacity,
-    wants: Vec<Want>,
+    pending_demand: Vec<PendingDemand>,
     /// A gang waits for which room is kept.
     gang_waits: bool,
-    /// Parts that have new orders.
+    /// Shards that have new orders.
     touched: BTreeSet<String>,
 }
 
 impl Round<'_> {
-    fn age_s(&self, e: &JobEntry) -> Secs {
-        self.day_ms.saturating_sub(e.at_ms) as f64 / 1000.0
+    fn age_s(&self, e: &JobEntry) -> Seconds {
+        self.wall_clock_ms.saturating_sub(e.at_ms) as f64 / 1000.0
     }
 }
 
-/// What comes before rank in the order of jobs, the most pressing first.
+/// What comes before priority in the order of jobs, the most pressing first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
-    HighestRank,
+    HighestPriority,
     /// Not begun for long. Large jobs come late in every order: whatever is said
     /// against it, a job begins while users still wait for it.
     Unbegun,
@@ -386,12 +394,12 @@
     let begun = !e.assigned.is_empty()
         || !e.unknown.is_empty()
         || round
-            .mirror
+            .cache
             .jobs
             .get(id)
             .is_some_and(|j| !j.finished.is_empty());
-    match e.spec.rank {
-        Rank::Prod => Stage::HighestRank,
+    match e.spec.priority {
+        Priority::Prod => Stage::HighestPriority,
         _ if !begun && round.age_s(e) > BEGIN_WITHIN_S / 3.0 => Stage::Unbegun,
         _ if guaranteed => Stage::Guaranteed,
         _ => Stage::Borrowed,
--- a/src/assignment/urgency.rs
+++ b/src/scheduler/urgency.rs
@@ -1,6 +1,6 @@
-//! The order among jobs of a rank.
+//! The order among jobs of a priority.
 
-use crate::settings::Settings;
+use crate::config::settings::Settings;
 use crate::wire::JobSpec;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,37 +8,42 @@
 /// The longest time, of those that the aims name, within which jobs of a class
 /// should be finished.
 #[derive(Debug, Clone, Default)]
-pub struct Aims {
+pub struct ServiceObjectives {
     within: HashMap<Arc<str>, f64>,
 }
 
-impl Aims {
-    pub(super) fn new(settings: &Settings) -> Aims {
-        let mut aims = Aims::default();
+impl ServiceObjectives {
+    pub(super) fn new(settings: &Settings) -> ServiceObjectives {
+        let mut objectives = ServiceObjectives::default();
         for o in &settings.params.objectives {
             let class: Arc<str> = o.class.as_str().into();
             if let (true, Some(w)) = (o.kind == "finished", o.within_s) {
-                let known = aims.within.entry(class).or_insert(w);
+                let known = objectives.within.entry(class).or_insert(w);
                 *known = known.max(w);
             }
         }
-        aims
+        objectives
     }
 }
 
-/// The order among jobs of a rank, the most urgent first: by deadline where
+/// The order among jobs of a priority, the most urgent first: by deadline where
 /// there is one. Where the aim is a time to be finished within, who can still
 /// be in time goes before who can't, since under overload the order of arrival
 /// makes everybody late. A job that has waited four times as long goes before
 /// all, so that none starves.
-pub(super) fn urgency(spec: &JobSpec, at_ms: u64, day_ms: u64, aims: &Aims) -> (u8, i64) {
-    let age = (day_ms as f64 - at_ms as f64) / 1000.0;
+pub(super) fn urgency(
+    spec: &JobSpec,
+    at_ms: u64,
+    wall_clock_ms: u64,
+    objectives: &ServiceObjectives,
+) -> (u8, i64) {
+    let age = (wall_clock_ms as f64 - at_ms as f64) / 1000.0;
     let in_time = |span: f64| age + spec.estimate_s <= span;
     let at = |span: f64| at_ms as i64 + (span * 1000.0) as i64;
     if let Some(d) = spec.deadline_s {
         return (0, at(d));
     }
-    match aims.within.get(&spec.class).copied() {
+    match objectives.within.get(&spec.class).copied() {
         Some(w) => {
             let tier = if in_time(w) || age > w * 4.0 { 0 } else { 2 };
             // Small jobs first, as more of them are in time so; large ones
--- a/src/fleet/assigned_tasks.rs
+++ b/src/shard/assigned_tasks.rs
@@ -1,7 +1,7 @@
-//! The tasks that a part holds, with an index by machine: what concerns one
-//! machine must not cost a look at every task of the part.
+//! The tasks that a shard holds, with an index by machine: what concerns one
+//! machine must not cost a look at every task of the shard.
 
-use crate::fleet::{Held, HeldView, LastReported, Phase, Place};
+use crate::shard::{AssignedTask, AssignedTaskStatus, LastReported, Placement, TaskPhase};
 use crate::wire::{MachineId, Task};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::RangeInclusive;
@@ -10,18 +10,18 @@
 /// which keeps the index true.
 #[derive(Debug, Default)]
 pub(crate) struct AssignedTasks {
-    all: BTreeMap<Task, Held>,
+    all: BTreeMap<Task, AssignedTask>,
     on: HashMap<MachineId, BTreeSet<Task>>,
     queued: BTreeSet<Task>,
 }
 
 impl AssignedTasks {
     /// One task.
-    pub fn get(&self, task: &Task) -> Option<&Held> {
+    pub fn get(&self, task: &Task) -> Option<&AssignedTask> {
         self.all.get(task)
     }
     /// One task's place, for everything but moving it to another machine.
-    pub fn place_mut(&mut self, task: &Task) -> Option<&mut Place> {
+    pub fn place_mut(&mut self, task: &Task) -> Option<&mut Placement> {
         self.all.get_mut(task)?.at.as_mut()
     }
     /// Whether it is held.
@@ -29,18 +29,18 @@
         self.all.contains_key(task)
     }
     /// All of them, in order.
-    pub fn iter(&self) -> impl Iterator<Item = (&Task, &Held)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
         self.all.iter()
     }
     /// A range of them, in order.
-    pub fn range(&self, r: RangeInclusive<Task>) -> impl Iterator<Item = (&Task, &Held)> {
+    pub fn range(&self, r: RangeInclusive<Task>) -> impl Iterator<Item = (&Task, &AssignedTask)> {
         self.all.range(r)
     }
     /// Those of a machine, in order.
     pub fn on<'a>(
         &'a self,
         machine: &MachineId,
-    ) -> impl Iterator<Item = (&'a Task, &'a Held)> + 'a {
+    ) -> impl Iterator<Item = (&'a Task, &'a AssignedTask)> + 'a {
         let tasks = self.on.get(machine).into_iter().flatten();
         tasks.filter_map(|t| self.all.get_key_value(t))
     }
@@ -56,11 +56,11 @@
         self.on.get(machine).map_or(0, BTreeSet::len)
     }
     /// Those that no machine has yet.
-    pub fn queued(&self) -> impl Iterator<Item = (&Task, &Held)> {
+    pub fn queued(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
         self.queued.iter().filter_map(|t| self.all.get_key_value(t))
     }
     /// Takes one in, in place of what was held of it.
-    pub fn insert(&mut self, task: Task, held: Held) {
+    pub fn insert(&mut self, task: Task, held: AssignedTask) {
         self.remove(&task);
         match &held.at {
             Some(p) => {
@@ -76,7 +76,7 @@
         self.all.insert(task, held);
     }
     /// Lets go of one.
-    pub fn remove(&mut self, task: &Task) -> Option<Held> {
+    pub fn remove(&mut self, task: &Task) -> Option<AssignedTask> {
         let held = self.all.remove(task)?;
         match &held.at {
             Some(p) => {
@@ -94,11 +94,11 @@
         Some(held)
     }
     /// Gives one its place.
-    pub fn place(&mut self, task: &Task, attempt: u64, at: Place) {
+    pub fn place(&mut self, task: &Task, attempt: u64, at: Placement) {
         if let Some(held) = self.remove(task) {
             self.insert(
                 task.clone(),
-                Held {
+                AssignedTask {
                     attempt,
                     at: Some(at),
                     ..held
@@ -108,10 +108,10 @@
     }
     /// The views that have changed since report `since`; `seq` is the report
     /// that will tell them.
-    pub fn changed(&mut self, seq: u64, since: u64) -> Vec<HeldView> {
+    pub fn changed(&mut self, seq: u64, since: u64) -> Vec<AssignedTaskStatus> {
         let mut out = Vec::new();
         for (task, h) in &mut self.all {
-            let phase = h.at.as_ref().map_or(Phase::Queued, |p| p.phase);
+            let phase = h.at.as_ref().map_or(TaskPhase::Queued, |p| p.phase);
             let machine = h.at.as_ref().map(|p| &p.machine);
             let same = h.told.as_ref().is_some_and(|t| {
                 t.attempt == h.attempt && t.phase == phase && t.machine.as_ref() == machine
@@ -125,7 +125,7 @@
                 });
             }
             if h.told.as_ref().is_some_and(|t| t.seq > since) {
-                out.push(HeldView {
+                out.push(AssignedTaskStatus {
                     task: task.clone(),
                     attempt: h.attempt,
                     phase,
@@ -137,7 +137,7 @@
         out
     }
     /// Lets go of all that `keep` says no to.
-    pub fn retain(&mut self, keep: impl Fn(&Task, &Held) -> bool) -> Vec<(Task, u64)> {
+    pub fn retain(&mut self, keep: impl Fn(&Task, &AssignedTask) -> bool) -> Vec<(Task, u64)> {
         let out: Vec<(Task, u64)> = self
             .all
             .iter()
--- a/src/fleet/commands.rs
+++ b/src/shard/commands.rs
@@ -1,51 +1,51 @@
 //! Commands to workers, as answers to reports or sent directly, and the tokens
 //! that tell late copies from new ones.
 
-use super::{Part, Phase, Stop, LATE_REPORTS};
-use crate::clock::Secs;
-use crate::jobs::Mirror;
-use crate::membership::{token, token_counter, token_epoch};
-use crate::wire::{Call, Commands, MachineId, Report, Task, TaskState};
-use finchwood_reconcile::record::StopCause;
-use finchwood_reconcile::stored::StoredJobs;
-use finchwood_reconcile::verdict::{may_reap, must_stop, ReportedTask};
+use super::{Shard, Stop, TaskPhase, LATE_REPORTS};
+use crate::clock::Seconds;
+use crate::cluster::membership::{token, token_counter, token_epoch};
+use crate::store::cache::StoreCache;
+use crate::wire::{Command, CommandBatch, Heartbeat, MachineId, Task, TaskState};
+use finchwood_reconciliation::restart_record::StopCause;
+use finchwood_reconciliation::stored_jobs::StoredJobs;
+use finchwood_reconciliation::verdict::{may_reap, must_stop, ReportedTask};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 /// A task as its machine last showed it: attempt, state and cause.
-type TaskLine = (u64, TaskState, Option<String>);
+type TaskObservation = (u64, TaskState, Option<String>);
 
 /// What to answer a worker.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReportReply {
+pub enum HeartbeatReply {
     /// 200 with token and commands.
-    Commands { token: u64, commands: Vec<Call> },
+    Accepted { token: u64, commands: Vec<Command> },
     /// 503: not entitled, or the report is older than one already seen.
     Refuse,
 }
 
 /// Commands to send directly.
 #[derive(Debug, Clone)]
-pub struct Direct {
+pub struct DirectCommand {
     pub machine: MachineId,
-    pub addr: Arc<str>,
-    pub body: Commands,
+    pub address: Arc<str>,
+    pub body: CommandBatch,
     /// It has not been heard lately: it may not answer, and must not hold up
     /// what is meant for those that do.
-    pub doubtful: bool,
+    pub unverified: bool,
 }
 
 /// How many direct commands may go out: to machines heard lately, and to those
 /// in doubt.
 #[derive(Debug, Clone, Copy)]
-pub struct DirectRoom {
-    pub sound: usize,
-    pub doubtful: usize,
+pub struct CommandCapacity {
+    pub responsive: usize,
+    pub unverified: usize,
 }
 
 /// How long a task that is stopped may take to save.
-fn saving_time(stop: Stop, task: &Task, mirror: &Mirror) -> Secs {
-    let spec = mirror
+fn saving_time(stop: Stop, task: &Task, cache: &StoreCache) -> Seconds {
+    let spec = cache
         .jobs
         .get(&task.job)
         .and_then(|job| job.record.spec.as_ref());
@@ -67,27 +67,27 @@
     }
 }
 
-impl Part {
+impl Shard {
     /// The commands a machine is due. Reaps wait while a direct command is
     /// unanswered, and always carry a token above every earlier start's: a
     /// late copy of a start would run a reaped attempt again.
     pub(super) fn compose(
         &mut self,
         id: &MachineId,
-        mirror: &Mirror,
+        cache: &StoreCache,
         direct: bool,
-    ) -> (u64, Vec<Call>) {
+    ) -> (u64, Vec<Command>) {
         let epoch = self.epoch;
         let Some(m) = self.machines.get_mut(id) else {
             return (token(epoch, 0), Vec::new());
         };
         if !m.certain() || m.spent() {
-            return (token(epoch, m.counter), m.cancelled_stops(mirror));
+            return (token(epoch, m.counter), m.cancelled_stops(cache));
         }
         let reaps = if m.in_flight {
             Vec::new()
         } else {
-            self.reaps(id, mirror)
+            self.reaps(id, cache)
         };
         let stops = self.stops_of_unheld(id);
         let Some(m) = self.machines.get_mut(id) else {
@@ -104,7 +104,7 @@
         let mut commands = reaps;
         commands.extend(stops);
         for task in self.held.names_on(id) {
-            commands.extend(self.call_for_held(id, &task, token, mirror));
+            commands.extend(self.call_for_held(id, &task, token, cache));
         }
         (token, commands)
     }
@@ -116,8 +116,8 @@
         id: &MachineId,
         task: &Task,
         token: u64,
-        mirror: &Mirror,
-    ) -> Option<Call> {
+        cache: &StoreCache,
+    ) -> Option<Command> {
         let (session, up) = self.machines.get(id).map(|m| (m.session, m.up))?;
         let attempt = self.held.get(task)?.attempt;
         let place = self.held.place_mut(task)?;
@@ -130,22 +130,22 @@
             place.session = session;
             place.sent = true;
             counts.starts += 1;
-            return Some(Call::Start {
+            return Some(Command::Start {
                 task: task.to_string(),
                 attempt,
             });
         };
-        if place.phase == Phase::Done {
+        if place.phase == TaskPhase::Done {
             return None;
         }
         place.stop_sent = true;
-        let grace_s = saving_time(stop, task, mirror);
+        let grace_s = saving_time(stop, task, cache);
         // A second stop would end a saving task.
-        if place.phase == Phase::Saving && grace_s > 0.0 {
+        if place.phase == TaskPhase::Saving && grace_s > 0.0 {
             return None;
         }
         *counts.stops.entry(stop.into()).or_default() += 1;
-        Some(Call::Stop {
+        Some(Command::Stop {
             task: task.to_string(),
             attempt,
             grace_s,
@@ -153,7 +153,7 @@
     }
 
     /// What a machine's worker may forget.
-    fn reaps(&self, id: &MachineId, mirror: &Mirror) -> Vec<Call> {
+    fn reaps(&self, id: &MachineId, cache: &StoreCache) -> Vec<Command> {
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
@@ -162,19 +162,19 @@
             may_reap(
                 reported,
                 self.holding(id, task, *attempt),
-                mirror.stored(task),
+                cache.stored(task),
             )
             .is_some()
         });
-        due.map(|(task, line)| Call::Forget {
+        due.map(|(task, line)| Command::Forget {
             task: task.to_string(),
             attempt: line.0,
         })
         .collect()
     }
 
-    /// Stops for what a machine shows to run and this part doesn't hold there.
-    fn stops_of_unheld(&self, id: &MachineId) -> Vec<Call> {
+    /// Stops for what a machine shows to run and this shard doesn't hold there.
+    fn stops_of_unheld(&self, id: &MachineId) -> Vec<Command> {
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
@@ -182,7 +182,7 @@
             let reported = ReportedTask::new(*attempt, *state, why.as_deref());
             must_stop(reported, self.holding(id, task, *attempt)).is_some()
         });
-        let stop = |(task, line): (&Task, &TaskLine)| Call::Stop {
+        let stop = |(task, line): (&Task, &TaskObservation)| Command::Stop {
             task: task.to_string(),
             attempt: line.0,
             grace_s: 0.0,
@@ -191,13 +191,13 @@
     }
 
     /// Direct commands that are due now.
-    pub fn directs(&mut self, mirror: &Mirror, now: Secs) -> Vec<Direct> {
-        self.directs_within(
-            mirror,
+    pub fn due_commands(&mut self, cache: &StoreCache, now: Seconds) -> Vec<DirectCommand> {
+        self.due_commands_within(
+            cache,
             now,
-            DirectRoom {
-                sound: usize::MAX,
-                doubtful: usize::MAX,
+            CommandCapacity {
+                responsive: usize::MAX,
+                unverified: usize::MAX,
             },
         )
     }
@@ -205,12 +205,12 @@
     /// Direct commands that are due now, as many as there is room for. The rest
     /// stay due: to give one up that was never sent would raise its machine's
     /// token for nothing.
-    pub fn directs_within(
+    pub fn due_commands_within(
         &mut self,
-        mirror: &Mirror,
-        now: Secs,
-        mut room: DirectRoom,
-    ) -> Vec<Direct> {
+        cache: &StoreCache,
+        now: Seconds,
+        mut room: CommandCapacity,
+    ) -> Vec<DirectCommand> {
         let mut due: BTreeSet<MachineId> = BTreeSet::new();
         for (_, h) in self.held.iter() {
             if let Some(p) = &h.at {
@@ -234,7 +234,7 @@
         );
         let mut out = Vec::new();
         for id in due {
-            if self.handovers.is_fenced(&id) {
+            if self.transfers.is_fenced(&id) {
                 continue;
             }
             let Some(m) = self.machines.get_mut(&id) else {
@@ -243,14 +243,14 @@
             if m.in_flight || now < m.direct_bad_until || m.session <= m.over && m.session != 0 {
                 continue;
             }
-            let (Some(addr), session) = (m.addr.clone(), m.session) else {
+            let (Some(address), session) = (m.address.clone(), m.session) else {
                 continue;
             };
-            let doubtful = m.unanswered_since.is_some() || m.heard.is_none_or(|h| now - h > late);
-            let left = if doubtful {
-                &mut room.doubtful
+            let unverified = m.unanswered_since.is_some() || m.heard.is_none_or(|h| now - h > late);
+            let left = if unverified {
+                &mut room.unverified
             } else {
-                &mut room.sound
+                &mut room.responsive
             };
             if *left == 0 {
                 continue;
@@ -260,52 +260,52 @@
             m.asked = m.asked.or(Some(now));
             if !m.certain() {
                 m.in_flight = true;
-                let commands = m.cancelled_stops(mirror);
+                let commands = m.cancelled_stops(cache);
                 self.record.orders.questions += 1;
-                let body = Commands {
+                let body = CommandBatch {
                     token: token(self.epoch, m.counter),
                     session,
                     commands,
                 };
-                out.push(Direct {
+                out.push(DirectCommand {
                     machine: id,
-                    addr,
+                    address,
                     body,
-                    doubtful,
+                    unverified,
                 });
                 continue;
             }
-            let (token, commands) = self.compose(&id, mirror, true);
-            out.push(Direct {
+            let (token, commands) = self.compose(&id, cache, true);
+            out.push(DirectCommand {
                 machine: id,
-                addr,
-                body: Commands {
+                address,
+                body: CommandBatch {
                     token,
                     session,
                     commands,
                 },
-                doubtful,
+                unverified,
             });
         }
         out
     }
 
     /// A direct command was answered (with the worker's report), or not.
-    pub fn direct_done(
+    pub fn command_completed(
         &mut self,
         id: &MachineId,
-        sent: &Commands,
-        answer: Option<&Report>,
-        mirror: &Mirror,
-        now: Secs,
+        sent: &CommandBatch,
+        answer: Option<&Heartbeat>,
+        cache: &StoreCache,
+        now: Seconds,
     ) {
         let (epoch, report_s) = (self.epoch, self.timing.report_s);
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
         m.in_flight = false;
-        // What is known of it has gone over to its taker: no more may change.
-        if self.handovers.is_fenced(id) {
+        // What is known of it has gone over to its target: no more may change.
+        if self.transfers.is_fenced(id) {
             return;
         }
         match answer {
@@ -326,7 +326,7 @@
                     }
                 }
                 let zone = m.zone.clone();
-                self.take_in(r, mirror, now);
+                self.take_in(r, cache, now);
                 self.reach(&zone, now);
             }
             _ => {
@@ -338,7 +338,7 @@
                 if sent
                     .commands
                     .iter()
-                    .any(|c| !matches!(c, Call::Stop { .. }))
+                    .any(|c| !matches!(c, Command::Stop { .. }))
                 {
                     m.counter += 1;
                 }
--- a/src/fleet/reports.rs
+++ b/src/shard/heartbeats.rs
@@ -1,17 +1,17 @@
 //! Workers' reports: which are newer than what is known, what they prove, and
-//! what has become of the tasks that this part holds.
+//! what has become of the tasks that this shard holds.
 
 use super::machine::Machine;
-use super::{Part, ReportReply};
-use crate::clock::Secs;
-use crate::failure_detection::ReachedSpan;
-use crate::jobs::Mirror;
-use crate::membership::{token, token_counter, token_epoch};
-use crate::wire::{MachineId, Report, Task, TaskLine};
-use finchwood_reconcile::machine::MachineEvent;
+use super::{HeartbeatReply, Shard};
+use crate::clock::Seconds;
+use crate::cluster::failure_detection::ReachedSpan;
+use crate::cluster::membership::{token, token_counter, token_epoch};
+use crate::store::cache::StoreCache;
+use crate::wire::{Heartbeat, MachineId, Task, TaskReport};
+use finchwood_reconciliation::machine_state::MachineEvent;
 use std::sync::Arc;
 
-impl Part {
+impl Shard {
     /// A report came, and be it that this node has no right to answer it: its
     /// machine is not mute.
     pub fn note_contact(&mut self, id: &MachineId) {
@@ -21,32 +21,38 @@
     }
 
     /// Takes in a worker's report and composes the answer.
-    pub fn report(&mut self, r: &Report, relayed: bool, mirror: &Mirror, now: Secs) -> ReportReply {
+    pub fn report(
+        &mut self,
+        r: &Heartbeat,
+        relayed: bool,
+        cache: &StoreCache,
+        now: Seconds,
+    ) -> HeartbeatReply {
         if token_epoch(r.token) > self.epoch {
             // Somebody with a later epoch commands it: an answer of ours
             // would only be dropped.
-            return ReportReply::Refuse;
+            return HeartbeatReply::Refuse;
         }
-        if self.handovers.is_awaited(&r.machine) {
-            return ReportReply::Refuse;
+        if self.transfers.is_awaited(&r.machine) {
+            return HeartbeatReply::Refuse;
         }
-        if self.handovers.is_fenced(&r.machine) {
-            return self.answer_fenced(r, mirror, now);
+        if self.transfers.is_fenced(&r.machine) {
+            return self.answer_fenced(r, cache, now);
         }
         let epoch = self.epoch;
-        let giver_renews_until = self.giver_renews_until();
-        let known = mirror
-            .roster
+        let source_renews_until = self.source_renews_until();
+        let known = cache
+            .registry
             .get(&r.machine)
             .map(|(record, _)| record.clone());
         let m = self
             .machines
             .entry(r.machine.clone())
             .or_insert_with(|| Machine {
-                kind: r.kind.clone(),
+                machine_type: r.machine_type.clone(),
                 zone: r.zone.clone(),
                 spot: r.spot,
-                giver_renews_until,
+                source_renews_until,
                 ..Machine::unknown(now)
             });
         if let Some(record) = known {
@@ -54,7 +60,7 @@
             m.up |= record.up;
         }
         if (r.session, r.seq) <= (m.session, m.seq) || r.session <= m.over {
-            return ReportReply::Refuse;
+            return HeartbeatReply::Refuse;
         }
         m.answered = Some(now);
         m.unreported = None;
@@ -62,7 +68,7 @@
             m.counter = token_counter(r.token) + 1;
         }
         m.note_seen_token(r, epoch, relayed, self.timing, now);
-        self.take_in(r, mirror, now);
+        self.take_in(r, cache, now);
         if let Some(m) = self
             .machines
             .get(&r.machine)
@@ -71,15 +77,15 @@
             let zone = m.zone.clone();
             self.reach(&zone, now);
         }
-        let (token, commands) = self.compose(&r.machine, mirror, false);
+        let (token, commands) = self.compose(&r.machine, cache, false);
         if let Some(m) = self.machines.get_mut(&r.machine) {
             m.told(r.token, token, now);
         }
-        ReportReply::Commands { token, commands }
+        HeartbeatReply::Accepted { token, commands }
     }
 
     /// A machine of a zone was reached with nobody in between.
-    pub(super) fn reach(&mut self, zone: &Arc<str>, now: Secs) {
+    pub(super) fn reach(&mut self, zone: &Arc<str>, now: Seconds) {
         let known = self.reached.get(zone).copied();
         let stretch = ReachedSpan::reached(known, now, self.timing.report_s);
         self.reached.insert(zone.clone(), stretch);
@@ -93,7 +99,7 @@
     }
 
     /// Takes in the newest known state of a machine.
-    pub(super) fn take_in(&mut self, r: &Report, mirror: &Mirror, now: Secs) {
+    pub(super) fn take_in(&mut self, r: &Heartbeat, cache: &StoreCache, now: Seconds) {
         let id = r.machine.clone();
         let Some(m) = self.machines.get_mut(&id) else {
             return;
@@ -107,7 +113,7 @@
         }
         m.session = r.session;
         m.seq = r.seq;
-        m.addr = Some(r.addr.as_str().into());
+        m.address = Some(r.address.as_str().into());
         // A copy of an old report may come long after its machine is gone, to
         // a node that never saw the first: only a worker that has seen a token
         // of this epoch is alive in it. One that was never used has sent no
@@ -132,12 +138,12 @@
         m.lines = r
             .tasks
             .iter()
-            .filter_map(|l: &TaskLine| {
+            .filter_map(|l: &TaskReport| {
                 Some((Task::parse(&l.task)?, (l.attempt, l.state, l.why.clone())))
             })
             .collect();
         let was_certain = m.certain();
-        let transition = m.state.after(MachineEvent::Report {
+        let transition = m.state.after(MachineEvent::Heartbeat {
             first_contact: m.heard.is_none(),
             used: m.up,
             shows_token: r.token >= token(self.epoch, m.counter),
@@ -158,7 +164,7 @@
             self.lose(&id, r.session);
         }
         if certain {
-            self.reconcile(&id, r.token, mirror, now);
+            self.reconcile(&id, r.token, cache, now);
         }
         if let Some(m) = self.machines.get_mut(&id) {
             if !m.lines.is_empty() || self.held.count_on(&id) > 0 {
--- a/src/fleet/leases.rs
+++ b/src/shard/leases.rs
@@ -1,18 +1,18 @@
 //! What ends with a worker's lease, and what has to leave machines that will be
 //! taken.
 
-use super::{Part, Phase, Stop};
-use crate::clock::{self, Secs};
-use crate::jobs::Mirror;
-use crate::wire::{MachineId, Shape};
-use finchwood_reconcile::machine::MachineEvent;
+use super::{Shard, Stop, TaskPhase};
+use crate::clock::{self, Seconds};
+use crate::store::cache::StoreCache;
+use crate::wire::{JobKind, MachineId};
+use finchwood_reconciliation::machine_state::MachineEvent;
 
-impl Part {
+impl Shard {
     /// A worker that has had no answer for the whole of its lease has killed
     /// its tasks: only this owner answers it (an earlier one was fenced before
     /// this epoch), so what it held is nowhere, even if the machine itself
     /// can't be seen. A session it was answered in is over for good.
-    pub fn expire_leases(&mut self, now: Secs) {
+    pub fn expire_leases(&mut self, now: Seconds) {
         let limit = clock::with_drift_margin(self.timing.lease_s);
         // An earlier owner may have been left out of the epoch while it was
         // alive, and answers until it reads so or its own lease's time is up.
@@ -30,10 +30,10 @@
                 if !m.certain() {
                     renewed = renewed.max(entered);
                 }
-                renewed = renewed.max(m.giver_renews_until);
+                renewed = renewed.max(m.source_renews_until);
                 !m.in_flight && now - renewed > limit
             })
-            .filter(|(id, _)| !self.handovers.is_fenced(id))
+            .filter(|(id, _)| !self.transfers.is_fenced(id))
             .filter(|(_, m)| !m.certain() || m.session > m.over)
             .map(|(id, _)| id.clone())
             .collect();
@@ -51,7 +51,7 @@
     }
 
     /// Stops what has to move off machines that will be taken.
-    pub fn stop_for_notices(&mut self, mirror: &Mirror, now: Secs) {
+    pub fn stop_for_notices(&mut self, cache: &StoreCache, now: Seconds) {
         let mut moving = Vec::new();
         let noticed = self
             .machines
@@ -61,10 +61,10 @@
             noticed.flat_map(|(id, until)| self.held.on(id).map(move |t| (until, t)))
         {
             let Some(p) = &h.at else { continue };
-            if p.stop.is_some() || p.phase == Phase::Done {
+            if p.stop.is_some() || p.phase == TaskPhase::Done {
                 continue;
             }
-            let Some(spec) = mirror
+            let Some(spec) = cache
                 .jobs
                 .get(&task.job)
                 .and_then(|j| j.record.spec.as_ref())
@@ -72,12 +72,12 @@
                 continue;
             };
             // The leader stops a gang as a whole.
-            if spec.shape == Shape::Gang {
+            if spec.job_kind == JobKind::Gang {
                 continue;
             }
             let left = spec.estimate_s - (now - p.since);
-            let ends_in_time = p.phase == Phase::Running
-                && spec.shape == Shape::Array
+            let ends_in_time = p.phase == TaskPhase::Running
+                && spec.job_kind == JobKind::Array
                 && now + left.max(0.0) < until;
             if !ends_in_time {
                 moving.push((task.clone(), h.attempt));
--- a/src/fleet/machine.rs
+++ b/src/shard/machine.rs
@@ -2,12 +2,12 @@
 //! and which signs of trouble it gives.
 
 use super::Timing;
-use crate::clock::Secs;
-use crate::jobs::Mirror;
-use crate::membership::{token, token_epoch, MOST_COUNTER};
-use crate::wire::{Call, JobId, Report, Task, TaskState};
-use finchwood_reconcile::machine::MachineState;
-use finchwood_reconcile::verdict::Verdict;
+use crate::clock::Seconds;
+use crate::cluster::membership::{token, token_epoch, MAX_COUNTER};
+use crate::store::cache::StoreCache;
+use crate::wire::{Command, Heartbeat, JobId, Task, TaskState};
+use finchwood_reconciliation::machine_state::MachineState;
+use finchwood_reconciliation::verdict::Verdict;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
@@ -17,15 +17,15 @@
 
 #[derive(Debug, Clone)]
 pub(super) struct Machine {
-    pub(super) kind: Arc<str>,
+    pub(super) machine_type: Arc<str>,
     pub(super) zone: Arc<str>,
     pub(super) spot: bool,
-    pub(super) addr: Option<Arc<str>>,
+    pub(super) address: Option<Arc<str>>,
     /// When the first command was sent that it has not answered.
-    pub(super) asked: Option<Secs>,
+    pub(super) asked: Option<Seconds>,
     /// Since when it does not answer, asked after a silence, while others of
     /// its zone are reached.
-    pub(super) unanswered_since: Option<Secs>,
+    pub(super) unanswered_since: Option<Seconds>,
     pub(super) listed: bool,
     pub(super) up: bool,
     /// What is known of its content.
@@ -33,32 +33,32 @@
     pub(super) session: u64,
     pub(super) seq: u64,
     pub(super) counter: u64,
-    pub(super) heard: Option<Secs>,
-    /// When this part came to know of it.
-    pub(super) since: Secs,
+    pub(super) heard: Option<Seconds>,
+    /// When this shard came to know of it.
+    pub(super) since: Seconds,
     /// When it was last sent an answer that renews its lease.
-    pub(super) answered: Option<Secs>,
+    pub(super) answered: Option<Seconds>,
     /// When its present session was first seen: it can't have begun later.
-    pub(super) session_seen: Secs,
+    pub(super) session_seen: Seconds,
     /// Sessions up to this one have ended, by the length of their lease.
     pub(super) over: u64,
     pub(super) lines: BTreeMap<Task, (u64, TaskState, Option<String>)>,
-    pub(super) notice_until: Option<Secs>,
+    pub(super) notice_until: Option<Seconds>,
     pub(super) draining: bool,
     pub(super) errors: HashSet<JobId>,
     pub(super) in_flight: bool,
-    pub(super) direct_bad_until: Secs,
-    pub(super) idle_since: Secs,
+    pub(super) direct_bad_until: Seconds,
+    pub(super) idle_since: Seconds,
     pub(super) images: VecDeque<(Arc<str>, f64)>,
     pub(super) probe: bool,
     /// The first answer that the worker has not shown to have seen.
     pub(super) unacknowledged: Option<Unacknowledged>,
     /// When its token was last raised only to see whether it follows.
-    pub(super) tested: Option<Secs>,
+    pub(super) tested: Option<Seconds>,
     /// Direct commands answered without any report between.
     pub(super) unreported: Option<Unreported>,
     /// Until when the controller that gave it away may have renewed its worker's lease.
-    pub(super) giver_renews_until: Secs,
+    pub(super) source_renews_until: Seconds,
     /// Its content was taken in at least once since its owner came to own it.
     pub(super) reconciled: bool,
     /// What was last judged of its tasks, other than that they are known.
@@ -68,25 +68,25 @@
 /// For how long a machine has answered direct commands without a report.
 #[derive(Debug, Clone)]
 pub(super) struct Unreported {
-    pub(super) since: Secs,
-    pub(super) last: Secs,
+    pub(super) since: Seconds,
+    pub(super) last: Seconds,
 }
 
 /// An answer that shows no effect.
 #[derive(Debug, Clone)]
 pub(super) struct Unacknowledged {
     pub(super) token: u64,
-    pub(super) since: Secs,
+    pub(super) since: Seconds,
     pub(super) answers: u32,
 }
 
 impl Machine {
-    pub(super) fn unknown(now: Secs) -> Machine {
+    pub(super) fn unknown(now: Seconds) -> Machine {
         Machine {
-            kind: "".into(),
+            machine_type: "".into(),
             zone: "".into(),
             spot: false,
-            addr: None,
+            address: None,
             asked: None,
             unanswered_since: None,
             listed: false,
@@ -112,7 +112,7 @@
             unacknowledged: None,
             tested: None,
             unreported: None,
-            giver_renews_until: f64::MIN,
+            source_renews_until: f64::MIN,
             reconciled: false,
             judged: BTreeMap::new(),
         }
@@ -137,11 +137,11 @@
     /// all, so it is told a higher token now and then: it must show it.
     pub(super) fn note_seen_token(
         &mut self,
-        r: &Report,
+        r: &Heartbeat,
         epoch: u64,
         relayed: bool,
         timing: Timing,
-        now: Secs,
+        now: Seconds,
     ) {
         let mine = token_epoch(r.token) == epoch;
         if self
@@ -161,7 +161,7 @@
     }
 
     /// An answer with `token` went out to a report that showed `seen`.
-    pub(super) fn told(&mut self, seen: u64, token: u64, now: Secs) {
+    pub(super) fn told(&mut self, seen: u64, token: u64, now: Seconds) {
         if seen < token {
             let u = self.unacknowledged.get_or_insert(Unacknowledged {
                 token,
@@ -174,7 +174,7 @@
 
     /// An answer has not been heeded for longer than its worker takes to
     /// report again: no new work until it is.
-    pub(super) fn suspect(&self, report_s: Secs, now: Secs) -> bool {
+    pub(super) fn suspect(&self, report_s: Seconds, now: Seconds) -> bool {
         self.unacknowledged
             .as_ref()
             .is_some_and(|u| u.answers >= 2 && now - u.since > report_s * 1.5)
@@ -183,18 +183,18 @@
 
     /// It answers direct commands but doesn't report: those renew no lease, so
     /// that what runs there will be killed, and what is started anew as well.
-    pub(super) fn stopped_reporting(&self, report_s: Secs, now: Secs) -> bool {
+    pub(super) fn stopped_reporting(&self, report_s: Seconds, now: Seconds) -> bool {
         self.unreported_for(now) > report_s * SILENT_REPORTS
     }
 
-    pub(super) fn unreported_for(&self, now: Secs) -> Secs {
+    pub(super) fn unreported_for(&self, now: Seconds) -> Seconds {
         self.unreported.as_ref().map_or(0.0, |u| now - u.since)
     }
 
     /// It answered a direct command. Guard: where none was sent for a while, as
     /// this node had no right to command, reports were refused too, and what
     /// went before says nothing: an outage made half a fleet look mute.
-    pub(super) fn obeyed(&mut self, report_s: Secs, now: Secs) {
+    pub(super) fn obeyed(&mut self, report_s: Seconds, now: Seconds) {
         match &mut self.unreported {
             Some(u) if now - u.last < report_s * SILENT_REPORTS / 1.5 => u.last = now,
             _ => {
@@ -208,19 +208,19 @@
 
     /// Its token can't be raised any more: no start there could be proven dead.
     pub(super) fn spent(&self) -> bool {
-        self.counter >= MOST_COUNTER
+        self.counter >= MAX_COUNTER
     }
 
     /// Stops for what it showed to run of cancelled jobs. They need no proof of
     /// what else is there: an answer without them renewed such tasks again and
     /// again while owners changed faster than a worker reports.
-    pub(super) fn cancelled_stops(&self, mirror: &Mirror) -> Vec<Call> {
-        let over = |t: &Task| mirror.jobs.get(&t.job).is_some_and(|j| j.record.cancelled);
+    pub(super) fn cancelled_stops(&self, cache: &StoreCache) -> Vec<Command> {
+        let over = |t: &Task| cache.jobs.get(&t.job).is_some_and(|j| j.record.cancelled);
         let runs = self
             .lines
             .iter()
             .filter(|(t, l)| l.1 != TaskState::Ended && over(t));
-        runs.map(|(t, l)| Call::Stop {
+        runs.map(|(t, l)| Command::Stop {
             task: t.to_string(),
             attempt: l.0,
             grace_s: 0.0,
@@ -231,7 +231,7 @@
     /// Its reports arrive, but nothing that it is answered or told reaches it:
     /// for so long that one lost answer, after which a worker tries other
     /// controllers first, can't be why.
-    pub(super) fn ignores_commands(&self, report_s: Secs, now: Secs) -> bool {
+    pub(super) fn ignores_commands(&self, report_s: Seconds, now: Seconds) -> bool {
         self.unacknowledged
             .as_ref()
             .is_some_and(|u| u.answers >= 3 && now - u.since > report_s * 3.0)
