--- a/src/fleet/messages.rs
+++ b/src/shard/messages.rs
@@ -1,15 +1,15 @@
-//! What a part and the leader tell each other. The names of fields and variants
+//! What a shard and the leader tell each other. The names of fields and variants
 //! are read by other versions.
 
-use crate::failure_detection::Reached;
-use crate::wire::{JobId, MachineId, Res, Task};
-use finchwood_shares::handover::{HandoverOrder, HandoverReport};
+use crate::cluster::failure_detection::Reached;
+use crate::wire::{JobId, MachineId, Resources, Task};
+use finchwood_sharding::transfer::{TransferOrder, TransferReport};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// How a task left this part.
+/// How a task left this shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Leave {
+pub enum RemovalReason {
     /// Stopped by our command.
     Stopped,
     /// Failed on its machine.
@@ -20,12 +20,12 @@
     Passed,
 }
 
-/// A task that is certainly nowhere in this part any more.
+/// A task that is certainly nowhere in this shard any more.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Gone {
+pub struct RemovedTask {
     pub task: Task,
     pub attempt: u64,
-    pub how: Leave,
+    pub how: RemovalReason,
     pub machine: Option<MachineId>,
     /// The assignment that it was held under; 0 if the version doesn't say.
     #[serde(default, skip_serializing_if = "is_zero")]
@@ -35,7 +35,7 @@
 
 /// What a held task is doing, as the leader sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Phase {
+pub enum TaskPhase {
     Queued,
     Starting,
     Fetching,
@@ -44,12 +44,12 @@
     Done,
 }
 
-/// One held task in a part's report.
+/// One held task in a shard's report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HeldView {
+pub struct AssignedTaskStatus {
     pub task: Task,
     pub attempt: u64,
-    pub phase: Phase,
+    pub phase: TaskPhase,
     pub machine: Option<MachineId>,
     /// The assignment that it is held under; 0 if the version doesn't say.
     #[serde(default, skip_serializing_if = "is_zero")]
@@ -60,28 +60,30 @@
     *number == 0
 }
 
-/// One machine in a part's report: everything but how long ago things were,
+/// One machine in a shard's report: everything but how long ago things were,
 /// so that a machine on which nothing happens need not be told again.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MachineView {
+pub struct MachineStatus {
     pub id: MachineId,
-    pub kind: Arc<str>,
+    #[serde(rename = "kind")]
+    pub machine_type: Arc<str>,
     pub zone: Arc<str>,
     pub spot: bool,
     /// What it holds is known under this owner's token.
     pub certain: bool,
     /// Heard of at all.
     pub heard: bool,
-    /// On the roster.
+    /// On the machine registry.
     pub listed: bool,
-    pub addr: Option<Arc<str>>,
-    pub free: Res,
-    /// What lower work than the highest rank's would give up for that.
-    pub yielding: Res,
-    /// What borrowing low arrays would give up for other work of a higher rank;
+    #[serde(rename = "addr")]
+    pub address: Option<Arc<str>>,
+    pub free: Resources,
+    /// What lower work than the highest priority's would give up for that.
+    pub yielding: Resources,
+    /// What borrowing low arrays would give up for other work of a higher priority;
     /// nothing from versions that don't say.
-    #[serde(default, skip_serializing_if = "Res::is_empty")]
-    pub yielding_low: Res,
+    #[serde(default, skip_serializing_if = "Resources::is_empty")]
+    pub yielding_low: Resources,
     /// Takes new tasks.
     pub open: bool,
     pub noticed: bool,
@@ -101,7 +103,7 @@
 
 /// A machine that has not been heard for a while.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Quiet {
+pub struct SilentMachine {
     pub id: MachineId,
     pub silent_s: f64,
     /// Since when it has not answered when asked, while others of its zone were
@@ -110,39 +112,41 @@
     pub unanswered_s: Option<f64>,
 }
 
-/// What a part tells the leader: all that changed since report `since`, which
+/// What a shard tells the leader: all that changed since report `since`, which
 /// the leader is known to have taken in (0: the whole). Everything in it is
 /// absolute, so that hearing a change twice does no harm; a report whose
 /// `since` the leader doesn't have is dropped by it and told again.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct PartReport {
+pub struct ShardReport {
     pub epoch: u64,
     pub node: String,
-    pub inc: u64,
+    #[serde(rename = "inc")]
+    pub incarnation: u64,
     /// All that was known in the epoch before is known still.
     #[serde(default)]
     pub kept: bool,
     pub since: u64,
     pub seq: u64,
-    pub machines: Vec<MachineView>,
-    /// Machines that are no longer this part's.
+    pub machines: Vec<MachineStatus>,
+    /// Machines that are no longer this shard's.
     pub unlisted: Vec<(MachineId, u64)>,
-    pub held: Vec<HeldView>,
-    pub gone: Vec<Gone>,
+    pub held: Vec<AssignedTaskStatus>,
+    pub gone: Vec<RemovedTask>,
     /// Tasks no longer held that need no word: committed as finished.
     pub dropped: Vec<(Task, u64, u64)>,
     /// All machines that are silent now, whether that is new or not.
-    pub quiet: Vec<Quiet>,
+    pub quiet: Vec<SilentMachine>,
     /// How zones are reached with nobody in between.
     pub zones_met: Vec<(Arc<str>, Reached)>,
-    /// Machines of other parts that came here, and how long ago.
+    /// Machines of other shards that came here, and how long ago.
     pub met: Vec<(MachineId, f64)>,
     /// Shares that come or go.
-    #[serde(default, skip_serializing_if = "HandoverReport::is_empty")]
-    pub handovers: HandoverReport,
+    #[serde(default, skip_serializing_if = "TransferReport::is_empty")]
+    #[serde(rename = "handovers")]
+    pub transfers: TransferReport,
 }
 
-/// Tasks of one job that are assigned to a part.
+/// Tasks of one job that are assigned to a shard.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobAssignment {
     pub job: JobId,
@@ -168,13 +172,13 @@
     }
 }
 
-/// All that the leader tells a part.
+/// All that the leader tells a shard.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Orders {
     pub epoch: u64,
     pub node: String,
     pub seq: u64,
-    /// The newest report of the part that the leader has taken in.
+    /// The newest report of the shard that the leader has taken in.
     pub ack: u64,
     #[serde(rename = "deals")]
     pub assignments: Vec<JobAssignment>,
@@ -187,7 +191,8 @@
     /// Teams that use more than they are guaranteed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub borrowing: Vec<Arc<str>>,
-    /// Shares that this part gives or takes, all of them.
+    /// Shares that this shard gives or takes, all of them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub handovers: Vec<HandoverOrder>,
+    #[serde(rename = "handovers")]
+    pub transfers: Vec<TransferOrder>,
 }
--- a/src/fleet/mod.rs
+++ b/src/shard/mod.rs
@@ -3,38 +3,39 @@
 //! out as values.
 //!
 //! The one thing that must never happen is a task starting while it is
-//! somewhere else. A task held here leaves this part only on proof: it was
-//! seen ended, its machine is off the roster, its worker began a new session,
+//! somewhere else. A task held here leaves this shard only on proof: it was
+//! seen ended, its machine is off the machine registry, its worker began a new session,
 //! or a report under a token above that of the last start doesn't list it.
 
 mod assigned_tasks;
 mod commands;
-mod handover;
+mod heartbeats;
 mod leases;
 mod machine;
 mod messages;
 mod placement;
-mod reconcile;
-mod reports;
-mod snapshot;
+mod reconciliation;
+mod report;
+mod transfer;
 
-pub use commands::{Direct, DirectRoom, ReportReply};
+pub use commands::{CommandCapacity, DirectCommand, HeartbeatReply};
 pub use messages::{
-    Gone, HeldView, JobAssignment, Leave, MachineView, Orders, PartReport, Phase, Quiet,
+    AssignedTaskStatus, JobAssignment, MachineStatus, Orders, RemovalReason, RemovedTask,
+    ShardReport, SilentMachine, TaskPhase,
 };
 
-use crate::clock::Secs;
-use crate::failure_detection::ReachedSpan;
-use crate::jobs::{Mirror, RosterRecord};
-use crate::wire::{JobId, MachineId, Shape, Task, START_COUNTS_S};
+use crate::clock::Seconds;
+use crate::cluster::failure_detection::ReachedSpan;
+use crate::store::cache::{MachineRecord, StoreCache};
+use crate::wire::{JobId, JobKind, MachineId, Task, START_COUNTS_S};
 use assigned_tasks::AssignedTasks;
-use finchwood_reconcile::machine::MachineState;
-use finchwood_reconcile::record::RestartRecord;
-use finchwood_reconcile::stored::StoredJobs;
-use handover::HandoverSide;
+use finchwood_reconciliation::machine_state::MachineState;
+use finchwood_reconciliation::restart_record::RestartRecord;
+use finchwood_reconciliation::stored_jobs::StoredJobs;
 use machine::Machine;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
+use transfer::TransferParticipant;
 
 /// A worker that has not reported for so many intervals is late, and is asked:
 /// they vary by a quarter.
@@ -49,10 +50,10 @@
 }
 
 #[derive(Debug, Clone)]
-pub(crate) struct Place {
+pub(crate) struct Placement {
     pub machine: MachineId,
     pub session: u64,
-    pub phase: Phase,
+    pub phase: TaskPhase,
     /// The token under which the last start was sent (or the task adopted);
     /// the highest number while no start can be under way.
     pub start_token: u64,
@@ -60,16 +61,16 @@
     pub confirmed: bool,
     pub stop: Option<Stop>,
     pub stop_sent: bool,
-    pub since: Secs,
+    pub since: Seconds,
 }
 
 #[derive(Debug, Clone)]
-pub(crate) struct Held {
+pub(crate) struct AssignedTask {
     pub attempt: u64,
     /// Tells one assignment of an attempt from the next.
     pub assignment: u64,
-    pub at: Option<Place>,
-    pub since: Secs,
+    pub at: Option<Placement>,
+    pub since: Seconds,
     pub avoid: Vec<MachineId>,
     /// As the leader was last told, and in which report.
     pub told: Option<LastReported>,
@@ -79,7 +80,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct LastReported {
     pub attempt: u64,
-    pub phase: Phase,
+    pub phase: TaskPhase,
     pub machine: Option<MachineId>,
     pub seq: u64,
 }
@@ -90,33 +91,33 @@
     room: BTreeMap<Arc<str>, u32>,
 }
 
-/// Settings that a part needs.
+/// Settings that a shard needs.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
-    pub report_s: Secs,
-    pub lease_s: Secs,
+    pub report_s: Seconds,
+    pub lease_s: Seconds,
     /// The longest that a member left out of an epoch may not know of it.
-    pub member_life_s: Secs,
+    pub member_life_s: Seconds,
 }
 
 /// A part of the fleet.
 #[derive(Debug)]
-pub struct Part {
+pub struct Shard {
     node: String,
     timing: Timing,
     /// Classes with an aim for their start.
     start_aims: HashMap<Arc<str>, f64>,
     epoch: u64,
-    entered: Secs,
-    inc: u64,
+    entered: Seconds,
+    incarnation: u64,
     kept: bool,
     machines: BTreeMap<MachineId, Machine>,
     held: AssignedTasks,
-    gone: Vec<Gone>,
+    gone: Vec<RemovedTask>,
     dropped: Vec<(Task, u64, u64)>,
     unlisted: Vec<(MachineId, u64)>,
     /// Machines as the leader was last told, and in which report.
-    told: HashMap<MachineId, (MachineView, u64)>,
+    told: HashMap<MachineId, (MachineStatus, u64)>,
     /// The newest report that the leader has taken in.
     acked: u64,
     /// The highest assignment seen of each task: a late copy does nothing.
@@ -130,25 +131,25 @@
     orders_seq: u64,
     /// Something changed that the leader should hear.
     pub dirty: bool,
-    /// What was found and decided since this part last knew nothing.
+    /// What was found and decided since this shard last knew nothing.
     record: RestartRecord,
     /// Shares that come or go.
-    handovers: HandoverSide,
+    transfers: TransferParticipant,
 }
 
 /// A task with its attempt.
 type Attempt = (Task, u64);
 
-impl Part {
-    /// An empty part, a member of no epoch.
-    pub fn new(node: &str, timing: Timing, start_aims: HashMap<Arc<str>, f64>) -> Part {
-        Part {
+impl Shard {
+    /// An empty shard, a member of no epoch.
+    pub fn new(node: &str, timing: Timing, start_aims: HashMap<Arc<str>, f64>) -> Shard {
+        Shard {
             node: node.into(),
             timing,
             start_aims,
             epoch: 0,
             entered: 0.0,
-            inc: 0,
+            incarnation: 0,
             kept: false,
             machines: BTreeMap::new(),
             held: AssignedTasks::default(),
@@ -165,7 +166,7 @@
             orders_seq: 0,
             dirty: true,
             record: RestartRecord::new(0),
-            handovers: HandoverSide::default(),
+            transfers: TransferParticipant::default(),
         }
     }
 
@@ -174,7 +175,7 @@
         self.record = RestartRecord::new(most);
     }
 
-    /// The epoch this part acts in.
+    /// The epoch this shard acts in.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -185,28 +186,28 @@
     pub fn enter(
         &mut self,
         epoch: u64,
-        inc: u64,
-        mirror: &Mirror,
-        now: Secs,
+        incarnation: u64,
+        cache: &StoreCache,
+        now: Seconds,
         owns: impl Fn(&str) -> bool,
     ) {
-        let stays = inc == self.inc && epoch == self.epoch + 1;
+        let stays = incarnation == self.incarnation && epoch == self.epoch + 1;
         if !stays {
-            let fresh = Part::new(
+            let fresh = Shard::new(
                 &self.node,
                 self.timing,
                 std::mem::take(&mut self.start_aims),
             );
             let record = std::mem::replace(&mut self.record, RestartRecord::new(0));
-            *self = Part { record, ..fresh };
+            *self = Shard { record, ..fresh };
         }
         self.record.enter(epoch, stays, now);
-        // Whatever a handover has reached: owners of the new epoch ask their machines.
-        let members = mirror.epoch.as_ref().map(|e| e.members.clone());
-        self.handovers = HandoverSide::new(members.unwrap_or_default());
+        // Whatever a transfer has reached: owners of the new epoch ask their machines.
+        let members = cache.epoch.as_ref().map(|e| e.members.clone());
+        self.transfers = TransferParticipant::new(members.unwrap_or_default());
         self.epoch = epoch;
         self.entered = now;
-        self.inc = inc;
+        self.incarnation = incarnation;
         self.kept = stays;
         self.orders_seq = 0;
         // The whole is told anew.
@@ -220,7 +221,7 @@
             h.at.as_ref()
                 .is_none_or(|p| machines.contains_key(&p.machine))
         });
-        for (id, (record, _)) in &mirror.roster {
+        for (id, (record, _)) in &cache.registry {
             if owns(id) {
                 self.list(id, record, now);
             }
@@ -228,31 +229,31 @@
         self.dirty = true;
     }
 
-    /// A machine of this part is on the roster, or was changed there.
-    pub fn list(&mut self, id: &MachineId, record: &RosterRecord, now: Secs) {
-        // What its giver knows of it is still to come.
-        if self.handovers.is_awaited(id) {
+    /// A machine of this shard is on the machine registry, or was changed there.
+    pub fn list(&mut self, id: &MachineId, record: &MachineRecord, now: Seconds) {
+        // What its source knows of it is still to come.
+        if self.transfers.is_awaited(id) {
             return;
         }
         let m = self.machines.entry(id.clone()).or_insert_with(|| Machine {
-            kind: record.kind.clone(),
+            machine_type: record.machine_type.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
-            // Never used by anybody: the roster would say so.
+            // Never used by anybody: the machine registry would say so.
             state: MachineState::listed(record.up),
             ..Machine::unknown(now)
         });
         m.listed = true;
         m.up |= record.up;
-        if m.addr.is_none() {
-            m.addr.clone_from(&record.addr);
+        if m.address.is_none() {
+            m.address.clone_from(&record.address);
         }
         self.dirty = true;
     }
 
-    /// A machine is off the roster: it and all that was on it are gone.
+    /// A machine is off the machine registry: it and all that was on it are gone.
     pub fn unlist(&mut self, id: &MachineId) {
-        self.handovers.forget(id);
+        self.transfers.forget(id);
         if self.machines.remove(id).is_some() {
             self.told.remove(id);
             self.lose(id, u64::MAX);
@@ -261,7 +262,7 @@
         self.dirty = true;
     }
 
-    /// The machines of this part that are on the roster.
+    /// The machines of this shard that are on the machine registry.
     pub fn listed_machines(&self) -> Vec<MachineId> {
         self.machines
             .iter()
@@ -276,24 +277,25 @@
             .on(id)
             .filter(|(_, h)| {
                 h.at.as_ref().is_some_and(|p| {
-                    p.session < below_session && p.phase != Phase::Done || below_session == u64::MAX
+                    p.session < below_session && p.phase != TaskPhase::Done
+                        || below_session == u64::MAX
                 })
             })
             .map(|(t, _)| t.clone())
             .collect();
         for task in lost {
-            self.leave(&task, Leave::Lost);
+            self.leave(&task, RemovalReason::Lost);
         }
     }
 
-    fn leave(&mut self, task: &Task, how: Leave) {
+    fn leave(&mut self, task: &Task, how: RemovalReason) {
         if let Some(h) = self.held.remove(task) {
             let how = match (&h.at, how) {
-                (Some(p), Leave::Lost) if p.stop.is_some() => Leave::Stopped,
+                (Some(p), RemovalReason::Lost) if p.stop.is_some() => RemovalReason::Stopped,
                 _ => how,
             };
             tracing::debug!(%task, ?how, stop = ?h.at.as_ref().and_then(|p| p.stop), machine = ?h.at.as_ref().map(|p| &p.machine), "left");
-            self.gone.push(Gone {
+            self.gone.push(RemovedTask {
                 task: task.clone(),
                 attempt: h.attempt,
                 how,
@@ -306,12 +308,12 @@
     }
 
     /// Takes in the leader's orders.
-    pub fn orders(&mut self, orders: &Orders, mirror: &Mirror, now: Secs) {
+    pub fn orders(&mut self, orders: &Orders, cache: &StoreCache, now: Seconds) {
         if orders.epoch != self.epoch || orders.node != self.node {
             return;
         }
         for assignment in &orders.assignments {
-            self.take_assignment(assignment, mirror, now);
+            self.take_assignment(assignment, cache, now);
         }
         self.dirty |= !orders.assignments.is_empty();
         if orders.seq <= self.orders_seq {
@@ -320,9 +322,9 @@
         self.orders_seq = orders.seq;
         self.borrowing = orders.borrowing.iter().cloned().collect();
         self.take_acknowledgement(orders.ack);
-        self.take_handover_orders(&orders.handovers, mirror, now);
+        self.apply_transfer_orders(&orders.transfers, cache, now);
         for (task, attempt) in &orders.recall {
-            self.take_recall(task, *attempt, mirror, now);
+            self.take_recall(task, *attempt, cache, now);
         }
         for (id, machine) in &mut self.machines {
             let drain = orders.drain.contains(id);
@@ -331,10 +333,10 @@
         }
     }
 
-    /// Queues the tasks of a job that this part has not been given yet.
-    fn take_assignment(&mut self, job: &JobAssignment, mirror: &Mirror, now: Secs) {
-        // The mirror may be behind the leader's: the assignment comes again.
-        let Some(known) = mirror.jobs.get(&job.job) else {
+    /// Queues the tasks of a job that this shard has not been given yet.
+    fn take_assignment(&mut self, job: &JobAssignment, cache: &StoreCache, now: Seconds) {
+        // The cache may be behind the leader's: the assignment comes again.
+        let Some(known) = cache.jobs.get(&job.job) else {
             return;
         };
         let mut fresh = false;
@@ -355,7 +357,7 @@
                 continue;
             }
             let avoid = job.avoid.clone();
-            let held = Held {
+            let held = AssignedTask {
                 attempt,
                 assignment,
                 at: None,
@@ -365,7 +367,7 @@
             };
             self.held.insert(task.clone(), held);
             if !known.live() {
-                self.leave(&task, Leave::Stopped);
+                self.leave(&task, RemovalReason::Stopped);
             }
         }
         if let Some(room) = job.zone_room.as_ref().filter(|_| fresh) {
@@ -388,19 +390,19 @@
 
     /// A task is to be given back. One that has only just started is moved later:
     /// users count on a start for that long.
-    fn take_recall(&mut self, task: &Task, attempt: u64, mirror: &Mirror, now: Secs) {
+    fn take_recall(&mut self, task: &Task, attempt: u64, cache: &StoreCache, now: Seconds) {
         let place = self.held.get(task).and_then(|held| held.at.as_ref());
         let young = place.is_some_and(|place| {
-            place.phase == Phase::Running
+            place.phase == TaskPhase::Running
                 && place.stop.is_none()
                 && now - place.since < START_COUNTS_S
         });
         // Guard: the tasks of a gang are stopped together or lose their progress.
-        let spec = mirror
+        let spec = cache
             .jobs
             .get(&task.job)
             .and_then(|job| job.record.spec.as_ref());
-        let gang = spec.is_some_and(|spec| spec.shape == Shape::Gang);
+        let gang = spec.is_some_and(|spec| spec.job_kind == JobKind::Gang);
         if !young || gang {
             self.recall(task, attempt, Stop::Recalled);
         }
@@ -415,10 +417,10 @@
             .held
             .get(task)
             .and_then(|held| Some(held.at.as_ref()?.machine.clone()));
-        let fenced = machine.is_some_and(|machine| self.handovers.is_fenced(&machine));
+        let fenced = machine.is_some_and(|machine| self.transfers.is_fenced(&machine));
         match self.held.place_mut(task) {
-            None => self.leave(task, Leave::Stopped),
-            // What its taker was told must not become untrue: the leader tells the taker.
+            None => self.leave(task, RemovalReason::Stopped),
+            // What its target was told must not become untrue: the leader tells the target.
             Some(_) if fenced => {}
             // Saving for another start: nobody has any use for that any more, and
             // it may take longer than a cancelled task may.
@@ -426,13 +428,13 @@
                 p.stop = Some(why);
                 p.stop_sent = false;
             }
-            Some(p) if p.stop.is_none() && p.phase != Phase::Done => {
+            Some(p) if p.stop.is_none() && p.phase != TaskPhase::Done => {
                 p.stop = Some(why);
                 p.stop_sent = false;
                 if !p.confirmed {
                     if p.start_token == u64::MAX {
                         // No start was ever sent, or it is proven dead.
-                        return self.leave(task, Leave::Stopped);
+                        return self.leave(task, RemovalReason::Stopped);
                     }
                     let (id, floor) = (p.machine.clone(), p.start_token);
                     if let Some(m) = self.machines.get_mut(&id) {
@@ -445,10 +447,10 @@
         }
     }
 
-    /// A job changed in the mirror: cancelled tasks are stopped, finished
+    /// A job changed in the cache: cancelled tasks are stopped, finished
     /// ones are let go of.
-    pub fn job_changed(&mut self, id: &JobId, mirror: &Mirror) {
-        let Some(job) = mirror.jobs.get(id) else {
+    pub fn job_changed(&mut self, id: &JobId, cache: &StoreCache) {
+        let Some(job) = cache.jobs.get(id) else {
             return;
         };
         let from = Task {
@@ -466,12 +468,12 @@
                 (
                     t.clone(),
                     h.attempt,
-                    h.at.as_ref().is_some_and(|p| p.phase == Phase::Done),
+                    h.at.as_ref().is_some_and(|p| p.phase == TaskPhase::Done),
                 )
             })
             .collect();
         for (task, attempt, done) in tasks {
-            if done && finished(mirror, &task) {
+            if done && finished(cache, &task) {
                 self.drop_held(&task);
             } else if job.record.cancelled {
                 self.recall(&task, attempt, Stop::Cancelled);
@@ -491,12 +493,12 @@
     }
 
     /// Forgets what nobody needs any more.
-    pub fn forget_what_is_over(&mut self, mirror: &Mirror, now: Secs) {
+    pub fn forget_what_is_over(&mut self, cache: &StoreCache, now: Seconds) {
         let over: Vec<Task> = self
             .held
             .iter()
             .filter(|(t, h)| {
-                h.at.as_ref().is_some_and(|p| p.phase == Phase::Done) && finished(mirror, t)
+                h.at.as_ref().is_some_and(|p| p.phase == TaskPhase::Done) && finished(cache, t)
             })
             .map(|(t, _)| t.clone())
             .collect();
@@ -510,7 +512,7 @@
             .retain(|_, m| m.listed || m.heard.is_some() || now - m.since.max(entered) < lease_s);
         let held = &self.held;
         self.seen
-            .retain(|t, _| held.contains(t) || mirror.jobs.get(&t.job).is_none_or(|j| j.live()));
+            .retain(|t, _| held.contains(t) || cache.jobs.get(&t.job).is_none_or(|j| j.live()));
     }
 
     /// Machines heard of, for tests and logs.
@@ -520,16 +522,16 @@
 }
 
 /// Whether a task needs no more runs, by what is committed.
-fn finished(mirror: &Mirror, task: &Task) -> bool {
-    mirror.stored(task).needs_no_run()
+fn finished(cache: &StoreCache, task: &Task) -> bool {
+    cache.stored(task).needs_no_run()
 }
 
-impl Place {
-    fn adopted(machine: &MachineId, session: u64, token: u64, now: Secs) -> Place {
-        Place {
+impl Placement {
+    fn adopted(machine: &MachineId, session: u64, token: u64, now: Seconds) -> Placement {
+        Placement {
             machine: machine.clone(),
             session,
-            phase: Phase::Running,
+            phase: TaskPhase::Running,
             start_token: token,
             sent: true,
             confirmed: true,
--- a/src/fleet/placement.rs
+++ b/src/shard/placement.rs
@@ -1,31 +1,38 @@
-//! Which of the part's machines each queued task goes to, and what lower work
+//! Which of the shard's machines each queued task goes to, and what lower work
 //! is stopped for it.
 
 use super::machine::Machine;
-use super::{Attempt, Leave, Part, Phase, Place, Stop};
-use crate::best_fit::{self, Candidate};
-use crate::clock::{Secs, When};
-use crate::jobs::Mirror;
-use crate::wire::{JobId, JobSpec, MachineId, Rank, Res, Shape, Task, TaskState, START_COUNTS_S};
+use super::{Attempt, Placement, RemovalReason, Shard, Stop, TaskPhase};
+use crate::clock::{Moment, Seconds};
+use crate::scheduler::bin_packing::{self, Candidate};
+use crate::store::cache::StoreCache;
+use crate::wire::{
+    JobId, JobKind, JobSpec, MachineId, Priority, Resources, Task, TaskState, START_COUNTS_S,
+};
 use std::collections::{BTreeMap, HashMap};
 
-impl Part {
-    pub(super) fn machine_free(&self, id: &MachineId, m: &Machine, mirror: &Mirror) -> Res {
-        let Some(total) = mirror
+impl Shard {
+    pub(super) fn machine_free(
+        &self,
+        id: &MachineId,
+        m: &Machine,
+        cache: &StoreCache,
+    ) -> Resources {
+        let Some(total) = cache
             .catalog
             .as_ref()
-            .and_then(|c| c.get(&m.kind))
+            .and_then(|c| c.get(&m.machine_type))
             .map(|t| t.total())
         else {
-            return Res::default();
+            return Resources::default();
         };
         let mut free = total;
-        let spec = |job: &JobId| mirror.jobs.get(job).and_then(|j| j.record.spec.as_ref());
+        let spec = |job: &JobId| cache.jobs.get(job).and_then(|j| j.record.spec.as_ref());
         for (task, (_, state, _)) in &m.lines {
             if *state != TaskState::Ended {
                 match spec(&task.job) {
                     Some(s) => free.take(&s.ask()),
-                    None => return Res::default(),
+                    None => return Resources::default(),
                 }
             }
         }
@@ -39,7 +46,7 @@
         free
     }
 
-    pub(super) fn open(&self, m: &Machine, now: Secs) -> bool {
+    pub(super) fn open(&self, m: &Machine, now: Seconds) -> bool {
         m.up && m.listed
             && m.certain()
             && !m.draining
@@ -49,27 +56,27 @@
                 .is_some_and(|h| now - h < self.timing.report_s * 2.5)
     }
 
-    /// Places what is queued, the highest rank first, until `more` says that
+    /// Places what is queued, the highest priority first, until `more` says that
     /// the round's time is over; the next round goes on with the rest.
-    pub fn place(&mut self, mirror: &Mirror, when: When, mut more: impl FnMut() -> bool) {
+    pub fn place(&mut self, cache: &StoreCache, when: Moment, mut more: impl FnMut() -> bool) {
         let now = when.now;
-        let mut queue: Vec<(Rank, Secs, Task)> = self
+        let mut queue: Vec<(Priority, Seconds, Task)> = self
             .held
             .queued()
             .filter_map(|(t, h)| {
-                let spec = mirror.jobs.get(&t.job)?.record.spec.as_ref()?;
-                Some((spec.rank, h.since, t.clone()))
+                let spec = cache.jobs.get(&t.job)?.record.spec.as_ref()?;
+                Some((spec.priority, h.since, t.clone()))
             })
             .collect();
         if queue.is_empty() {
             return;
         }
         queue.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
-        let mut free: BTreeMap<MachineId, Res> = self
+        let mut free: BTreeMap<MachineId, Resources> = self
             .machines
             .iter()
-            .filter(|(id, m)| self.open(m, now) && !self.handovers.is_fenced(id))
-            .map(|(id, m)| (id.clone(), self.machine_free(id, m, mirror)))
+            .filter(|(id, m)| self.open(m, now) && !self.transfers.is_fenced(id))
+            .map(|(id, m)| (id.clone(), self.machine_free(id, m, cache)))
             .collect();
         let mut kept = ReservedRoom::default();
         for (_, _, task) in queue {
@@ -77,15 +84,19 @@
                 self.dirty = true;
                 return;
             }
-            let Some(spec) = mirror
+            let Some(spec) = cache
                 .jobs
                 .get(&task.job)
                 .and_then(|j| j.record.spec.clone())
             else {
                 continue;
             };
-            let quick = best_fit::in_a_hurry(&spec, &self.start_aims, mirror.catalog.as_deref());
-            let chosen = self.choose(&task, &spec, quick, &free, &kept);
+            let latency_sensitive = bin_packing::is_latency_sensitive(
+                &spec,
+                &self.start_aims,
+                cache.catalog.as_deref(),
+            );
+            let chosen = self.choose(&task, &spec, latency_sensitive, &free, &kept);
             let cold = |id: &MachineId| {
                 !self
                     .machines
@@ -93,8 +104,8 @@
                     .is_some_and(|m| m.has_image(&spec.image))
             };
             // Making room where the image is takes less time than fetching it.
-            let warmer = quick && chosen.as_ref().is_none_or(cold);
-            if warmer && self.make_room(&task, &spec, &free, &mut kept, true, mirror, when) {
+            let warmer = latency_sensitive && chosen.as_ref().is_none_or(cold);
+            if warmer && self.make_room(&task, &spec, &free, &mut kept, true, cache, when) {
                 continue;
             }
             match chosen {
@@ -102,11 +113,11 @@
                     if let Some(f) = free.get_mut(&id) {
                         f.take(&spec.ask());
                     }
-                    self.put_on(&task, &spec, &id, mirror, now);
+                    self.put_on(&task, &spec, &id, cache, now);
                 }
                 None => {
-                    if !self.make_room(&task, &spec, &free, &mut kept, false, mirror, when) {
-                        self.leave(&task, Leave::Passed);
+                    if !self.make_room(&task, &spec, &free, &mut kept, false, cache, when) {
+                        self.leave(&task, RemovalReason::Passed);
                     }
                 }
             }
@@ -117,8 +128,8 @@
         &self,
         task: &Task,
         spec: &JobSpec,
-        quick: bool,
-        free: &BTreeMap<MachineId, Res>,
+        latency_sensitive: bool,
+        free: &BTreeMap<MachineId, Resources>,
         kept: &ReservedRoom,
     ) -> Option<MachineId> {
         let held = self.held.get(task)?;
@@ -158,7 +169,7 @@
             }
             Some(Candidate {
                 id,
-                kind: &m.kind,
+                machine_type: &m.machine_type,
                 zone: &m.zone,
                 spot: m.spot,
                 free: *f,
@@ -167,7 +178,7 @@
                 machine_peers: machines.get(&**id).copied().unwrap_or(0),
             })
         });
-        best_fit::pick(spec, quick, candidates).map(|c| c.id.into())
+        bin_packing::pick(spec, latency_sensitive, candidates).map(|c| c.id.into())
     }
 
     pub(super) fn put_on(
@@ -175,13 +186,13 @@
         task: &Task,
         spec: &JobSpec,
         id: &MachineId,
-        mirror: &Mirror,
-        now: Secs,
+        cache: &StoreCache,
+        now: Seconds,
     ) {
-        let cache = mirror
-            .catalog
-            .as_ref()
-            .and_then(|c| c.get(&self.machines.get(id)?.kind).map(|t| t.cache_gb));
+        let cache = cache.catalog.as_ref().and_then(|c| {
+            c.get(&self.machines.get(id)?.machine_type)
+                .map(|t| t.cache_gb)
+        });
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
@@ -205,10 +216,10 @@
             }
         }
         if let Some(attempt) = self.held.get(task).map(|h| h.attempt) {
-            let at = Place {
+            let at = Placement {
                 machine: id.clone(),
                 session,
-                phase: Phase::Starting,
+                phase: TaskPhase::Starting,
                 start_token: u64::MAX,
                 sent: false,
                 confirmed: false,
@@ -221,18 +232,27 @@
         }
     }
 
-    /// Whether a task may be stopped for one of `rank`. The highest rank stops any
+    /// Whether a task may be stopped for one of `priority`. The highest priority stops any
     /// array below it. All other work stops low arrays only, of teams that use more
     /// than they are guaranteed, and none that has only just started: the largest
     /// of them would else be stopped each time before its start counts for users.
-    pub(super) fn yields(&self, spec: &JobSpec, place: &Place, rank: Rank, now: Secs) -> bool {
-        if spec.shape != Shape::Array || spec.rank <= rank || place.phase == Phase::Done {
+    pub(super) fn yields(
+        &self,
+        spec: &JobSpec,
+        place: &Placement,
+        priority: Priority,
+        now: Seconds,
+    ) -> bool {
+        if spec.job_kind != JobKind::Array
+            || spec.priority <= priority
+            || place.phase == TaskPhase::Done
+        {
             return false;
         }
-        let stays = place.phase != Phase::Running || place.stop.is_some();
+        let stays = place.phase != TaskPhase::Running || place.stop.is_some();
         let counts = !stays && now - place.since >= START_COUNTS_S;
-        let borrows = spec.rank == Rank::Low && self.borrowing.contains(&spec.team);
-        rank == Rank::Prod || counts && borrows
+        let borrows = spec.priority == Priority::Low && self.borrowing.contains(&spec.team);
+        priority == Priority::Prod || counts && borrows
     }
 
     /// Makes room by stopping lower work, on machines that have the image if
@@ -242,11 +262,11 @@
         &mut self,
         task: &Task,
         spec: &JobSpec,
-        free: &BTreeMap<MachineId, Res>,
+        free: &BTreeMap<MachineId, Resources>,
         kept: &mut ReservedRoom,
         warm: bool,
-        mirror: &Mirror,
-        when: When,
+        cache: &StoreCache,
+        when: Moment,
     ) -> bool {
         let Some(held) = self.held.get(task) else {
             return false;
@@ -265,12 +285,12 @@
                 || zone_full
                 || warm && !m.has_image(&spec.image)
                 || m.lines.contains_key(task)
-                || !spec.allowed_on(&m.kind, &m.zone, m.spot)
+                || !spec.allowed_on(&m.machine_type, &m.zone, m.spot)
             {
                 continue;
             }
             let promised = kept.0.get(id).copied().unwrap_or_default();
-            if let Some((victims, lost)) = self.victims(id, *f, promised, spec, mirror, when) {
+            if let Some((victims, lost)) = self.victims(id, *f, promised, spec, cache, when) {
                 if best.as_ref().is_none_or(|b| lost < b.0) {
                     best = Some((lost, id.clone(), victims));
                 }
@@ -289,8 +309,8 @@
     /// Whether a task is all that a job has here, and its start does not count for
     /// users yet. Guard: the youngest being stopped first, a job that had waited for
     /// minutes lost its only task each time before it had begun.
-    fn is_first_start(&self, task: &Task, place: &Place, now: Secs) -> bool {
-        let young = place.phase != Phase::Running || now - place.since < START_COUNTS_S;
+    fn is_first_start(&self, task: &Task, place: &Placement, now: Seconds) -> bool {
+        let young = place.phase != TaskPhase::Running || now - place.since < START_COUNTS_S;
         let from = Task {
             job: task.job.clone(),
             index: 0,
@@ -309,32 +329,32 @@
     pub(super) fn victims(
         &self,
         id: &MachineId,
-        free: Res,
-        promised: Res,
+        free: Resources,
+        promised: Resources,
         spec: &JobSpec,
-        mirror: &Mirror,
-        when: When,
+        cache: &StoreCache,
+        when: Moment,
     ) -> Option<(Vec<Attempt>, (u32, f64))> {
         let ask = spec.ask();
         let mut room = free;
         room.take(&promised);
-        let mut able: Vec<(Rank, bool, bool, Secs, &Task, u64, Res)> = Vec::new();
+        let mut able: Vec<(Priority, bool, bool, Seconds, &Task, u64, Resources)> = Vec::new();
         for (t, h) in self.held.on(id) {
-            let Some(p) = h.at.as_ref().filter(|p| p.phase != Phase::Done) else {
+            let Some(p) = h.at.as_ref().filter(|p| p.phase != TaskPhase::Done) else {
                 continue;
             };
-            let Some(s) = mirror.jobs.get(&t.job).and_then(|j| j.record.spec.as_ref()) else {
+            let Some(s) = cache.jobs.get(&t.job).and_then(|j| j.record.spec.as_ref()) else {
                 continue;
             };
             if p.stop.is_some() {
                 room.give(&s.ask());
-            } else if self.yields(s, p, spec.rank, when.now) {
-                let job = &mirror.jobs[&t.job].record;
-                let age = when.day_ms.saturating_sub(job.at_ms) as f64 / 1000.0;
+            } else if self.yields(s, p, spec.priority, when.now) {
+                let job = &cache.jobs[&t.job].record;
+                let age = when.wall_clock_ms.saturating_sub(job.at_ms) as f64 / 1000.0;
                 let ran = when.now - p.since;
                 let first = self.is_first_start(t, p, when.now);
                 able.push((
-                    s.rank,
+                    s.priority,
                     first,
                     made_late(s, age, ran),
                     p.since,
@@ -366,17 +386,17 @@
 }
 
 /// Machines on which room is being made this round, and how much of it is
-/// promised: nobody of lower rank gets it meanwhile.
+/// promised: nobody of lower priority gets it meanwhile.
 #[derive(Debug, Default)]
-pub(super) struct ReservedRoom(BTreeMap<MachineId, Res>);
+pub(super) struct ReservedRoom(BTreeMap<MachineId, Resources>);
 
 /// Whether a job becomes late by starting a task anew, or, if it is late, later
 /// by another half of the time it was given: else those that are late already
 /// would be stopped again and again.
-fn made_late(spec: &JobSpec, age: Secs, ran: Secs) -> bool {
+fn made_late(spec: &JobSpec, age: Seconds, ran: Seconds) -> bool {
     spec.checkpoint_s <= 0.0
         && spec.deadline_s.filter(|d| *d > 0.0).is_some_and(|d| {
-            let halves = |ends: Secs| (ends / (d / 2.0)).ceil().max(2.0);
+            let halves = |ends: Seconds| (ends / (d / 2.0)).ceil().max(2.0);
             halves(age + spec.estimate_s) > halves(age + (spec.estimate_s - ran).max(0.0))
         })
 }
--- a/src/fleet/reconcile.rs
+++ b/src/shard/reconciliation.rs
@@ -2,14 +2,14 @@
 //! Which is which is judged in `finchwood-reconcile`; here the verdicts are carried
 //! out.
 
-use super::{Held, Leave, Part, Phase, Place, Stop};
-use crate::clock::Secs;
-use crate::jobs::Mirror;
+use super::{AssignedTask, Placement, RemovalReason, Shard, Stop, TaskPhase};
+use crate::clock::Seconds;
+use crate::store::cache::StoreCache;
 use crate::wire::{cause, MachineId, Task, TaskState};
-use finchwood_reconcile::caution::{Action, HoldReason};
-use finchwood_reconcile::record::{Entry, RecordView};
-use finchwood_reconcile::stored::StoredJobs;
-use finchwood_reconcile::verdict::{
+use finchwood_reconciliation::hold_off::{Action, HoldReason};
+use finchwood_reconciliation::restart_record::{DecisionEntry, RecordView};
+use finchwood_reconciliation::stored_jobs::StoredJobs;
+use finchwood_reconciliation::verdict::{
     attempt_counts, judge, AdoptReason, Holding, ReportedTask, Verdict,
 };
 use std::collections::BTreeMap;
@@ -26,8 +26,8 @@
     stopping: bool,
 }
 
-impl Part {
-    /// What this part holds of a task that a machine shows under an attempt.
+impl Shard {
+    /// What this shard holds of a task that a machine shows under an attempt.
     pub(super) fn holding(&self, id: &MachineId, task: &Task, attempt: u64) -> Holding {
         match self.held.get(task) {
             None => Holding::Nothing,
@@ -43,8 +43,8 @@
         &mut self,
         id: &MachineId,
         seen_token: u64,
-        mirror: &Mirror,
-        now: Secs,
+        cache: &StoreCache,
+        now: Seconds,
     ) {
         let Some(m) = self.machines.get_mut(id) else {
             return;
@@ -57,7 +57,7 @@
         for (task, (attempt, state, why)) in &lines {
             let reported = ReportedTask::new(*attempt, *state, why.as_deref());
             let holding = self.holding(id, task, *attempt);
-            let verdict = judge(reported, holding, mirror.stored(task), self.epoch);
+            let verdict = judge(reported, holding, cache.stored(task), self.epoch);
             if verdict != Verdict::Known {
                 judged.insert(task.clone(), (*attempt, verdict));
                 if judged_before.get(task) != Some(&(*attempt, verdict)) {
@@ -68,7 +68,7 @@
                 let seen = self.seen.entry(task.clone()).or_insert(0);
                 *seen = (*seen).max(*attempt);
             }
-            let adopted = Place::adopted(id, session, seen_token, now);
+            let adopted = Placement::adopted(id, session, seen_token, now);
             self.carry_out(verdict, task, *attempt, adopted, now);
             self.take_in_line(verdict, task, (*attempt, *state, why.as_deref()), now);
         }
@@ -80,7 +80,14 @@
     }
 
     /// Holds a task as the verdict says.
-    fn carry_out(&mut self, verdict: Verdict, task: &Task, attempt: u64, place: Place, now: Secs) {
+    fn carry_out(
+        &mut self,
+        verdict: Verdict,
+        task: &Task,
+        attempt: u64,
+        place: Placement,
+        now: Seconds,
+    ) {
         match verdict {
             Verdict::Known | Verdict::Reap(_) | Verdict::Conflict(_) => {}
             Verdict::Adopt(AdoptReason::FoundWhilePlanned) => {
@@ -95,7 +102,7 @@
             | Verdict::RecordFinished
             | Verdict::Stop(_)
             | Verdict::LeaveInDoubt(_) => {
-                let held = Held {
+                let held = AssignedTask {
                     attempt,
                     assignment: attempt,
                     at: Some(place),
@@ -115,7 +122,7 @@
         verdict: Verdict,
         task: &Task,
         (attempt, state, why): (u64, TaskState, Option<&str>),
-        now: Secs,
+        now: Seconds,
     ) {
         match verdict {
             Verdict::Reap(_) | Verdict::Conflict(_) => {}
@@ -143,7 +150,7 @@
         attempt: u64,
         verdict: Verdict,
         first_sight: bool,
-        now: Secs,
+        now: Seconds,
     ) {
         let odd = matches!(verdict, Verdict::LeaveInDoubt(_) | Verdict::Conflict(_));
         if odd {
@@ -151,7 +158,7 @@
         } else if !first_sight {
             return;
         }
-        self.record.note(Entry {
+        self.record.note(DecisionEntry {
             at_s: self.record.age_s(now),
             task: task.to_string(),
             attempt,
@@ -161,7 +168,7 @@
         });
     }
 
-    /// What this part holds on a machine and the newest report doesn't list.
+    /// What this shard holds on a machine and the newest report doesn't list.
     fn take_in_absent(&mut self, id: &MachineId, lines: &Lines, seen_token: u64) {
         let absent: Vec<Absent> = self
             .held
@@ -188,9 +195,9 @@
                 self.leave(
                     &task,
                     if stopping {
-                        Leave::Stopped
+                        RemovalReason::Stopped
                     } else {
-                        Leave::Lost
+                        RemovalReason::Lost
                     },
                 );
             } else if proven {
@@ -213,15 +220,21 @@
         self.record.note_hold(action, reason);
     }
 
-    /// What was found and decided since this part last knew nothing.
-    pub fn restart_record(&mut self, now: Secs) -> RecordView {
+    /// What was found and decided since this shard last knew nothing.
+    pub fn restart_record(&mut self, now: Seconds) -> RecordView {
         let in_doubt = self.machines.values().filter(|m| !m.certain()).count();
         self.record.note_doubt(in_doubt, now);
         self.record
             .view(self.machines.values().map(|m| m.state), now)
     }
 
-    pub(super) fn progress(&mut self, task: &Task, state: TaskState, why: Option<&str>, now: Secs) {
+    pub(super) fn progress(
+        &mut self,
+        task: &Task,
+        state: TaskState,
+        why: Option<&str>,
+        now: Seconds,
+    ) {
         let Some(since) = self.held.get(task).map(|h| h.since) else {
             return;
         };
@@ -232,26 +245,26 @@
         p.sent = true;
         let phase = match state {
             // A gang that gathers does not run yet.
-            TaskState::Fetching | TaskState::Gathering => Phase::Fetching,
-            TaskState::Running | TaskState::Other => Phase::Running,
-            TaskState::Saving => Phase::Saving,
+            TaskState::Fetching | TaskState::Gathering => TaskPhase::Fetching,
+            TaskState::Running | TaskState::Other => TaskPhase::Running,
+            TaskState::Saving => TaskPhase::Saving,
             TaskState::Ended => match why {
-                Some(cause::DONE) => Phase::Done,
-                Some(cause::STOPPED) => return self.leave(task, Leave::Stopped),
+                Some(cause::DONE) => TaskPhase::Done,
+                Some(cause::STOPPED) => return self.leave(task, RemovalReason::Stopped),
                 Some(cause::ERROR) => {
                     let machine = p.machine.clone();
                     if let Some(m) = self.machines.get_mut(&machine) {
                         m.errors.insert(task.job.clone());
                     }
-                    return self.leave(task, Leave::Error);
+                    return self.leave(task, RemovalReason::Error);
                 }
                 // Refused: it can't have had its image under this assignment.
                 Some(cause::NO_ROOM | cause::BUSY | cause::UNKNOWN) | None => {
-                    return self.leave(task, Leave::Passed)
+                    return self.leave(task, RemovalReason::Passed)
                 }
                 // The attempt of its gang is over, or something this version
                 // doesn't know: neither is the fault of the machine or the job.
-                Some(_) => return self.leave(task, Leave::Lost),
+                Some(_) => return self.leave(task, RemovalReason::Lost),
             },
         };
         if p.phase != phase {
--- a/src/fleet/snapshot.rs
+++ b/src/shard/report.rs
@@ -1,53 +1,53 @@
 //! What the leader is told: all that has changed since it last took a report in.
 
 use super::machine::Machine;
-use super::{MachineView, Part, PartReport, Quiet, LATE_REPORTS};
-use crate::clock::Secs;
-use crate::failure_detection::Reached;
-use crate::jobs::Mirror;
-use crate::wire::{MachineId, Rank, Res};
+use super::{MachineStatus, Shard, ShardReport, SilentMachine, LATE_REPORTS};
+use crate::clock::Seconds;
+use crate::cluster::failure_detection::Reached;
+use crate::store::cache::StoreCache;
+use crate::wire::{MachineId, Priority, Resources};
 use std::sync::Arc;
 
-impl Part {
+impl Shard {
     /// One machine as the leader sees it.
     pub(super) fn view(
         &self,
         id: &MachineId,
         m: &Machine,
-        mirror: &Mirror,
-        now: Secs,
-    ) -> MachineView {
-        let (mut yielding, mut yielding_low) = (Res::default(), Res::default());
+        cache: &StoreCache,
+        now: Seconds,
+    ) -> MachineStatus {
+        let (mut yielding, mut yielding_low) = (Resources::default(), Resources::default());
         for (task, h) in self.held.on(id) {
-            let spec = mirror
+            let spec = cache
                 .jobs
                 .get(&task.job)
                 .and_then(|j| j.record.spec.as_ref());
             let (Some(spec), Some(place)) = (spec, h.at.as_ref()) else {
                 continue;
             };
-            if self.yields(spec, place, Rank::Prod, now) {
+            if self.yields(spec, place, Priority::Prod, now) {
                 yielding.give(&spec.ask());
             }
-            if self.yields(spec, place, Rank::Standard, now) {
+            if self.yields(spec, place, Priority::Standard, now) {
                 yielding_low.give(&spec.ask());
             }
         }
         let mut images: Vec<Arc<str>> = m.images.iter().map(|i| i.0.clone()).collect();
         images.sort();
-        MachineView {
+        MachineStatus {
             id: id.clone(),
-            kind: m.kind.clone(),
+            machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
             certain: m.certain(),
             heard: m.heard.is_some(),
             listed: m.listed,
-            addr: m.addr.clone(),
-            free: self.machine_free(id, m, mirror),
+            address: m.address.clone(),
+            free: self.machine_free(id, m, cache),
             yielding,
             yielding_low,
-            open: self.open(m, now) && !self.handovers.is_fenced(id),
+            open: self.open(m, now) && !self.transfers.is_fenced(id),
             noticed: m.notice_until.is_some(),
             faulty: m.faulty(),
             ignores_commands: m.ignores_commands(self.timing.report_s, now)
@@ -59,8 +59,8 @@
         }
     }
 
-    /// What has changed in this part since the leader last said what it had.
-    pub fn snapshot(&mut self, mirror: &Mirror, now: Secs) -> PartReport {
+    /// What has changed in this shard since the leader last said what it had.
+    pub fn snapshot(&mut self, cache: &StoreCache, now: Seconds) -> ShardReport {
         self.seq += 1;
         self.dirty = false;
         let (seq, since) = (self.seq, self.acked);
@@ -68,7 +68,7 @@
         let mut machines = Vec::new();
         let mut quiet = Vec::new();
         for (id, m) in &self.machines {
-            let view = self.view(id, m, mirror, now);
+            let view = self.view(id, m, cache, now);
             let entry = match told.get_mut(id) {
                 Some(t) => {
                     if t.0 != view {
@@ -83,7 +83,7 @@
             }
             let silent_s = now - m.heard.unwrap_or(self.entered.max(m.since));
             if silent_s > self.timing.report_s * LATE_REPORTS || m.unanswered_since.is_some() {
-                quiet.push(Quiet {
+                quiet.push(SilentMachine {
                     id: id.clone(),
                     silent_s,
                     unanswered_s: m.unanswered_since.map(|d| now - d),
@@ -102,10 +102,10 @@
         });
         told.retain(|id, _| self.machines.contains_key(id));
         self.told = told;
-        PartReport {
+        ShardReport {
             epoch: self.epoch,
             node: self.node.clone(),
-            inc: self.inc,
+            incarnation: self.incarnation,
             kept: self.kept,
             since,
             seq,
@@ -117,7 +117,7 @@
             quiet,
             zones_met: reached.collect(),
             met: Vec::new(),
-            handovers: self.handovers.report(),
+            transfers: self.transfers.report(),
         }
     }
 }
--- a/src/fleet/handover.rs
+++ b/src/shard/transfer.rs
@@ -1,52 +1,54 @@
-//! A part's side of handovers: as giver it stops giving orders and tells what it knows,
-//! as taker it goes on from that.
+//! A shard's side of transfers: as source it stops giving orders and tells what it knows,
+//! as target it goes on from that.
 //!
 //! A fenced machine is frozen: its worker's lease is renewed, so that nothing there ends,
 //! and cancelled tasks are stopped; but nothing is started, reaped or taken in any more.
-//! What is on the machine can only become less, so that what the taker is told is never
+//! What is on the machine can only become less, so that what the target is told is never
 //! too little, however late it comes.
 
 use super::machine::Machine;
-use super::{Held, Leave, Part, Phase, Place, ReportReply, Stop};
-use crate::clock::{self, Secs};
-use crate::jobs::Mirror;
-use crate::membership::{self, token, token_epoch};
-use crate::wire::{Call, MachineId, Report, Task, TaskState};
-use finchwood_shares::handover::{HandoverId, HandoverOrder, HandoverReport};
-use finchwood_shares::knowledge::{LineKnowledge, MachineKnowledge, TaskKnowledge};
-use finchwood_shares::position::position;
-use finchwood_shares::table::ShareRange;
+use super::{AssignedTask, HeartbeatReply, Placement, RemovalReason, Shard, Stop, TaskPhase};
+use crate::clock::{self, Seconds};
+use crate::cluster::membership::{self, token, token_epoch};
+use crate::store::cache::StoreCache;
+use crate::wire::{Command, Heartbeat, MachineId, Task, TaskState};
+use finchwood_sharding::hash_position::position;
+use finchwood_sharding::shard_map::HashRange;
+use finchwood_sharding::transfer::{TransferId, TransferOrder, TransferReport};
+use finchwood_sharding::transfer_state::{
+    AssignedTaskState, MachineTransferState, ReportedTaskState,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A share to whose machines no orders are given.
 #[derive(Debug, Clone)]
 struct Fence {
-    range: ShareRange,
-    knowledge: Vec<MachineKnowledge>,
-    /// The table names the taker, and the machines are let go of.
+    range: HashRange,
+    knowledge: Vec<MachineTransferState>,
+    /// The table names the target, and the machines are let go of.
     released: bool,
 }
 
-/// The handovers in which a part takes part.
+/// The transfers in which a shard takes shard.
 #[derive(Debug, Clone, Default)]
-pub(super) struct HandoverSide {
-    fences: BTreeMap<HandoverId, Fence>,
-    accepted: BTreeSet<HandoverId>,
-    taken: BTreeSet<HandoverId>,
-    /// Machines that the table has given to this part, and of which it knows nothing yet.
+pub(super) struct TransferParticipant {
+    fences: BTreeMap<TransferId, Fence>,
+    accepted: BTreeSet<TransferId>,
+    taken: BTreeSet<TransferId>,
+    /// Machines that the table has given to this shard, and of which it knows nothing yet.
     awaited: BTreeSet<MachineId>,
     /// When the table last changed.
-    table_changed_at: Option<Secs>,
+    table_changed_at: Option<Seconds>,
     /// The members of the epoch, among whom the hash names homes.
     members: BTreeMap<String, u64>,
 }
 
-impl HandoverSide {
-    /// No handovers yet, in an epoch of `members`.
-    pub(super) fn new(members: BTreeMap<String, u64>) -> HandoverSide {
-        HandoverSide {
+impl TransferParticipant {
+    /// No transfers yet, in an epoch of `members`.
+    pub(super) fn new(members: BTreeMap<String, u64>) -> TransferParticipant {
+        TransferParticipant {
             members,
-            ..HandoverSide::default()
+            ..TransferParticipant::default()
         }
     }
 
@@ -58,12 +60,12 @@
     }
 
     /// Whether a machine is of a range: by its home, and its position.
-    fn is_in(&self, range: &ShareRange, id: &str) -> bool {
-        let home = membership::owner(&self.members, id);
-        home.is_some_and(|home| range.contains(home, position(id)))
+    fn is_in(&self, range: &HashRange, id: &str) -> bool {
+        let hash_owner = membership::owner(&self.members, id);
+        hash_owner.is_some_and(|hash_owner| range.contains(hash_owner, position(id)))
     }
 
-    /// Whether a machine is this part's, and what its giver knows is still to come.
+    /// Whether a machine is this shard's, and what its source knows is still to come.
     pub(super) fn is_awaited(&self, id: &MachineId) -> bool {
         self.awaited.contains(id)
     }
@@ -74,10 +76,10 @@
     }
 
     /// What the leader is told.
-    pub(super) fn report(&self) -> HandoverReport {
+    pub(super) fn report(&self) -> TransferReport {
         let fenced = self.fences.iter().filter(|(_, fence)| !fence.released);
         let released = self.fences.iter().filter(|(_, fence)| fence.released);
-        HandoverReport {
+        TransferReport {
             accepted: self.accepted.iter().copied().collect(),
             fenced: fenced
                 .map(|(id, fence)| (*id, fence.knowledge.clone()))
@@ -88,47 +90,47 @@
     }
 }
 
-impl Part {
-    /// Takes in all handovers that the leader tells. A fence that is no longer told is
-    /// over: the handover was withdrawn, or this part has let go of the share.
-    pub(super) fn take_handover_orders(
+impl Shard {
+    /// Takes in all transfers that the leader tells. A fence that is no longer told is
+    /// over: the transfer was withdrawn, or this shard has let go of the share.
+    pub(super) fn apply_transfer_orders(
         &mut self,
-        orders: &[HandoverOrder],
-        mirror: &Mirror,
-        now: Secs,
+        orders: &[TransferOrder],
+        cache: &StoreCache,
+        now: Seconds,
     ) {
-        let before = self.handovers.report();
-        let told: BTreeSet<HandoverId> = orders.iter().map(HandoverOrder::id).collect();
-        self.handovers.fences.retain(|id, _| told.contains(id));
-        self.handovers.taken.retain(|id| told.contains(id));
-        self.handovers.accepted.clear();
+        let before = self.transfers.report();
+        let told: BTreeSet<TransferId> = orders.iter().map(TransferOrder::id).collect();
+        self.transfers.fences.retain(|id, _| told.contains(id));
+        self.transfers.taken.retain(|id| told.contains(id));
+        self.transfers.accepted.clear();
         for order in orders {
             match order {
-                HandoverOrder::Offer { id } => {
-                    self.handovers.accepted.insert(*id);
+                TransferOrder::Offer { id } => {
+                    self.transfers.accepted.insert(*id);
                 }
-                HandoverOrder::Fence { id, range } => self.fence(*id, range, now),
-                HandoverOrder::Take {
+                TransferOrder::Fence { id, range } => self.fence(*id, range, now),
+                TransferOrder::Take {
                     id,
                     range,
                     generation,
                     machines,
                 } => {
-                    if mirror.shares.generation >= *generation && self.handovers.taken.insert(*id) {
-                        self.take_share(range, machines, mirror, now);
+                    if cache.shares.generation >= *generation && self.transfers.taken.insert(*id) {
+                        self.take_share(range, machines, cache, now);
                     }
                 }
             }
         }
-        self.dirty |= self.handovers.report() != before;
+        self.dirty |= self.transfers.report() != before;
     }
 
     /// Stops giving orders to the machines of a range, and notes what is known of them.
-    fn fence(&mut self, id: HandoverId, range: &ShareRange, now: Secs) {
-        if self.handovers.fences.contains_key(&id) {
+    fn fence(&mut self, id: TransferId, range: &HashRange, now: Seconds) {
+        if self.transfers.fences.contains_key(&id) {
             return;
         }
-        let side = &self.handovers;
+        let side = &self.transfers;
         let machines: Vec<MachineId> = self
             .machines
             .keys()
@@ -146,22 +148,22 @@
             .iter()
             .filter_map(|id| self.knowledge(id, now))
             .collect();
-        tracing::debug!(handover = id, %range, machines = machines.len(), "fenced");
+        tracing::debug!(transfer = id, %range, machines = machines.len(), "fenced");
         let fence = Fence {
             range: range.clone(),
             knowledge,
             released: false,
         };
-        self.handovers.fences.insert(id, fence);
+        self.transfers.fences.insert(id, fence);
     }
 
     /// Tasks that were to be started on a machine, and certainly were not, are the leader's
-    /// again. Guard: given back later, they would be in the taker's hands as well.
+    /// again. Guard: given back later, they would be in the target's hands as well.
     fn give_back_unsent(&mut self, id: &MachineId) {
         for task in self.held.names_on(id) {
             let place = self.held.get(&task).and_then(|held| held.at.as_ref());
             if place.is_some_and(|place| !place.confirmed && place.start_token == u64::MAX) {
-                self.leave(&task, Leave::Passed);
+                self.leave(&task, RemovalReason::Passed);
             }
         }
     }
@@ -170,20 +172,25 @@
     pub fn fenced_machines(&self) -> Vec<MachineId> {
         self.machines
             .keys()
-            .filter(|id| self.handovers.is_fenced(id))
+            .filter(|id| self.transfers.is_fenced(id))
             .cloned()
             .collect()
     }
 
     /// Answers a worker of a share that is being handed over: its lease is renewed, and
     /// what is cancelled stops.
-    pub(super) fn answer_fenced(&mut self, r: &Report, mirror: &Mirror, now: Secs) -> ReportReply {
+    pub(super) fn answer_fenced(
+        &mut self,
+        r: &Heartbeat,
+        cache: &StoreCache,
+        now: Seconds,
+    ) -> HeartbeatReply {
         let epoch = self.epoch;
         let Some(m) = self.machines.get_mut(&r.machine) else {
-            return ReportReply::Refuse;
+            return HeartbeatReply::Refuse;
         };
         if (r.session, r.seq) <= (m.session, m.seq) || r.session <= m.over {
-            return ReportReply::Refuse;
+            return HeartbeatReply::Refuse;
         }
         m.answered = Some(now);
         // Guard: it would look silent for as long as the table can't be written.
@@ -191,7 +198,7 @@
             m.heard = Some(now);
         }
         let cancelled = |task: &str| {
-            let job = Task::parse(task).and_then(|task| mirror.jobs.get(&task.job));
+            let job = Task::parse(task).and_then(|task| cache.jobs.get(&task.job));
             job.is_some_and(|job| job.record.cancelled)
         };
         let stops = r
@@ -199,22 +206,27 @@
             .iter()
             .filter(|line| line.state != TaskState::Ended && cancelled(&line.task));
         let commands = stops
-            .map(|line| Call::Stop {
+            .map(|line| Command::Stop {
                 task: line.task.clone(),
                 attempt: line.attempt,
                 grace_s: 0.0,
             })
             .collect();
-        ReportReply::Commands {
+        HeartbeatReply::Accepted {
             token: token(epoch, m.counter),
             commands,
         }
     }
 
-    /// The table of shares has changed: what is no longer this part's goes, and what is
-    /// new waits for its giver's knowledge.
-    pub fn shares_changed(&mut self, mirror: &Mirror, now: Secs, owns: impl Fn(&str) -> bool) {
-        self.handovers.table_changed_at = Some(now);
+    /// The table of shares has changed: what is no longer this shard's goes, and what is
+    /// new waits for its source's knowledge.
+    pub fn shares_changed(
+        &mut self,
+        cache: &StoreCache,
+        now: Seconds,
+        owns: impl Fn(&str) -> bool,
+    ) {
+        self.transfers.table_changed_at = Some(now);
         let gone: Vec<MachineId> = self
             .machines
             .keys()
@@ -224,20 +236,20 @@
         for id in &gone {
             self.let_go(id);
         }
-        let (node, table) = (&self.node, &mirror.shares);
-        for fence in self.handovers.fences.values_mut() {
+        let (node, table) = (&self.node, &cache.shares);
+        for fence in self.transfers.fences.values_mut() {
             fence.released |= table.sole_owner(&fence.range) != Some(node);
         }
         let machines = &self.machines;
-        let gained = mirror
-            .roster
+        let gained = cache
+            .registry
             .keys()
             .filter(|id| owns(id) && !machines.contains_key(*id));
-        self.handovers.awaited = gained.cloned().collect();
+        self.transfers.awaited = gained.cloned().collect();
         self.dirty = true;
     }
 
-    /// A machine is another part's, with all that is on it.
+    /// A machine is another shard's, with all that is on it.
     fn let_go(&mut self, id: &MachineId) {
         for task in self.held.names_on(id) {
             self.drop_held(&task);
@@ -247,49 +259,49 @@
         self.unlisted.push((id.clone(), self.seq + 1));
     }
 
-    /// Goes on with a share from what its giver knew. A machine of it that the giver did
+    /// Goes on with a share from what its source knew. A machine of it that the source did
     /// not know is asked like any other.
     fn take_share(
         &mut self,
-        range: &ShareRange,
-        known: &[MachineKnowledge],
-        mirror: &Mirror,
-        now: Secs,
+        range: &HashRange,
+        known: &[MachineTransferState],
+        cache: &StoreCache,
+        now: Seconds,
     ) {
-        let side = &self.handovers;
+        let side = &self.transfers;
         let mine: BTreeSet<MachineId> = side
             .awaited
             .iter()
             .filter(|id| side.is_in(range, id))
             .cloned()
             .collect();
-        self.handovers.awaited.retain(|id| !mine.contains(id));
+        self.transfers.awaited.retain(|id| !mine.contains(id));
         for machine in known.iter().filter(|machine| mine.contains(&machine.id)) {
-            self.adopt_machine(machine, mirror, now);
+            self.adopt_machine(machine, cache, now);
         }
         for id in &mine {
-            if let Some((record, _)) = mirror.roster.get(id) {
+            if let Some((record, _)) = cache.registry.get(id) {
                 self.list(id, &record.clone(), now);
             }
-            let until = self.giver_renews_until();
+            let until = self.source_renews_until();
             if let Some(m) = self.machines.get_mut(id) {
-                m.giver_renews_until = until;
+                m.source_renews_until = until;
             }
         }
         tracing::debug!(%range, machines = mine.len(), "took a share");
     }
 
-    /// Until when the giver of a machine that has just come may renew its worker's lease:
+    /// Until when the source of a machine that has just come may renew its worker's lease:
     /// one that has not read the changed table answers until its knowledge is too old.
-    pub(super) fn giver_renews_until(&self) -> Secs {
+    pub(super) fn source_renews_until(&self) -> Seconds {
         let margin = clock::with_drift_margin(self.timing.member_life_s);
-        self.handovers
+        self.transfers
             .table_changed_at
             .map_or(f64::MIN, |changed| changed + margin)
     }
 
-    /// What is known of a machine, for its taker.
-    fn knowledge(&self, id: &MachineId, now: Secs) -> Option<MachineKnowledge> {
+    /// What is known of a machine, for its target.
+    fn knowledge(&self, id: &MachineId, now: Seconds) -> Option<MachineTransferState> {
         let m = self.machines.get(id)?;
         let held = self
             .held
@@ -298,18 +310,18 @@
         let lines = m
             .lines
             .iter()
-            .map(|(task, (attempt, state, why))| LineKnowledge {
+            .map(|(task, (attempt, state, why))| ReportedTaskState {
                 task: task.clone(),
                 attempt: *attempt,
                 state: *state,
                 why: why.clone(),
             });
-        Some(MachineKnowledge {
+        Some(MachineTransferState {
             id: id.clone(),
-            kind: m.kind.clone(),
+            machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            addr: m.addr.clone(),
+            address: m.address.clone(),
             listed: m.listed,
             up: m.up,
             state: m.state,
@@ -326,18 +338,18 @@
         })
     }
 
-    /// Takes over a machine with all that its giver knew. Its token is above any that the
-    /// giver used.
-    fn adopt_machine(&mut self, known: &MachineKnowledge, mirror: &Mirror, now: Secs) {
+    /// Takes over a machine with all that its source knew. Its token is above any that the
+    /// source used.
+    fn adopt_machine(&mut self, known: &MachineTransferState, cache: &StoreCache, now: Seconds) {
         let lines = known
             .lines
             .iter()
             .map(|l| (l.task.clone(), (l.attempt, l.state, l.why.clone())));
         let machine = Machine {
-            kind: known.kind.clone(),
+            machine_type: known.machine_type.clone(),
             zone: known.zone.clone(),
             spot: known.spot,
-            addr: known.addr.clone(),
+            address: known.address.clone(),
             listed: known.listed,
             up: known.up,
             state: known.state,
@@ -356,27 +368,27 @@
         };
         self.machines.insert(known.id.clone(), machine);
         for task in &known.held {
-            self.adopt_task(&known.id, task, mirror, now);
+            self.adopt_task(&known.id, task, cache, now);
         }
     }
 
     fn adopt_task(
         &mut self,
         machine: &MachineId,
-        known: &TaskKnowledge,
-        mirror: &Mirror,
-        now: Secs,
+        known: &AssignedTaskState,
+        cache: &StoreCache,
+        now: Seconds,
     ) {
         if self.held.contains(&known.task) {
             tracing::warn!(task = %known.task, %machine, "a task that comes with a share is held already");
             return;
         }
         let phase = match (known.done, known.confirmed) {
-            (true, _) => Phase::Done,
-            (false, true) => Phase::Running,
-            (false, false) => Phase::Starting,
+            (true, _) => TaskPhase::Done,
+            (false, true) => TaskPhase::Running,
+            (false, false) => TaskPhase::Starting,
         };
-        let place = Place {
+        let place = Placement {
             machine: machine.clone(),
             session: known.session,
             phase,
@@ -387,7 +399,7 @@
             stop_sent: false,
             since: now - known.for_s,
         };
-        let held = Held {
+        let held = AssignedTask {
             attempt: known.attempt,
             assignment: known.assignment,
             at: Some(place),
@@ -401,7 +413,7 @@
         let seen = self.seen.entry(known.task.clone()).or_insert(0);
         *seen = (*seen).max(known.assignment);
         self.held.insert(known.task.clone(), held);
-        if mirror
+        if cache
             .jobs
             .get(&known.task.job)
             .is_some_and(|job| job.record.cancelled)
@@ -411,9 +423,9 @@
     }
 }
 
-fn task_knowledge(task: &Task, held: &Held, now: Secs) -> Option<TaskKnowledge> {
+fn task_knowledge(task: &Task, held: &AssignedTask, now: Seconds) -> Option<AssignedTaskState> {
     let place = held.at.as_ref()?;
-    Some(TaskKnowledge {
+    Some(AssignedTaskState {
         task: task.clone(),
         attempt: held.attempt,
         assignment: held.assignment,
@@ -421,7 +433,7 @@
         start_token: place.start_token,
         sent: place.sent,
         confirmed: place.confirmed,
-        done: place.phase == Phase::Done,
+        done: place.phase == TaskPhase::Done,
         stopping: place.stop.is_some(),
         for_s: now - place.since,
     })
--- a/src/jobs.rs
+++ b/src/store/cache.rs
@@ -1,4 +1,4 @@
-//! The mirror: what the state service holds, kept in memory.
+//! The cache: what the key-value store holds, kept in memory.
 //!
 //! | key | value |
 //! | --- | --- |
@@ -6,16 +6,16 @@
 //! | `fw/m/NAME` | [`Member`], attached to the member's lease |
 //! | `fw/j/ID` | [`JobRecord`] |
 //! | `fw/f/ID/CHUNK` | finished tasks of a [`Chunk`], a bitmap in hex |
-//! | `fw/r/PAGE` | [`RosterPage`]: the machines of a rental, or [`RosterRecord`] of one (as before 0.2) |
-//! | `fw/c` | the cloud's catalogue |
-//! | `fw/s` | [`ShareTable`], as it is stored |
+//! | `fw/r/PAGE` | [`RegistryPage`]: the machines of a rental, or [`MachineRecord`] of one (as before 0.2) |
+//! | `fw/c` | the cloud's catalog |
+//! | `fw/s` | [`ShardMap`], as it is stored |
 
-use crate::finished::{tasks_per_chunk, Bits, Chunk};
-use crate::state::{Entry, Event};
-use crate::unreadable::{RecordError, UnreadableRecords};
+use crate::finished::{tasks_per_chunk, Chunk, TaskSet};
+use crate::store::unreadable_records::{RecordError, UnreadableRecords};
+use crate::store::{KeyChange, KeyValue};
 use crate::wire::{Catalog, JobId, JobSpec, MachineId, Task};
-use finchwood_reconcile::stored::{StoredJobs, StoredTask};
-use finchwood_shares::table::{ShareError, ShareTable, StoredTable};
+use finchwood_reconciliation::stored_jobs::{StoredJobs, StoredTask};
+use finchwood_sharding::shard_map::{ShardMap, ShardMapError, StoredShardMap};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
@@ -23,19 +23,20 @@
 
 /// The key of the epoch.
 pub const EPOCH_KEY: &str = "fw/epoch";
-/// What the keys of roster pages begin with.
-pub const ROSTER_PREFIX: &str = "fw/r/";
+/// What the keys of machine registry pages begin with.
+pub const REGISTRY_PREFIX: &str = "fw/r/";
 /// What the keys of job records begin with.
 pub const JOB_PREFIX: &str = "fw/j/";
 /// The key of the table of shares.
 pub const SHARES_KEY: &str = "fw/s";
-/// The key of the catalogue.
+/// The key of the catalog.
 pub const CATALOG_KEY: &str = "fw/c";
 
 /// A member as its key tells it: its lease is its incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    pub inc: u64,
+    #[serde(rename = "inc")]
+    pub incarnation: u64,
     /// What the member's version can do; versions before [`GANG_CAPABILITY`] don't say.
     #[serde(rename = "v", default, skip_serializing_if = "is_zero")]
     pub capability: u32,
@@ -49,9 +50,9 @@
 
 impl Member {
     /// A member of this version, that goes by the table of shares or not.
-    pub fn new(inc: u64, shares: bool) -> Member {
+    pub fn new(incarnation: u64, shares: bool) -> Member {
         Member {
-            inc,
+            incarnation,
             capability: if shares {
                 SHARES_CAPABILITY
             } else {
@@ -60,9 +61,9 @@
         }
     }
 
-    /// A member of this version without parts that are off by default.
-    pub fn of_this_version(inc: u64) -> Member {
-        Member::new(inc, false)
+    /// A member of this version without shards that are off by default.
+    pub fn of_this_version(incarnation: u64) -> Member {
+        Member::new(incarnation, false)
     }
 }
 
@@ -122,9 +123,9 @@
 
 /// A machine as it is stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RosterRecord {
+pub struct MachineRecord {
     #[serde(rename = "b")]
-    pub kind: Arc<str>,
+    pub machine_type: Arc<str>,
     #[serde(rename = "z")]
     pub zone: Arc<str>,
     #[serde(rename = "s")]
@@ -138,15 +139,15 @@
     /// Where its worker takes commands, once that is known: a new owner asks
     /// it at once what it runs.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
-    pub addr: Option<Arc<str>>,
+    pub address: Option<Arc<str>>,
 }
 
-/// A page of the roster: the machines of one rental, so that hundreds of them
-/// come on the roster, up and off it with few writes.
+/// A page of the machine registry: the machines of one rental, so that hundreds of them
+/// come on the machine registry, up and off it with few writes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RosterPage {
+pub struct RegistryPage {
     #[serde(rename = "b")]
-    pub kind: Arc<str>,
+    pub machine_type: Arc<str>,
     #[serde(rename = "z")]
     pub zone: Arc<str>,
     #[serde(rename = "s")]
@@ -158,32 +159,32 @@
     pub machines: BTreeMap<MachineId, Option<Arc<str>>>,
 }
 
-impl RosterPage {
-    fn record(&self, addr: &Option<Arc<str>>) -> RosterRecord {
-        RosterRecord {
-            kind: self.kind.clone(),
+impl RegistryPage {
+    fn record(&self, address: &Option<Arc<str>>) -> MachineRecord {
+        MachineRecord {
+            machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            up: addr.is_some(),
+            up: address.is_some(),
             at_ms: self.at_ms,
-            addr: addr.clone().filter(|a| !a.is_empty()),
+            address: address.clone().filter(|a| !a.is_empty()),
         }
     }
 }
 
-/// A page as the mirror holds it.
+/// A page as the cache holds it.
 #[derive(Debug, Clone)]
-pub struct Page {
-    pub page: RosterPage,
-    pub version: u64,
+pub struct CachedPage {
+    pub page: RegistryPage,
+    pub revision: u64,
 }
 
-/// A job as the mirror has it.
+/// A job as the cache has it.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub record: JobRecord,
-    pub version: u64,
-    pub finished: Bits,
+    pub revision: u64,
+    pub finished: TaskSet,
     /// Versions of the chunks of finished tasks.
     pub chunks: BTreeMap<Chunk, u64>,
 }
@@ -197,7 +198,7 @@
 
 /// What an applied event changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
+pub enum CacheChange {
     Epoch,
     Members,
     Job(JobId),
@@ -207,37 +208,37 @@
     Nothing,
 }
 
-/// Everything the state service holds of ours.
+/// Everything the key-value store holds of ours.
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct StoreCache {
     pub epoch: Option<Epoch>,
-    pub epoch_version: u64,
+    pub epoch_revision: u64,
     pub members: BTreeMap<String, (Member, u64)>,
     pub jobs: HashMap<JobId, Job>,
     /// Every machine on any page, with the page it is taken from.
-    pub roster: BTreeMap<MachineId, (RosterRecord, Arc<str>)>,
-    pub pages: BTreeMap<Arc<str>, Page>,
+    pub registry: BTreeMap<MachineId, (MachineRecord, Arc<str>)>,
+    pub registry_pages: BTreeMap<Arc<str>, CachedPage>,
     /// Versions of pages that were deleted.
     gone_pages: HashMap<Arc<str>, u64>,
     pub catalog: Option<Arc<Catalog>>,
-    pub catalog_version: u64,
+    pub catalog_revision: u64,
     /// What is owned otherwise than the hash says.
-    pub shares: ShareTable,
-    pub shares_version: u64,
+    pub shares: ShardMap,
+    pub shares_revision: u64,
     /// Records that make no sense, and are left alone.
     pub unreadable: UnreadableRecords,
     /// Tasks of each numbered chunk, as production counts them.
     tasks_per_numbered_chunk: u32,
 }
 
-impl StoredJobs for Mirror {
+impl StoredJobs for StoreCache {
     fn stored(&self, task: &Task) -> StoredTask {
         match self.jobs.get(&task.job) {
             None => StoredTask::UnknownJob,
             Some(job) if job.record.done => StoredTask::JobDone,
             Some(job) if job.record.cancelled => StoredTask::JobCancelled,
             Some(job) if task.index >= job.record.tasks => StoredTask::NoSuchTask,
-            Some(job) if job.finished.has(task.index) => StoredTask::Finished,
+            Some(job) if job.finished.contains(task.index) => StoredTask::Finished,
             Some(_) => StoredTask::Unfinished,
         }
     }
@@ -247,7 +248,7 @@
 pub fn job_key(id: &str) -> String {
     format!("fw/j/{id}")
 }
-/// The key of a page of the roster.
+/// The key of a page of the machine registry.
 pub fn page_key(name: &str) -> String {
     format!("fw/r/{name}")
 }
@@ -261,43 +262,45 @@
     serde_json::from_value(value).map_err(|_| RecordError::Malformed)
 }
 
-/// Reads a page of the roster, or the record of a single machine as a page.
-fn read_page(name: &str, value: Value) -> Result<RosterPage, RecordError> {
+/// Reads a page of the machine registry, or the record of a single machine as a page.
+fn read_page(name: &str, value: Value) -> Result<RegistryPage, RecordError> {
     if value.get("m").is_some() {
         return read(value);
     }
-    let record: RosterRecord = read(value)?;
-    let addr = record.up.then(|| record.addr.unwrap_or_else(|| "".into()));
-    Ok(RosterPage {
-        kind: record.kind,
+    let record: MachineRecord = read(value)?;
+    let address = record
+        .up
+        .then(|| record.address.unwrap_or_else(|| "".into()));
+    Ok(RegistryPage {
+        machine_type: record.machine_type,
         zone: record.zone,
         spot: record.spot,
         at_ms: record.at_ms,
-        machines: [(name.into(), addr)].into_iter().collect(),
+        machines: [(name.into(), address)].into_iter().collect(),
     })
 }
 
-impl Mirror {
-    /// An empty mirror.
-    pub fn new(value_kb: f64) -> Mirror {
-        Mirror {
+impl StoreCache {
+    /// An empty cache.
+    pub fn new(value_kb: f64) -> StoreCache {
+        StoreCache {
             tasks_per_numbered_chunk: tasks_per_chunk(value_kb),
-            ..Mirror::default()
+            ..StoreCache::default()
         }
     }
 
     /// Takes a full reading in place of everything.
-    pub fn load(&mut self, entries: Vec<Entry>) {
+    pub fn load(&mut self, entries: Vec<KeyValue>) {
         let tasks_per_numbered_chunk = self.tasks_per_numbered_chunk;
-        *self = Mirror {
+        *self = StoreCache {
             tasks_per_numbered_chunk,
-            ..Mirror::default()
+            ..StoreCache::default()
         };
         let (chunks, rest): (Vec<_>, Vec<_>) = entries
             .into_iter()
             .partition(|e| e.key.starts_with("fw/f/"));
         for e in rest.into_iter().chain(chunks) {
-            self.put(&e.key, e.value, e.version);
+            self.put(&e.key, e.value, e.revision);
         }
     }
 
@@ -310,145 +313,155 @@
     }
 
     /// Applies one event.
-    pub fn apply(&mut self, event: Event) -> Change {
+    pub fn apply(&mut self, event: KeyChange) -> CacheChange {
         match event {
-            Event::Put {
+            KeyChange::Put {
                 key,
                 value,
-                version,
-            } => self.put(&key, value, version),
-            Event::Delete { key, version } => self.delete(&key, version),
+                revision,
+            } => self.put(&key, value, revision),
+            KeyChange::Delete { key, revision } => self.delete(&key, revision),
         }
     }
 
     /// Applies a put; older versions than the known one change nothing. A record
     /// that makes no sense is left out: what was known under its key stays.
-    pub fn put(&mut self, key: &str, value: Value, version: u64) -> Change {
-        match self.try_put(key, value, version) {
+    pub fn put(&mut self, key: &str, value: Value, revision: u64) -> CacheChange {
+        match self.try_put(key, value, revision) {
             Ok(change) => {
-                if change != Change::Shares {
-                    self.unreadable.remove(key, version);
+                if change != CacheChange::Shares {
+                    self.unreadable.remove(key, revision);
                 }
                 change
             }
             Err(RecordError::ForeignKey) => {
                 tracing::debug!(key, "a key of another version");
-                Change::Nothing
+                CacheChange::Nothing
             }
             Err(why) => {
-                tracing::warn!(key, version, %why, "a stored record is left out");
-                self.unreadable.add(key, version, why);
-                Change::Nothing
+                tracing::warn!(key, revision, %why, "a stored record is left out");
+                self.unreadable.add(key, revision, why);
+                CacheChange::Nothing
             }
         }
     }
 
-    fn try_put(&mut self, key: &str, value: Value, version: u64) -> Result<Change, RecordError> {
+    fn try_put(
+        &mut self,
+        key: &str,
+        value: Value,
+        revision: u64,
+    ) -> Result<CacheChange, RecordError> {
         match key {
-            EPOCH_KEY => return self.put_epoch(value, version),
-            CATALOG_KEY => return self.put_catalog(value, version),
-            SHARES_KEY => return self.put_shares(value, version),
+            EPOCH_KEY => return self.put_epoch(value, revision),
+            CATALOG_KEY => return self.put_catalog(value, revision),
+            SHARES_KEY => return self.put_shares(value, revision),
             _ => {}
         }
         let rest = key.strip_prefix("fw/").ok_or(RecordError::ForeignKey)?;
         let mut parts = rest.splitn(3, '/');
         match (parts.next(), parts.next(), parts.next()) {
-            (Some("m"), Some(name), None) => self.put_member(name, value, version),
-            (Some("j"), Some(id), None) => self.put_job(id, value, version),
-            (Some("f"), Some(id), Some(chunk)) => self.put_finished(id, chunk, value, version),
+            (Some("m"), Some(name), None) => self.put_member(name, value, revision),
+            (Some("j"), Some(id), None) => self.put_job(id, value, revision),
+            (Some("f"), Some(id), Some(chunk)) => self.put_finished(id, chunk, value, revision),
             (Some("r"), Some(name), None) => {
                 let page = read_page(name, value)?;
-                Ok(self.put_page(key.into(), page, version))
+                Ok(self.put_page(key.into(), page, revision))
             }
             _ => Err(RecordError::ForeignKey),
         }
     }
 
-    fn put_epoch(&mut self, value: Value, version: u64) -> Result<Change, RecordError> {
+    fn put_epoch(&mut self, value: Value, revision: u64) -> Result<CacheChange, RecordError> {
         let epoch: Epoch = read(value)?;
-        if version <= self.epoch_version {
-            return Ok(Change::Nothing);
+        if revision <= self.epoch_revision {
+            return Ok(CacheChange::Nothing);
         }
         self.epoch = Some(epoch);
-        self.epoch_version = version;
-        Ok(Change::Epoch)
+        self.epoch_revision = revision;
+        Ok(CacheChange::Epoch)
     }
 
-    fn put_catalog(&mut self, value: Value, version: u64) -> Result<Change, RecordError> {
-        if version <= self.catalog_version {
-            return Ok(Change::Nothing);
+    fn put_catalog(&mut self, value: Value, revision: u64) -> Result<CacheChange, RecordError> {
+        if revision <= self.catalog_revision {
+            return Ok(CacheChange::Nothing);
         }
         self.catalog = Some(Arc::new(read(value)?));
-        self.catalog_version = version;
-        Ok(Change::Catalog)
+        self.catalog_revision = revision;
+        Ok(CacheChange::Catalog)
     }
 
     /// What a table fails to say, the hash decides; so it does for all controllers alike,
     /// whatever they knew before.
-    fn put_shares(&mut self, value: Value, version: u64) -> Result<Change, RecordError> {
-        if version <= self.shares_version {
-            return Ok(Change::Nothing);
+    fn put_shares(&mut self, value: Value, revision: u64) -> Result<CacheChange, RecordError> {
+        if revision <= self.shares_revision {
+            return Ok(CacheChange::Nothing);
         }
-        let stored: Result<StoredTable, RecordError> = read(value);
+        let stored: Result<StoredShardMap, RecordError> = read(value);
         let (table, errors) = match &stored {
-            Ok(stored) => ShareTable::read(stored),
-            Err(_) => (ShareTable::default(), vec![ShareError::Malformed]),
+            Ok(stored) => ShardMap::read(stored),
+            Err(_) => (ShardMap::default(), vec![ShardMapError::Malformed]),
         };
         self.shares = table;
-        self.shares_version = version;
+        self.shares_revision = revision;
         if errors.is_empty() {
-            self.unreadable.remove(SHARES_KEY, version);
+            self.unreadable.remove(SHARES_KEY, revision);
         } else {
             tracing::warn!(
                 key = SHARES_KEY,
-                version,
+                revision,
                 ?errors,
                 "stored shares are left out"
             );
             self.unreadable
-                .add(SHARES_KEY, version, RecordError::Malformed);
+                .add(SHARES_KEY, revision, RecordError::Malformed);
         }
-        Ok(Change::Shares)
+        Ok(CacheChange::Shares)
     }
 
     fn put_member(
         &mut self,
         name: &str,
         value: Value,
-        version: u64,
-    ) -> Result<Change, RecordError> {
+        revision: u64,
+    ) -> Result<CacheChange, RecordError> {
         let known = self.members.get(name).map_or(0, |member| member.1);
-        if version > known {
-            self.members.insert(name.into(), (read(value)?, version));
+        if revision > known {
+            self.members.insert(name.into(), (read(value)?, revision));
         }
-        Ok(Change::Members)
+        Ok(CacheChange::Members)
     }
 
-    fn put_job(&mut self, id: &str, value: Value, version: u64) -> Result<Change, RecordError> {
+    fn put_job(
+        &mut self,
+        id: &str,
+        value: Value,
+        revision: u64,
+    ) -> Result<CacheChange, RecordError> {
         let record: JobRecord = read(value)?;
         record.check(id)?;
         let id: JobId = id.into();
         match self.jobs.get_mut(&id) {
-            Some(job) if version <= job.version => return Ok(Change::Nothing),
+            Some(job) if revision <= job.revision => return Ok(CacheChange::Nothing),
             Some(job) => {
                 job.record = record;
-                job.version = version;
+                job.revision = revision;
                 if job.record.done {
-                    job.finished = Bits::default();
+                    job.finished = TaskSet::default();
                     job.chunks.clear();
                 }
             }
             None => {
                 let job = Job {
                     record,
-                    version,
-                    finished: Bits::default(),
+                    revision,
+                    finished: TaskSet::default(),
                     chunks: BTreeMap::new(),
                 };
                 self.jobs.insert(id.clone(), job);
             }
         }
-        Ok(Change::Job(id))
+        Ok(CacheChange::Job(id))
     }
 
     fn put_finished(
@@ -456,16 +469,16 @@
         id: &str,
         chunk: &str,
         value: Value,
-        version: u64,
-    ) -> Result<Change, RecordError> {
+        revision: u64,
+    ) -> Result<CacheChange, RecordError> {
         let chunk = Chunk::parse(chunk).ok_or(RecordError::Malformed)?;
         let first = chunk
             .first_task(self.tasks_per_numbered_chunk)
             .ok_or(RecordError::NoSuchTask)?;
         let text: String = read(value)?;
         let job = self.jobs.get_mut(id).ok_or(RecordError::NoSuchJob)?;
-        if job.record.done || version <= job.chunks.get(&chunk).copied().unwrap_or(0) {
-            return Ok(Change::Nothing);
+        if job.record.done || revision <= job.chunks.get(&chunk).copied().unwrap_or(0) {
+            return Ok(CacheChange::Nothing);
         }
         let mut finished = job.finished.clone();
         finished.add_hex(first, &text);
@@ -473,52 +486,54 @@
         if finished.last().is_some_and(|task| task >= job.record.tasks) {
             return Err(RecordError::NoSuchTask);
         }
-        job.chunks.insert(chunk, version);
+        job.chunks.insert(chunk, revision);
         job.finished = finished;
-        Ok(Change::Job(id.into()))
+        Ok(CacheChange::Job(id.into()))
     }
 
     /// Takes in that a job's cancellation was committed as revision `version`,
     /// as another controller tells it. That needs no epoch and no order: a live
     /// record becomes nothing else than cancelled by it, and what is known
     /// already stays. False if nothing has changed.
-    pub fn apply_cancellation(&mut self, id: &JobId, version: u64, at_ms: u64) -> bool {
+    pub fn apply_cancellation(&mut self, id: &JobId, revision: u64, at_ms: u64) -> bool {
         match self.jobs.get_mut(id) {
-            Some(job) if job.live() && job.version < version => {
+            Some(job) if job.live() && job.revision < revision => {
                 job.record.cancelled = true;
                 job.record.cancelled_at_ms = Some(at_ms);
-                job.version = version;
+                job.revision = revision;
                 true
             }
             _ => false,
         }
     }
 
-    /// Takes in a page; what is no longer on it is off the roster, unless
+    /// Takes in a page; what is no longer on it is off the machine registry, unless
     /// another page has it too.
-    fn put_page(&mut self, key: Arc<str>, page: RosterPage, version: u64) -> Change {
+    fn put_page(&mut self, key: Arc<str>, page: RegistryPage, revision: u64) -> CacheChange {
         let known = self
-            .pages
+            .registry_pages
             .get(&key)
-            .map(|p| p.version)
+            .map(|p| p.revision)
             .or(self.gone_pages.get(&key).copied());
-        if known.is_some_and(|v| version <= v) {
-            return Change::Nothing;
+        if known.is_some_and(|v| revision <= v) {
+            return CacheChange::Nothing;
         }
         let mut changed = Vec::new();
-        for (id, addr) in &page.machines {
-            let record = page.record(addr);
-            match self.roster.get(id) {
+        for (id, address) in &page.machines {
+            let record = page.record(address);
+            match self.registry.get(id) {
                 Some((_, other)) if *other != key => {}
                 Some((old, _)) if *old == record => {}
                 _ => {
-                    self.roster.insert(id.clone(), (record, key.clone()));
+                    self.registry.insert(id.clone(), (record, key.clone()));
                     changed.push(id.clone());
                 }
             }
         }
-        let old = self.pages.insert(key.clone(), Page { page, version });
-        let now = &self.pages[&key].page.machines;
+        let old = self
+            .registry_pages
+            .insert(key.clone(), CachedPage { page, revision });
+        let now = &self.registry_pages[&key].page.machines;
         let off: Vec<MachineId> = old
             .map(|o| {
                 o.page
@@ -528,54 +543,58 @@
                     .collect()
             })
             .unwrap_or_default();
-        if let Change::Machines(more) = self.off_page(&key, off) {
+        if let CacheChange::Machines(more) = self.off_page(&key, off) {
             changed.extend(more);
         }
-        Change::Machines(changed)
+        CacheChange::Machines(changed)
     }
 
-    fn off_page(&mut self, key: &str, ids: Vec<MachineId>) -> Change {
+    fn off_page(&mut self, key: &str, ids: Vec<MachineId>) -> CacheChange {
         for id in &ids {
-            if self.roster.get(id).is_none_or(|r| &*r.1 != key) {
+            if self.registry.get(id).is_none_or(|r| &*r.1 != key) {
                 continue;
             }
-            self.roster.remove(id);
-            let other = self.pages.iter().find_map(|(k, p)| {
+            self.registry.remove(id);
+            let other = self.registry_pages.iter().find_map(|(k, p)| {
                 p.page
                     .machines
                     .get(id)
-                    .map(|addr| (p.page.record(addr), k.clone()))
+                    .map(|address| (p.page.record(address), k.clone()))
             });
             if let Some(entry) = other {
-                self.roster.insert(id.clone(), entry);
+                self.registry.insert(id.clone(), entry);
             }
         }
-        Change::Machines(ids)
+        CacheChange::Machines(ids)
     }
 
-    fn delete(&mut self, key: &str, version: u64) -> Change {
-        self.unreadable.remove(key, version);
+    fn delete(&mut self, key: &str, revision: u64) -> CacheChange {
+        self.unreadable.remove(key, revision);
         let mut parts = key.strip_prefix("fw/").unwrap_or_default().splitn(3, '/');
         match (parts.next(), parts.next()) {
             (Some("m"), Some(name)) => {
-                if self.members.get(name).is_some_and(|m| m.1 < version) {
+                if self.members.get(name).is_some_and(|m| m.1 < revision) {
                     self.members.remove(name);
                 }
-                Change::Members
+                CacheChange::Members
             }
             (Some("r"), Some(_)) => {
-                if self.pages.get(key).is_some_and(|p| p.version > version) {
-                    return Change::Nothing;
+                if self
+                    .registry_pages
+                    .get(key)
+                    .is_some_and(|p| p.revision > revision)
+                {
+                    return CacheChange::Nothing;
                 }
-                let gone = self.pages.remove(key);
-                self.gone_pages.insert(key.into(), version);
+                let gone = self.registry_pages.remove(key);
+                self.gone_pages.insert(key.into(), revision);
                 let ids = gone
                     .map(|p| p.page.machines.into_keys().collect())
                     .unwrap_or_default();
                 self.off_page(key, ids)
             }
-            (Some("f"), Some(id)) => Change::Job(id.into()),
-            _ => Change::Nothing,
+            (Some("f"), Some(id)) => CacheChange::Job(id.into()),
+            _ => CacheChange::Nothing,
         }
     }
 }
--- a/src/stored_check.rs
+++ b/src/store/consistency.rs
@@ -2,11 +2,11 @@
 //! name teams, zones or machine types that nobody knows. They are reported, and left
 //! as they are: such a job waits, and such a machine gets nothing.
 
-use crate::jobs::{job_key, Mirror};
-use crate::settings::Settings;
-use crate::unreadable::RecordError;
+use crate::config::settings::Settings;
+use crate::store::cache::{job_key, StoreCache};
+use crate::store::unreadable_records::RecordError;
 
-/// A stored record that doesn't fit the settings or the catalogue.
+/// A stored record that doesn't fit the settings or the catalog.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MisfitRecord {
     /// Its key.
@@ -16,15 +16,15 @@
 }
 
 /// All records that don't fit, by key.
-pub fn misfit_records(mirror: &Mirror, settings: &Settings) -> Vec<MisfitRecord> {
-    let mut misfits = jobs_of_unknown_teams(mirror, settings);
-    misfits.extend(pages_that_do_not_fit(mirror, settings));
+pub fn misfit_records(cache: &StoreCache, settings: &Settings) -> Vec<MisfitRecord> {
+    let mut misfits = jobs_of_unknown_teams(cache, settings);
+    misfits.extend(pages_that_do_not_fit(cache, settings));
     misfits.sort_by(|a, b| a.key.cmp(&b.key));
     misfits
 }
 
-fn jobs_of_unknown_teams(mirror: &Mirror, settings: &Settings) -> Vec<MisfitRecord> {
-    let live = mirror.jobs.iter().filter(|(_, job)| job.live());
+fn jobs_of_unknown_teams(cache: &StoreCache, settings: &Settings) -> Vec<MisfitRecord> {
+    let live = cache.jobs.iter().filter(|(_, job)| job.live());
     let unknown = live.filter(|(_, job)| {
         job.record
             .spec
@@ -39,18 +39,18 @@
         .collect()
 }
 
-fn pages_that_do_not_fit(mirror: &Mirror, settings: &Settings) -> Vec<MisfitRecord> {
+fn pages_that_do_not_fit(cache: &StoreCache, settings: &Settings) -> Vec<MisfitRecord> {
     let mut misfits = Vec::new();
-    for (key, page) in &mirror.pages {
+    for (key, page) in &cache.registry_pages {
         let zone_known = settings
             .params
             .zones
             .iter()
             .any(|zone| **zone == *page.page.zone);
-        let kind_known = mirror
+        let kind_known = cache
             .catalog
             .as_ref()
-            .is_none_or(|c| c.get(&page.page.kind).is_some());
+            .is_none_or(|c| c.get(&page.page.machine_type).is_some());
         let why = match (zone_known, kind_known) {
             (false, _) => RecordError::UnknownZone,
             (true, false) => RecordError::UnknownMachineType,
--- a/src/state/writer.rs
+++ b/src/store/group_commit.rs
@@ -1,25 +1,25 @@
 //! The group commit: conditional writes gathered into transactions.
 
-use super::{spawn, Budget, Class, Op, Outcome, Store};
-use crate::clock::{self, Secs};
-use crate::settings::Settings;
+use super::{spawn, CommitOutcome, RateBudget, StoreClient, WriteClass, WriteOp};
+use crate::clock::{self, Seconds};
+use crate::config::settings::Settings;
 use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
 use std::time::Duration;
 
 /// A conditional write that wants to go out, with others or alone.
 #[derive(Debug)]
-pub struct Write<T> {
+pub struct ConditionalWrite<T> {
     pub conditions: Vec<(String, u64)>,
-    pub ops: Vec<Op>,
+    pub ops: Vec<WriteOp>,
     /// After this it is not sent any more.
-    pub deadline: Secs,
-    pub tag: T,
+    pub deadline: Seconds,
+    pub purpose: T,
 }
 
 /// Sends writes to the group commit.
-pub struct Writer<T> {
-    urgent: Sender<Write<T>>,
-    bulk: Sender<Write<T>>,
+pub struct GroupCommitter<T> {
+    urgent: Sender<ConditionalWrite<T>>,
+    bulk: Sender<ConditionalWrite<T>>,
 }
 
 /// Threads that commit, for each class.
@@ -27,19 +27,19 @@
 
 /// How long a batch may take to be allowed by the rate: users wait for the end
 /// of a job, and for a submission, behind it.
-const BATCH_S: Secs = 0.5;
+const BATCH_S: Seconds = 0.5;
 
-impl<T: Send + 'static> Writer<T> {
+impl<T: Send + 'static> GroupCommitter<T> {
     /// Starts the threads that gather waiting writes into transactions.
-    pub fn start<F>(settings: &Settings, budget: Budget, tell: F) -> Writer<T>
+    pub fn start<F>(settings: &Settings, budget: RateBudget, tell: F) -> GroupCommitter<T>
     where
-        F: Fn(T, Outcome) -> bool + Send + Clone + 'static,
+        F: Fn(T, CommitOutcome) -> bool + Send + Clone + 'static,
     {
         let bound = (settings.params.state.write_rps * 8.0) as usize + 64;
-        let start = |class: Class| {
-            let (queue, inbox) = bounded::<Write<T>>(bound);
+        let start = |class: WriteClass| {
+            let (queue, inbox) = bounded::<ConditionalWrite<T>>(bound);
             for lane in 0..LANES {
-                let store = Store::new(settings);
+                let store = StoreClient::new(settings);
                 let (inbox, budget, tell) = (inbox.clone(), budget.clone(), tell.clone());
                 // A batch waits for as many writes as it holds.
                 let rate = settings.params.state.write_rps * class.share();
@@ -50,7 +50,7 @@
                     .min((rate * BATCH_S).ceil() as usize)
                     .max(1);
                 spawn(&format!("state-{class:?}-{lane}"), move || {
-                    let mut left: Option<Write<T>> = None;
+                    let mut left: Option<ConditionalWrite<T>> = None;
                     loop {
                         let first = match left.take() {
                             Some(w) => w,
@@ -67,17 +67,21 @@
             }
             queue
         };
-        Writer {
-            urgent: start(Class::Urgent),
-            bulk: start(Class::Bulk),
+        GroupCommitter {
+            urgent: start(WriteClass::Urgent),
+            bulk: start(WriteClass::Bulk),
         }
     }
 
     /// Queues a write, or hands it back if the queue is full.
-    pub fn send(&self, class: Class, write: Write<T>) -> Result<(), Write<T>> {
+    pub fn send(
+        &self,
+        class: WriteClass,
+        write: ConditionalWrite<T>,
+    ) -> Result<(), ConditionalWrite<T>> {
         let queue = match class {
-            Class::Urgent => &self.urgent,
-            Class::Bulk => &self.bulk,
+            WriteClass::Urgent => &self.urgent,
+            WriteClass::Bulk => &self.bulk,
         };
         match queue.try_send(write) {
             Ok(()) => Ok(()),
@@ -86,17 +90,17 @@
     }
 }
 
-fn bytes(ops: &[Op]) -> usize {
+fn bytes(ops: &[WriteOp]) -> usize {
     serde_json::to_vec(ops).map_or(0, |v| v.len())
 }
 
 /// Takes more waiting writes as long as one transaction can hold them.
 /// Returns the first that did not fit.
 fn gather<T>(
-    inbox: &Receiver<Write<T>>,
-    batch: &mut Vec<Write<T>>,
+    inbox: &Receiver<ConditionalWrite<T>>,
+    batch: &mut Vec<ConditionalWrite<T>>,
     most: usize,
-) -> Option<Write<T>> {
+) -> Option<ConditionalWrite<T>> {
     let mut ops: usize = batch[0].ops.len();
     let mut conditions = batch[0].conditions.len();
     let mut size = bytes(&batch[0].ops);
@@ -121,17 +125,17 @@
 }
 
 fn commit_batch<T>(
-    store: &Store,
-    budget: &Budget,
-    class: Class,
-    mut batch: Vec<Write<T>>,
-    tell: &impl Fn(T, Outcome) -> bool,
+    store: &StoreClient,
+    budget: &RateBudget,
+    class: WriteClass,
+    mut batch: Vec<ConditionalWrite<T>>,
+    tell: &impl Fn(T, CommitOutcome) -> bool,
 ) {
     loop {
         let now = clock::now();
         let (late, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(|w| w.deadline < now);
         for w in late {
-            tell(w.tag, Outcome::Refused);
+            tell(w.purpose, CommitOutcome::Refused);
         }
         batch = rest;
         if batch.is_empty() {
@@ -142,38 +146,38 @@
         let conditions: Vec<_> = batch.iter().flat_map(|w| w.conditions.clone()).collect();
         let ops: Vec<_> = batch.iter().flat_map(|w| w.ops.clone()).collect();
         match store.commit(&conditions, &ops) {
-            Outcome::Conflict(keys) => {
+            CommitOutcome::Conflict(keys) => {
                 let (failed, rest): (Vec<_>, Vec<_>) = batch
                     .into_iter()
                     .partition(|w| w.conditions.iter().any(|(k, _)| keys.contains(k)));
                 let stuck = failed.is_empty();
                 for w in failed {
-                    tell(w.tag, Outcome::Conflict(keys.clone()));
+                    tell(w.purpose, CommitOutcome::Conflict(keys.clone()));
                 }
                 batch = rest;
                 if stuck {
                     for w in batch {
-                        tell(w.tag, Outcome::Conflict(keys.clone()));
+                        tell(w.purpose, CommitOutcome::Conflict(keys.clone()));
                     }
                     return;
                 }
             }
             // Guard: one write that the service doesn't take must not be given up
             // together with those that only shared its transaction, again and again.
-            Outcome::Invalid if batch.len() > 1 => {
+            CommitOutcome::Invalid if batch.len() > 1 => {
                 for write in batch {
                     commit_batch(store, budget, class, vec![write], tell);
                 }
                 return;
             }
             // Certainly not executed: again within the writes' deadlines.
-            Outcome::TooMuch => {
-                budget.too_much(class);
+            CommitOutcome::RateLimited => {
+                budget.rate_limited(class);
                 std::thread::sleep(Duration::from_secs_f64(rand::random::<f64>() * 0.1));
             }
             outcome => {
                 for w in batch {
-                    tell(w.tag, outcome.clone());
+                    tell(w.purpose, outcome.clone());
                 }
                 return;
             }
--- a/src/state/http_client.rs
+++ b/src/store/http_client.rs
@@ -1,6 +1,6 @@
 //! A blocking HTTP client for the small actors that own a connection each.
 
-use crate::clock::Secs;
+use crate::clock::Seconds;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,26 +11,26 @@
     /// An answer with this status.
     Status(u16, Value),
     /// No answer.
-    Silent,
+    NoResponse,
 }
 
 /// A blocking HTTP client for one outside system.
 #[derive(Clone)]
-pub struct Http {
+pub struct HttpClient {
     agent: ureq::Agent,
     base: String,
 }
 
-impl Http {
+impl HttpClient {
     /// A client for `addr`, giving up on each call after `timeout`.
-    pub fn new(addr: SocketAddr, timeout: Secs) -> Http {
+    pub fn new(addr: SocketAddr, timeout: Seconds) -> HttpClient {
         let agent = ureq::AgentBuilder::new()
             .timeout_connect(Duration::from_secs_f64(timeout))
             .timeout(Duration::from_secs_f64(timeout))
             .max_idle_connections_per_host(2)
             .redirects(0)
             .build();
-        Http {
+        HttpClient {
             agent,
             base: format!("http://{addr}"),
         }
@@ -49,11 +49,11 @@
             Ok(r) => {
                 let mut bytes = Vec::new();
                 std::io::Read::read_to_end(&mut r.into_reader(), &mut bytes)
-                    .map_err(|_| CallError::Silent)?;
+                    .map_err(|_| CallError::NoResponse)?;
                 if bytes.is_empty() {
                     return Ok(Value::Null);
                 }
-                serde_json::from_slice(&bytes).map_err(|_| CallError::Silent)
+                serde_json::from_slice(&bytes).map_err(|_| CallError::NoResponse)
             }
             Err(ureq::Error::Status(code, r)) => {
                 let text = r.into_string().unwrap_or_default();
@@ -62,7 +62,7 @@
                     serde_json::from_str(&text).unwrap_or(Value::Null),
                 ))
             }
-            Err(ureq::Error::Transport(_)) => Err(CallError::Silent),
+            Err(ureq::Error::Transport(_)) => Err(CallError::NoResponse),
         }
     }
 }
--- a/src/state/mod.rs
+++ b/src/store/mod.rs
@@ -1,19 +1,24 @@
-//! The client of the state service: typed calls, the rate budget, the poller that
-//! feeds the mirror, and the group commit.
+//! The client of the key-value store: typed calls, the rate budget, the poller that
+//! feeds the cache, and the group commit.
 
-mod bucket;
-mod budget;
+pub mod cache;
+mod client;
+pub mod consistency;
+mod group_commit;
 mod http_client;
-mod poller;
-mod store;
-mod writer;
+pub mod pending_writes;
+mod rate_budget;
+pub mod registry_pages;
+mod token_bucket;
+pub mod unreadable_records;
+mod watch;
 
-pub use bucket::Bucket;
-pub use budget::{Budget, Class, BULK_SHARE};
-pub use http_client::{CallError, Http};
-pub use poller::{poll_gap, poller, Feed};
-pub use store::Store;
-pub use writer::{Write, Writer};
+pub use client::StoreClient;
+pub use group_commit::{ConditionalWrite, GroupCommitter};
+pub use http_client::{CallError, HttpClient};
+pub use rate_budget::{RateBudget, WriteClass, BULK_SHARE};
+pub use token_bucket::TokenBucket;
+pub use watch::{poll_interval, start_watch, WatchEvent};
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -23,32 +28,32 @@
 
 /// A key with its value and revision.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Entry {
+pub struct KeyValue {
     #[serde(rename = "k")]
     pub key: String,
     pub value: Value,
     #[serde(rename = "mark")]
-    pub version: u64,
+    pub revision: u64,
 }
 
 /// A change of a key.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Event {
+pub enum KeyChange {
     Put {
         key: String,
         value: Value,
-        version: u64,
+        revision: u64,
     },
     Delete {
         key: String,
-        version: u64,
+        revision: u64,
     },
 }
 
 /// One operation of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
-pub enum Op {
+pub enum WriteOp {
     Put {
         #[serde(rename = "put")]
         key: String,
@@ -64,15 +69,15 @@
 
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
+pub enum CommitOutcome {
     /// Applied at this revision.
-    Done(u64),
+    Committed(u64),
     /// A condition did not hold; these keys are at other versions.
     Conflict(Vec<String>),
     /// Certainly not executed.
     Refused,
     /// Certainly not executed, since more was asked than the service allows.
-    TooMuch,
+    RateLimited,
     /// Certainly not executed, as some part of it is malformed or over a limit.
     Invalid,
     /// It may have been executed, or may yet be.
--- a/src/in_flight.rs
+++ b/src/store/pending_writes.rs
@@ -6,44 +6,44 @@
 use std::collections::HashMap;
 
 /// A write's number.
-pub type Serial = u64;
+pub type WriteId = u64;
 
 /// Writes under way, by number.
 #[derive(Debug)]
-pub struct InFlight<K, V> {
-    last: Serial,
-    all: HashMap<Serial, (K, V)>,
+pub struct PendingWrites<K, V> {
+    last: WriteId,
+    all: HashMap<WriteId, (K, V)>,
 }
 
-impl<K, V> Default for InFlight<K, V> {
+impl<K, V> Default for PendingWrites<K, V> {
     fn default() -> Self {
-        InFlight {
+        PendingWrites {
             last: 0,
             all: HashMap::new(),
         }
     }
 }
 
-impl<K: PartialEq, V> InFlight<K, V> {
+impl<K: PartialEq, V> PendingWrites<K, V> {
     /// The number of the next write.
-    pub fn next_serial(&mut self) -> Serial {
+    pub fn next_id(&mut self) -> WriteId {
         self.last += 1;
         self.last
     }
     /// A write has gone out.
-    pub fn sent(&mut self, serial: Serial, key: K, value: V) {
-        self.all.insert(serial, (key, value));
+    pub fn sent(&mut self, write_id: WriteId, key: K, value: V) {
+        self.all.insert(write_id, (key, value));
     }
     /// A write was answered: what it was.
-    pub fn answered(&mut self, serial: Serial) -> Option<(K, V)> {
-        self.all.remove(&serial)
+    pub fn answered(&mut self, write_id: WriteId) -> Option<(K, V)> {
+        self.all.remove(&write_id)
     }
     /// How many are under way.
     pub fn count(&self) -> usize {
         self.all.len()
     }
     /// Whether one of this key is.
-    pub fn has(&self, key: &K) -> bool {
+    pub fn contains(&self, key: &K) -> bool {
         self.all.values().any(|v| v.0 == *key)
     }
 }
--- a/src/pages.rs
+++ b/src/store/registry_pages.rs
@@ -1,9 +1,9 @@
-//! The pages of the roster: how many machines one holds, how a page that has
+//! The pages of the machine registry: how many machines one holds, how a page that has
 //! become too long is replaced by several, and in what order pages are written.
 //! Pure.
 
-use crate::clock::Secs;
-use crate::jobs::{Page, RosterPage};
+use crate::clock::Seconds;
+use crate::store::cache::{CachedPage, RegistryPage};
 use crate::wire::MachineId;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 const LARGEST_PAGE_BYTES: usize = 16 * 1024;
 
 /// Pages by their keys.
-pub type Pages = BTreeMap<Arc<str>, RosterPage>;
+pub type Pages = BTreeMap<Arc<str>, RegistryPage>;
 
 /// For each page that its copies replace, their keys and versions.
 pub type PageCopies = BTreeMap<Arc<str>, Vec<(String, u64)>>;
@@ -42,7 +42,7 @@
     }
 
     /// Whether a page is longer than a value may be.
-    fn is_exceeded_by(self, page: &RosterPage) -> bool {
+    fn is_exceeded_by(self, page: &RegistryPage) -> bool {
         // The exact length takes time, and most pages are far below the limit.
         page.machines.len() > 1
             && PAGE_BYTES + page.machines.len() * MACHINE_BYTES > self.bytes
@@ -50,7 +50,7 @@
     }
 }
 
-/// Replaces pages that are longer than the state service will take, among those
+/// Replaces pages that are longer than the key-value store will take, among those
 /// to be written and those that are `stored`: first copies of their pieces are
 /// written, and once all are there, the page is deleted. Returns, for each page
 /// to be deleted, the versions of its copies, under which alone it may go.
@@ -59,23 +59,23 @@
 /// copy that isn't the same any more is written again before anything is deleted.
 pub fn split_long(
     to_write: &mut Pages,
-    stored: &BTreeMap<Arc<str>, Page>,
+    stored: &BTreeMap<Arc<str>, CachedPage>,
     limit: PageLimit,
 ) -> PageCopies {
     let present = stored
         .iter()
         .map(|(key, stored)| (key, to_write.get(key).unwrap_or(&stored.page)));
     let long = present.filter(|(_, page)| limit.is_exceeded_by(page));
-    let long: Vec<(Arc<str>, RosterPage)> = long
+    let long: Vec<(Arc<str>, RegistryPage)> = long
         .map(|(key, page)| (key.clone(), page.clone()))
         .collect();
     let mut copies = PageCopies::new();
     for (key, mut page) in long {
         to_write.remove(&key);
         let pieces = pieces(&key, &page, limit.machines());
-        match versions_of_copies(&pieces, stored) {
-            Some(versions) => {
-                copies.insert(key.clone(), versions);
+        match revisions_of_copies(&pieces, stored) {
+            Some(revisions) => {
+                copies.insert(key.clone(), revisions);
                 page.machines.clear();
                 to_write.insert(key, page);
             }
@@ -86,19 +86,19 @@
 }
 
 /// The versions of pages that are stored just as they are here; none if one isn't.
-fn versions_of_copies(
-    pages: &[(Arc<str>, RosterPage)],
-    stored: &BTreeMap<Arc<str>, Page>,
+fn revisions_of_copies(
+    pages: &[(Arc<str>, RegistryPage)],
+    stored: &BTreeMap<Arc<str>, CachedPage>,
 ) -> Option<Vec<(String, u64)>> {
-    let version = |(key, page): &(Arc<str>, RosterPage)| {
+    let revision = |(key, page): &(Arc<str>, RegistryPage)| {
         let copy = stored.get(key).filter(|copy| copy.page == *page)?;
-        Some((key.to_string(), copy.version))
+        Some((key.to_string(), copy.revision))
     };
-    pages.iter().map(version).collect()
+    pages.iter().map(revision).collect()
 }
 
 /// A page's machines on pages of at most `size`.
-fn pieces(key: &Arc<str>, page: &RosterPage, size: usize) -> Vec<(Arc<str>, RosterPage)> {
+fn pieces(key: &Arc<str>, page: &RegistryPage, size: usize) -> Vec<(Arc<str>, RegistryPage)> {
     let ids: Vec<&MachineId> = page.machines.keys().collect();
     let mut pieces = Vec::new();
     for (number, ids) in ids.chunks(size).enumerate() {
@@ -108,7 +108,7 @@
             .collect();
         pieces.push((
             format!("{key}.{number}").into(),
-            RosterPage {
+            RegistryPage {
                 machines,
                 ..page.clone()
             },
@@ -120,7 +120,7 @@
 /// Pages that wait to be written, and since when.
 #[derive(Debug, Default)]
 pub struct PageQueue {
-    waiting: HashMap<Arc<str>, Secs>,
+    waiting: HashMap<Arc<str>, Seconds>,
 }
 
 impl PageQueue {
@@ -132,10 +132,10 @@
         &mut self,
         pages: Pages,
         known: impl Fn(&Arc<str>) -> Option<usize>,
-        now: Secs,
-    ) -> Vec<(Arc<str>, RosterPage)> {
+        now: Seconds,
+    ) -> Vec<(Arc<str>, RegistryPage)> {
         self.waiting.retain(|key, _| pages.contains_key(key));
-        let mut order: Vec<(bool, Secs, Arc<str>, RosterPage)> = Vec::new();
+        let mut order: Vec<(bool, Seconds, Arc<str>, RegistryPage)> = Vec::new();
         for (key, page) in pages {
             let since = *self.waiting.entry(key.clone()).or_insert(now);
             let shrinks = known(&key).is_some_and(|n| page.machines.len() < n);
--- a/src/unreadable.rs
+++ b/src/store/unreadable_records.rs
@@ -31,7 +31,7 @@
     /// A team that the settings don't name.
     #[error("the job's team is not in the settings")]
     UnknownTeam,
-    /// A machine type that the catalogue doesn't name.
+    /// A machine type that the catalog doesn't name.
     #[error("the machines' type is not in the catalogue")]
     UnknownMachineType,
     /// A zone that the settings don't name.
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnreadableRecord {
     /// Its revision.
-    pub version: u64,
+    pub revision: u64,
     /// Why.
     pub why: RecordError,
 }
@@ -56,32 +56,32 @@
 
 impl UnreadableRecords {
     /// A record is left out.
-    pub fn add(&mut self, key: &str, version: u64, why: RecordError) {
+    pub fn add(&mut self, key: &str, revision: u64, why: RecordError) {
         self.by_key
-            .insert(key.into(), UnreadableRecord { version, why });
+            .insert(key.into(), UnreadableRecord { revision, why });
     }
 
     /// A key holds a good record, or none, as of revision `version`.
-    pub fn remove(&mut self, key: &str, version: u64) {
+    pub fn remove(&mut self, key: &str, revision: u64) {
         if self
             .by_key
             .get(key)
-            .is_some_and(|record| record.version <= version)
+            .is_some_and(|record| record.revision <= revision)
         {
             self.by_key.remove(key);
         }
     }
 
     /// Whether the record under a key was left out.
-    pub fn has(&self, key: &str) -> bool {
+    pub fn contains(&self, key: &str) -> bool {
         self.by_key.contains_key(key)
     }
 
-    /// Whether a page of the roster was left out: its machines are not known.
-    pub fn any_roster_page(&self) -> bool {
+    /// Whether a page of the machine registry was left out: its machines are not known.
+    pub fn any_registry_page(&self) -> bool {
         self.by_key
             .keys()
-            .any(|key| key.starts_with(crate::jobs::ROSTER_PREFIX))
+            .any(|key| key.starts_with(crate::store::cache::REGISTRY_PREFIX))
     }
 
     /// How many there are.
--- a/tests/renting.rs
+++ b/tests/autoscaling.rs
@@ -1,10 +1,10 @@
 //! What is rented, and what is still expected of machines that were.
 
-use finchwood::rent::{
-    cloud_is_behind, rent, returns, to_empty, to_move, BootProgress, Booting, InUse, Offer,
-    RentSettings, Want,
+use finchwood::autoscaler::scaling::{
+    cloud_is_behind, rent, returns, to_empty, to_move, BootProgress, BootingMachine, MachineUsage,
+    Offer, PendingDemand, ScalingPolicy,
 };
-use finchwood::wire::{Catalog, JobSpec, Rank, Res, Shape};
+use finchwood::wire::{Catalog, JobKind, JobSpec, Priority, Resources};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,9 +17,9 @@
     serde_json::from_value(json!({ "breeds": [machine_type] })).expect("a catalogue")
 }
 
-fn spec(id: &str, tasks: u32, rank: Rank) -> Arc<JobSpec> {
+fn spec(id: &str, tasks: u32, priority: Priority) -> Arc<JobSpec> {
     let spec = json!({
-        "id": id, "flock": "f", "nest": "t", "shape": "array", "rank": rank, "chicks": tasks, "cpus": 2.0,
+        "id": id, "flock": "f", "nest": "t", "shape": "array", "rank": priority, "chicks": tasks, "cpus": 2.0,
         "accelerators": 0.0, "mem_gb": 1.0, "egg": "i", "size_gb": 1.0, "one_zone": false, "scatter": false,
         "windfall": true, "guess_s": 10.0, "molt_s": 0.0, "stash_s": 0.0
     });
@@ -27,12 +27,12 @@
 }
 
 /// Low tasks that fill a machine each.
-fn want(count: u32, spot_only: bool) -> Want {
+fn want(count: u32, spot_only: bool) -> PendingDemand {
     let spec = Arc::new(JobSpec {
         cpus: 4.0,
-        ..(*spec("wk-1", count, Rank::Low)).clone()
+        ..(*spec("wk-1", count, Priority::Low)).clone()
     });
-    Want {
+    PendingDemand {
         ask: spec.ask(),
         count,
         spec,
@@ -43,11 +43,11 @@
 }
 
 /// Spot and ordinary machines that are rented for work, beside those that boot.
-fn rented(want: Want, booting: &[Booting], spot_to_be_had: bool) -> (u32, u32) {
+fn rented(demand: PendingDemand, booting: &[BootingMachine], spot_to_be_had: bool) -> (u32, u32) {
     let blocked = |offer: &Offer| offer.2 && !spot_to_be_had;
-    let settings = RentSettings::default();
+    let settings = ScalingPolicy::default();
     let orders = rent(
-        &[want],
+        &[demand],
         booting,
         &BTreeMap::new(),
         &catalog(),
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_machine_that_is_late_is_not_counted_on_and_one_that_never_comes_is_given_up() {
-    let settings = RentSettings::default();
+    let settings = ScalingPolicy::default();
     let progress = |age_s| settings.boot_progress(age_s, BOOT_S);
     assert_eq!(
         progress(BOOT_S * 1.6),
@@ -82,7 +82,7 @@
     );
     assert_eq!(progress(BOOT_S * 2.0), BootProgress::Late);
     assert_eq!(progress(BOOT_S * 4.0), BootProgress::Never);
-    let booting = |age_s| Booting {
+    let booting = |age_s| BootingMachine {
         id: "m-1".into(),
         offer: ("k".into(), "e".into(), true),
         age_s,
@@ -112,12 +112,12 @@
 #[test]
 fn renting_counts_what_is_coming_and_spreads_replicas() {
     let catalog = catalog();
-    let settings = RentSettings::default();
-    let mut s = (*spec("wk-1", 4, Rank::Prod)).clone();
-    s.shape = Shape::Service;
+    let settings = ScalingPolicy::default();
+    let mut s = (*spec("wk-1", 4, Priority::Prod)).clone();
+    s.job_kind = JobKind::Service;
     s.spot = false;
     s.scatter = true;
-    let want = Want {
+    let demand = PendingDemand {
         zones: BTreeMap::new(),
         ask: s.ask(),
         count: 4,
@@ -127,7 +127,7 @@
     };
     let zones = BTreeMap::new();
     let orders = rent(
-        std::slice::from_ref(&want),
+        std::slice::from_ref(&demand),
         &[],
         &zones,
         &catalog,
@@ -140,16 +140,16 @@
         [1, 1],
         "two fit a machine, half of four a zone: {orders:?}"
     );
-    let coming: Vec<Booting> = orders
+    let coming: Vec<BootingMachine> = orders
         .keys()
-        .map(|o| Booting {
+        .map(|o| BootingMachine {
             id: "".into(),
             offer: o.clone(),
             age_s: 1.0,
         })
         .collect();
     assert!(rent(
-        std::slice::from_ref(&want),
+        std::slice::from_ref(&demand),
         &coming,
         &zones,
         &catalog,
@@ -158,17 +158,17 @@
     )
     .is_empty());
     // Where nothing is to be had, nothing is asked for.
-    assert!(rent(&[want], &[], &zones, &catalog, &settings, &|_| true).is_empty());
+    assert!(rent(&[demand], &[], &zones, &catalog, &settings, &|_| true).is_empty());
 }
 
 #[test]
 fn low_work_waits_for_spot_and_the_rest_does_not() {
     let catalog = catalog();
-    let settings = RentSettings::default();
+    let settings = ScalingPolicy::default();
     let no_spot = |o: &Offer| o.2;
-    let count = |rank, age_s| {
-        let s = spec("wk-1", 4, rank);
-        let want = Want {
+    let count = |priority, age_s| {
+        let s = spec("wk-1", 4, priority);
+        let demand = PendingDemand {
             zones: BTreeMap::new(),
             ask: s.ask(),
             count: 2,
@@ -177,7 +177,7 @@
             spot_only: false,
         };
         rent(
-            &[want],
+            &[demand],
             &[],
             &BTreeMap::new(),
             &catalog,
@@ -189,9 +189,9 @@
     };
     assert_eq!(
         (
-            count(Rank::Low, 1.0),
-            count(Rank::Low, 60.0),
-            count(Rank::Standard, 1.0)
+            count(Priority::Low, 1.0),
+            count(Priority::Low, 60.0),
+            count(Priority::Standard, 1.0)
         ),
         (0, 1, 1)
     );
@@ -200,11 +200,11 @@
 #[test]
 fn spare_room_and_machines_with_replicas_are_not_given_up() {
     let catalog = catalog();
-    let settings = RentSettings::default();
-    let machine = |id: &str, used: f64, stays: bool| InUse {
+    let settings = ScalingPolicy::default();
+    let machine = |id: &str, used: f64, stays: bool| MachineUsage {
         id: id.into(),
         offer: ("k".into(), "e".into(), false),
-        free: Res {
+        free: Resources {
             cpus: 4.0 - used,
             gpus: 0.0,
             mem: 16.0,
@@ -213,7 +213,7 @@
         age_s: 200.0,
         tasks: used as u32,
         open: true,
-        stays_cpus: if stays { used } else { 0.0 },
+        pinned_cpus: if stays { used } else { 0.0 },
     };
     let fleet = [
         machine("m-1", 0.0, false),
@@ -240,10 +240,10 @@
 #[test]
 fn replicas_move_only_where_the_rest_has_room_to_spare() {
     let catalog = catalog();
-    let machine = |id: &str, zone: &str, used: f64, spot: bool| InUse {
+    let machine = |id: &str, zone: &str, used: f64, spot: bool| MachineUsage {
         id: id.into(),
         offer: ("k".into(), zone.into(), spot),
-        free: Res {
+        free: Resources {
             cpus: 4.0 - used,
             gpus: 0.0,
             mem: 16.0,
@@ -252,10 +252,11 @@
         age_s: 200.0,
         tasks: used as u32,
         open: true,
-        stays_cpus: if spot { 0.0 } else { used },
+        pinned_cpus: if spot { 0.0 } else { used },
+    };
+    let chosen = |fleet: &[MachineUsage], spare: f64| {
+        to_move(fleet, &catalog, spare).map(|m| m.id.to_string())
     };
-    let chosen =
-        |fleet: &[InUse], spare: f64| to_move(fleet, &catalog, spare).map(|m| m.id.to_string());
     let fleet = [
         machine("m-1", "e", 2.0, false),
         machine("m-2", "e", 1.0, false),
--- a/tests/cancel_bound.rs
+++ b/tests/cancel_bound.rs
@@ -7,7 +7,7 @@
 
 use base::SETTINGS;
 use finchwood::clock::{self, DRIFT};
-use finchwood::settings::Settings;
+use finchwood::config::settings::Settings;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -24,9 +24,9 @@
 /// What happens, and when, in seconds; the job is cancelled at 50.
 #[derive(Debug, Clone)]
 struct Scenario {
-    /// The owner reads the state service so often.
+    /// The owner reads the key-value store so often.
     poll_s: f64,
-    /// From then on the state service refuses the owner alone.
+    /// From then on the key-value store refuses the owner alone.
     refused_at: f64,
     /// From then on nobody is answered.
     outage_at: f64,
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -152,15 +152,15 @@
 
 const NODES: usize = 5;
 
-fn submit(c: &Cluster, node: usize, jobs: &mut Vec<String>, shape: &str, tasks: u32) {
+fn submit(c: &Cluster, node: usize, jobs: &mut Vec<String>, job_kind: &str, tasks: u32) {
     // Even ends complete by themselves.
-    let n = 2 * jobs.len() + if shape == "array" { 2 } else { 1 };
+    let n = 2 * jobs.len() + if job_kind == "array" { 2 } else { 1 };
     let id = format!("wk-{n:06}");
     c.until(
         node,
         "POST",
         "/v2/runs",
-        Some(job(&id, shape, tasks)),
+        Some(job(&id, job_kind, tasks)),
         |s, _| s == 201 || s == 200,
     );
     jobs.push(id);
@@ -214,7 +214,7 @@
             3,
         );
     }
-    // One loses the state service and all others, but not its workers.
+    // One loses the key-value store and all others, but not its workers.
     c.cut(1, true);
     c.until(1, "GET", "/up", None, |s, _| s == 503);
     refused_at_once(&c, 1, &jobs[0]);
@@ -244,7 +244,7 @@
     }
     submit(&c, 2, &mut jobs, "array", 3);
     all_known(&c, &jobs);
-    // Nobody reaches the state service for longer than a member's lease.
+    // Nobody reaches the key-value store for longer than a member's lease.
     c.outage(true);
     std::thread::sleep(Duration::from_secs(5));
     refused_at_once(&c, 0, &jobs[0]);
@@ -286,7 +286,7 @@
     }
 }
 
-/// The state service refuses one controller alone, another confirms that a job is
+/// The key-value store refuses one controller alone, another confirms that a job is
 /// cancelled, and then nobody is answered. The outage lasts until every task is
 /// gone: once with all messages between controllers lost, so that only the
 /// age of knowledge and the workers' leases end them, once without.
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -140,12 +140,12 @@
     );
 }
 
-fn accepted(c: &Cluster, node: usize, id: &str, shape: &str, tasks: u32) {
+fn accepted(c: &Cluster, node: usize, id: &str, job_kind: &str, tasks: u32) {
     c.until(
         node,
         "POST",
         "/v2/runs",
-        Some(job(id, shape, tasks)),
+        Some(job(id, job_kind, tasks)),
         |s, _| s == 201 || s == 200,
     );
 }
@@ -161,8 +161,8 @@
     };
     let mut c = Cluster::start_with(NODES, "cold", &seen, options);
     (0..NODES).for_each(|i| c.until(i, "GET", "/up", None, |s, _| s == 200));
-    for (n, (id, shape, tasks)) in STAYING.into_iter().enumerate() {
-        accepted(&c, n % NODES, id, shape, tasks);
+    for (n, (id, job_kind, tasks)) in STAYING.into_iter().enumerate() {
+        accepted(&c, n % NODES, id, job_kind, tasks);
     }
     let all: u32 = STAYING.iter().map(|job| job.2).sum();
     wait("all of it runs", || {
--- a/tests/cold_restart_cores.rs
+++ b/tests/cold_restart_cores.rs
@@ -6,13 +6,15 @@
 mod cores;
 
 use cores::*;
-use finchwood::assignment::Leader;
-use finchwood::fleet::{Part, ReportReply};
-use finchwood::jobs::{Epoch, Mirror};
-use finchwood::membership::{token, token_epoch};
-use finchwood::wire::{Call, JobSpec, TaskState};
-use finchwood_model::token::attempt;
-use finchwood_reconcile::verdict::{AdoptReason, ConflictReason, DoubtReason, StopReason, Verdict};
+use finchwood::cluster::membership::{token, token_epoch};
+use finchwood::scheduler::Leader;
+use finchwood::shard::{HeartbeatReply, Shard};
+use finchwood::store::cache::{Epoch, StoreCache};
+use finchwood::wire::{Command, JobSpec, TaskState};
+use finchwood_reconciliation::verdict::{
+    AdoptReason, ConflictReason, DoubtReason, StopReason, Verdict,
+};
+use finchwood_types::token::attempt;
 use serde_json::{json, Value};
 use std::sync::Arc;
 
@@ -21,41 +23,47 @@
 /// An attempt of the epoch before the crash.
 const BEFORE: u64 = (EPOCH - 1) << 24 | 5;
 
-/// A part and a leader that have just come back, and know nothing.
-fn back(mirror: &Mirror) -> (Leader, Part) {
-    let mut p = Part::new("a", TIMING, Default::default());
+/// A shard and a leader that have just come back, and know nothing.
+fn back(cache: &StoreCache) -> (Leader, Shard) {
+    let mut p = Shard::new("a", TIMING, Default::default());
     p.keep_record(100);
-    p.enter(EPOCH, 7, mirror, 0.0, |_| true);
-    (leader(mirror), p)
+    p.enter(EPOCH, 7, cache, 0.0, |_| true);
+    (leader(cache), p)
 }
 
 /// A machine shows `tasks` under an old token, is asked, and shows them again under
 /// its owner's. Returns what it is then told.
-fn shows(p: &mut Part, mirror: &Mirror, machine: usize, tasks: &[Line], now: f64) -> Vec<Call> {
+fn shows(
+    p: &mut Shard,
+    cache: &StoreCache,
+    machine: usize,
+    tasks: &[Line],
+    now: f64,
+) -> Vec<Command> {
     let old = token(EPOCH - 1, 3);
-    let (asked, calls) = answered(p.report(&report(machine, 1, 5, old, tasks), false, mirror, now));
+    let (asked, calls) = answered(p.report(&report(machine, 1, 5, old, tasks), false, cache, now));
     assert!(
         token_epoch(asked) == EPOCH,
         "it is told the new owner's token"
     );
     assert!(
-        !calls.iter().any(|c| matches!(c, Call::Start { .. })),
+        !calls.iter().any(|c| matches!(c, Command::Start { .. })),
         "nothing starts on an old word"
     );
     answered(p.report(
         &report(machine, 1, 6, asked, tasks),
         false,
-        mirror,
+        cache,
         now + 0.1,
     ))
     .1
 }
 
 /// What the leader has assigned anew after a round.
-fn assigned(l: &mut Leader, p: &mut Part, mirror: &Mirror, now: f64) -> Vec<(Arc<str>, u32)> {
-    l.part_report(p.snapshot(mirror, now), mirror, now);
-    l.resolve(mirror, &|_| false);
-    l.assign_tasks(mirror, now, || true);
+fn assigned(l: &mut Leader, p: &mut Shard, cache: &StoreCache, now: f64) -> Vec<(Arc<str>, u32)> {
+    l.apply_shard_report(p.snapshot(cache, now), cache, now);
+    l.resolve(cache, &|_| false);
+    l.assign_tasks(cache, now, || true);
     let orders = l.orders("a").expect("orders");
     orders
         .assignments
@@ -64,7 +72,7 @@
         .collect()
 }
 
-fn verdicts(p: &mut Part) -> Vec<(String, Verdict)> {
+fn verdicts(p: &mut Shard) -> Vec<(String, Verdict)> {
     p.restart_record(1.0)
         .entries
         .iter()
@@ -82,7 +90,7 @@
         spec("wk-1", 2, |v| v["shape"] = json!("standing")),
         job("wk-2", 2),
     );
-    let m = mirror(2, &[&s, &a]);
+    let m = cache(2, &[&s, &a]);
     let (mut l, mut p) = back(&m);
     assert!(
         assigned(&mut l, &mut p, &m, 0.0).is_empty(),
@@ -130,7 +138,7 @@
 #[test]
 fn what_is_over_by_the_record_is_stopped_and_only_that() {
     let (a, c, d) = (job("wk-1", 2), job("wk-2", 1), job("wk-3", 1));
-    let mut m = mirror(1, &[&a, &c, &d]);
+    let mut m = cache(1, &[&a, &c, &d]);
     m.put("fw/f/wk-1/0", json!("1"), 200);
     m.put("fw/j/wk-2", record(&c, true), 201);
     let over = json!({"e": 1, "t": 0, "n": 1, "d": true});
@@ -138,7 +146,7 @@
     let (_, mut p) = back(&m);
     let lines = ["wk-1/0", "wk-1/1", "wk-2/0", "wk-3/0"].map(|t| (t, BEFORE, RUNNING, None));
     let calls = shows(&mut p, &m, 1, &lines, 0.1);
-    let stop = |t: &str| Call::Stop {
+    let stop = |t: &str| Command::Stop {
         task: t.into(),
         attempt: BEFORE,
         grace_s: 0.0,
@@ -160,7 +168,7 @@
 #[test]
 fn an_end_on_its_way_is_committed_before_its_worker_may_forget_it() {
     let a = job("wk-1", 2);
-    let mut m = mirror(1, &[&a]);
+    let mut m = cache(1, &[&a]);
     let (mut l, mut p) = back(&m);
     let done = [
         ("wk-1/0", BEFORE, ENDED, Some("done")),
@@ -169,7 +177,7 @@
     let calls = shows(&mut p, &m, 1, &done, 0.1);
     assert_eq!(
         calls,
-        [Call::Forget {
+        [Command::Forget {
             task: "wk-1/1".into(),
             attempt: BEFORE
         }],
@@ -185,7 +193,7 @@
     p.job_changed(&"wk-1".into(), &m);
     let again = report(1, 1, 9, token(EPOCH, 1 << 10), &done);
     let (_, calls) = answered(p.report(&again, false, &m, 1.0));
-    assert!(calls.contains(&Call::Forget {
+    assert!(calls.contains(&Command::Forget {
         task: "wk-1/0".into(),
         attempt: BEFORE
     }));
@@ -194,7 +202,7 @@
 #[test]
 fn a_worker_silent_for_minutes_is_waited_for_until_its_lease_and_is_empty_when_back() {
     let a = job("wk-1", 1);
-    let m = mirror(2, &[&a]);
+    let m = cache(2, &[&a]);
     let (mut l, mut p) = back(&m);
     shows(&mut p, &m, 1, &[], 0.1);
     // It has spoken once, but never under the new owner's token.
@@ -227,7 +235,7 @@
     );
     assert_eq!(
         p.report(&late, false, &m, 29.3),
-        ReportReply::Refuse,
+        HeartbeatReply::Refuse,
         "its session is over"
     );
     let (t, _) = answered(p.report(&report(2, 2, 1, 0, &[]), false, &m, 29.4));
@@ -238,7 +246,7 @@
 #[test]
 fn a_machine_past_its_lease_that_speaks_again_is_asked_before_it_is_believed() {
     let a = job("wk-1", 1);
-    let m = mirror(1, &[&a]);
+    let m = cache(1, &[&a]);
     let (mut l, mut p) = back(&m);
     p.expire_leases(29.0);
     // A copy from before the crash, of a session that nobody here has seen.
@@ -255,11 +263,11 @@
         assigned(&mut l, &mut p, &m, 29.2).is_empty(),
         "in doubt until it answers"
     );
-    assert_eq!(p.directs(&m, 29.3).len(), 1, "it is asked");
+    assert_eq!(p.due_commands(&m, 29.3).len(), 1, "it is asked");
 }
 
 /// An empty machine reports, and shows that it heeds what it is told.
-fn shows_again(p: &mut Part, m: &Mirror, machine: usize, now: f64) {
+fn shows_again(p: &mut Shard, m: &StoreCache, machine: usize, now: f64) {
     let t = token(EPOCH, (1 << 10) + 2 * now as u64);
     answered(p.report(&report(machine, 1, 10 + now as u64, t, &[]), false, m, now));
 }
@@ -268,7 +276,7 @@
 fn a_machine_that_never_reports_holds_up_only_what_may_be_on_it() {
     let here = spec("wk-1", 1, |v| v["grove"] = json!("e"));
     let there = spec("wk-2", 1, |v| v["grove"] = json!("w"));
-    let m = mirror(2, &[&here, &there]);
+    let m = cache(2, &[&here, &there]);
     let (mut l, mut p) = back(&m);
     shows(&mut p, &m, 1, &[], 0.1);
     assert_eq!(
@@ -281,7 +289,7 @@
 #[test]
 fn an_old_report_adopts_nothing_and_proves_nothing() {
     let a = job("wk-1", 1);
-    let m = mirror(1, &[&a]);
+    let m = cache(1, &[&a]);
     let (mut l, mut p) = back(&m);
     // Held back since before the crash; its machine has begun a new session since.
     let old = report(
@@ -306,7 +314,7 @@
 #[test]
 fn a_task_on_two_machines_is_a_conflict_and_the_second_is_stopped() {
     let a = job("wk-1", 1);
-    let m = mirror(2, &[&a]);
+    let m = cache(2, &[&a]);
     let (mut l, mut p) = back(&m);
     assert_eq!(
         shows(&mut p, &m, 1, &[("wk-1/0", BEFORE, RUNNING, None)], 0.1),
@@ -315,7 +323,7 @@
     let calls = shows(&mut p, &m, 2, &[("wk-1/0", BEFORE + 1, RUNNING, None)], 0.3);
     assert_eq!(
         calls,
-        [Call::Stop {
+        [Command::Stop {
             task: "wk-1/0".into(),
             attempt: BEFORE + 1,
             grace_s: 0.0
@@ -331,7 +339,7 @@
 #[test]
 fn an_absurd_attempt_runs_on_and_blocks_no_later_start() {
     let a = job("wk-1", 1);
-    let m = mirror(2, &[&a]);
+    let m = cache(2, &[&a]);
     let (mut l, mut p) = back(&m);
     shows(&mut p, &m, 2, &[], 0.1);
     let absurd = attempt(EPOCH + 1_000_000, 1);
@@ -362,7 +370,7 @@
 #[test]
 fn tasks_that_nobody_knows_are_left_alone_and_count_for_nothing() {
     let a = job("wk-1", 2);
-    let m = mirror(1, &[&a]);
+    let m = cache(1, &[&a]);
     let (mut l, mut p) = back(&m);
     let lines = [
         ("wk-1/0", BEFORE, ENDED, Some("done")),
@@ -401,7 +409,7 @@
         spec("wk-1", 1, |v| v["grove"] = json!("w")),
         spec("wk-2", 1, |v| v["grove"] = json!("e")),
     );
-    let mut m = mirror(2, &[&old]);
+    let mut m = cache(2, &[&old]);
     let mut fresh = record(&new, false);
     fresh["e"] = json!(EPOCH);
     m.put("fw/j/wk-2", fresh, 300);
@@ -414,7 +422,7 @@
         shares: false,
     };
     assert!(!l.enter(&e, 7, &m), "it knew nothing before");
-    let mut p = Part::new("a", TIMING, Default::default());
+    let mut p = Shard::new("a", TIMING, Default::default());
     p.enter(EPOCH, 7, &m, 0.0, |_| true);
     shows(&mut p, &m, 1, &[], 0.1);
     assert!(
@@ -426,22 +434,25 @@
     assert_eq!(now.len(), 1, "one of both: {now:?}");
 }
 
-/// A page of the roster that can't be read hides its machines: what may run there
+/// A page of the machine registry that can't be read hides its machines: what may run there
 /// waits until each of them has reported or its lease is past.
 #[test]
 fn an_unreadable_page_frees_nothing_before_all_leases_are_past() {
     let a = job("wk-1", 2);
-    let mut m = mirror(2, &[&a]);
+    let mut m = cache(2, &[&a]);
     m.put("fw/r/m-2", json!("scribble"), 400);
-    let mut hidden = Mirror::new(8.0);
+    let mut hidden = StoreCache::new(8.0);
     for (key, value) in [
         ("fw/j/wk-1", record(&a, false)),
         ("fw/r/m-2", json!("scribble")),
     ] {
         hidden.put(key, value, 400);
     }
-    assert!(m.roster.contains_key("m-2"), "what was known before stays");
-    assert!(hidden.unreadable.any_roster_page() && hidden.roster.is_empty());
+    assert!(
+        m.registry.contains_key("m-2"),
+        "what was known before stays"
+    );
+    assert!(hidden.unreadable.any_registry_page() && hidden.registry.is_empty());
     hidden.put(
         "fw/c",
         serde_json::to_value(m.catalog.as_deref()).expect("json"),
@@ -484,7 +495,7 @@
 #[test]
 fn stored_records_that_make_no_sense_are_left_alone() {
     let a = job("wk-1", 3);
-    let mut m = mirror(1, &[&a]);
+    let mut m = cache(1, &[&a]);
     let with = |change: &dyn Fn(&mut Value)| {
         let mut v = record(&a, false);
         change(&mut v);
@@ -501,7 +512,7 @@
     ];
     for (i, (key, value)) in odd.iter().enumerate() {
         m.put(key, value.clone(), 500 + i as u64);
-        assert!(m.unreadable.has(key), "{key}");
+        assert!(m.unreadable.contains(key), "{key}");
     }
     assert_eq!(m.unreadable.len(), odd.len());
     assert_eq!(m.jobs.len(), 1);
@@ -511,5 +522,5 @@
         "what was known stays"
     );
     m.put("fw/j/wk-2", record(&job("wk-2", 1), false), 600);
-    assert!(!m.unreadable.has("fw/j/wk-2"), "mended");
+    assert!(!m.unreadable.contains("fw/j/wk-2"), "mended");
 }
--- a/tests/common/cluster.rs
+++ b/tests/common/cluster.rs
@@ -1,5 +1,5 @@
 //! Controllers as real processes on the loopback, against stand-ins. Every
-//! link from a controller to the state service or to another controller leads
+//! link from a controller to the key-value store or to another controller leads
 //! through a gate that can be shut.
 
 use super::{cloud, state_service, Seen};
@@ -15,14 +15,14 @@
 /// afterwards.
 #[derive(Clone)]
 pub struct Gate {
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
     shut: Arc<AtomicBool>,
 }
 
 impl Gate {
     fn to(target: SocketAddr) -> Gate {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("an address");
         let shut = Arc::new(AtomicBool::new(false));
         let state = shut.clone();
         std::thread::spawn(move || {
@@ -40,7 +40,7 @@
                 }
             }
         });
-        Gate { addr, shut }
+        Gate { address, shut }
     }
 
     pub fn shut(&self, shut: bool) {
@@ -73,7 +73,7 @@
     pub late: Arc<AtomicBool>,
     /// Transactions that were over the limits.
     refused: Arc<AtomicU32>,
-    /// Each node's way to the state service, and to each of the others.
+    /// Each node's way to the key-value store, and to each of the others.
     state: Vec<Gate>,
     links: Vec<Vec<Gate>>,
     /// Where the controllers listen for each other, and for operators.
@@ -103,7 +103,7 @@
     pub lease_s: u32,
     /// The team's limit.
     pub team_cpus: u32,
-    /// Files that switch on parts.
+    /// Files that switch on shards.
     pub with: Vec<&'static str>,
 }
 
@@ -150,12 +150,12 @@
             for j in (0..n).filter(|&j| j != i) {
                 text += &format!(
                     "[[members]]\nnode_name = \"n{j}\"\nzone = \"e\"\nendpoint = \"{}\"\n",
-                    links[i][j].addr
+                    links[i][j].address
                 );
             }
             text += &format!(
                 "[services]\ncloud = \"{cloud}\"\nstate = \"{}\"\n",
-                state[i].addr
+                state[i].address
             );
             text += &format!(
                 "[params]\ninitial_size = {n}\nzones = [\"e\", \"w\"]\ntime_bound_ms = 10.0\n\
@@ -209,7 +209,7 @@
         self.children[i] = Some(child);
     }
 
-    /// Cuts a node off from the state service and the other controllers, both
+    /// Cuts a node off from the key-value store and the other controllers, both
     /// ways, or joins it to them again. Users and workers still reach it.
     pub fn cut(&self, i: usize, cut: bool) {
         self.state[i].shut(cut);
@@ -219,12 +219,12 @@
         }
     }
 
-    /// The state service refuses one node alone, or answers it again.
+    /// The key-value store refuses one node alone, or answers it again.
     pub fn refuse(&self, i: usize, refuse: bool) {
         self.state[i].shut(refuse);
     }
 
-    /// The state service answers nobody, or everybody again.
+    /// The key-value store answers nobody, or everybody again.
     pub fn outage(&self, out: bool) {
         self.state.iter().for_each(|g| g.shut(out));
     }
@@ -236,10 +236,10 @@
         }
     }
 
-    /// Writes a key of the state service past all controllers.
+    /// Writes a key of the key-value store past all controllers.
     pub fn scribble(&self, key: &str, value: Value) {
         let body = json!({"if": [], "writes": [{"put": key, "value": value}]});
-        let url = format!("http://{}/commit", self.state[0].addr);
+        let url = format!("http://{}/commit", self.state[0].address);
         self.agent
             .post(&url)
             .send_string(&body.to_string())
@@ -368,9 +368,9 @@
 }
 
 /// A submission.
-pub fn job(id: &str, shape: &str, tasks: u32) -> Value {
-    json!({"id": id, "flock": "f", "nest": "t", "shape": shape, "rank": "prod", "chicks": tasks,
+pub fn job(id: &str, job_kind: &str, tasks: u32) -> Value {
+    json!({"id": id, "flock": "f", "nest": "t", "shape": job_kind, "rank": "prod", "chicks": tasks,
         "cpus": 1.0, "accelerators": 0.0, "mem_gb": 1.0, "egg": "i", "size_gb": 1.0, "breeds": null,
-        "grove": null, "one_zone": false, "scatter": shape == "standing", "windfall": false,
+        "grove": null, "one_zone": false, "scatter": job_kind == "standing", "windfall": false,
         "guess_s": 1.5, "molt_s": 0.0, "stash_s": 0.0, "dusk_s": null})
 }
--- a/tests/common/cores.rs
+++ b/tests/common/cores.rs
@@ -1,5 +1,5 @@
-//! The real cores driven by hand: a leader and its part, machines that report
-//! what a test says, and a mirror filled with jobs. Shared by test files of which
+//! The real cores driven by hand: a leader and its shard, machines that report
+//! what a test says, and a cache filled with jobs. Shared by test files of which
 //! each uses some of it.
 #![allow(dead_code)]
 
@@ -7,12 +7,12 @@
 mod base;
 
 pub use base::SETTINGS;
-use finchwood::assignment::Leader;
-use finchwood::clock::When;
-use finchwood::fleet::{JobAssignment, Orders, Part, ReportReply, Timing};
-use finchwood::jobs::{Epoch, JobRecord, Mirror, RosterRecord};
-use finchwood::settings::Settings;
-use finchwood::wire::{Call, JobSpec, Report, TaskLine, TaskState};
+use finchwood::clock::Moment;
+use finchwood::config::settings::Settings;
+use finchwood::scheduler::Leader;
+use finchwood::shard::{HeartbeatReply, JobAssignment, Orders, Shard, Timing};
+use finchwood::store::cache::{Epoch, JobRecord, MachineRecord, StoreCache};
+use finchwood::wire::{Command, Heartbeat, JobSpec, TaskReport, TaskState};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -35,8 +35,8 @@
 }
 
 /// A job of so many tasks, each of which takes two of a machine's four CPUs.
-pub fn job_in(id: &str, shape: &str, tasks: u32) -> Arc<JobSpec> {
-    spec(id, tasks, |v| v["shape"] = json!(shape))
+pub fn job_in(id: &str, job_kind: &str, tasks: u32) -> Arc<JobSpec> {
+    spec(id, tasks, |v| v["shape"] = json!(job_kind))
 }
 
 /// No change of the settings.
@@ -55,20 +55,20 @@
 }
 
 /// Machines `m-1` to `m-n`, the odd ones in zone `e`, the others in `w`.
-pub fn mirror(machines: usize, jobs: &[&Arc<JobSpec>]) -> Mirror {
-    let mut m = Mirror::new(8.0);
-    let kind = json!({"breeds": [{"name": "k", "cpus": 4.0, "accelerators": 0.0, "mem_gb": 16.0, "cache_gb": 9.0,
+pub fn cache(machines: usize, jobs: &[&Arc<JobSpec>]) -> StoreCache {
+    let mut m = StoreCache::new(8.0);
+    let machine_type = json!({"breeds": [{"name": "k", "cpus": 4.0, "accelerators": 0.0, "mem_gb": 16.0, "cache_gb": 9.0,
         "pull_gb_per_s": 1.0, "hourly": 1.0, "spot_price": 0.3, "ready_s": 20.0, "groves": ["e", "w"]}]});
-    m.put("fw/c", kind, 1);
+    m.put("fw/c", machine_type, 1);
     for i in 1..=machines {
         let zone = if i % 2 == 1 { "e" } else { "w" };
-        let r = RosterRecord {
-            kind: "k".into(),
+        let r = MachineRecord {
+            machine_type: "k".into(),
             zone: zone.into(),
             spot: false,
             up: true,
             at_ms: 0,
-            addr: Some("10.0.0.1:1".into()),
+            address: Some("10.0.0.1:1".into()),
         };
         m.put(&format!("fw/r/m-{i}"), json!(r), 1 + i as u64);
     }
@@ -80,18 +80,18 @@
 
 pub type Line<'a> = (&'a str, u64, TaskState, Option<&'a str>);
 
-pub fn report(machine: usize, session: u64, seq: u64, token: u64, tasks: &[Line]) -> Report {
-    let line = |(task, attempt, state, why): &Line| TaskLine {
+pub fn report(machine: usize, session: u64, seq: u64, token: u64, tasks: &[Line]) -> Heartbeat {
+    let line = |(task, attempt, state, why): &Line| TaskReport {
         task: (*task).into(),
         attempt: *attempt,
         state: *state,
         why: why.map(String::from),
         saved: None,
     };
-    Report {
+    Heartbeat {
         machine: format!("m-{machine}").into(),
-        addr: "10.0.0.1:1".into(),
-        kind: "k".into(),
+        address: "10.0.0.1:1".into(),
+        machine_type: "k".into(),
         zone: if machine % 2 == 1 { "e" } else { "w" }.into(),
         spot: false,
         session,
@@ -102,23 +102,23 @@
     }
 }
 
-/// A part that owns everything in the epoch, and has entered it at 0.
-pub fn part(mirror: &Mirror) -> Part {
-    let mut p = Part::new("a", TIMING, HashMap::new());
-    p.enter(EPOCH, 7, mirror, 0.0, |_| true);
+/// A shard that owns everything in the epoch, and has entered it at 0.
+pub fn shard(cache: &StoreCache) -> Shard {
+    let mut p = Shard::new("a", TIMING, HashMap::new());
+    p.enter(EPOCH, 7, cache, 0.0, |_| true);
     p
 }
 
-/// Reports until the part is certain of a machine; returns the token.
-pub fn met(p: &mut Part, mirror: &Mirror, machine: usize, now: f64) -> u64 {
-    let (t, _) = answered(p.report(&report(machine, 1, 1, 0, &[]), false, mirror, now));
-    answered(p.report(&report(machine, 1, 2, t, &[]), false, mirror, now)).0
+/// Reports until the shard is certain of a machine; returns the token.
+pub fn met(p: &mut Shard, cache: &StoreCache, machine: usize, now: f64) -> u64 {
+    let (t, _) = answered(p.report(&report(machine, 1, 1, 0, &[]), false, cache, now));
+    answered(p.report(&report(machine, 1, 2, t, &[]), false, cache, now)).0
 }
 
-pub fn answered(reply: ReportReply) -> (u64, Vec<Call>) {
+pub fn answered(reply: HeartbeatReply) -> (u64, Vec<Command>) {
     match reply {
-        ReportReply::Commands { token, commands } => (token, commands),
-        ReportReply::Refuse => panic!("refused"),
+        HeartbeatReply::Accepted { token, commands } => (token, commands),
+        HeartbeatReply::Refuse => panic!("refused"),
     }
 }
 
@@ -133,7 +133,7 @@
         drain: Vec::new(),
         running: None,
         borrowing: Vec::new(),
-        handovers: Vec::new(),
+        transfers: Vec::new(),
     }
 }
 
@@ -147,8 +147,15 @@
     }]
 }
 
-pub fn place(p: &mut Part, mirror: &Mirror, now: f64) {
-    p.place(mirror, When { now, day_ms: 0 }, || true);
+pub fn place(p: &mut Shard, cache: &StoreCache, now: f64) {
+    p.place(
+        cache,
+        Moment {
+            now,
+            wall_clock_ms: 0,
+        },
+        || true,
+    );
 }
 
 pub fn settings(change: &[(&str, &str)]) -> Result<Settings, String> {
@@ -159,7 +166,7 @@
     Settings::parse(&text).map_err(|e| e.to_string())
 }
 
-pub fn leader(mirror: &Mirror) -> Leader {
+pub fn leader(cache: &StoreCache) -> Leader {
     let mut l = Leader::new(&settings(&[]).expect("settings"));
     let e = Epoch {
         n: EPOCH,
@@ -167,29 +174,27 @@
         leader: "a".into(),
         shares: false,
     };
-    l.enter(&e, 7, mirror);
+    l.enter(&e, 7, cache);
     l
 }
 
-/// A leader and its only part, both sure of `machines` empty machines.
-pub fn pair(mirror: &Mirror, machines: usize) -> (Leader, Part, Vec<u64>) {
-    let mut p = part(mirror);
-    let tokens = (1..=machines)
-        .map(|i| met(&mut p, mirror, i, 0.2))
-        .collect();
-    let mut l = leader(mirror);
-    assert!(l.part_report(p.snapshot(mirror, 0.3), mirror, 0.3));
-    l.resolve(mirror, &|_| false);
+/// A leader and its only shard, both sure of `machines` empty machines.
+pub fn pair(cache: &StoreCache, machines: usize) -> (Leader, Shard, Vec<u64>) {
+    let mut p = shard(cache);
+    let tokens = (1..=machines).map(|i| met(&mut p, cache, i, 0.2)).collect();
+    let mut l = leader(cache);
+    assert!(l.apply_shard_report(p.snapshot(cache, 0.3), cache, 0.3));
+    l.resolve(cache, &|_| false);
     (l, p, tokens)
 }
 
 /// One round of both: reports up, orders down, placing, commands taken for sent.
-pub fn round(l: &mut Leader, p: &mut Part, mirror: &Mirror, now: f64) {
-    l.part_report(p.snapshot(mirror, now), mirror, now);
-    l.resolve(mirror, &|_| false);
-    l.assign_tasks(mirror, now, || true);
+pub fn round(l: &mut Leader, p: &mut Shard, cache: &StoreCache, now: f64) {
+    l.apply_shard_report(p.snapshot(cache, now), cache, now);
+    l.resolve(cache, &|_| false);
+    l.assign_tasks(cache, now, || true);
     let o = l.orders("a").expect("orders");
-    p.orders(&o, mirror, now);
-    place(p, mirror, now);
-    l.part_report(p.snapshot(mirror, now), mirror, now);
+    p.orders(&o, cache, now);
+    place(p, cache, now);
+    l.apply_shard_report(p.snapshot(cache, now), cache, now);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -57,17 +57,17 @@
     log: Vec<Value>,
 }
 
-/// The limits to come of the tests' settings, which the state service has from the start.
+/// The limits to come of the tests' settings, which the key-value store has from the start.
 pub const LARGEST_VALUE: usize = 1024;
-pub const MOST_WRITES: usize = 4;
+pub const MAX_WRITES: usize = 4;
 
 /// Whether a transaction is over the limits.
 fn over_limits(body: &Value) -> bool {
     let empty = Vec::new();
     let writes = body["writes"].as_array().unwrap_or(&empty);
     let conditions = body["if"].as_array().unwrap_or(&empty);
-    writes.len() > MOST_WRITES
-        || conditions.len() > MOST_WRITES * 4
+    writes.len() > MAX_WRITES
+        || conditions.len() > MAX_WRITES * 4
         || writes
             .iter()
             .any(|w| w["value"].to_string().len() > LARGEST_VALUE)
@@ -142,7 +142,7 @@
     }
 }
 
-/// A state service. While `late` is set, every third transaction gets no answer
+/// A key-value store. While `late` is set, every third transaction gets no answer
 /// in time and is carried out seconds later, after newer ones. Transactions over
 /// the limits are counted in `refused`.
 pub fn state_service(late: Arc<AtomicBool>, refused: Arc<AtomicU32>) -> SocketAddr {
--- a/tests/common/recorder.rs
+++ b/tests/common/recorder.rs
@@ -8,7 +8,7 @@
 
 /// Serves as many calls as it has answers.
 pub struct Recorder {
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
     calls: Receiver<String>,
 }
 
@@ -16,7 +16,7 @@
     /// Each answer is a status, a space and a body.
     pub fn new(answers: &[&'static str]) -> Recorder {
         let server = Server::http("127.0.0.1:0").expect("a port");
-        let addr = server.server_addr().to_ip().expect("an address");
+        let address = server.server_addr().to_ip().expect("an address");
         let (tell, calls) = channel();
         let answers = answers.to_vec();
         std::thread::spawn(move || {
@@ -38,7 +38,7 @@
                 let _ = request.respond(Response::from_string(body).with_status_code(status));
             }
         });
-        Recorder { addr, calls }
+        Recorder { address, calls }
     }
 
     /// The next call: method, path and body, if there is one: text, or hex.
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -5,12 +5,12 @@
 mod cores;
 
 use cores::*;
-use finchwood::assignment::Leader;
-use finchwood::fleet::{Orders, Part, Phase};
-use finchwood::jobs::{Epoch, JobRecord, Mirror};
-use finchwood::membership::{renewed_epoch, token, MOST_COUNTER};
-use finchwood::rent::{rent, RentSettings, Want};
-use finchwood::wire::{Call, Catalog, Commands, JobSpec, Report, TaskState};
+use finchwood::autoscaler::scaling::{rent, PendingDemand, ScalingPolicy};
+use finchwood::cluster::membership::{renewed_epoch, token, MAX_COUNTER};
+use finchwood::scheduler::Leader;
+use finchwood::shard::{Orders, Shard, TaskPhase};
+use finchwood::store::cache::{Epoch, JobRecord, StoreCache};
+use finchwood::wire::{Catalog, Command, CommandBatch, Heartbeat, JobSpec, TaskState};
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -21,15 +21,15 @@
 #[test]
 fn a_session_that_began_later_has_its_whole_lease() {
     let s = spec("wk-1", 1, |_| {});
-    let m = mirror(1, &[&s]);
-    let mut p = part(&m);
+    let m = cache(1, &[&s]);
+    let mut p = shard(&m);
     // Taken over at 0, never heard. Asked directly at 25: it is in session 4 now.
-    let ask = p.directs(&m, 25.0);
-    let done = |p: &mut Part, body: &Commands, r: &Report, now: f64| {
-        p.direct_done(&"m-1".into(), body, Some(r), &m, now);
+    let ask = p.due_commands(&m, 25.0);
+    let done = |p: &mut Shard, body: &CommandBatch, r: &Heartbeat, now: f64| {
+        p.command_completed(&"m-1".into(), body, Some(r), &m, now);
     };
     done(&mut p, &ask[0].body, &report(1, 4, 1, 0, &[]), 25.0);
-    let ask = p.directs(&m, 25.1);
+    let ask = p.due_commands(&m, 25.1);
     done(
         &mut p,
         &ask[0].body,
@@ -38,8 +38,11 @@
     );
     p.orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 25.2);
     place(&mut p, &m, 25.2);
-    let start = p.directs(&m, 25.2);
-    assert!(matches!(start[0].body.commands[..], [Call::Start { .. }]));
+    let start = p.due_commands(&m, 25.2);
+    assert!(matches!(
+        start[0].body.commands[..],
+        [Command::Start { .. }]
+    ));
     let runs = [("wk-1/0", 50, TaskState::Running, None)];
     done(
         &mut p,
@@ -62,15 +65,15 @@
 #[test]
 fn a_machine_that_obeys_but_does_not_report_is_no_room_and_is_found_out() {
     let s = spec("wk-1", 1, |_| {});
-    let m = mirror(1, &[&s]);
-    let mut p = part(&m);
+    let m = cache(1, &[&s]);
+    let mut p = shard(&m);
     let t = met(&mut p, &m, 1, 0.2);
     let (mut seq, mut open_until, mut found) = (2, 0.0, None);
     for i in 1..60 {
         let now = 0.2 + f64::from(i) * 0.5;
-        for d in p.directs(&m, now) {
+        for d in p.due_commands(&m, now) {
             seq += 1;
-            p.direct_done(
+            p.command_completed(
                 &d.machine,
                 &d.body,
                 Some(&report(1, 1, seq, t, &[])),
@@ -104,14 +107,14 @@
 #[test]
 fn an_outage_makes_no_machine_look_mute() {
     let s = spec("wk-1", 1, |_| {});
-    let m = mirror(1, &[&s]);
-    let mut p = part(&m);
+    let m = cache(1, &[&s]);
+    let mut p = shard(&m);
     let t = met(&mut p, &m, 1, 0.2);
     let mut seq = 2;
-    let mut obeys = |p: &mut Part, now: f64| {
-        for d in p.directs(&m, now) {
+    let mut obeys = |p: &mut Shard, now: f64| {
+        for d in p.due_commands(&m, now) {
             seq += 1;
-            p.direct_done(
+            p.command_completed(
                 &d.machine,
                 &d.body,
                 Some(&report(1, 1, seq, t, &[])),
@@ -134,30 +137,30 @@
     assert!(!mute);
 }
 
-// The last task's end is reported by a part that hasn't heard of the
+// The last task's end is reported by a shard that hasn't heard of the
 // cancellation, to a leader that has. Broke `went_back`: the user had been told
 // `cancelled`, and then the job was committed as done.
 #[test]
 fn an_end_that_is_reported_after_the_cancellation_makes_no_job_done() {
     let s = spec("wk-1", 1, |_| {});
-    let mut m = mirror(1, &[&s]);
+    let mut m = cache(1, &[&s]);
     let (mut l, mut p, tokens) = pair(&m, 1);
     round(&mut l, &mut p, &m, 0.5);
     let (t, calls) = answered(p.report(&report(1, 1, 3, tokens[0], &[]), false, &m, 0.6));
-    let Call::Start { attempt, .. } = calls[0] else {
+    let Command::Start { attempt, .. } = calls[0] else {
         panic!("{calls:?}")
     };
-    let behind = mirror(1, &[&s]);
+    let behind = cache(1, &[&s]);
     m.put("fw/j/wk-1", record(&s, true), 200);
     l.job_changed(&"wk-1".into(), &m);
     let ended = [("wk-1/0", attempt, TaskState::Ended, Some("done"))];
     p.report(&report(1, 1, 4, t, &ended), false, &behind, 0.7);
     let told = p.snapshot(&behind, 0.8);
     assert!(
-        told.held.iter().any(|h| h.phase == Phase::Done),
+        told.held.iter().any(|h| h.phase == TaskPhase::Done),
         "the part reports its end"
     );
-    assert!(l.part_report(told, &m, 0.8));
+    assert!(l.apply_shard_report(told, &m, 0.8));
     assert_eq!(l.finishes(0.9, 9, &m), Vec::new());
 }
 
@@ -169,8 +172,8 @@
         v["molt_s"] = 5.0.into();
         v["stash_s"] = 90.0.into();
     });
-    let mut m = mirror(1, &[&s]);
-    let mut p = part(&m);
+    let mut m = cache(1, &[&s]);
+    let mut p = shard(&m);
     let t = met(&mut p, &m, 1, 0.2);
     p.orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 0.3);
     place(&mut p, &m, 0.3);
@@ -195,8 +198,8 @@
     assert!(calls.is_empty(), "it saves: {calls:?}");
     m.put("fw/j/wk-1", record(&s, true), 200);
     p.job_changed(&"wk-1".into(), &m);
-    let direct = p.directs(&m, 40.2);
-    let ends = |c: &Call| matches!(c, Call::Stop { grace_s, .. } if *grace_s == 0.0);
+    let direct = p.due_commands(&m, 40.2);
+    let ends = |c: &Command| matches!(c, Command::Stop { grace_s, .. } if *grace_s == 0.0);
     assert!(
         direct[0].body.commands.iter().any(ends),
         "{:?}",
@@ -209,9 +212,9 @@
 #[test]
 fn an_answer_to_a_machine_in_doubt_stops_what_is_cancelled_there() {
     let (s, other) = (spec("wk-1", 1, |_| {}), spec("wk-2", 1, |_| {}));
-    let mut m = mirror(1, &[&s, &other]);
+    let mut m = cache(1, &[&s, &other]);
     m.put("fw/j/wk-1", record(&s, true), 200);
-    let mut p = part(&m);
+    let mut p = shard(&m);
     let runs = [
         ("wk-1/0", 50, TaskState::Running, None),
         ("wk-2/0", 51, TaskState::Running, None),
@@ -220,14 +223,14 @@
         answered(p.report(&report(1, 1, 9, token(EPOCH - 1, 4), &runs), false, &m, 0.2));
     assert_eq!(
         calls,
-        [Call::Stop {
+        [Command::Stop {
             task: "wk-1/0".into(),
             attempt: 50,
             grace_s: 0.0
         }]
     );
     // The same by a direct command, which may reach it when answers don't.
-    let direct = p.directs(&m, 0.3);
+    let direct = p.due_commands(&m, 0.3);
     assert_eq!(direct[0].body.commands, calls);
 }
 
@@ -236,8 +239,8 @@
 #[test]
 fn questions_without_an_answer_leave_no_machine_in_doubt() {
     let s = spec("wk-1", 1, |_| {});
-    let m = mirror(1, &[&s]);
-    let mut p = part(&m);
+    let m = cache(1, &[&s]);
+    let mut p = shard(&m);
     let (mut t, mut seq) = (0, 0);
     for step in 0..160u32 {
         let now = f64::from(step) * 0.1;
@@ -246,8 +249,8 @@
             seq += 1;
             t = answered(p.report(&report(1, 1, seq, t, &[]), false, &m, now)).0;
         }
-        for d in p.directs(&m, now) {
-            p.direct_done(&d.machine, &d.body, None, &m, now + 0.05);
+        for d in p.due_commands(&m, now) {
+            p.command_completed(&d.machine, &d.body, None, &m, now + 0.05);
         }
     }
     let told = p.snapshot(&m, 16.0);
@@ -259,9 +262,9 @@
 #[test]
 fn nothing_is_started_where_the_token_can_not_be_raised() {
     let s = spec("wk-1", 1, |_| {});
-    let m = mirror(1, &[&s]);
-    let mut p = part(&m);
-    let top = token(EPOCH, MOST_COUNTER);
+    let m = cache(1, &[&s]);
+    let mut p = shard(&m);
+    let top = token(EPOCH, MAX_COUNTER);
     assert!(top < token(EPOCH + 1, 0), "epochs don't overlap");
     p.report(&report(1, 1, 1, top, &[]), false, &m, 0.2);
     p.report(&report(1, 1, 2, top, &[]), false, &m, 0.3);
@@ -270,7 +273,7 @@
     let (t, calls) = answered(p.report(&report(1, 1, 3, top, &[]), false, &m, 0.5));
     assert_eq!((t, calls), (top, Vec::new()));
     assert!(p
-        .directs(&m, 0.6)
+        .due_commands(&m, 0.6)
         .iter()
         .all(|d| d.body.commands.is_empty()));
     assert!(
@@ -279,13 +282,13 @@
     );
 }
 
-// LastReported by another controller while the state service refuses this one.
+// LastReported by another controller while the key-value store refuses this one.
 /// The number of an attempt takes its epoch's place if it grows too large: a leader
 /// stops before, and the next epoch has all numbers anew.
 #[test]
 fn a_leader_that_runs_out_of_attempt_numbers_waits_for_the_next_epoch() {
     let s = spec("wk-1", 3, |_| {});
-    let m = mirror(2, &[&s]);
+    let m = cache(2, &[&s]);
     let (mut l, mut p, _) = pair(&m, 2);
     l.attempt_limit = 2;
     round(&mut l, &mut p, &m, 1.0);
@@ -311,7 +314,7 @@
 #[test]
 fn a_cancellation_is_a_fact_that_needs_no_order() {
     let s = spec("wk-1", 2, |_| {});
-    let mut m = mirror(1, &[&s]);
+    let mut m = cache(1, &[&s]);
     let id = "wk-1".into();
     assert!(
         !m.apply_cancellation(&"wk-9".into(), 200, 5),
@@ -332,7 +335,7 @@
         done: true,
         ..serde_json::from_value(record(&s, false)).expect("a record")
     };
-    let mut m = mirror(1, &[&s]);
+    let mut m = cache(1, &[&s]);
     m.put("fw/j/wk-1", json!(done), 150);
     assert!(
         !m.apply_cancellation(&id, 200, 5),
@@ -344,7 +347,7 @@
 #[test]
 fn machines_not_proven_rid_of_cancelled_tasks_are_named_in_time() {
     let (s, other) = (spec("wk-1", 1, |_| {}), spec("wk-2", 1, |_| {}));
-    let mut m = mirror(2, &[&s, &other]);
+    let mut m = cache(2, &[&s, &other]);
     let (mut l, mut p, tokens) = pair(&m, 2);
     round(&mut l, &mut p, &m, 0.5);
     for (i, t) in tokens.iter().enumerate() {
@@ -354,7 +357,7 @@
     m.put("fw/j/wk-1", record(&s, true), 200);
     l.job_changed(&"wk-1".into(), &m);
     p.job_changed(&"wk-1".into(), &m);
-    assert!(l.part_report(p.snapshot(&m, 1.0), &m, 1.0));
+    assert!(l.apply_shard_report(p.snapshot(&m, 1.0), &m, 1.0));
     let at_ms = 10_000;
     let later = |s: f64| at_ms + (s * 1000.0) as u64;
     assert!(
@@ -375,7 +378,7 @@
         .next()
         .expect("a machine");
     p.unlist(&gone);
-    assert!(l.part_report(p.snapshot(&m, 2.0), &m, 2.0));
+    assert!(l.apply_shard_report(p.snapshot(&m, 2.0), &m, 2.0));
     assert!(l
         .machines_with_cancelled_tasks(&m, later(after + 1.0), after)
         .is_empty());
@@ -418,13 +421,13 @@
 #[test]
 fn machines_are_rented_where_the_rest_of_a_bound_job_is() {
     let one = spec("wk-1", 4, |v| v["one_zone"] = true.into());
-    let m = mirror(0, &[]);
+    let m = cache(0, &[]);
     let catalog: &Catalog = m.catalog.as_ref().expect("types");
     // Zone `e` has the fewer machines, and is otherwise chosen.
     let all = [("w".into(), 5)].into_iter().collect();
     let rented = |spec: &Arc<JobSpec>, there: &[(&str, u32)], count: u32| -> Vec<String> {
         let zones = there.iter().map(|(z, n)| ((*z).into(), *n)).collect();
-        let want = Want {
+        let demand = PendingDemand {
             ask: spec.ask(),
             count,
             spec: spec.clone(),
@@ -433,11 +436,11 @@
             zones,
         };
         let offers = rent(
-            &[want],
+            &[demand],
             &[],
             &all,
             catalog,
-            &RentSettings::default(),
+            &ScalingPolicy::default(),
             &|_| false,
         );
         offers.keys().map(|o| o.1.to_string()).collect()
@@ -449,7 +452,7 @@
 }
 
 /// Two controllers, machines alternating between them.
-fn two_parts(mirror: &Mirror, machines: usize) -> Leader {
+fn two_parts(cache: &StoreCache, machines: usize) -> Leader {
     let mut l = Leader::new(&settings(&[]).expect("settings"));
     let members: BTreeMap<String, u64> = [("a".to_string(), 7), ("b".to_string(), 8)]
         .into_iter()
@@ -462,18 +465,18 @@
             shares: false,
         },
         7,
-        mirror,
+        cache,
     );
-    for (n, (name, inc)) in [("a", 7), ("b", 8)].into_iter().enumerate() {
-        let mut p = Part::new(name, TIMING, HashMap::new());
+    for (n, (name, incarnation)) in [("a", 7), ("b", 8)].into_iter().enumerate() {
+        let mut p = Shard::new(name, TIMING, HashMap::new());
         let owns = |id: &str| id[2..].parse::<usize>().is_ok_and(|i| (i - 1) / 2 % 2 == n);
-        p.enter(EPOCH, inc, mirror, 0.0, owns);
+        p.enter(EPOCH, incarnation, cache, 0.0, owns);
         for i in (1..=machines).filter(|i| owns(&format!("m-{i}"))) {
-            met(&mut p, mirror, i, 0.2);
+            met(&mut p, cache, i, 0.2);
         }
-        assert!(l.part_report(p.snapshot(mirror, 0.3), mirror, 0.3));
+        assert!(l.apply_shard_report(p.snapshot(cache, 0.3), cache, 0.3));
     }
-    l.resolve(mirror, &|_| false);
+    l.resolve(cache, &|_| false);
     l
 }
 
@@ -486,7 +489,7 @@
         v["shape"] = "standing".into();
         v["cpus"] = 4.0.into();
     });
-    let m = mirror(8, &[&s]);
+    let m = cache(8, &[&s]);
     let mut l = two_parts(&m, 8);
     let touched = l.assign_tasks(&m, 0.5, || true);
     assert_eq!(touched.len(), 2, "both take some of it");
@@ -514,44 +517,45 @@
         v["shape"] = "standing".into();
         v["cpus"] = 4.0.into();
     });
-    let mut m = mirror(4, &[&s]);
+    let mut m = cache(4, &[&s]);
     let (mut l, mut p, mut tokens) = pair(&m, 4);
     round(&mut l, &mut p, &m, 0.5);
     let mut on: BTreeMap<usize, (String, u64)> = BTreeMap::new();
     let mut seq = 3;
-    let mut obey = |p: &mut Part, m: &Mirror, on: &mut BTreeMap<usize, (String, u64)>, now: f64| {
-        seq += 2;
-        for i in (1..=4usize).filter(|i| m.roster.contains_key(format!("m-{i}").as_str())) {
-            for again in 0..2 {
-                let runs: Vec<Line> = on
-                    .get(&i)
-                    .iter()
-                    .map(|(t, a)| (t.as_str(), *a, TaskState::Running, None))
-                    .collect();
-                let r = report(i, 1, seq + again, tokens[i - 1], &runs);
-                let (t, calls) = answered(p.report(&r, false, m, now));
-                tokens[i - 1] = t;
-                for c in calls {
-                    match c {
-                        Call::Start { task, attempt } => drop(on.insert(i, (task, attempt))),
-                        Call::Stop { .. } => drop(on.remove(&i)),
-                        Call::Forget { .. } => {}
+    let mut obey =
+        |p: &mut Shard, m: &StoreCache, on: &mut BTreeMap<usize, (String, u64)>, now: f64| {
+            seq += 2;
+            for i in (1..=4usize).filter(|i| m.registry.contains_key(format!("m-{i}").as_str())) {
+                for again in 0..2 {
+                    let runs: Vec<Line> = on
+                        .get(&i)
+                        .iter()
+                        .map(|(t, a)| (t.as_str(), *a, TaskState::Running, None))
+                        .collect();
+                    let r = report(i, 1, seq + again, tokens[i - 1], &runs);
+                    let (t, calls) = answered(p.report(&r, false, m, now));
+                    tokens[i - 1] = t;
+                    for c in calls {
+                        match c {
+                            Command::Start { task, attempt } => drop(on.insert(i, (task, attempt))),
+                            Command::Stop { .. } => drop(on.remove(&i)),
+                            Command::Forget { .. } => {}
+                        }
                     }
                 }
             }
-        }
-        let zones: std::collections::BTreeSet<usize> = on.keys().map(|i| i % 2).collect();
-        assert!(zones.len() <= 1, "in two zones at {now}: {on:?}");
-    };
+            let zones: std::collections::BTreeSet<usize> = on.keys().map(|i| i % 2).collect();
+            assert!(zones.len() <= 1, "in two zones at {now}: {on:?}");
+        };
     obey(&mut p, &m, &mut on, 0.6);
     assert_eq!(on.len(), 2);
-    let home = on.keys().next().expect("a machine") % 2;
+    let hash_owner = on.keys().next().expect("a machine") % 2;
     let lost = *on.keys().next().expect("a machine");
     on.remove(&lost);
     let id = format!("m-{lost}");
-    m.apply(finchwood::state::Event::Delete {
+    m.apply(finchwood::store::KeyChange::Delete {
         key: format!("fw/r/{id}"),
-        version: 300,
+        revision: 300,
     });
     p.unlist(&id.as_str().into());
     for i in 1..200 {
@@ -561,7 +565,7 @@
     }
     assert_eq!(on.len(), 2, "it runs again: {on:?}");
     assert!(
-        on.keys().all(|i| i % 2 != home),
+        on.keys().all(|i| i % 2 != hash_owner),
         "in the other zone: {on:?}"
     );
 }
@@ -572,7 +576,7 @@
 #[test]
 fn a_team_at_its_limit_gets_nothing_for_a_cancellation_before_proof() {
     let (old, new) = (spec("wk-1", 4, |_| {}), spec("wk-2", 4, |_| {}));
-    let mut m = mirror(4, &[&old]);
+    let mut m = cache(4, &[&old]);
     let mut accepted: JobRecord = serde_json::from_value(record(&new, false)).expect("a record");
     accepted.epoch = EPOCH;
     m.put("fw/j/wk-2", json!(accepted), 150);
@@ -588,17 +592,17 @@
         7,
         &m,
     );
-    let mut p = part(&m);
+    let mut p = shard(&m);
     let mut tokens: Vec<u64> = (1..=3).map(|i| met(&mut p, &m, i, 0.2)).collect();
     let mut seq = 2;
-    let mut dealt = |l: &mut Leader, p: &mut Part, m: &Mirror, now: f64| {
+    let mut dealt = |l: &mut Leader, p: &mut Shard, m: &StoreCache, now: f64| {
         seq += 1;
         for i in 1..=3 {
             tokens[i - 1] =
                 answered(p.report(&report(i, 1, seq, tokens[i - 1], &[]), false, m, now)).0;
         }
         p.expire_leases(now);
-        assert!(l.part_report(p.snapshot(m, now), m, now));
+        assert!(l.apply_shard_report(p.snapshot(m, now), m, now));
         l.resolve(m, &|_| false);
         l.assign_tasks(m, now, || true);
         let o = l.orders("a").expect("orders");
@@ -638,32 +642,32 @@
 }
 
 /// Guard: a machine that is up within a second or two is used at once, while writes
-/// lag; the next leader must find on the roster that it may hold tasks.
+/// lag; the next leader must find on the machine registry that it may hold tasks.
 #[test]
 fn a_machine_gets_no_task_before_its_mark_as_up_is_committed() {
     let job = spec("wk-1", 1, |_| {});
-    let mut mirror = mirror(1, &[&job]);
-    let mut record = mirror.roster["m-1"].0.clone();
+    let mut cache = cache(1, &[&job]);
+    let mut record = cache.registry["m-1"].0.clone();
     record.up = false;
-    mirror.put("fw/r/m-1", json!(record), 200);
-    let mut part = part(&mirror);
-    let token = met(&mut part, &mirror, 1, 0.2);
+    cache.put("fw/r/m-1", json!(record), 200);
+    let mut shard = shard(&cache);
+    let token = met(&mut shard, &cache, 1, 0.2);
     assert!(
-        !part.snapshot(&mirror, 0.3).machines[0].open,
+        !shard.snapshot(&cache, 0.3).machines[0].open,
         "it reports, and takes nothing yet"
     );
-    part.orders(&orders(1, deal("wk-1", &[(0, 50)])), &mirror, 0.4);
-    place(&mut part, &mirror, 0.5);
-    let (token, calls) = answered(part.report(&report(1, 1, 3, token, &[]), false, &mirror, 0.6));
+    shard.orders(&orders(1, deal("wk-1", &[(0, 50)])), &cache, 0.4);
+    place(&mut shard, &cache, 0.5);
+    let (token, calls) = answered(shard.report(&report(1, 1, 3, token, &[]), false, &cache, 0.6));
     assert_eq!(calls, []);
     record.up = true;
-    mirror.put("fw/r/m-1", json!(record.clone()), 201);
-    part.list(&"m-1".into(), &record, 0.7);
-    part.orders(&orders(2, deal("wk-1", &[(0, 51)])), &mirror, 0.8);
-    place(&mut part, &mirror, 0.9);
-    let (_, calls) = answered(part.report(&report(1, 1, 4, token, &[]), false, &mirror, 1.0));
+    cache.put("fw/r/m-1", json!(record.clone()), 201);
+    shard.list(&"m-1".into(), &record, 0.7);
+    shard.orders(&orders(2, deal("wk-1", &[(0, 51)])), &cache, 0.8);
+    place(&mut shard, &cache, 0.9);
+    let (_, calls) = answered(shard.report(&report(1, 1, 4, token, &[]), false, &cache, 1.0));
     assert!(
-        matches!(calls[..], [Call::Start { attempt: 51, .. }]),
+        matches!(calls[..], [Command::Start { attempt: 51, .. }]),
         "{calls:?}"
     );
 }
--- a/tests/failure_detection_model.rs
+++ b/tests/failure_detection_model.rs
@@ -1,7 +1,9 @@
 //! Who is judged dead, against a plain world that knows: machines die or hang
 //! in any number and anywhere, zones are cut off and come back.
 
-use finchwood::failure_detection::{FailureDetector, MachineHealth, Reached, ReachedSpan, Verdict};
+use finchwood::cluster::failure_detection::{
+    FailureDetector, MachineHealth, Reached, ReachedSpan, Verdict,
+};
 use proptest::prelude::*;
 use std::sync::Arc;
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,27 +1,27 @@
 //! Tasks that fail: whether the job or the machine is at fault, and what becomes
-//! of either. The real leader and part, driven by hand.
+//! of either. The real leader and shard, driven by hand.
 
 #[path = "common/cores.rs"]
 mod cores;
 
 use cores::*;
-use finchwood::assignment::{Leader, MachineFault};
-use finchwood::fleet::Part;
-use finchwood::jobs::{JobRecord, Mirror};
-use finchwood::wire::{Call, JobSpec, TaskState};
+use finchwood::scheduler::{Leader, MachineFault};
+use finchwood::shard::Shard;
+use finchwood::store::cache::{JobRecord, StoreCache};
+use finchwood::wire::{Command, JobSpec, TaskState};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 const BROKEN: &str = "wk-broken";
 
-/// A leader, its only part and machines that run what they are told. A task of a
+/// A leader, its only shard and machines that run what they are told. A task of a
 /// broken job fails at once, anywhere; on a faulty machine each task does; all
 /// others complete.
 struct Fleet {
-    mirror: Mirror,
+    cache: StoreCache,
     leader: Leader,
-    part: Part,
+    shard: Shard,
     tokens: Vec<u64>,
     seq: u64,
     now: f64,
@@ -38,12 +38,12 @@
 impl Fleet {
     fn new(machines: usize, jobs: &[Arc<JobSpec>]) -> Fleet {
         let jobs: Vec<&Arc<JobSpec>> = jobs.iter().collect();
-        let mirror = mirror(machines, &jobs);
-        let (leader, part, tokens) = pair(&mirror, machines);
+        let cache = cache(machines, &jobs);
+        let (leader, shard, tokens) = pair(&cache, machines);
         Fleet {
-            mirror,
+            cache,
             leader,
-            part,
+            shard,
             tokens,
             seq: 10,
             now: 1.0,
@@ -59,8 +59,8 @@
     /// machine reports and runs what it is answered.
     fn step(&mut self) {
         self.now += 0.5;
-        self.leader.close_faulty(&self.mirror);
-        round(&mut self.leader, &mut self.part, &self.mirror, self.now);
+        self.leader.close_faulty(&self.cache);
+        round(&mut self.leader, &mut self.shard, &self.cache, self.now);
         self.commit_completed_jobs();
         for machine in 0..self.shown.len() {
             self.seq += 1;
@@ -77,15 +77,15 @@
                 .map(|(task, s)| (task.as_str(), s.0, state(s.1), s.1))
                 .collect();
             let r = report(machine + 1, 1, self.seq, self.tokens[machine], &lines);
-            let (token, calls) = answered(self.part.report(&r, false, &self.mirror, self.now));
+            let (token, calls) = answered(self.shard.report(&r, false, &self.cache, self.now));
             self.tokens[machine] = token;
             calls.iter().for_each(|call| self.obey(machine, call));
         }
     }
 
-    fn obey(&mut self, machine: usize, call: &Call) {
+    fn obey(&mut self, machine: usize, call: &Command) {
         match call {
-            Call::Start { task, attempt } => {
+            Command::Start { task, attempt } => {
                 let broken = task.starts_with(BROKEN);
                 let fails = broken || self.faulty.contains(&machine);
                 let cause = match (fails, self.long_tasks) {
@@ -100,8 +100,8 @@
                     self.completed.insert(task.clone());
                 }
             }
-            Call::Forget { task, .. } => drop(self.shown[machine].remove(task)),
-            Call::Stop { .. } => {}
+            Command::Forget { task, .. } => drop(self.shown[machine].remove(task)),
+            Command::Stop { .. } => {}
         }
     }
 
@@ -116,16 +116,16 @@
         for task in single {
             self.completed.remove(&task);
             let job = task.trim_end_matches("/0").to_string();
-            let old = self.mirror.jobs[job.as_str()].clone();
+            let old = self.cache.jobs[job.as_str()].clone();
             let done = JobRecord {
                 done: true,
                 spec: None,
                 ..old.record
             };
-            self.mirror
-                .put(&format!("fw/j/{job}"), json!(done), old.version + 1_000);
-            self.part.job_changed(&job.as_str().into(), &self.mirror);
-            self.leader.job_changed(&job.as_str().into(), &self.mirror);
+            self.cache
+                .put(&format!("fw/j/{job}"), json!(done), old.revision + 1_000);
+            self.shard.job_changed(&job.as_str().into(), &self.cache);
+            self.leader.job_changed(&job.as_str().into(), &self.cache);
         }
     }
 
@@ -142,7 +142,7 @@
     }
 
     fn faults(&self) -> BTreeMap<String, MachineFault> {
-        let faults = self.leader.machine_faults(&self.mirror);
+        let faults = self.leader.machine_faults(&self.cache);
         faults
             .into_iter()
             .map(|(id, fault)| (id.to_string(), fault))
@@ -186,7 +186,10 @@
         "no job waits 90 s while there is room: {gaps:?}"
     );
     assert!(later.len() < 25, "{} tries in ten minutes", later.len());
-    assert!(fleet.leader.wants.is_empty(), "no machine is rented for it");
+    assert!(
+        fleet.leader.pending_demand.is_empty(),
+        "no machine is rented for it"
+    );
     let machines: BTreeSet<usize> = later.iter().map(|l| l.1).collect();
     assert!(
         machines.len() > 2,
@@ -205,7 +208,7 @@
             .into_iter()
             .collect()
     );
-    let done = fleet.mirror.jobs.values().filter(|j| j.record.done).count();
+    let done = fleet.cache.jobs.values().filter(|j| j.record.done).count();
     assert_eq!(done, 30, "all jobs run elsewhere");
     assert_eq!(fleet.open_machines(), ["m-1", "m-2", "m-4"]);
 }
--- a/tests/with_files.rs
+++ b/tests/feature_files.rs
@@ -4,34 +4,34 @@
 #[path = "common/settings.rs"]
 mod base;
 
-use finchwood::with::{ColdRestart, Parts, SharedMachines};
+use finchwood::config::features::{ColdRestartConfig, Features, SharedMachinesConfig};
 use std::process::Command;
 
 #[test]
 fn the_files_under_deploy_are_taken() {
-    let mut parts = Parts::default();
-    parts
+    let mut features = Features::default();
+    features
         .add(
             "cold-restart.toml",
             include_str!("../deploy/cold-restart.toml"),
         )
         .expect("taken");
-    parts
+    features
         .add(
             "shared-machines.toml",
             include_str!("../deploy/shared-machines.toml"),
         )
         .expect("taken");
-    let shared = SharedMachines {
+    let shared = SharedMachinesConfig {
         machines_per_move: 20,
         moves_per_minute: 12.0,
         imbalance: 0.5,
         rest_leases: 3.0,
     };
-    assert_eq!(parts.shared_machines, Some(shared));
+    assert_eq!(features.shared_machines, Some(shared));
     assert_eq!(
-        parts.cold_restart,
-        Some(ColdRestart {
+        features.cold_restart,
+        Some(ColdRestartConfig {
             answer_reports: 2.0,
             entries: 500
         })
@@ -40,15 +40,15 @@
 
 #[test]
 fn unknown_and_senseless_values_are_refused_in_one_line() {
-    let part = "part = \"cold-restart\"\n";
+    let shard = "part = \"cold-restart\"\n";
     let bad = [
         (String::new(), "part"),
         ("part = \"toaster\"".into(), "toaster"),
-        (format!("{part}answer_reports = -1.0"), "answer_reports"),
-        (format!("{part}answer_reports = nan"), "answer_reports"),
-        (format!("{part}entries = 1000000"), "entries"),
-        (format!("{part}entries = \"many\""), "expected"),
-        (format!("{part}entires = 3"), "entires"),
+        (format!("{shard}answer_reports = -1.0"), "answer_reports"),
+        (format!("{shard}answer_reports = nan"), "answer_reports"),
+        (format!("{shard}entries = 1000000"), "entries"),
+        (format!("{shard}entries = \"many\""), "expected"),
+        (format!("{shard}entires = 3"), "entires"),
         ("part = ".into(), "TOML"),
         (
             "part = \"shared-machines\"\nimbalance = 0.0".into(),
@@ -60,7 +60,7 @@
         ),
     ];
     for (text, names) in bad {
-        let why = Parts::default()
+        let why = Features::default()
             .add("x.toml", &text)
             .expect_err(&text)
             .to_string();
@@ -70,10 +70,10 @@
         );
         assert!(names == "TOML" || why.contains(names), "{text}: {why}");
     }
-    let mut parts = Parts::default();
-    parts.add("x.toml", part).expect("taken");
-    assert!(parts
-        .add("y.toml", part)
+    let mut features = Features::default();
+    features.add("x.toml", shard).expect("taken");
+    assert!(features
+        .add("y.toml", shard)
         .expect_err("twice")
         .to_string()
         .contains("already"));
