--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -4,23 +4,27 @@
 #[path = "common/fixtures.rs"]
 mod fixtures;
 
-use finchwood::assignment::RestartProgress;
-use finchwood::policy::Policy;
-use finchwood::restart_report::{RecordLeftAlone, RestartReport};
-use finchwood::settings::Settings;
-use finchwood::shares_report::{HandoversReport, OwnedShare, SharesReport};
-use finchwood::unreadable::RecordError;
-use finchwood::with::{ColdRestart, Parts, SharedMachines};
-use finchwood_reconcile::caution::{Action, HoldReason};
-use finchwood_reconcile::doubt::JobPhase;
-use finchwood_reconcile::machine::MachineState;
-use finchwood_reconcile::record::{Entry, OrderCounts, RestartRecord, StopCause};
-use finchwood_reconcile::verdict::{
+use finchwood::api::restart_report::{RecordLeftAlone, RestartReport};
+use finchwood::api::shard_map_report::{OwnedRange, ShardMapReport, TransfersReport};
+use finchwood::config::features::{ColdRestartConfig, Features, SharedMachinesConfig};
+use finchwood::config::policy::Policy;
+use finchwood::config::settings::Settings;
+use finchwood::scheduler::ReconciliationProgress;
+use finchwood::store::unreadable_records::RecordError;
+use finchwood_reconciliation::hold_off::{Action, HoldReason};
+use finchwood_reconciliation::machine_state::MachineState;
+use finchwood_reconciliation::restart_record::{
+    DecisionEntry, OrderCounts, RestartRecord, StopCause,
+};
+use finchwood_reconciliation::unreconciled::ReconciliationPhase;
+use finchwood_reconciliation::verdict::{
     AdoptReason, ConflictReason, DoubtReason, ReapReason, StopReason, Verdict,
 };
-use finchwood_shares::handover::{HandoverEnd, HandoverReport, Handovers, MoveReason, WantedMove};
-use finchwood_shares::plan::{Plan, PlannedMove};
-use finchwood_shares::table::{ShareRange, ShareTable};
+use finchwood_sharding::plan::{Plan, PlannedMove};
+use finchwood_sharding::shard_map::{HashRange, ShardMap};
+use finchwood_sharding::transfer::{
+    MoveReason, TransferEnd, TransferReport, Transfers, WantedMove,
+};
 use fixtures::Fixtures;
 use std::process::Command;
 
@@ -54,7 +58,7 @@
 
 /// Every action and every reason to hold one back.
 const HOLDS: [(Action, HoldReason); 4] = [
-    (Action::Rent, HoldReason::PartsUnheard),
+    (Action::Rent, HoldReason::ShardsUnheard),
     (Action::Preempt, HoldReason::MachinesInDoubt),
     (Action::Consolidate, HoldReason::OwnAbsence),
     (Action::EvictUnasked, HoldReason::OwnAbsence),
@@ -68,9 +72,9 @@
     MachineState::LeasePast,
 ];
 
-fn entry(verdict: Verdict) -> Entry {
+fn entry(verdict: Verdict) -> DecisionEntry {
     let (task, machine) = ("wk-1/0".into(), "m-1".into());
-    Entry {
+    DecisionEntry {
         at_s: 1.5,
         task,
         attempt: 70,
@@ -112,13 +116,13 @@
     record
 }
 
-fn progress() -> RestartProgress {
+fn progress() -> ReconciliationProgress {
     let phases = [
-        (JobPhase::Awaiting, 1),
-        (JobPhase::Partly, 2),
-        (JobPhase::Certain, 3),
+        (ReconciliationPhase::Awaiting, 1),
+        (ReconciliationPhase::Partly, 2),
+        (ReconciliationPhase::Certain, 3),
     ];
-    RestartProgress {
+    ReconciliationProgress {
         all_joined: true,
         resolved: false,
         jobs: phases.into_iter().collect(),
@@ -171,66 +175,66 @@
     fixtures.all_used();
 }
 
-fn range(home: &str) -> ShareRange {
-    ShareRange {
-        home: home.into(),
+fn range(hash_owner: &str) -> HashRange {
+    HashRange {
+        hash_owner: hash_owner.into(),
         first: 16,
         last: u64::MAX,
     }
 }
 
-fn begin(handovers: &mut Handovers, home: &str, reason: MoveReason) {
+fn begin(transfers: &mut Transfers, hash_owner: &str, reason: MoveReason) {
     let wanted = WantedMove {
-        range: range(home),
-        giver: "a".into(),
-        taker: "b".into(),
+        range: range(hash_owner),
+        source: "a".into(),
+        target: "b".into(),
         reason,
     };
-    assert!(handovers.begin(wanted, 1.0));
+    assert!(transfers.begin(wanted, 1.0));
 }
 
-fn accept(handovers: &mut Handovers, id: u64) {
-    handovers.take_in(
+fn accept(transfers: &mut Transfers, id: u64) {
+    transfers.take_in(
         "b",
-        HandoverReport {
+        TransferReport {
             accepted: vec![id],
-            ..HandoverReport::default()
+            ..TransferReport::default()
         },
         2.0,
     );
 }
 
-fn fence(handovers: &mut Handovers, id: u64) {
-    accept(handovers, id);
-    handovers.take_in(
+fn fence(transfers: &mut Transfers, id: u64) {
+    accept(transfers, id);
+    transfers.take_in(
         "a",
-        HandoverReport {
+        TransferReport {
             fenced: vec![(id, Vec::new())],
-            ..HandoverReport::default()
+            ..TransferReport::default()
         },
         3.0,
     );
 }
 
-/// One handover in each state, and one for each reason.
-fn handovers() -> Handovers {
-    let mut handovers = Handovers::default();
-    begin(&mut handovers, "a", MoveReason::Plan);
-    fence(&mut handovers, 1);
-    let table = handovers
-        .to_write(&ShareTable::default(), 4.0)
+/// One transfer in each state, and one for each reason.
+fn transfers() -> Transfers {
+    let mut transfers = Transfers::default();
+    begin(&mut transfers, "a", MoveReason::Plan);
+    fence(&mut transfers, 1);
+    let table = transfers
+        .to_write(&ShardMap::default(), 4.0)
         .expect("a write")
         .table;
-    handovers.table_is(&table, 5.0);
-    begin(&mut handovers, "b", MoveReason::Drain);
-    fence(&mut handovers, 2);
-    handovers.to_write(&table, 6.0).expect("a write");
-    begin(&mut handovers, "c", MoveReason::Balance);
-    fence(&mut handovers, 3);
-    begin(&mut handovers, "d", MoveReason::Tidy);
-    accept(&mut handovers, 4);
-    begin(&mut handovers, "e", MoveReason::Plan);
-    handovers
+    transfers.table_is(&table, 5.0);
+    begin(&mut transfers, "b", MoveReason::Drain);
+    fence(&mut transfers, 2);
+    transfers.to_write(&table, 6.0).expect("a write");
+    begin(&mut transfers, "c", MoveReason::Balance);
+    fence(&mut transfers, 3);
+    begin(&mut transfers, "d", MoveReason::Tidy);
+    accept(&mut transfers, 4);
+    begin(&mut transfers, "e", MoveReason::Plan);
+    transfers
 }
 
 fn plan() -> Plan {
@@ -249,25 +253,25 @@
 fn reports_of_shares_and_plans_keep_their_bytes() {
     let fixtures = Fixtures::new(SHARES);
     let ends = [
-        HandoverEnd::Owned,
-        HandoverEnd::TimedOut,
-        HandoverEnd::Refused,
-        HandoverEnd::NewEpoch,
+        TransferEnd::Owned,
+        TransferEnd::TimedOut,
+        TransferEnd::Refused,
+        TransferEnd::NewEpoch,
     ];
-    let leader = HandoversReport {
-        under_way: handovers().under_way().cloned().collect(),
+    let leader = TransfersReport {
+        under_way: transfers().under_way().cloned().collect(),
         ended: ends.into_iter().zip(1..).collect(),
         machines_moved: 12,
         longest_s: 3.5,
         without_owner: 1,
         plan: plan(),
     };
-    let full = SharesReport {
+    let full = ShardMapReport {
         node: "a".into(),
         epoch: 4,
         in_use: true,
         generation: 6,
-        shares: vec![OwnedShare {
+        shares: vec![OwnedRange {
             range: range("a"),
             owner: "b".into(),
         }],
@@ -276,7 +280,7 @@
         leader: Some(leader),
     };
     fixtures.written("shares", &full);
-    let bare = SharesReport {
+    let bare = ShardMapReport {
         epoch: 0,
         in_use: false,
         generation: 0,
@@ -317,9 +321,7 @@
 fn policies_keep_their_names() {
     let fixtures = Fixtures::new(POLICIES);
     let values = |name: &str| {
-        let rent = Policy::parse(&fixtures.text(name))
-            .expect("taken")
-            .rent_settings;
+        let rent = Policy::parse(&fixtures.text(name)).expect("taken").scaling;
         [
             rent.idle_boots,
             rent.spare_share,
@@ -341,55 +343,55 @@
 #[test]
 fn files_of_parts_keep_their_names() {
     let fixtures = Fixtures::new(PARTS);
-    let mut parts = Parts::default();
+    let mut shards = Features::default();
     for name in ["cold-restart", "shared-machines"] {
-        parts.add("x.toml", &fixtures.text(name)).expect("taken");
+        shards.add("x.toml", &fixtures.text(name)).expect("taken");
     }
-    let shared_machines = SharedMachines {
+    let shared_machines = SharedMachinesConfig {
         machines_per_move: 4,
         moves_per_minute: 600.0,
         imbalance: 0.4,
         rest_leases: 0.1,
     };
-    let cold_restart = ColdRestart {
+    let cold_restart = ColdRestartConfig {
         answer_reports: 3.5,
         entries: 7,
     };
-    let all = Parts {
+    let all = Features {
         cold_restart: Some(cold_restart),
         shared_machines: Some(shared_machines),
     };
-    assert_eq!(parts, all);
-    let mut parts = Parts::default();
+    assert_eq!(shards, all);
+    let mut shards = Features::default();
     for name in ["cold-restart.defaults", "shared-machines.defaults"] {
-        parts.add("x.toml", &fixtures.text(name)).expect("taken");
+        shards.add("x.toml", &fixtures.text(name)).expect("taken");
     }
-    let shared_machines = SharedMachines {
+    let shared_machines = SharedMachinesConfig {
         machines_per_move: 20,
         moves_per_minute: 12.0,
         imbalance: 0.5,
         rest_leases: 3.0,
     };
-    let cold_restart = ColdRestart {
+    let cold_restart = ColdRestartConfig {
         answer_reports: 2.0,
         entries: 500,
     };
     assert_eq!(
-        parts,
-        Parts {
+        shards,
+        Features {
             cold_restart: Some(cold_restart),
             shared_machines: Some(shared_machines)
         }
     );
     for name in ["cold-restart", "shared-machines"] {
-        let twice = parts
+        let twice = shards
             .add("y.toml", &fixtures.text(name))
             .expect_err("twice");
         fixtures.same(&format!("{name}.twice"), &twice.to_string());
     }
     for name in names(&fixtures, ".refused-part") {
         let text = fixtures.text(&format!("{name}.refused-part"));
-        let error = Parts::default().add("x.toml", &text).expect_err(name);
+        let error = Features::default().add("x.toml", &text).expect_err(name);
         fixtures.same(&format!("{name}.why"), &error.to_string());
     }
     fixtures.all_used();
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -4,16 +4,19 @@
 #[path = "common/fixtures.rs"]
 mod fixtures;
 
-use finchwood::failure_detection::Reached;
-use finchwood::fleet::{
-    Gone, HeldView, JobAssignment, Leave, MachineView, Orders, PartReport, Phase, Quiet,
+use finchwood::cluster::failure_detection::Reached;
+use finchwood::cluster::peer::{CancellationNotice, Envelope, PeerMessage};
+use finchwood::shard::{
+    AssignedTaskStatus, JobAssignment, MachineStatus, Orders, RemovalReason, RemovedTask,
+    ShardReport, SilentMachine, TaskPhase,
+};
+use finchwood::wire::{Resources, Task, TaskState};
+use finchwood_reconciliation::machine_state::MachineState;
+use finchwood_sharding::shard_map::HashRange;
+use finchwood_sharding::transfer::{TransferOrder, TransferReport};
+use finchwood_sharding::transfer_state::{
+    AssignedTaskState, MachineTransferState, ReportedTaskState,
 };
-use finchwood::peer::{CancellationNotice, Envelope, Message};
-use finchwood::wire::{Res, Task, TaskState};
-use finchwood_reconcile::machine::MachineState;
-use finchwood_shares::handover::{HandoverOrder, HandoverReport};
-use finchwood_shares::knowledge::{LineKnowledge, MachineKnowledge, TaskKnowledge};
-use finchwood_shares::table::ShareRange;
 use fixtures::Fixtures;
 
 const PEERS: &str = include_str!("fixtures/wire-format/peers.txt");
@@ -27,24 +30,24 @@
     }
 }
 
-fn resources(cpus: f64) -> Res {
-    Res {
+fn resources(cpus: f64) -> Resources {
+    Resources {
         cpus,
         gpus: 1.0,
         mem: 16.5,
     }
 }
 
-fn machine_view() -> MachineView {
-    MachineView {
+fn machine_view() -> MachineStatus {
+    MachineStatus {
         id: "m-1".into(),
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "e".into(),
         spot: true,
         certain: true,
         heard: true,
         listed: true,
-        addr: Some("10.0.0.1:9000".into()),
+        address: Some("10.0.0.1:9000".into()),
         free: resources(4.0),
         yielding: resources(3.0),
         yielding_low: resources(2.0),
@@ -58,19 +61,19 @@
     }
 }
 
-fn bare_machine_view() -> MachineView {
-    MachineView {
+fn bare_machine_view() -> MachineStatus {
+    MachineStatus {
         id: "m-2".into(),
-        kind: "c4".into(),
+        machine_type: "c4".into(),
         zone: "w".into(),
         spot: false,
         certain: false,
         heard: false,
         listed: false,
-        addr: None,
-        free: Res::default(),
-        yielding: Res::default(),
-        yielding_low: Res::default(),
+        address: None,
+        free: Resources::default(),
+        yielding: Resources::default(),
+        yielding_low: Resources::default(),
         open: false,
         noticed: false,
         faulty: false,
@@ -81,8 +84,8 @@
     }
 }
 
-fn held(phase: Phase, machine: Option<&str>, assignment: u64) -> HeldView {
-    HeldView {
+fn held(phase: TaskPhase, machine: Option<&str>, assignment: u64) -> AssignedTaskStatus {
+    AssignedTaskStatus {
         task: task(0),
         attempt: 70,
         phase,
@@ -92,8 +95,9 @@
 }
 
 /// A task that is gone can't be made from outside: one that production told is changed.
-fn gone(how: Leave, machine: Option<&str>, assignment: u64) -> Gone {
-    let Message::Part(report) = decoded(&Fixtures::new(PRODUCTION), "part").message else {
+fn gone(how: RemovalReason, machine: Option<&str>, assignment: u64) -> RemovedTask {
+    let PeerMessage::ShardReport(report) = decoded(&Fixtures::new(PRODUCTION), "part").message
+    else {
         panic!("not a part's report")
     };
     let mut gone = report.gone[0].clone();
@@ -105,8 +109,8 @@
     gone
 }
 
-fn known_task() -> TaskKnowledge {
-    TaskKnowledge {
+fn known_task() -> AssignedTaskState {
+    AssignedTaskState {
         task: task(0),
         attempt: 70,
         assignment: 71,
@@ -120,8 +124,8 @@
     }
 }
 
-fn known_line(state: TaskState, why: Option<&str>) -> LineKnowledge {
-    LineKnowledge {
+fn known_line(state: TaskState, why: Option<&str>) -> ReportedTaskState {
+    ReportedTaskState {
         task: task(0),
         attempt: 70,
         state,
@@ -129,16 +133,16 @@
     }
 }
 
-fn known_machine() -> MachineKnowledge {
+fn known_machine() -> MachineTransferState {
     use TaskState::{Ended, Fetching, Gathering, Other, Running, Saving};
     let states = [Fetching, Gathering, Running, Saving, Other];
     let lines = states.map(|state| known_line(state, None)).into_iter();
-    MachineKnowledge {
+    MachineTransferState {
         id: "m-1".into(),
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "e".into(),
         spot: true,
-        addr: Some("10.0.0.1:9000".into()),
+        address: Some("10.0.0.1:9000".into()),
         listed: true,
         up: true,
         state: MachineState::Proven,
@@ -155,11 +159,11 @@
     }
 }
 
-fn bare_machine(state: MachineState) -> MachineKnowledge {
-    MachineKnowledge {
+fn bare_machine(state: MachineState) -> MachineTransferState {
+    MachineTransferState {
         id: "m-2".into(),
         spot: false,
-        addr: None,
+        address: None,
         listed: false,
         up: false,
         state,
@@ -173,20 +177,20 @@
 }
 
 /// One machine with all that may be known, and one in each state.
-fn machines() -> Vec<MachineKnowledge> {
+fn machines() -> Vec<MachineTransferState> {
     use MachineState::{Heard, LeasePast, Proven, Unheard, Unused};
     let bare = [Unused, Unheard, Heard, Proven, LeasePast].map(bare_machine);
     [known_machine()].into_iter().chain(bare).collect()
 }
 
-fn full_part() -> PartReport {
-    use Leave::{Error, Lost, Passed, Stopped};
-    use Phase::{Done, Fetching, Queued, Running, Saving, Starting};
+fn full_part() -> ShardReport {
+    use RemovalReason::{Error, Lost, Passed, Stopped};
+    use TaskPhase::{Done, Fetching, Queued, Running, Saving, Starting};
     let phases = [Queued, Starting, Fetching, Running, Saving, Done];
-    PartReport {
+    ShardReport {
         epoch: 4,
         node: "a".into(),
-        inc: 7,
+        incarnation: 7,
         kept: true,
         since: 11,
         seq: 12,
@@ -202,12 +206,12 @@
             .collect(),
         dropped: vec![(task(2), 73, 5)],
         quiet: vec![
-            Quiet {
+            SilentMachine {
                 id: "m-1".into(),
                 silent_s: 9.5,
                 unanswered_s: Some(4.5),
             },
-            Quiet {
+            SilentMachine {
                 id: "m-2".into(),
                 silent_s: 0.0,
                 unanswered_s: None,
@@ -221,7 +225,7 @@
             },
         )],
         met: vec![("m-5".into(), 1.5)],
-        handovers: HandoverReport {
+        transfers: TransferReport {
             accepted: vec![1],
             fenced: vec![(2, machines())],
             released: vec![3],
@@ -230,29 +234,29 @@
     }
 }
 
-fn bare_part() -> PartReport {
-    PartReport {
+fn bare_part() -> ShardReport {
+    ShardReport {
         epoch: 0,
         node: "a".into(),
-        inc: 0,
+        incarnation: 0,
         kept: false,
         since: 0,
         seq: 0,
         machines: vec![bare_machine_view()],
         unlisted: Vec::new(),
-        held: vec![held(Phase::Queued, None, 0)],
-        gone: vec![gone(Leave::Lost, None, 0)],
+        held: vec![held(TaskPhase::Queued, None, 0)],
+        gone: vec![gone(RemovalReason::Lost, None, 0)],
         dropped: Vec::new(),
         quiet: Vec::new(),
         zones_met: Vec::new(),
         met: Vec::new(),
-        handovers: HandoverReport::default(),
+        transfers: TransferReport::default(),
     }
 }
 
 fn full_orders() -> Orders {
-    let range = ShareRange {
-        home: "b".into(),
+    let range = HashRange {
+        hash_owner: "b".into(),
         first: 16,
         last: u64::MAX,
     };
@@ -273,13 +277,13 @@
         drain: vec!["m-8".into()],
         running: Some(vec![("wk-1".into(), 5)]),
         borrowing: vec!["vision".into()],
-        handovers: vec![
-            HandoverOrder::Offer { id: 1 },
-            HandoverOrder::Fence {
+        transfers: vec![
+            TransferOrder::Offer { id: 1 },
+            TransferOrder::Fence {
                 id: 2,
                 range: range.clone(),
             },
-            HandoverOrder::Take {
+            TransferOrder::Take {
                 id: 3,
                 range,
                 generation: 6,
@@ -307,11 +311,11 @@
         drain: Vec::new(),
         running: None,
         borrowing: Vec::new(),
-        handovers: Vec::new(),
+        transfers: Vec::new(),
     }
 }
 
-fn full_envelope(message: Message) -> Envelope {
+fn full_envelope(message: PeerMessage) -> Envelope {
     Envelope {
         from: "a".into(),
         to: "b".into(),
@@ -320,14 +324,14 @@
         apart: vec!["c".into()],
         cancellation_notices: vec![CancellationNotice {
             job: "wk-1".into(),
-            version: 3,
+            revision: 3,
             at_ms: 1_764_652_900_000,
         }],
         message,
     }
 }
 
-fn bare_envelope(message: Message) -> Envelope {
+fn bare_envelope(message: PeerMessage) -> Envelope {
     Envelope {
         fresh: false,
         hears: Vec::new(),
@@ -354,24 +358,28 @@
     both_ways(
         &fixtures,
         "part",
-        &full_envelope(Message::Part(full_part())),
+        &full_envelope(PeerMessage::ShardReport(full_part())),
     );
     both_ways(
         &fixtures,
         "part.bare",
-        &bare_envelope(Message::Part(bare_part())),
+        &bare_envelope(PeerMessage::ShardReport(bare_part())),
     );
     both_ways(
         &fixtures,
         "orders",
-        &full_envelope(Message::Orders(full_orders())),
+        &full_envelope(PeerMessage::Orders(full_orders())),
     );
     both_ways(
         &fixtures,
         "orders.bare",
-        &bare_envelope(Message::Orders(bare_orders())),
+        &bare_envelope(PeerMessage::Orders(bare_orders())),
+    );
+    both_ways(&fixtures, "hello", &full_envelope(PeerMessage::KeepAlive));
+    both_ways(
+        &fixtures,
+        "hello.bare",
+        &bare_envelope(PeerMessage::KeepAlive),
     );
-    both_ways(&fixtures, "hello", &full_envelope(Message::Hello));
-    both_ways(&fixtures, "hello.bare", &bare_envelope(Message::Hello));
     fixtures.all_used();
 }
--- a/tests/wire_format_refusals.rs
+++ b/tests/wire_format_refusals.rs
@@ -8,9 +8,9 @@
 #[path = "common/settings.rs"]
 mod settings;
 
+use finchwood::api::http::{listen, Request, Responder};
 use finchwood::clock;
-use finchwood::http::{listen, Ask, Reply};
-use finchwood::settings::Settings;
+use finchwood::config::settings::Settings;
 use fixtures::Fixtures;
 use raw_http::{ask, free_address};
 use std::net::SocketAddr;
@@ -20,22 +20,22 @@
 
 /// A listener that answers what it is asked with what it has understood.
 fn listener(back: bool) -> SocketAddr {
-    let addr = free_address();
+    let address = free_address();
     let mut settings = Settings::parse(settings::SETTINGS).expect("settings");
-    (settings.client_listen, settings.back) = (addr, addr);
+    (settings.client_listen, settings.back) = (address, address);
     listen(&settings, back, answer).expect("it listens");
-    addr
+    address
 }
 
-fn answer(ask: Ask, reply: Reply) {
+fn answer(ask: Request, responder: Responder) {
     let understood = match ask {
-        Ask::Query(id) => return answer_query(&id, reply),
+        Request::Query(id) => return answer_query(&id, responder),
         // Dropped unanswered.
-        Ask::Withdraw(id) if id == "wk-dropped" => return,
-        Ask::Withdraw(id) => format!("withdraw {id}"),
-        Ask::Submit(spec) => format!("submit {}", spec.id),
-        Ask::Up => "up".into(),
-        Ask::Report {
+        Request::Withdraw(id) if id == "wk-dropped" => return,
+        Request::Withdraw(id) => format!("withdraw {id}"),
+        Request::Submit(spec) => format!("submit {}", spec.id),
+        Request::Up => "up".into(),
+        Request::Heartbeat {
             report,
             raw,
             relayed,
@@ -46,36 +46,41 @@
                 raw.len()
             )
         }
-        Ask::Peer(envelope) => format!("message from {}", envelope.from),
-        Ask::RestartReport => "report of a restart".into(),
-        Ask::SharesReport => "report of shares".into(),
-        Ask::SharesPlan(plan) => format!("plan to empty {:?}", plan.drain),
+        Request::Peer(envelope) => format!("message from {}", envelope.from),
+        Request::RestartReport => "report of a restart".into(),
+        Request::ShardMapReport => "report of shares".into(),
+        Request::SharesPlan(plan) => format!("plan to empty {:?}", plan.drain),
     };
-    reply.send(200, understood.into_bytes());
+    responder.send(200, understood.into_bytes());
 }
 
 /// A job's id says what is answered.
-fn answer_query(id: &str, reply: Reply) {
+fn answer_query(id: &str, responder: Responder) {
     match id
         .strip_prefix("wk-status-")
         .and_then(|status| status.parse().ok())
     {
-        Some(status) => reply.send(status, b"{}".to_vec()),
-        None if id == "wk-too-late" => reply.send_until(200, b"{}".to_vec(), clock::now() - 1.0),
-        None => reply.later(503, 7, "come again"),
+        Some(status) => responder.send(status, b"{}".to_vec()),
+        None if id == "wk-too-late" => {
+            responder.send_until(200, b"{}".to_vec(), clock::now() - 1.0)
+        }
+        None => responder.retry_later(503, 7, "come again"),
     }
 }
 
 #[test]
 fn answers_of_the_listeners_keep_their_bytes() {
     let fixtures = Fixtures::new(REQUESTS);
-    for (kind, back) in [(".front", false), (".back", true)] {
-        let addr = listener(back);
+    for (machine_type, back) in [(".front", false), (".back", true)] {
+        let address = listener(back);
         for name in fixtures
             .lines()
-            .filter_map(|(name, _)| name.strip_suffix(kind))
+            .filter_map(|(name, _)| name.strip_suffix(machine_type))
         {
-            let said = ask(addr, fixtures.text(&format!("{name}{kind}")).as_bytes());
+            let said = ask(
+                address,
+                fixtures.text(&format!("{name}{machine_type}")).as_bytes(),
+            );
             fixtures.same(&format!("{name}.answer"), &said);
         }
     }
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -1,4 +1,4 @@
-//! The keys and values of the state service, frozen, and the requests and answers in
+//! The keys and values of the key-value store, frozen, and the requests and answers in
 //! which they go there and come from there.
 
 #[path = "common/fixtures.rs"]
@@ -8,17 +8,19 @@
 #[path = "common/settings.rs"]
 mod settings;
 
-use finchwood::cloud::{self, Answer, Ask};
-use finchwood::finished::{Bits, Chunk};
-use finchwood::jobs::{
-    job_key, member_key, page_key, Epoch, JobRecord, Member, Mirror, RosterPage, RosterRecord,
-    CATALOG_KEY, EPOCH_KEY, JOB_PREFIX, ROSTER_PREFIX, SHARES_KEY,
+use finchwood::autoscaler::cloud::{self, CloudRequest, CloudResponse};
+use finchwood::cluster::membership::{start_lease_actor, LeaseEvent};
+use finchwood::config::settings::Settings;
+use finchwood::finished::{Chunk, TaskSet};
+use finchwood::store::cache::{
+    job_key, member_key, page_key, Epoch, JobRecord, MachineRecord, Member, RegistryPage,
+    StoreCache, CATALOG_KEY, EPOCH_KEY, JOB_PREFIX, REGISTRY_PREFIX, SHARES_KEY,
 };
-use finchwood::membership::{lease_actor, LeaseNews};
-use finchwood::settings::Settings;
-use finchwood::state::{Budget, CallError, Event, Op, Outcome, Store, PREFIX};
-use finchwood::wire::{Catalog, JobSpec, MachineType, Rank, RentRequest, Shape};
-use finchwood_shares::table::{ShareRange, ShareTable, StoredTable};
+use finchwood::store::{
+    CallError, CommitOutcome, KeyChange, RateBudget, StoreClient, WriteOp, PREFIX,
+};
+use finchwood::wire::{Catalog, JobKind, JobSpec, MachineType, Priority, RentalRequest};
+use finchwood_sharding::shard_map::{HashRange, ShardMap, StoredShardMap};
 use fixtures::Fixtures;
 use recorder::Recorder;
 use serde_json::{json, Value};
@@ -33,8 +35,8 @@
         id: "wk-1".into(),
         class: "train".into(),
         team: "t".into(),
-        shape: Shape::Array,
-        rank: Rank::Low,
+        job_kind: JobKind::Array,
+        priority: Priority::Low,
         tasks: 5000,
         cpus: 2.0,
         gpus: 0.0,
@@ -77,21 +79,21 @@
     }
 }
 
-fn machine(up: bool, addr: Option<&str>) -> RosterRecord {
-    RosterRecord {
-        kind: "k".into(),
+fn machine(up: bool, address: Option<&str>) -> MachineRecord {
+    MachineRecord {
+        machine_type: "k".into(),
         zone: "e".into(),
         spot: true,
         up,
         at_ms: 7,
-        addr: addr.map(Into::into),
+        address: address.map(Into::into),
     }
 }
 
-fn page(machines: &[(&str, Option<&str>)]) -> RosterPage {
-    let machine = |(id, addr): &(&str, Option<&str>)| ((*id).into(), addr.map(Into::into));
-    RosterPage {
-        kind: "k".into(),
+fn page(machines: &[(&str, Option<&str>)]) -> RegistryPage {
+    let machine = |(id, address): &(&str, Option<&str>)| ((*id).into(), address.map(Into::into));
+    RegistryPage {
+        machine_type: "k".into(),
         zone: "w".into(),
         spot: true,
         at_ms: 9,
@@ -100,7 +102,7 @@
 }
 
 fn catalog() -> Catalog {
-    let kind = MachineType {
+    let machine_type = MachineType {
         name: "k".into(),
         cpus: 4.0,
         gpus: 0.0,
@@ -112,16 +114,18 @@
         boot_s: 20.0,
         zones: vec!["e".into(), "w".into()],
     };
-    Catalog { types: vec![kind] }
+    Catalog {
+        types: vec![machine_type],
+    }
 }
 
-fn table() -> ShareTable {
-    let range = ShareRange {
-        home: "a".into(),
+fn table() -> ShardMap {
+    let range = HashRange {
+        hash_owner: "a".into(),
         first: 16,
         last: u64::MAX,
     };
-    ShareTable::default().moved(&range, "b")
+    ShardMap::default().moved(&range, "b")
 }
 
 #[test]
@@ -134,7 +138,13 @@
         ("member.gangs", 1),
         ("member.plain", 0),
     ] {
-        fixtures.stored_both_ways(name, &Member { inc: 7, capability });
+        fixtures.stored_both_ways(
+            name,
+            &Member {
+                incarnation: 7,
+                capability,
+            },
+        );
     }
     fixtures.stored_both_ways("member.shares", &Member::new(7, true));
     fixtures.stored_both_ways("member.gangs", &Member::of_this_version(7));
@@ -149,10 +159,10 @@
     assert_eq!(sparse, job(Some(spec(None)), None, false));
     fixtures.stored_both_ways("machine", &machine(true, Some("10.0.0.1:9000")));
     fixtures.stored_both_ways("machine.unused", &machine(false, None));
-    let sparse: RosterRecord = fixtures.read("machine.without-optional-fields");
+    let sparse: MachineRecord = fixtures.read("machine.without-optional-fields");
     assert_eq!(
         sparse,
-        RosterRecord {
+        MachineRecord {
             at_ms: 0,
             ..machine(false, None)
         }
@@ -166,22 +176,22 @@
         ]),
     );
     fixtures.stored_both_ways("page.empty", &page(&[]));
-    let sparse: RosterPage = fixtures.read("page.without-optional-fields");
+    let sparse: RegistryPage = fixtures.read("page.without-optional-fields");
     assert_eq!(
         sparse,
-        RosterPage {
+        RegistryPage {
             at_ms: 0,
             ..page(&[])
         }
     );
     fixtures.stored_both_ways("catalog", &catalog());
     fixtures.stored_both_ways("shares", &table().stored());
-    fixtures.stored_both_ways("shares.empty", &ShareTable::default().stored());
+    fixtures.stored_both_ways("shares.empty", &ShardMap::default().stored());
     assert_eq!(
-        ShareTable::read(&fixtures.read::<StoredTable>("shares")).0,
+        ShardMap::read(&fixtures.read::<StoredShardMap>("shares")).0,
         table()
     );
-    let mut finished = Bits::default();
+    let mut finished = TaskSet::default();
     for task in [0, 2, 9] {
         finished.add(task);
     }
@@ -212,13 +222,13 @@
         ("key.finished-from", Chunk::From(4096).key("wk-1")),
         ("key-prefix.all", PREFIX.to_string()),
         ("key-prefix.job", JOB_PREFIX.to_string()),
-        ("key-prefix.page", ROSTER_PREFIX.to_string()),
+        ("key-prefix.page", REGISTRY_PREFIX.to_string()),
     ];
     for (name, key) in &keys {
         fixtures.same(name, key);
     }
     let stored = Fixtures::new(STORED);
-    let mut mirror = Mirror::new(8.0);
+    let mut cache = StoreCache::new(8.0);
     let values = [
         "epoch",
         "catalog",
@@ -236,60 +246,67 @@
         .take(8)
         .chain(["key.machine"]);
     for (at, (name, value)) in names.zip(values).enumerate() {
-        mirror.put(
+        cache.put(
             fixtures.payload(name),
             stored.read::<Value>(value),
             1 + at as u64,
         );
     }
-    assert!(mirror.unreadable.is_empty(), "{:?}", mirror.unreadable);
-    assert_eq!(mirror.epoch, Some(epoch(true)));
-    assert_eq!(mirror.catalog.as_deref(), Some(&catalog()));
-    assert_eq!(mirror.shares, table());
-    assert_eq!(mirror.members["a"].0, Member::of_this_version(7));
+    assert!(cache.unreadable.is_empty(), "{:?}", cache.unreadable);
+    assert_eq!(cache.epoch, Some(epoch(true)));
+    assert_eq!(cache.catalog.as_deref(), Some(&catalog()));
+    assert_eq!(cache.shares, table());
+    assert_eq!(cache.members["a"].0, Member::of_this_version(7));
     assert_eq!(
-        mirror.jobs["wk-1"].record,
+        cache.jobs["wk-1"].record,
         job(Some(spec(Some(900.0))), None, false)
     );
     assert_eq!(
-        mirror.jobs["wk-1"].finished.iter().collect::<Vec<_>>(),
+        cache.jobs["wk-1"].finished.iter().collect::<Vec<_>>(),
         [0, 2, 9, 4096, 4098, 4105]
     );
-    let roster: Vec<(&str, bool)> = mirror
-        .roster
+    let registry: Vec<(&str, bool)> = cache
+        .registry
         .iter()
         .map(|(id, (r, _))| (&**id, r.up))
         .collect();
     assert_eq!(
-        roster,
+        registry,
         [("m-1", true), ("m-2", false), ("m-3", true), ("m-4", true)]
     );
-    assert_eq!(mirror.roster["m-1"].0, machine(true, Some("10.0.0.1:9000")));
+    assert_eq!(
+        cache.registry["m-1"].0,
+        machine(true, Some("10.0.0.1:9000"))
+    );
 }
 
-fn settings_with(place: &str, addr: std::net::SocketAddr) -> Settings {
-    let text = settings::SETTINGS.replace(&format!("\"{place}\""), &format!("\"{addr}\""));
+fn settings_with(place: &str, address: std::net::SocketAddr) -> Settings {
+    let text = settings::SETTINGS.replace(&format!("\"{place}\""), &format!("\"{address}\""));
     Settings::parse(&text).expect("settings")
 }
 
 const STATE_PLACE: &str = "127.0.0.1:2";
 const CLOUD_PLACE: &str = "127.0.0.1:1";
 
-/// What one call of the state service gives, once it was sent as it was frozen.
-fn with_state<T>(fixtures: &Fixtures, name: &str, ask: impl FnOnce(&Store) -> T) -> T {
+/// What one call of the key-value store gives, once it was sent as it was frozen.
+fn with_state<T>(fixtures: &Fixtures, name: &str, ask: impl FnOnce(&StoreClient) -> T) -> T {
     let recorder = Recorder::new(&[fixtures.payload(&format!("state.{name}.answer"))]);
-    let given = ask(&Store::new(&settings_with(STATE_PLACE, recorder.addr)));
+    let given = ask(&StoreClient::new(&settings_with(
+        STATE_PLACE,
+        recorder.address,
+    )));
     fixtures.same(&format!("state.{name}.call"), &recorder.call());
     given
 }
 
 /// What the cloud gives.
-fn with_cloud(fixtures: &Fixtures, name: &str, ask: Ask) -> Answer {
+fn with_cloud(fixtures: &Fixtures, name: &str, ask: CloudRequest) -> CloudResponse {
     let recorder = Recorder::new(&[fixtures.payload(&format!("cloud.{name}.answer"))]);
     let (tell, answers) = channel();
-    let asks = cloud::start(&settings_with(CLOUD_PLACE, recorder.addr), move |answer| {
-        tell.send(answer).is_ok()
-    });
+    let asks = cloud::start(
+        &settings_with(CLOUD_PLACE, recorder.address),
+        move |answer| tell.send(answer).is_ok(),
+    );
     asks.send(ask).expect("sent");
     let answer = answers.recv_timeout(PATIENCE).expect("an answer");
     fixtures.same(&format!("cloud.{name}.call"), &recorder.call());
@@ -304,7 +321,7 @@
     let entry = &entries[0];
     assert_eq!((entries.len(), more, ring), (1, true, 431));
     assert_eq!(
-        (&*entry.key, &entry.value, entry.version),
+        (&*entry.key, &entry.value, entry.revision),
         ("fw/s", &json!(5), 412)
     );
     let next = with_state(fixtures, "next-page", |store| store.page(Some("fw/s"))).expect("a page");
@@ -312,17 +329,17 @@
     let entry = with_state(fixtures, "get", |store| store.get("fw/m/a"))
         .expect("read")
         .expect("there");
-    assert_eq!((&*entry.key, entry.version), ("fw/m/a", 412));
+    assert_eq!((&*entry.key, entry.revision), ("fw/m/a", 412));
     assert!(
         with_state(fixtures, "get-missing", |store| store.get("fw/m/b"))
             .expect("read")
             .is_none()
     );
     let changes = with_state(fixtures, "changes", |store| store.changes(431)).expect("changes");
-    let put = Event::Put {
+    let put = KeyChange::Put {
         key: "fw/r/9".into(),
         value: json!(5),
-        version: 433,
+        revision: 433,
     };
     assert_eq!(
         changes,
@@ -330,9 +347,9 @@
             433,
             vec![
                 put,
-                Event::Delete {
+                KeyChange::Delete {
                     key: "fw/r/8".into(),
-                    version: 432
+                    revision: 432
                 }
             ]
         )
@@ -349,30 +366,30 @@
 
 fn transactions(fixtures: &Fixtures) {
     let ops = [
-        Op::Put {
+        WriteOp::Put {
             key: "fw/m/a".into(),
             value: json!(5),
             lease: Some(7),
         },
-        Op::Put {
+        WriteOp::Put {
             key: "fw/r/1".into(),
             value: json!("x"),
             lease: None,
         },
-        Op::Delete {
+        WriteOp::Delete {
             key: "fw/r/2".into(),
         },
     ];
     let conditions = [("fw/m/a".to_string(), 0), ("fw/r/2".to_string(), 412)];
     let commit = |name: &str| with_state(fixtures, name, |store| store.commit(&conditions, &ops));
-    assert_eq!(commit("commit"), Outcome::Done(432));
+    assert_eq!(commit("commit"), CommitOutcome::Committed(432));
     assert_eq!(
         commit("commit-conflict"),
-        Outcome::Conflict(vec!["fw/r/2".into()])
+        CommitOutcome::Conflict(vec!["fw/r/2".into()])
     );
-    assert_eq!(commit("commit-malformed"), Outcome::Invalid);
-    assert_eq!(commit("commit-too-much"), Outcome::TooMuch);
-    assert_eq!(commit("commit-refused"), Outcome::Refused);
+    assert_eq!(commit("commit-malformed"), CommitOutcome::Invalid);
+    assert_eq!(commit("commit-too-much"), CommitOutcome::RateLimited);
+    assert_eq!(commit("commit-refused"), CommitOutcome::Refused);
 }
 
 fn joining(fixtures: &Fixtures) {
@@ -382,44 +399,54 @@
         .map(|step| fixtures.payload(&format!("{step}.answer")))
         .collect();
     let recorder = Recorder::new(&answers);
-    let settings = settings_with(STATE_PLACE, recorder.addr);
+    let settings = settings_with(STATE_PLACE, recorder.address);
     let (tell, news) = channel();
-    lease_actor(&settings, Budget::new(&settings), true, move |said| {
+    start_lease_actor(&settings, RateBudget::new(&settings), true, move |said| {
         let _ = tell.send(said);
         false
     });
     let said = news.recv_timeout(PATIENCE).expect("news");
-    assert!(matches!(said, LeaseNews::Until { inc: 7, .. }));
+    assert!(matches!(said, LeaseEvent::Renewed { incarnation: 7, .. }));
     for step in steps {
         fixtures.same(&format!("{step}.call"), &recorder.call());
     }
 }
 
 fn calls_of_the_cloud(fixtures: &Fixtures) {
-    let rental = RentRequest {
+    let rental = RentalRequest {
         request: "r-17".into(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "e".into(),
         spot: true,
         count: 12,
     };
-    let rent = |name: &str| with_cloud(fixtures, name, Ask::Rent(rental.clone()));
-    let answer = with_cloud(fixtures, "catalog", Ask::Catalog);
-    assert!(matches!(answer, Answer::Catalog(known) if known == catalog()));
+    let rent = |name: &str| with_cloud(fixtures, name, CloudRequest::Rent(rental.clone()));
+    let answer = with_cloud(fixtures, "catalog", CloudRequest::Catalog);
+    assert!(matches!(answer, CloudResponse::Catalog(known) if known == catalog()));
     let rented = rent("rent");
     assert!(
-        matches!(rented, Answer::Rented { machines, .. } if machines == ["m-1".into(), "m-2".into()])
+        matches!(rented, CloudResponse::Rented { machines, .. } if machines == ["m-1".into(), "m-2".into()])
     );
-    assert!(matches!(rent("rent-no-capacity"), Answer::NoCapacity(_)));
-    assert!(matches!(rent("rent-malformed"), Answer::RentRefused(_)));
-    assert!(matches!(rent("rent-trouble"), Answer::RentUnknown(_)));
+    assert!(matches!(
+        rent("rent-no-capacity"),
+        CloudResponse::NoCapacity(_)
+    ));
+    assert!(matches!(
+        rent("rent-malformed"),
+        CloudResponse::RentRefused(_)
+    ));
+    assert!(matches!(
+        rent("rent-trouble"),
+        CloudResponse::RentUnknown(_)
+    ));
     let deleted = with_cloud(
         fixtures,
         "delete",
-        Ask::Delete(vec!["m-1".into(), "m-2".into()]),
+        CloudRequest::Delete(vec!["m-1".into(), "m-2".into()]),
     );
-    assert!(matches!(deleted, Answer::Deleted(machines) if machines.len() == 2));
-    let Answer::List { machines, .. } = with_cloud(fixtures, "list", Ask::List) else {
+    assert!(matches!(deleted, CloudResponse::Deleted(machines) if machines.len() == 2));
+    let CloudResponse::List { machines, .. } = with_cloud(fixtures, "list", CloudRequest::List)
+    else {
         panic!("no list")
     };
     assert_eq!(
