--- a/src/main.rs
+++ b/src/main.rs
@@ -14,7 +14,7 @@
     /// The operators' own settings, a Lua script.
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
-    /// A file that switches on a part of the program (TOML); once for each shard.
+    /// A file that switches on a part of the program (TOML); once for each part.
     #[arg(long = "with", value_name = "FILE")]
     with: Vec<PathBuf>,
 }
