--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -280,7 +280,7 @@
         let reported: HashSet<&MachineId> = self
             .leader
             .machines()
-            .filter(|m| m.heard)
+            .filter(|m| m.has_reported)
             .map(|m| &m.id)
             .collect();
         let registered = self
@@ -371,19 +371,19 @@
             let draining = self.leader.drain.contains(&m.id);
             let proven_faulty = faults.get(&m.id) == Some(&MachineFault::Proven);
             // Guard: one that is closed for a while on suspicion is not returned.
-            if m.tasks == 0 && (proven_faulty || m.draining && m.certain && draining) {
+            if m.tasks == 0 && (proven_faulty || m.draining && m.reconciled && draining) {
                 out.emptied.push(m.id.clone());
             }
-            if !m.spot && m.open {
+            if !m.spot && m.schedulable {
                 // Of lower work there, half ends while a machine boots.
-                out.free_ordinary += (m.free.cpus + m.yielding.cpus / 2.0).max(0.0);
+                out.free_ordinary += (m.free.cpus + m.preemptible.cpus / 2.0).max(0.0);
             }
             let rented_ms = self
                 .cache
                 .registry
                 .get(&m.id)
                 .map_or(wall_clock_ms, |(record, _)| record.at_ms);
-            let yields_cpus = m.free.cpus + m.yielding.cpus;
+            let yields_cpus = m.free.cpus + m.preemptible.cpus;
             out.in_use.push(MachineUsage {
                 id: m.id.clone(),
                 offer: (m.machine_type.clone(), m.zone.clone(), m.spot),
@@ -391,7 +391,7 @@
                 idle_s: m.idle_s,
                 age_s: wall_clock_ms.saturating_sub(rented_ms) as f64 / 1000.0,
                 tasks: m.tasks,
-                open: m.open && !draining && !faults.contains_key(&m.id),
+                open: m.schedulable && !draining && !faults.contains_key(&m.id),
                 pinned_cpus: catalog
                     .get(&m.machine_type)
                     .map_or(0.0, |t| t.cpus - yields_cpus)
@@ -567,12 +567,12 @@
         let report_s = self.settings.params.workers.report_s;
         let met = self.leader.met(report_s * 4.0);
         let used = |m: &MachineSnapshot| {
-            m.heard || self.cache.registry.get(&m.id).is_some_and(|(r, _)| r.up)
+            m.has_reported || self.cache.registry.get(&m.id).is_some_and(|(r, _)| r.up)
         };
         let sign = |m: MachineSnapshot| {
             let sign = MachineHealth {
                 zone: m.zone.clone(),
-                certain: m.certain,
+                certain: m.reconciled,
                 silent_s: m.silent_s,
                 unanswered_s: m.unanswered_s,
                 reached: m.reached,
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -95,7 +95,7 @@
         };
         self.told_leader = now;
         let mut snapshot = self.shard.snapshot(&self.cache, now);
-        snapshot.met = self
+        snapshot.seen_elsewhere = self
             .redirected
             .iter()
             .filter_map(|(id, p)| Some((id.clone(), now - p.met?)))
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -79,7 +79,7 @@
         let mut up: Vec<(MachineId, Arc<str>)> = Vec::new();
         let mut found = Vec::new();
         for m in self.leader.machines() {
-            if !m.heard || self.autoscaler.deleted.contains_key(&m.id) {
+            if !m.has_reported || self.autoscaler.deleted.contains_key(&m.id) {
                 continue;
             }
             let address = m.address.clone().unwrap_or_else(|| "".into());
--- a/src/scheduler/capacity.rs
+++ b/src/scheduler/capacity.rs
@@ -66,8 +66,8 @@
             zone: names.number(&view.zone),
             spot: view.spot,
             free: view.free,
-            yielding: view.yielding,
-            yielding_low: view.yielding_low,
+            yielding: view.preemptible,
+            yielding_low: view.preemptible_low,
             images: images.into(),
         }
     }
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -25,7 +25,7 @@
             .shards
             .values()
             .flat_map(|p| p.machines.values())
-            .filter(|m| m.view.noticed || m.view.draining)
+            .filter(|m| m.view.spot_notice || m.view.draining)
             .map(|m| &m.view.id)
             .collect();
         for (id, e) in &mut self.jobs {
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -164,7 +164,7 @@
     fn gangs_to_be_taken(&self, now: Seconds) -> BTreeSet<JobId> {
         let noticed: BTreeSet<&MachineId> = self
             .machines()
-            .filter(|m| m.noticed)
+            .filter(|m| m.spot_notice)
             .map(|m| &m.id)
             .collect();
         if noticed.is_empty() {
@@ -173,7 +173,7 @@
         let silent = self.report_s * REACHED_REPORTS;
         let reached: BTreeSet<&MachineId> = self
             .machines_at(now)
-            .filter(|m| m.certain && m.silent_s < silent)
+            .filter(|m| m.reconciled && m.silent_s < silent)
             .map(|m| &m.view.id)
             .collect();
         let on = |e: &JobEntry, machines: &BTreeSet<&MachineId>| {
--- a/src/scheduler/orders.rs
+++ b/src/scheduler/orders.rs
@@ -89,7 +89,7 @@
             epoch: self.epoch,
             node: node.into(),
             seq,
-            ack,
+            acknowledged_seq: ack,
             assignments,
             recall,
             drain: self.drain.union(&self.faulty).cloned().collect(),
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -30,7 +30,9 @@
     pub(super) fn capacity(&self, wall_clock_ms: u64) -> FreeCapacity {
         let open = self.shards.values().flat_map(|p| p.machines.values());
         let open = open.filter(|m| {
-            m.view.open && !self.drain.contains(&m.view.id) && !self.faulty.contains(&m.view.id)
+            m.view.schedulable
+                && !self.drain.contains(&m.view.id)
+                && !self.faulty.contains(&m.view.id)
         });
         let mut capacity = FreeCapacity::new(open.map(|m| m.slot.clone()).collect(), self.reserve);
         for e in self.jobs.values() {
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -31,24 +31,28 @@
         self.joined.insert(r.node.clone());
         let shard: Arc<str> = r.node.as_str().into();
         let whole = r.since == 0;
-        self.take_in_machines(&shard, whole, &r.unlisted, r.machines, now);
+        self.take_in_machines(&shard, whole, &r.unregistered, r.machines, now);
         if let Some(view) = self.shards.get_mut(&r.node) {
-            view.met = r.met.into_iter().collect();
-            view.zones_met = r.zones_met.into_iter().collect();
-            view.quiet = r.quiet.into_iter().map(|q| (q.id.clone(), q)).collect();
+            view.met = r.seen_elsewhere.into_iter().collect();
+            view.zones_met = r.zone_contacts.into_iter().collect();
+            view.quiet = r
+                .silent_machines
+                .into_iter()
+                .map(|q| (q.id.clone(), q))
+                .collect();
         }
         let listed: ListedTasks = r
-            .held
+            .assigned
             .iter()
             .map(|h| (h.task.job.clone(), h.task.index))
             .collect();
-        for held in r.held {
+        for held in r.assigned {
             self.take_in_held(&shard, held, cache);
         }
-        for gone in r.gone {
+        for gone in r.removed {
             self.take_in_gone(&shard, gone, now);
         }
-        if whole && r.kept {
+        if whole && r.state_retained {
             self.take_word_for_the_rest(&shard, &listed);
         }
         let mut missing = if whole {
@@ -57,7 +61,7 @@
             Vec::new()
         };
         missing.extend(
-            r.dropped
+            r.completed
                 .into_iter()
                 .filter(|d| self.lists(&shard, &d.0, d.1))
                 .map(|d| d.0),
@@ -112,7 +116,7 @@
             let before = view
                 .machines
                 .get(&m.id)
-                .filter(|o| o.view.tasks == 0 && (o.view.open || !m.open));
+                .filter(|o| o.view.tasks == 0 && (o.view.schedulable || !m.schedulable));
             let before = before.map(|o| o.idle_since);
             let slot = Slot::new(&m, shard_number, &mut self.names);
             let news = TrackedMachine {
@@ -182,11 +186,11 @@
         if let Some(attempt) = entry
             .attempt
             .as_mut()
-            .filter(|_| gone.how != RemovalReason::Passed)
+            .filter(|_| gone.reason != RemovalReason::Passed)
         {
             attempt.lost_task();
         }
-        if gone.how == RemovalReason::Error {
+        if gone.reason == RemovalReason::Error {
             entry
                 .failures
                 .note_failure(gone.machine.clone(), report_s, now);
@@ -286,7 +290,7 @@
                     && !self
                         .shards
                         .values()
-                        .any(|p| p.machines.get(*id).is_some_and(|m| m.view.certain))
+                        .any(|p| p.machines.get(*id).is_some_and(|m| m.view.reconciled))
             })
     }
 
@@ -306,7 +310,7 @@
             spot: record.spot,
         });
         let unlisted = self.machines().filter(|m| {
-            m.heard && !m.certain && !cache.registry.contains_key(&m.id) && !gone(&m.id)
+            m.has_reported && !m.reconciled && !cache.registry.contains_key(&m.id) && !gone(&m.id)
         });
         let unlisted = unlisted.map(|m| MachineClass {
             machine_type: m.machine_type.clone(),
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -25,7 +25,8 @@
 pub struct RemovedTask {
     pub task: Task,
     pub attempt: u64,
-    pub how: RemovalReason,
+    #[serde(rename = "how")]
+    pub reason: RemovalReason,
     pub machine: Option<MachineId>,
     /// The assignment that it was held under; 0 if the version doesn't say.
     #[serde(default, skip_serializing_if = "is_zero")]
@@ -70,23 +71,30 @@
     pub zone: Arc<str>,
     pub spot: bool,
     /// What it holds is known under this owner's token.
-    pub certain: bool,
+    #[serde(rename = "certain")]
+    pub reconciled: bool,
     /// Heard of at all.
-    pub heard: bool,
+    #[serde(rename = "heard")]
+    pub has_reported: bool,
     /// On the machine registry.
-    pub listed: bool,
+    #[serde(rename = "listed")]
+    pub registered: bool,
     #[serde(rename = "addr")]
     pub address: Option<Arc<str>>,
     pub free: Resources,
     /// What lower work than the highest priority's would give up for that.
-    pub yielding: Resources,
+    #[serde(rename = "yielding")]
+    pub preemptible: Resources,
     /// What borrowing low arrays would give up for other work of a higher priority;
     /// nothing from versions that don't say.
     #[serde(default, skip_serializing_if = "Resources::is_empty")]
-    pub yielding_low: Resources,
+    #[serde(rename = "yielding_low")]
+    pub preemptible_low: Resources,
     /// Takes new tasks.
-    pub open: bool,
-    pub noticed: bool,
+    #[serde(rename = "open")]
+    pub schedulable: bool,
+    #[serde(rename = "noticed")]
+    pub spot_notice: bool,
     /// Tasks of two jobs failed there. Read by earlier versions only: the leader of this
     /// one judges by the failures of all machines.
     pub faulty: bool,
@@ -124,22 +132,30 @@
     pub incarnation: u64,
     /// All that was known in the epoch before is known still.
     #[serde(default)]
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub state_retained: bool,
     pub since: u64,
     pub seq: u64,
     pub machines: Vec<MachineStatus>,
     /// Machines that are no longer this shard's.
-    pub unlisted: Vec<(MachineId, u64)>,
-    pub held: Vec<AssignedTaskStatus>,
-    pub gone: Vec<RemovedTask>,
+    #[serde(rename = "unlisted")]
+    pub unregistered: Vec<(MachineId, u64)>,
+    #[serde(rename = "held")]
+    pub assigned: Vec<AssignedTaskStatus>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<RemovedTask>,
     /// Tasks no longer held that need no word: committed as finished.
-    pub dropped: Vec<(Task, u64, u64)>,
+    #[serde(rename = "dropped")]
+    pub completed: Vec<(Task, u64, u64)>,
     /// All machines that are silent now, whether that is new or not.
-    pub quiet: Vec<SilentMachine>,
+    #[serde(rename = "quiet")]
+    pub silent_machines: Vec<SilentMachine>,
     /// How zones are reached with nobody in between.
-    pub zones_met: Vec<(Arc<str>, Reached)>,
+    #[serde(rename = "zones_met")]
+    pub zone_contacts: Vec<(Arc<str>, Reached)>,
     /// Machines of other shards that came here, and how long ago.
-    pub met: Vec<(MachineId, f64)>,
+    #[serde(rename = "met")]
+    pub seen_elsewhere: Vec<(MachineId, f64)>,
     /// Shares that come or go.
     #[serde(default, skip_serializing_if = "TransferReport::is_empty")]
     #[serde(rename = "handovers")]
@@ -179,7 +195,8 @@
     pub node: String,
     pub seq: u64,
     /// The newest report of the shard that the leader has taken in.
-    pub ack: u64,
+    #[serde(rename = "ack")]
+    pub acknowledged_seq: u64,
     #[serde(rename = "deals")]
     pub assignments: Vec<JobAssignment>,
     /// Tasks to give back.
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -298,7 +298,7 @@
             self.gone.push(RemovedTask {
                 task: task.clone(),
                 attempt: h.attempt,
-                how,
+                reason: how,
                 assignment: h.assignment,
                 machine: h.at.map(|p| p.machine),
                 seq: self.seq + 1,
@@ -321,7 +321,7 @@
         }
         self.orders_seq = orders.seq;
         self.borrowing = orders.borrowing.iter().cloned().collect();
-        self.take_acknowledgement(orders.ack);
+        self.take_acknowledgement(orders.acknowledged_seq);
         self.apply_transfer_orders(&orders.transfers, cache, now);
         for (task, attempt) in &orders.recall {
             self.take_recall(task, *attempt, cache, now);
--- a/tests/cold_restart_cores.rs
+++ b/tests/cold_restart_cores.rs
@@ -364,7 +364,7 @@
     assert_eq!(assigned(&mut l, &mut p, &m, 1.1), [("wk-1".into(), 0)]);
     let orders = l.orders("a").expect("orders");
     p.orders(&orders, &m, 1.2);
-    assert_eq!(p.snapshot(&m, 1.3).held.len(), 1, "it is held again");
+    assert_eq!(p.snapshot(&m, 1.3).assigned.len(), 1, "it is held again");
 }
 
 #[test]
@@ -400,7 +400,7 @@
     let mut odd = report(1, 1, 9, token(EPOCH, 1 << 10), &lines);
     odd.notice_s = Some(-5.0);
     answered(p.report(&odd, false, &m, 1.0));
-    assert!(!p.snapshot(&m, 1.0).machines.iter().any(|m| m.noticed));
+    assert!(!p.snapshot(&m, 1.0).machines.iter().any(|m| m.spot_notice));
 }
 
 #[test]
--- a/tests/common/cores.rs
+++ b/tests/common/cores.rs
@@ -127,7 +127,7 @@
         epoch: EPOCH,
         node: "a".into(),
         seq,
-        ack: 0,
+        acknowledged_seq: 0,
         assignments,
         recall: Vec::new(),
         drain: Vec::new(),
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -53,10 +53,10 @@
     // The epoch and a lease are long past, but not this session's lease.
     p.expire_leases(29.0);
     let told = p.snapshot(&m, 29.0);
-    assert!(told.gone.is_empty(), "it runs there: {:?}", told.gone);
+    assert!(told.removed.is_empty(), "it runs there: {:?}", told.removed);
     p.expire_leases(46.0);
     assert_eq!(
-        p.snapshot(&m, 46.0).gone.len(),
+        p.snapshot(&m, 46.0).removed.len(),
         1,
         "now its worker has killed it"
     );
@@ -83,7 +83,7 @@
         }
         let told = p.snapshot(&m, now);
         let view = told.machines.iter().find(|v| &*v.id == "m-1");
-        if view.is_some_and(|v| v.open) {
+        if view.is_some_and(|v| v.schedulable) {
             open_until = now;
         }
         if view.is_some_and(|v| v.ignores_commands) {
@@ -99,7 +99,10 @@
     // It reports again: nothing is wrong with it.
     p.report(&report(1, 1, seq + 1, t, &[]), false, &m, 31.0);
     let told = p.snapshot(&m, 31.0);
-    assert!(told.machines.iter().all(|v| v.open && !v.ignores_commands));
+    assert!(told
+        .machines
+        .iter()
+        .all(|v| v.schedulable && !v.ignores_commands));
 }
 
 // In an outage longer than that nobody may command or answer: whoever obeyed just
@@ -157,7 +160,7 @@
     p.report(&report(1, 1, 4, t, &ended), false, &behind, 0.7);
     let told = p.snapshot(&behind, 0.8);
     assert!(
-        told.held.iter().any(|h| h.phase == TaskPhase::Done),
+        told.assigned.iter().any(|h| h.phase == TaskPhase::Done),
         "the part reports its end"
     );
     assert!(l.apply_shard_report(told, &m, 0.8));
@@ -254,7 +257,7 @@
         }
     }
     let told = p.snapshot(&m, 16.0);
-    assert!(told.machines[0].certain, "{:?}", told.machines[0]);
+    assert!(told.machines[0].reconciled, "{:?}", told.machines[0]);
 }
 
 // A worker that shows the highest token of an epoch can't be told a higher one:
@@ -653,7 +656,7 @@
     let mut shard = shard(&cache);
     let token = met(&mut shard, &cache, 1, 0.2);
     assert!(
-        !shard.snapshot(&cache, 0.3).machines[0].open,
+        !shard.snapshot(&cache, 0.3).machines[0].schedulable,
         "it reports, and takes nothing yet"
     );
     shard.orders(&orders(1, deal("wk-1", &[(0, 50)])), &cache, 0.4);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -136,7 +136,7 @@
     fn open_machines(&self) -> Vec<String> {
         self.leader
             .machines()
-            .filter(|m| m.open)
+            .filter(|m| m.schedulable)
             .map(|m| m.id.to_string())
             .collect()
     }
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -441,7 +441,7 @@
         ));
     }
     let report = shard.snapshot(&fleet.cache, 0.2);
-    assert_eq!(report.held.len(), 32 * MACHINES);
+    assert_eq!(report.assigned.len(), 32 * MACHINES);
     let bytes = fleet.send(report);
     let limit = largest_message(136.0);
     println!("{bytes} bytes of {limit} for {MACHINES} machines with 32 tasks each");
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -243,7 +243,7 @@
         .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("no_room")));
     b.step();
     let told = b.shard.snapshot(&b.cache, b.now);
-    let gone = told.gone.clone();
+    let gone = told.removed.clone();
     assert_eq!(gone.len(), 1, "it is told as gone");
     b.steps(3);
     assert_eq!(b.shared_attempt(3), attempt);
@@ -253,7 +253,7 @@
     );
     // The word of the first assignment comes once more.
     let mut again = b.shard.snapshot(&b.cache, b.now);
-    again.gone = gone;
+    again.removed = gone;
     assert!(b.leader.apply_shard_report(again, &b.cache, b.now));
     b.leader.assign_tasks(&b.cache, b.now, || true);
     let deals = b.leader.orders("a").expect("orders").assignments;
@@ -488,7 +488,7 @@
     b.steps(2);
     assert_eq!(b.shared_attempt(2), first);
     let told = b.shard.snapshot(&b.cache, b.now);
-    assert!(told.held.iter().all(|h| h.phase == TaskPhase::Running));
+    assert!(told.assigned.iter().all(|h| h.phase == TaskPhase::Running));
 }
 
 #[test]
@@ -523,7 +523,7 @@
     let deals = deal("wk-1", &[(0, 50), (1, 50)]);
     p.orders(&Orders { ..orders(1, deals) }, &m, 0.4);
     place(&mut p, &m, 0.5);
-    let held = p.snapshot(&m, 0.6).held;
+    let held = p.snapshot(&m, 0.6).assigned;
     assert_eq!(
         held.iter()
             .map(|h| (h.attempt, h.assignment))
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -1173,7 +1173,7 @@
                 unreached = node
                     .leader
                     .machines_at(now)
-                    .filter(|m| m.listed && (m.ignores_commands || m.silent_s > LEASE))
+                    .filter(|m| m.registered && (m.ignores_commands || m.silent_s > LEASE))
                     .map(|m| m.id.to_string())
                     .take(1)
                     .collect();
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -270,7 +270,7 @@
 /// What a leader believes of each machine.
 fn belief(l: &Leader) -> BTreeMap<String, (bool, u32)> {
     l.machines()
-        .map(|m| (m.id.to_string(), (m.heard, m.tasks)))
+        .map(|m| (m.id.to_string(), (m.has_reported, m.tasks)))
         .collect()
 }
 
@@ -339,7 +339,7 @@
             epoch: EPOCH,
             node: "a".into(),
             seq: u64::MAX,
-            ack: 0,
+            acknowledged_seq: 0,
             assignments: Vec::new(),
             recall: Vec::new(),
             drain: Vec::new(),
@@ -368,7 +368,7 @@
     let gap = ShardReport {
         since: first.seq,
         seq: first.seq + 1,
-        held: Vec::new(),
+        assigned: Vec::new(),
         ..first.clone()
     };
     assert!(
@@ -394,7 +394,7 @@
     ));
     assert!(l.apply_shard_report(first.clone(), &s.cache, 1.3));
     assert_eq!(l.counts().1, 1);
-    assert_eq!(first.held[0].phase, TaskPhase::Running);
+    assert_eq!(first.assigned[0].phase, TaskPhase::Running);
     assert!(
         !l.apply_shard_report(first, &s.cache, 1.4),
         "a copy changes nothing"
@@ -474,10 +474,10 @@
         l.enter(&epoch(EPOCH + 1, &members), 9, &s.cache);
         s.shard.enter(EPOCH + 1, a, &s.cache, 2.1, |_| true);
         let told = s.shard.snapshot(&s.cache, 2.2);
-        assert!(told.since == 0 && told.held.is_empty());
+        assert!(told.since == 0 && told.assigned.is_empty());
         assert!(l.apply_shard_report(
             ShardReport {
-                kept: told.kept && kept,
+                state_retained: told.state_retained && kept,
                 ..told
             },
             &s.cache,
--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -145,7 +145,7 @@
         epoch: 3,
         node: "a".into(),
         seq,
-        ack: 0,
+        acknowledged_seq: 0,
         assignments: deals,
         recall: Vec::new(),
         drain: Vec::new(),
@@ -162,7 +162,7 @@
         epoch: 3,
         node: "a".into(),
         seq,
-        ack: 0,
+        acknowledged_seq: 0,
         assignments: Vec::new(),
         recall: vec![(task, attempt)],
         drain: Vec::new(),
@@ -200,11 +200,11 @@
         panic!("refused")
     };
     assert!(raised > directs[0].body.token, "the late start must die");
-    assert!(snapshot(&mut p, &m).gone.is_empty());
+    assert!(snapshot(&mut p, &m).removed.is_empty());
     // A report under the raised token is proof.
     p.report(&report(1, 4, raised, &[]), false, &m, 0.8);
     let s = snapshot(&mut p, &m);
-    assert_eq!((s.gone.len(), s.held.len()), (1, 0));
+    assert_eq!((s.removed.len(), s.assigned.len()), (1, 0));
 }
 
 #[test]
@@ -213,9 +213,9 @@
     let (mut p, _) = shard(&m);
     deal(&mut p, &m, "wk-1", &[(0, 50)], 1);
     recall(&mut p, &m, "wk-1/0", 50, 2);
-    assert_eq!(snapshot(&mut p, &m).gone.len(), 1);
+    assert_eq!(snapshot(&mut p, &m).removed.len(), 1);
     deal(&mut p, &m, "wk-1", &[(0, 50)], 1);
-    assert!(snapshot(&mut p, &m).held.is_empty());
+    assert!(snapshot(&mut p, &m).assigned.is_empty());
 }
 
 #[test]
@@ -260,14 +260,14 @@
         panic!("refused")
     };
     assert!(commands.is_empty(), "not committed, not reaped");
-    assert_eq!(snapshot(&mut p, &m).held[0].phase, TaskPhase::Done);
+    assert_eq!(snapshot(&mut p, &m).assigned[0].phase, TaskPhase::Done);
     m.put("fw/f/wk-1/0", "4".into(), 99);
     p.job_changed(&"wk-1".into(), &m);
     let HeartbeatReply::Accepted { commands, .. } = p.report(&done(4), false, &m, 0.9) else {
         panic!("refused")
     };
     assert!(matches!(commands[0], Command::Forget { .. }));
-    assert!(snapshot(&mut p, &m).held.is_empty());
+    assert!(snapshot(&mut p, &m).assigned.is_empty());
 }
 
 #[test]
@@ -280,7 +280,7 @@
     };
     assert!(matches!(commands[0], Command::Stop { .. }));
     assert_eq!(
-        snapshot(&mut p, &m).held.len(),
+        snapshot(&mut p, &m).assigned.len(),
         1,
         "the team's room is still taken"
     );
@@ -294,9 +294,9 @@
     // Heard once, under an old token, just before the epoch is a lease old.
     p.report(&report(1, 1, token(2, 5), &[]), false, &m, 27.0);
     p.expire_leases(29.0);
-    assert!(!p.snapshot(&m, 29.0).machines[0].certain);
+    assert!(!p.snapshot(&m, 29.0).machines[0].reconciled);
     p.expire_leases(27.0 + 21.0);
-    assert!(p.snapshot(&m, 48.0).machines[0].certain);
+    assert!(p.snapshot(&m, 48.0).machines[0].reconciled);
     // Its session is over for good, whatever arrives late.
     assert_eq!(
         p.report(&report(1, 2, token(2, 5), &[]), false, &m, 49.0),
@@ -311,9 +311,9 @@
     let (mut p, t) = shard(&m);
     p.report(&report(1, 3, t, &[]), true, &m, 9.0);
     let told = p.snapshot(&m, 9.0);
-    assert!(told.quiet.is_empty(), "it is alive");
+    assert!(told.silent_machines.is_empty(), "it is alive");
     assert!(
-        told.zones_met[0].1.last_s > 8.0,
+        told.zone_contacts[0].1.last_s > 8.0,
         "but its zone was not reached"
     );
 }
@@ -493,7 +493,7 @@
         epoch: 3,
         node: "a".into(),
         seq: 3,
-        ack: 0,
+        acknowledged_seq: 0,
         assignments: Vec::new(),
         recall: vec![(
             finchwood::wire::Task {
@@ -589,10 +589,10 @@
     assert_eq!(p.due_commands(&m, 12.1).len(), 1, "it is asked");
     let told = p.snapshot(&m, 13.0);
     assert!(
-        !told.machines[0].heard && told.held.is_empty(),
+        !told.machines[0].has_reported && told.assigned.is_empty(),
         "not alive, and its task not found"
     );
-    assert!(told.quiet[0].silent_s > 12.0 && told.zones_met.is_empty());
+    assert!(told.silent_machines[0].silent_s > 12.0 && told.zone_contacts.is_empty());
     // Off the machine registry: nothing comes back, however many copies come.
     p.unlist(&"m-1".into());
     let mut gone = cache(&[("wk-1", Priority::Low, false)]);
@@ -606,7 +606,7 @@
         .snapshot(&gone, 15.0)
         .machines
         .iter()
-        .any(|v| v.heard || v.listed || v.open));
+        .any(|v| v.has_reported || v.registered || v.schedulable));
     p.forget_what_is_over(&gone, 14.0 + 21.0);
     assert_eq!(p.machine_count(), 0);
 }
@@ -625,11 +625,11 @@
     );
     assert_eq!(p.report(&running, false, &m, 9.0), HeartbeatReply::Refuse);
     let told = p.snapshot(&m, 9.0);
-    assert_eq!(told.held.len(), 1);
-    assert!(told.quiet[0].silent_s > 7.9, "no sign of life");
+    assert_eq!(told.assigned.len(), 1);
+    assert!(told.silent_machines[0].silent_s > 7.9, "no sign of life");
     // Nor does it move the view of the lease: that ends when it ends.
     p.expire_leases(1.0 + 20.5);
-    assert_eq!(p.snapshot(&m, 21.5).gone.len(), 1);
+    assert_eq!(p.snapshot(&m, 21.5).removed.len(), 1);
 }
 
 /// Reports that arrive from a machine that hears nothing: no new work, and
@@ -649,7 +649,7 @@
         let v = p.snapshot(&m, now).machines.pop();
         if i == 1 {
             assert!(
-                v.is_some_and(|v| !v.open && !v.ignores_commands),
+                v.is_some_and(|v| !v.schedulable && !v.ignores_commands),
                 "no new work, but not given up"
             );
         }
@@ -659,7 +659,7 @@
             epoch: 3,
             node: "a".into(),
             seq: now as u64 + 100,
-            ack: 0,
+            acknowledged_seq: 0,
             assignments: Vec::new(),
             recall: Vec::new(),
             drain: Vec::new(),
@@ -675,7 +675,7 @@
     let shown = token_of(p.report(&report(1, 20, t, &ended), false, &m, 13.5));
     p.report(&report(1, 21, shown, &[]), false, &m, 14.0);
     let v = whole(&mut p, 14.0);
-    assert!(!v.ignores_commands && v.open);
+    assert!(!v.ignores_commands && v.schedulable);
 }
 
 /// A relayed machine that is told nothing new would look healthy: it is told a
--- a/tests/shard_transfers.rs
+++ b/tests/shard_transfers.rs
@@ -561,7 +561,11 @@
         .get_mut("a")
         .expect("a part")
         .snapshot(&two.cache, now);
-    assert!(told.quiet.is_empty(), "{:?}", told.quiet);
+    assert!(
+        told.silent_machines.is_empty(),
+        "{:?}",
+        told.silent_machines
+    );
     let moving = two.shards["a"].fenced_machines();
     two.until(TransferState::Committed);
     let mut orders = two.leader.orders("b").expect("orders");
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -231,7 +231,7 @@
     };
     assert_eq!((shard.epoch, shard.seq, shard.machines.len()), (4, 1, 4));
     let held: Vec<(u64, TaskPhase, u64)> = shard
-        .held
+        .assigned
         .iter()
         .map(|h| (h.attempt, h.phase, h.assignment))
         .collect();
@@ -241,9 +241,9 @@
         "production names no assignment"
     );
     let gone: Vec<(u64, RemovalReason, u64)> = shard
-        .gone
+        .removed
         .iter()
-        .map(|g| (g.attempt, g.how, g.assignment))
+        .map(|g| (g.attempt, g.reason, g.assignment))
         .collect();
     assert_eq!(
         gone,
@@ -347,8 +347,8 @@
         ]
         .into_iter()
         .map(|how| {
-            let mut gone = before.gone[0].clone();
-            (gone.how, gone.assignment) = (how, 52);
+            let mut gone = before.removed[0].clone();
+            (gone.reason, gone.assignment) = (how, 52);
             gone
         })
         .collect();
@@ -361,9 +361,9 @@
             3,
         )];
         let read = in_production(PeerMessage::ShardReport(ShardReport {
-            held,
-            gone,
-            dropped,
+            assigned: held,
+            removed: gone,
+            completed: dropped,
             ..before
         }));
         let production::Message::Part(read) = read else {
@@ -408,13 +408,13 @@
     assert!(report
         .machines
         .iter()
-        .all(|machine| machine.yielding_low.is_empty()));
-    report.machines[0].yielding = Resources {
+        .all(|machine| machine.preemptible_low.is_empty()));
+    report.machines[0].preemptible = Resources {
         cpus: 6.0,
         gpus: 0.0,
         mem: 1.0,
     };
-    report.machines[0].yielding_low = Resources {
+    report.machines[0].preemptible_low = Resources {
         cpus: 4.0,
         gpus: 0.0,
         mem: 1.0,
@@ -435,7 +435,7 @@
         panic!("not a part's report")
     };
     report.machines[0].ignores_commands = true;
-    report.quiet = vec![SilentMachine {
+    report.silent_machines = vec![SilentMachine {
         id: "m-1".into(),
         silent_s: 9.0,
         unanswered_s: Some(4.0),
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -44,15 +44,15 @@
         machine_type: "g8".into(),
         zone: "e".into(),
         spot: true,
-        certain: true,
-        heard: true,
-        listed: true,
+        reconciled: true,
+        has_reported: true,
+        registered: true,
         address: Some("10.0.0.1:9000".into()),
         free: resources(4.0),
-        yielding: resources(3.0),
-        yielding_low: resources(2.0),
-        open: true,
-        noticed: true,
+        preemptible: resources(3.0),
+        preemptible_low: resources(2.0),
+        schedulable: true,
+        spot_notice: true,
         faulty: true,
         ignores_commands: true,
         draining: true,
@@ -67,15 +67,15 @@
         machine_type: "c4".into(),
         zone: "w".into(),
         spot: false,
-        certain: false,
-        heard: false,
-        listed: false,
+        reconciled: false,
+        has_reported: false,
+        registered: false,
         address: None,
         free: Resources::default(),
-        yielding: Resources::default(),
-        yielding_low: Resources::default(),
-        open: false,
-        noticed: false,
+        preemptible: Resources::default(),
+        preemptible_low: Resources::default(),
+        schedulable: false,
+        spot_notice: false,
         faulty: false,
         ignores_commands: false,
         draining: false,
@@ -100,10 +100,10 @@
     else {
         panic!("not a part's report")
     };
-    let mut gone = report.gone[0].clone();
+    let mut gone = report.removed[0].clone();
     gone.task = task(1);
     gone.attempt = 71;
-    gone.how = how;
+    gone.reason = how;
     gone.machine = machine.map(Into::into);
     gone.assignment = assignment;
     gone
@@ -191,21 +191,21 @@
         epoch: 4,
         node: "a".into(),
         incarnation: 7,
-        kept: true,
+        state_retained: true,
         since: 11,
         seq: 12,
         machines: vec![machine_view(), bare_machine_view()],
-        unlisted: vec![("m-9".into(), 3)],
-        held: phases
+        unregistered: vec![("m-9".into(), 3)],
+        assigned: phases
             .into_iter()
             .map(|phase| held(phase, Some("m-1"), 71))
             .collect(),
-        gone: [Stopped, Error, Lost, Passed]
+        removed: [Stopped, Error, Lost, Passed]
             .into_iter()
             .map(|how| gone(how, Some("m-1"), 72))
             .collect(),
-        dropped: vec![(task(2), 73, 5)],
-        quiet: vec![
+        completed: vec![(task(2), 73, 5)],
+        silent_machines: vec![
             SilentMachine {
                 id: "m-1".into(),
                 silent_s: 9.5,
@@ -217,14 +217,14 @@
                 unanswered_s: None,
             },
         ],
-        zones_met: vec![(
+        zone_contacts: vec![(
             "e".into(),
             Reached {
                 since_s: 100.5,
                 last_s: 0.25,
             },
         )],
-        met: vec![("m-5".into(), 1.5)],
+        seen_elsewhere: vec![("m-5".into(), 1.5)],
         transfers: TransferReport {
             accepted: vec![1],
             fenced: vec![(2, machines())],
@@ -239,17 +239,17 @@
         epoch: 0,
         node: "a".into(),
         incarnation: 0,
-        kept: false,
+        state_retained: false,
         since: 0,
         seq: 0,
         machines: vec![bare_machine_view()],
-        unlisted: Vec::new(),
-        held: vec![held(TaskPhase::Queued, None, 0)],
-        gone: vec![gone(RemovalReason::Lost, None, 0)],
-        dropped: Vec::new(),
-        quiet: Vec::new(),
-        zones_met: Vec::new(),
-        met: Vec::new(),
+        unregistered: Vec::new(),
+        assigned: vec![held(TaskPhase::Queued, None, 0)],
+        removed: vec![gone(RemovalReason::Lost, None, 0)],
+        completed: Vec::new(),
+        silent_machines: Vec::new(),
+        zone_contacts: Vec::new(),
+        seen_elsewhere: Vec::new(),
         transfers: TransferReport::default(),
     }
 }
@@ -271,7 +271,7 @@
         epoch: 4,
         node: "a".into(),
         seq: 13,
-        ack: 12,
+        acknowledged_seq: 12,
         assignments: vec![assignment],
         recall: vec![(task(3), 60)],
         drain: vec!["m-8".into()],
@@ -305,7 +305,7 @@
         epoch: 0,
         node: "a".into(),
         seq: 0,
-        ack: 0,
+        acknowledged_seq: 0,
         assignments: vec![assignment],
         recall: Vec::new(),
         drain: Vec::new(),
