--- a/crates/types/src/wire.rs
+++ b/crates/types/src/wire.rs
@@ -81,7 +81,7 @@
     #[serde(rename = "rank")]
     pub priority: Priority,
     #[serde(rename = "chicks")]
-    pub tasks: u32,
+    pub task_count: u32,
     pub cpus: f64,
     #[serde(rename = "accelerators")]
     pub gpus: f64,
@@ -124,7 +124,7 @@
         if !valid_job_id(&spec.id) {
             return Err("field `id` has not the form of a job id".into());
         }
-        if spec.tasks == 0 || spec.tasks > MAX_TASKS {
+        if spec.task_count == 0 || spec.task_count > MAX_TASKS {
             return Err(format!("a job has 1 to {MAX_TASKS} tasks"));
         }
         let amounts = [
@@ -146,16 +146,16 @@
     }
 
     /// What one task takes.
-    pub fn ask(&self) -> Resources {
+    pub fn task_resources(&self) -> Resources {
         Resources {
             cpus: self.cpus,
             gpus: self.gpus,
-            mem: self.mem_gb,
+            mem_gb: self.mem_gb,
         }
     }
 
     /// True for jobs whose tasks depend on where the others are.
-    pub fn whole(&self) -> bool {
+    pub fn has_coupled_tasks(&self) -> bool {
         self.one_zone || self.scatter || self.job_kind != JobKind::Array
     }
 
@@ -175,7 +175,7 @@
             self.types
                 .as_ref()
                 .is_none_or(|names| names.contains(&t.name))
-                && t.total().fits(&self.ask())
+                && t.total().fits(&self.task_resources())
         });
         let zones = types
             .flat_map(|t| &t.zones)
@@ -186,7 +186,7 @@
     /// The most tasks of this job that a zone may hold.
     pub fn zone_cap(&self) -> u32 {
         if self.scatter {
-            self.tasks.div_ceil(2)
+            self.task_count.div_ceil(2)
         } else {
             u32::MAX
         }
@@ -198,7 +198,8 @@
 pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
-    pub mem: f64,
+    #[serde(rename = "mem")]
+    pub mem_gb: f64,
 }
 
 const SLACK: f64 = 1e-6;
@@ -208,31 +209,31 @@
     pub fn fits(&self, ask: &Resources) -> bool {
         ask.cpus <= self.cpus + SLACK
             && ask.gpus <= self.gpus + SLACK
-            && ask.mem <= self.mem + SLACK
+            && ask.mem_gb <= self.mem_gb + SLACK
     }
     /// Whether there is nothing of anything.
     pub fn is_empty(&self) -> bool {
         *self == Resources::default()
     }
     /// Takes `ask` away.
-    pub fn take(&mut self, ask: &Resources) {
+    pub fn subtract(&mut self, ask: &Resources) {
         self.cpus -= ask.cpus;
         self.gpus -= ask.gpus;
-        self.mem -= ask.mem;
+        self.mem_gb -= ask.mem_gb;
     }
     /// Gives `ask` back.
-    pub fn give(&mut self, ask: &Resources) {
+    pub fn add(&mut self, ask: &Resources) {
         self.cpus += ask.cpus;
         self.gpus += ask.gpus;
-        self.mem += ask.mem;
+        self.mem_gb += ask.mem_gb;
     }
     /// How many tasks of `ask` fit.
-    pub fn count(&self, ask: &Resources) -> u32 {
+    pub fn max_tasks(&self, ask: &Resources) -> u32 {
         let mut n = f64::from(MAX_TASKS);
         for (have, demand) in [
             (self.cpus, ask.cpus),
             (self.gpus, ask.gpus),
-            (self.mem, ask.mem),
+            (self.mem_gb, ask.mem_gb),
         ] {
             if demand > 0.0 {
                 n = n.min(((have + SLACK) / demand).floor());
@@ -291,7 +292,7 @@
     #[serde(rename = "mood")]
     pub state: TaskState,
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<String>,
+    pub cause: Option<String>,
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
@@ -414,7 +415,7 @@
         Resources {
             cpus: self.cpus,
             gpus: self.gpus,
-            mem: self.mem_gb,
+            mem_gb: self.mem_gb,
         }
     }
 }
--- a/src/autoscaler/scaling.rs
+++ b/src/autoscaler/scaling.rs
@@ -199,11 +199,11 @@
     /// Puts as many tasks as fit on a machine; returns their number.
     fn put_on(&mut self, offer: &Offer, free: &mut Resources) -> u32 {
         let count = free
-            .count(&self.demand.ask)
+            .max_tasks(&self.demand.ask)
             .min(self.count)
             .min(self.zone_left(&offer.1));
         for _ in 0..count {
-            free.take(&self.demand.ask);
+            free.subtract(&self.demand.ask);
         }
         if count > 0 {
             *self.in_zone.entry(offer.1.clone()).or_default() += count;
@@ -269,7 +269,7 @@
     /// What a task costs on a machine of an offer; none if it doesn't fit.
     fn price_per_task(&self, demand: &PendingDemand, offer: &Offer) -> Option<f64> {
         let machine_type = self.catalog.get(&offer.0)?;
-        let fit = machine_type.total().count(&demand.ask);
+        let fit = machine_type.total().max_tasks(&demand.ask);
         let price = if offer.2 {
             machine_type.spot_price
         } else {
@@ -425,7 +425,7 @@
     spec.one_zone = false;
     Some(PendingDemand {
         zones: BTreeMap::new(),
-        ask: spec.ask(),
+        ask: spec.task_resources(),
         count: (lacking_cpus / spec.cpus).ceil() as u32,
         spec: Arc::new(spec),
         age_s: 0.0,
--- a/src/cluster/membership.rs
+++ b/src/cluster/membership.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::{self, Seconds};
 use crate::config::settings::Settings;
-use crate::store::cache::{member_key, Epoch, Member, SHARES_CAPABILITY};
+use crate::store::cache::{member_key, Epoch, Member, SHARD_MAP_CAPABILITY};
 use crate::store::{spawn, CallError, CommitOutcome, RateBudget, StoreClient, WriteOp};
 use finchwood_sharding::shard_map::ShardMap;
 pub use finchwood_types::token::{token, token_counter, token_epoch, MAX_COUNTER};
@@ -24,7 +24,7 @@
     let first = members.keys().next()?.clone();
     let shares = live
         .values()
-        .all(|(member, _)| member.capability >= SHARES_CAPABILITY);
+        .all(|(member, _)| member.capability >= SHARD_MAP_CAPABILITY);
     match present {
         Some(e) if e.members == members => None,
         Some(e) => {
@@ -42,17 +42,17 @@
                 survivor.unwrap_or(first)
             };
             Some(Epoch {
-                n: e.n + 1,
+                number: e.number + 1,
                 members,
                 leader,
-                shares,
+                uses_shard_map: shares,
             })
         }
         None => Some(Epoch {
-            n: 1,
+            number: 1,
             members,
             leader: first,
-            shares,
+            uses_shard_map: shares,
         }),
     }
 }
@@ -61,7 +61,7 @@
 /// numbers: the same members and leader, and all numbers anew.
 pub fn renewed_epoch(present: &Epoch) -> Epoch {
     Epoch {
-        n: present.n + 1,
+        number: present.number + 1,
         ..present.clone()
     }
 }
@@ -82,7 +82,7 @@
     machine: &str,
 ) -> Option<&'a str> {
     let hash_owner = owner(&epoch.members, machine)?;
-    if !epoch.shares || table.is_empty() {
+    if !epoch.uses_shard_map || table.is_empty() {
         return Some(hash_owner);
     }
     let moved = table
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -299,14 +299,14 @@
             if !record.spot {
                 *out.ordinary_in_zone.entry(record.zone.clone()).or_default() += 1;
             }
-            if record.up || reported.contains(id) || self.autoscaler.deleted.contains_key(id) {
+            if record.in_use || reported.contains(id) || self.autoscaler.deleted.contains_key(id) {
                 continue;
             }
             // Whether it is up can't be seen, and nothing can be run there.
             if detector.lost(&record.zone) {
                 continue;
             }
-            let age_s = wall_clock_ms.saturating_sub(record.at_ms) as f64 / 1000.0;
+            let age_s = wall_clock_ms.saturating_sub(record.rented_at_ms) as f64 / 1000.0;
             let boot_s = catalog
                 .get(&record.machine_type)
                 .map_or(LEAST_CHARGE_S, |t| t.boot_s);
@@ -382,7 +382,7 @@
                 .cache
                 .registry
                 .get(&m.id)
-                .map_or(wall_clock_ms, |(record, _)| record.at_ms);
+                .map_or(wall_clock_ms, |(record, _)| record.rented_at_ms);
             let yields_cpus = m.free.cpus + m.preemptible.cpus;
             out.in_use.push(MachineUsage {
                 id: m.id.clone(),
@@ -567,7 +567,12 @@
         let report_s = self.settings.params.workers.report_s;
         let met = self.leader.met(report_s * 4.0);
         let used = |m: &MachineSnapshot| {
-            m.has_reported || self.cache.registry.get(&m.id).is_some_and(|(r, _)| r.up)
+            m.has_reported
+                || self
+                    .cache
+                    .registry
+                    .get(&m.id)
+                    .is_some_and(|(r, _)| r.in_use)
         };
         let sign = |m: MachineSnapshot| {
             let sign = MachineHealth {
--- a/src/controller/cloud_responses.rs
+++ b/src/controller/cloud_responses.rs
@@ -121,8 +121,8 @@
             machine_type: request.machine_type.clone(),
             zone: request.zone.clone(),
             spot: request.spot,
-            up: false,
-            at_ms: clock::wall_clock_ms(),
+            in_use: false,
+            rented_at_ms: clock::wall_clock_ms(),
             address: None,
         };
         self.enlist(machines, &request.request, &record);
@@ -204,8 +204,8 @@
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            up: false,
-            at_ms: clock::wall_clock_ms().saturating_sub(age_ms),
+            in_use: false,
+            rented_at_ms: clock::wall_clock_ms().saturating_sub(age_ms),
             address: machine.address.as_deref().map(Into::into),
         };
         self.enlist_stray(id.clone(), record);
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -88,7 +88,7 @@
         finished.add(task);
     }
     let mut conditions = vec![(job_key(&finish.job), job.revision)];
-    if finished.len() == job.record.tasks {
+    if finished.len() == job.record.task_count {
         return Transaction {
             conditions,
             ops: end_of_job(&finish.job, job, limits),
@@ -96,7 +96,7 @@
     }
     let per_chunk = tasks_per_chunk(limits.lowest_value_kb());
     let mut ops = Vec::new();
-    let ranges = chunks_covering(&finish.tasks, job.record.tasks, per_chunk);
+    let ranges = chunks_covering(&finish.tasks, job.record.task_count, per_chunk);
     for range in ranges.into_iter().take(limits.lowest_txn_ops()) {
         let key = range.chunk.key(&finish.job);
         conditions.push((
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -63,7 +63,7 @@
         if now >= self.entitled_until() {
             return responder.retry_later(503, 1, "fenced");
         }
-        let owner = membership::owner_by_shard_map(epoch, &self.cache.shares, &report.machine)
+        let owner = membership::owner_by_shard_map(epoch, &self.cache.shard_map, &report.machine)
             .map(String::from);
         match owner {
             Some(owner) if owner == self.settings.node_name => {
@@ -114,7 +114,7 @@
         // and would be there if it could.
         let obeyed = self
             .my_epoch()
-            .is_some_and(|e| membership::token_epoch(report.token) == e.n);
+            .is_some_and(|e| membership::token_epoch(report.token) == e.number);
         let cut = self.reachability.cut(&report.zone, &owner, now);
         let relay = cut || tried.is_some() || obeyed && first;
         // While its zone is known to be apart from its owner's it need not try,
--- a/src/controller/job_requests.rs
+++ b/src/controller/job_requests.rs
@@ -82,10 +82,10 @@
             return responder.retry_later(429, 2, "too many submissions");
         }
         let record = JobRecord {
-            tasks: spec.tasks,
+            task_count: spec.task_count,
             spec: Some(Arc::new(spec)),
-            epoch: self.cache.epoch.as_ref().map_or(0, |e| e.n),
-            at_ms: clock::wall_clock_ms(),
+            epoch: self.cache.epoch.as_ref().map_or(0, |e| e.number),
+            accepted_at_ms: clock::wall_clock_ms(),
             cancelled: false,
             done: false,
             cancelled_at_ms: None,
@@ -120,7 +120,7 @@
         match spec.zones_that_fit(catalog) {
             0 => return Err("a task fits no allowed machine type".into()),
             // Half of the tasks, rounded up, may be in one zone.
-            n if spec.scatter && spec.tasks > 1 && (n == 1 || spec.one_zone) => {
+            n if spec.scatter && spec.task_count > 1 && (n == 1 || spec.one_zone) => {
                 return Err("its tasks must be in two zones and may only be in one".into());
             }
             _ => {}
@@ -128,7 +128,7 @@
         let n = if spec.job_kind == JobKind::Array {
             1.0
         } else {
-            f64::from(spec.tasks)
+            f64::from(spec.task_count)
         };
         if n * spec.cpus > team.cpu_cap() || n * spec.gpus > team.gpu_cap() {
             return Err("the job needs more than the team's limit".into());
@@ -143,7 +143,7 @@
         match outcome {
             CommitOutcome::Committed(revision) => {
                 if let Some(s) = &record.spec {
-                    tracing::debug!(%id, tasks = s.tasks, estimate = s.estimate_s, due = s.deadline_s, "accepted");
+                    tracing::debug!(%id, tasks = s.task_count, estimate = s.estimate_s, due = s.deadline_s, "accepted");
                 }
                 let value = serde_json::to_value(&record).unwrap_or_default();
                 self.cache.put(&job_key(&id), value, revision);
@@ -348,7 +348,7 @@
         };
         let running = self.running.get(id).copied().unwrap_or(0);
         let (state, done, running) = if job.record.done {
-            ("done", job.record.tasks, 0)
+            ("done", job.record.task_count, 0)
         } else if job.record.cancelled {
             ("cancelled", job.finished.len(), 0)
         } else if running > 0 {
--- a/src/controller/member.rs
+++ b/src/controller/member.rs
@@ -15,7 +15,7 @@
         self.cache.epoch.as_ref().filter(|e| {
             self.incarnation != 0
                 && e.members.get(&self.settings.node_name) == Some(&self.incarnation)
-                && self.shard.epoch() == e.n
+                && self.shard.epoch() == e.number
         })
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -388,7 +388,7 @@
         let waiting_epoch = self.cache.epoch.as_ref().is_some_and(|e| {
             self.incarnation != 0
                 && e.members.get(&self.settings.node_name) == Some(&self.incarnation)
-                && self.shard.epoch() != e.n
+                && self.shard.epoch() != e.number
         });
         if waiting_epoch {
             self.epoch_changed(now);
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -84,7 +84,7 @@
             }
             let address = m.address.clone().unwrap_or_else(|| "".into());
             match self.cache.registry.get(&m.id) {
-                Some((r, _)) if !r.up => up.push((m.id.clone(), address)),
+                Some((r, _)) if !r.in_use => up.push((m.id.clone(), address)),
                 Some(_) => {}
                 None if self.registry.fresh.contains_key(&m.id) => {}
                 None => found.push((
@@ -93,8 +93,8 @@
                         machine_type: m.machine_type.clone(),
                         zone: m.zone.clone(),
                         spot: m.spot,
-                        up: false,
-                        at_ms: clock::wall_clock_ms(),
+                        in_use: false,
+                        rented_at_ms: clock::wall_clock_ms(),
                         address: None,
                     },
                 )),
@@ -129,7 +129,7 @@
                         machine_type: r.machine_type.clone(),
                         zone: r.zone.clone(),
                         spot: r.spot,
-                        at_ms: r.at_ms,
+                        rented_at_ms: r.rented_at_ms,
                         machines: BTreeMap::new(),
                     })
             });
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -9,7 +9,7 @@
 use crate::cluster::membership;
 use crate::config::features::SharedMachinesConfig;
 use crate::config::settings::Settings;
-use crate::store::cache::{EPOCH_KEY, SHARES_KEY};
+use crate::store::cache::{EPOCH_KEY, SHARD_MAP_KEY};
 use crate::store::{CommitOutcome, ConditionalWrite, WriteClass, WriteOp};
 use crate::wire::MachineId;
 use finchwood_sharding::hash_position::position;
@@ -75,7 +75,7 @@
 impl Controller {
     /// The owner of a machine, by the table of shares or the hash.
     pub(super) fn owner_of(&self, machine: &str) -> Option<&str> {
-        membership::owner_by_shard_map(self.my_epoch()?, &self.cache.shares, machine)
+        membership::owner_by_shard_map(self.my_epoch()?, &self.cache.shard_map, machine)
     }
 
     /// The table of shares has changed.
@@ -83,10 +83,13 @@
         let Some(epoch) = self.my_epoch().cloned() else {
             return;
         };
-        if !epoch.shares {
+        if !epoch.uses_shard_map {
             return;
         }
-        let (table, me) = (self.cache.shares.clone(), self.settings.node_name.clone());
+        let (table, me) = (
+            self.cache.shard_map.clone(),
+            self.settings.node_name.clone(),
+        );
         let owns =
             |id: &str| membership::owner_by_shard_map(&epoch, &table, id) == Some(me.as_str());
         self.shard.shares_changed(&self.cache, now, owns);
@@ -161,12 +164,12 @@
     /// One step of the leader: takes in the table, writes its next state, withdraws what
     /// nobody answers, begins what is wanted.
     pub(super) fn move_shares(&mut self, now: Seconds) {
-        let in_use = self.my_epoch().is_some_and(|epoch| epoch.shares);
+        let in_use = self.my_epoch().is_some_and(|epoch| epoch.uses_shard_map);
         let patience = self.settings.params.workers.report_s * PATIENCE_REPORTS;
         let Some(shares) = self.shares.as_mut().filter(|_| in_use) else {
             return;
         };
-        shares.transfers.table_is(&self.cache.shares, now);
+        shares.transfers.table_is(&self.cache.shard_map, now);
         // Refused for certain, and what has been read since does not hold it either.
         let read_since = |at: &Seconds| self.last_synced_at.is_some_and(|fresh| fresh > *at);
         if shares.refused_at.as_ref().is_some_and(read_since) {
@@ -186,17 +189,17 @@
         else {
             return;
         };
-        let Some(change) = shares.transfers.to_write(&self.cache.shares, now) else {
+        let Some(change) = shares.transfers.to_write(&self.cache.shard_map, now) else {
             return;
         };
         let write = ConditionalWrite {
             // The table of another leader, or of another epoch, is not overwritten.
             conditions: vec![
-                (SHARES_KEY.into(), self.cache.shares_revision),
+                (SHARD_MAP_KEY.into(), self.cache.shard_map_revision),
                 (EPOCH_KEY.into(), self.cache.epoch_revision),
             ],
             ops: vec![WriteOp::Put {
-                key: SHARES_KEY.into(),
+                key: SHARD_MAP_KEY.into(),
                 value: serde_json::to_value(change.table.stored()).unwrap_or_default(),
                 lease: None,
             }],
@@ -215,14 +218,14 @@
         shares.writing = false;
         match outcome {
             CommitOutcome::Committed(revision) => {
-                let Some(change) = shares.transfers.to_write(&self.cache.shares, now) else {
+                let Some(change) = shares.transfers.to_write(&self.cache.shard_map, now) else {
                     return;
                 };
                 let value = serde_json::to_value(change.table.stored()).unwrap_or_default();
-                let change = self.cache.put(SHARES_KEY, value, revision);
+                let change = self.cache.put(SHARD_MAP_KEY, value, revision);
                 self.changed(change, now);
                 if let Some(shares) = &mut self.shares {
-                    shares.transfers.table_is(&self.cache.shares, now);
+                    shares.transfers.table_is(&self.cache.shard_map, now);
                 }
                 self.tell_sides("");
             }
@@ -252,7 +255,7 @@
         let fleet = Fleet {
             members: &members,
             machines: &machines,
-            table: &self.cache.shares,
+            table: &self.cache.shard_map,
         };
         let Some(wanted) = shares.planner.next(fleet, &shares.transfers, now) else {
             return;
@@ -287,7 +290,7 @@
         if !leads {
             return responder.send(421, error_body(&format!("plan: {} leads", epoch.leader)));
         }
-        if !epoch.shares {
+        if !epoch.uses_shard_map {
             return responder.retry_later(503, 5, "not all controllers go by the table of shares");
         }
         if let Err(why) = plan.check(&members) {
@@ -318,7 +321,7 @@
     }
 
     fn shares_report(&self) -> ShardMapReport {
-        let table = &self.cache.shares;
+        let table = &self.cache.shard_map;
         let share = |(range, owner): (&_, &str)| OwnedRange {
             range: Clone::clone(range),
             owner: owner.into(),
@@ -326,7 +329,7 @@
         ShardMapReport {
             node: self.settings.node_name.clone(),
             epoch: self.shard.epoch(),
-            in_use: self.my_epoch().is_some_and(|epoch| epoch.shares),
+            in_use: self.my_epoch().is_some_and(|epoch| epoch.uses_shard_map),
             generation: table.generation,
             shares: table.shares().map(share).collect(),
             machines: self.shard.listed_machines(),
--- a/src/controller/watch_events.rs
+++ b/src/controller/watch_events.rs
@@ -67,7 +67,7 @@
                     self.machine_changed(&id, now);
                 }
             }
-            CacheChange::Shares => self.shares_changed(now),
+            CacheChange::ShardMap => self.shares_changed(now),
             CacheChange::Members | CacheChange::Catalog | CacheChange::Nothing => {}
         }
     }
@@ -102,11 +102,11 @@
         if self.incarnation == 0 || epoch.members.get(&me) != Some(&self.incarnation) {
             return;
         }
-        tracing::info!(epoch = epoch.n, leader = %epoch.leader, members = epoch.members.len(), "entered an epoch");
-        let shares = self.cache.shares.clone();
-        if self.shard.epoch() != epoch.n {
+        tracing::info!(epoch = epoch.number, leader = %epoch.leader, members = epoch.members.len(), "entered an epoch");
+        let shares = self.cache.shard_map.clone();
+        if self.shard.epoch() != epoch.number {
             self.shard
-                .enter(epoch.n, self.incarnation, &self.cache, now, |id| {
+                .enter(epoch.number, self.incarnation, &self.cache, now, |id| {
                     membership::owner_by_shard_map(&epoch, &shares, id) == Some(me.as_str())
                 });
         }
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -67,7 +67,7 @@
     latency_sensitive: bool,
     machines: impl Iterator<Item = Candidate<'a>>,
 ) -> Option<Candidate<'a>> {
-    let ask = spec.ask();
+    let ask = spec.task_resources();
     machines
         .filter(|m| spec.allowed_on(m.machine_type, m.zone, m.spot) && m.free.fits(&ask))
         .min_by_key(|m| {
--- a/src/scheduler/capacity.rs
+++ b/src/scheduler/capacity.rs
@@ -77,8 +77,8 @@
     /// How many tasks of a request it has room for.
     fn count(&self, request: &PlacementRequest) -> u32 {
         let mut free = self.free;
-        free.give(&self.given_up_for(request.preempts));
-        free.count(&request.ask)
+        free.add(&self.given_up_for(request.preempts));
+        free.max_tasks(&request.ask)
     }
 
     /// What other work would give up for a request.
@@ -146,7 +146,7 @@
         // A name that no machine has gets a number that none has.
         let number = |n: &Arc<str>| names.known(n).unwrap_or(u32::MAX);
         PlacementRequest {
-            ask: spec.ask(),
+            ask: spec.task_resources(),
             machine_types: spec.types.as_ref().map(|t| t.iter().map(number).collect()),
             zone: spec.zone.as_ref().map(number),
             spot: spec.spot,
@@ -187,7 +187,7 @@
             && other.avoid.is_empty()
             && other.ask.cpus <= self.ask.cpus
             && other.ask.gpus <= self.ask.gpus
-            && other.ask.mem <= self.ask.mem
+            && other.ask.mem_gb <= self.ask.mem_gb
     }
 }
 
@@ -284,7 +284,7 @@
             let mut free = s.free;
             let drives_out = !free.fits(&request.ask);
             if drives_out {
-                free.give(&s.given_up_for(request.preempts));
+                free.add(&s.given_up_for(request.preempts));
             }
             if !free.fits(&request.ask) {
                 continue;
@@ -347,7 +347,7 @@
                 &Resources {
                     cpus: ask.cpus * taken,
                     gpus: ask.gpus * taken,
-                    mem: ask.mem * taken,
+                    mem_gb: ask.mem_gb * taken,
                 },
             );
         }
@@ -367,11 +367,11 @@
 
     /// Takes a task's room.
     pub fn take(&mut self, slot: usize, ask: &Resources) {
-        self.change(slot, |free| free.take(ask));
+        self.change(slot, |free| free.subtract(ask));
     }
 
     fn give_back(&mut self, slot: usize, ask: &Resources) {
-        self.change(slot, |free| free.give(ask));
+        self.change(slot, |free| free.add(ask));
     }
 
     fn change(&mut self, slot: usize, change: impl Fn(&mut Resources)) {
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -36,7 +36,7 @@
                 continue;
             }
             let before = job.finished.len();
-            if before + e.finishing.len() >= e.spec.tasks {
+            if before + e.finishing.len() >= e.spec.task_count {
                 e.committing = true;
                 out.push(Finish {
                     job: id.clone(),
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -77,7 +77,7 @@
     pub(super) fn gang_may_start(&self, free: usize) -> bool {
         // Guard: where the team's limit leaves room for some only, or some may be
         // anywhere yet, none starts.
-        let whole = self.assigned.len() + free == self.spec.tasks as usize;
+        let whole = self.assigned.len() + free == self.spec.task_count as usize;
         // A shard is told how many tasks a zone may take of all that it hasn't listed.
         whole && !self.leaving && self.unlisted.is_empty()
     }
@@ -102,7 +102,7 @@
 
     fn next_step(&mut self, gang_wait_s: Seconds, now: Seconds) -> Step {
         self.adopt_attempt(now);
-        let complete = self.assigned.len() == self.spec.tasks as usize;
+        let complete = self.assigned.len() == self.spec.task_count as usize;
         let Some(attempt) = self.attempt.as_mut() else {
             return Step::KeepGoing;
         };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -224,7 +224,7 @@
     /// led the one just before; what was assigned is unknown until it is seen.
     /// Says whether it is.
     pub fn enter(&mut self, e: &Epoch, incarnation: u64, cache: &StoreCache) -> bool {
-        let stays = self.incarnation == incarnation && self.epoch + 1 == e.n;
+        let stays = self.incarnation == incarnation && self.epoch + 1 == e.number;
         if !stays {
             self.jobs.clear();
             self.drain.clear();
@@ -237,11 +237,11 @@
         // controller's return left all that a cut zone had lost in doubt until
         // the last machine of the zone had been heard.
         // Guard: where shares have moved, a shard that lives on may have handed machines over.
-        let by_hash = cache.shares.is_empty();
+        let by_hash = cache.shard_map.is_empty();
         let nobody_new = stays && by_hash && e.members.keys().all(|m| self.members.contains_key(m));
         let same = |m: &&String| nobody_new && self.members.get(*m) == e.members.get(*m);
         let steady: BTreeSet<String> = e.members.keys().filter(same).cloned().collect();
-        self.epoch = e.n;
+        self.epoch = e.number;
         self.incarnation = incarnation;
         self.members = e.members.clone();
         self.shards.clear();
@@ -313,7 +313,7 @@
             let mut unknown = TaskSet::default();
             // Accepted in this epoch: nobody can have assigned it before us.
             if job.record.epoch < self.epoch {
-                for index in (0..spec.tasks).filter(|&i| !job.finished.contains(i)) {
+                for index in (0..spec.task_count).filter(|&i| !job.finished.contains(i)) {
                     unknown.add(index);
                 }
             }
@@ -326,7 +326,7 @@
                 self.joined.clear();
             }
             let entry = JobEntry {
-                at_ms: job.record.at_ms,
+                at_ms: job.record.accepted_at_ms,
                 spec,
                 unknown,
                 with: BTreeMap::new(),
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -155,7 +155,7 @@
         if e.leaving || !known || now - since < patience {
             return;
         }
-        let n = e.spec.tasks as usize;
+        let n = e.spec.task_count as usize;
         let all: BTreeSet<u32> = capacity.slots.iter().map(|s| s.zone).collect();
         let all: Vec<(u32, u32)> = all.into_iter().map(|z| (z, u32::MAX)).collect();
         if capacity.try_place(request, n, None, &all, true).len() == n {
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -68,7 +68,7 @@
             let Some(job) = cache.jobs.get(id).filter(|j| j.live()) else {
                 continue;
             };
-            let left = f64::from(e.spec.tasks.saturating_sub(job.finished.len()));
+            let left = f64::from(e.spec.task_count.saturating_sub(job.finished.len()));
             let u = used.entry(&e.spec.team).or_default();
             u.cpus += left * e.spec.cpus;
             u.gpus += left * e.spec.gpus;
@@ -129,7 +129,7 @@
         let live = |id: &JobId| round.cache.jobs.get(id).is_some_and(|j| j.live());
         let may_have_free = |e: &JobEntry| {
             !e.failures.waits(round.now)
-                && (e.assigned.len() as u32 + e.unknown.len()) < e.spec.tasks
+                && (e.assigned.len() as u32 + e.unknown.len()) < e.spec.task_count
         };
         let waiting = self
             .jobs
@@ -157,11 +157,11 @@
         let left = Resources {
             cpus: team.map_or(0.0, |t| t.cpu_cap()) - used.cpus,
             gpus: team.map_or(0.0, |t| t.gpu_cap()) - used.gpus,
-            mem: f64::INFINITY,
+            mem_gb: f64::INFINITY,
         };
-        let quota = left.count(&Resources {
-            mem: 0.0,
-            ..e.spec.ask()
+        let quota = left.max_tasks(&Resources {
+            mem_gb: 0.0,
+            ..e.spec.task_resources()
         }) as usize;
         let most = e.tries_allowed(quota);
         let free = |i: &u32| {
@@ -170,7 +170,7 @@
                 && !e.unknown.contains(*i)
                 && !e.assigned.contains_key(i)
         };
-        (0..e.spec.tasks).filter(free).take(most).collect()
+        (0..e.spec.task_count).filter(free).take(most).collect()
     }
 
     /// Assigns what is free of one job; what has no room is wanted.
@@ -236,7 +236,8 @@
             _ if self.preemption_held => Preempts::Nothing,
             Priority::Prod => Preempts::AllLowerWork,
             Priority::Urgent | Priority::Standard
-                if !e.spec.whole() && waited_s > self.report_s * PREEMPTS_AFTER_REPORTS =>
+                if !e.spec.has_coupled_tasks()
+                    && waited_s > self.report_s * PREEMPTS_AFTER_REPORTS =>
             {
                 Preempts::BorrowingLowWork
             }
@@ -258,7 +259,7 @@
         let is_late = stage(id, entry, false, round) == Stage::Unbegun;
         Some(PendingDemand {
             zones: self.zones_of(id, round.cache),
-            ask: spec.ask(),
+            ask: spec.task_resources(),
             count: if idle_work && is_late { 1 } else { count },
             spec: spec.clone(),
             age_s,
@@ -326,7 +327,7 @@
                 );
             }
             chosen
-        } else if spec.whole() {
+        } else if spec.has_coupled_tasks() {
             assign_whole(request, free, &mut round.capacity, &self.names)
         } else {
             assign_array(request, free, &mut round.capacity, &self.names)
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -135,7 +135,7 @@
             return;
         };
         // Guard: a task that the job doesn't have would count towards its end.
-        if index >= entry.spec.tasks {
+        if index >= entry.spec.task_count {
             return;
         }
         if held.phase == TaskPhase::Done && wanted(cache, &held.task) {
@@ -143,7 +143,7 @@
             // also those that are lost since.
             let gang = entry.spec.job_kind == JobKind::Gang;
             let done = if gang {
-                0..entry.spec.tasks
+                0..entry.spec.task_count
             } else {
                 index..index + 1
             };
@@ -282,7 +282,7 @@
         cache
             .registry
             .iter()
-            .filter(|(_, (r, _))| r.up)
+            .filter(|(_, (r, _))| r.in_use)
             .map(|(id, _)| id)
             .filter(move |id| {
                 // A shard tells only of machines that are its own in this epoch.
--- a/src/scheduler/urgency.rs
+++ b/src/scheduler/urgency.rs
@@ -48,7 +48,7 @@
             let tier = if in_time(w) || age > w * 4.0 { 0 } else { 2 };
             // Small jobs first, as more of them are in time so; large ones
             // catch up with age.
-            let work = spec.estimate_s * f64::from(spec.tasks);
+            let work = spec.estimate_s * f64::from(spec.task_count);
             (tier, at((work * 0.1).min(w)))
         }
         None => (0, at(0.0)),
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -57,7 +57,7 @@
             });
         if let Some(record) = known {
             m.listed = true;
-            m.up |= record.up;
+            m.up |= record.in_use;
         }
         if (r.session, r.seq) <= (m.session, m.seq) || r.session <= m.over {
             return HeartbeatReply::Refuse;
@@ -139,7 +139,7 @@
             .tasks
             .iter()
             .filter_map(|l: &TaskReport| {
-                Some((Task::parse(&l.task)?, (l.attempt, l.state, l.why.clone())))
+                Some((Task::parse(&l.task)?, (l.attempt, l.state, l.cause.clone())))
             })
             .collect();
         let was_certain = m.certain();
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -240,11 +240,11 @@
             zone: record.zone.clone(),
             spot: record.spot,
             // Never used by anybody: the machine registry would say so.
-            state: MachineState::listed(record.up),
+            state: MachineState::listed(record.in_use),
             ..Machine::unknown(now)
         });
         m.listed = true;
-        m.up |= record.up;
+        m.up |= record.in_use;
         if m.address.is_none() {
             m.address.clone_from(&record.address);
         }
--- a/src/shard/placement.rs
+++ b/src/shard/placement.rs
@@ -31,7 +31,7 @@
         for (task, (_, state, _)) in &m.lines {
             if *state != TaskState::Ended {
                 match spec(&task.job) {
-                    Some(s) => free.take(&s.ask()),
+                    Some(s) => free.subtract(&s.task_resources()),
                     None => return Resources::default(),
                 }
             }
@@ -39,7 +39,7 @@
         for (task, h) in self.held.on(id) {
             if m.lines.get(task).is_none_or(|l| l.0 != h.attempt) {
                 if let Some(s) = spec(&task.job) {
-                    free.take(&s.ask());
+                    free.subtract(&s.task_resources());
                 }
             }
         }
@@ -111,7 +111,7 @@
             match chosen {
                 Some(id) => {
                     if let Some(f) = free.get_mut(&id) {
-                        f.take(&spec.ask());
+                        f.subtract(&spec.task_resources());
                     }
                     self.put_on(&task, &spec, &id, cache, now);
                 }
@@ -136,7 +136,7 @@
         let bounds = self.bounds.get(&task.job);
         let (mut zones, mut machines): (HashMap<&str, u32>, HashMap<&str, u32>) =
             Default::default();
-        if spec.whole() {
+        if spec.has_coupled_tasks() {
             let from = Task {
                 job: task.job.clone(),
                 index: 0,
@@ -302,7 +302,7 @@
         for (t, attempt) in victims {
             self.recall(&t, attempt, Stop::Preempted);
         }
-        kept.0.entry(id).or_default().give(&spec.ask());
+        kept.0.entry(id).or_default().add(&spec.task_resources());
         true
     }
 
@@ -335,9 +335,9 @@
         cache: &StoreCache,
         when: Moment,
     ) -> Option<(Vec<Attempt>, (u32, f64))> {
-        let ask = spec.ask();
+        let ask = spec.task_resources();
         let mut room = free;
-        room.take(&promised);
+        room.subtract(&promised);
         let mut able: Vec<(Priority, bool, bool, Seconds, &Task, u64, Resources)> = Vec::new();
         for (t, h) in self.held.on(id) {
             let Some(p) = h.at.as_ref().filter(|p| p.phase != TaskPhase::Done) else {
@@ -347,10 +347,10 @@
                 continue;
             };
             if p.stop.is_some() {
-                room.give(&s.ask());
+                room.add(&s.task_resources());
             } else if self.yields(s, p, spec.priority, when.now) {
                 let job = &cache.jobs[&t.job].record;
-                let age = when.wall_clock_ms.saturating_sub(job.at_ms) as f64 / 1000.0;
+                let age = when.wall_clock_ms.saturating_sub(job.accepted_at_ms) as f64 / 1000.0;
                 let ran = when.now - p.since;
                 let first = self.is_first_start(t, p, when.now);
                 able.push((
@@ -360,7 +360,7 @@
                     p.since,
                     t,
                     h.attempt,
-                    s.ask(),
+                    s.task_resources(),
                 ));
             }
         }
@@ -375,7 +375,7 @@
             if room.fits(&ask) {
                 break;
             }
-            room.give(&res);
+            room.add(&res);
             harmed += u32::from(first || made_late);
             // What it has done so far is done again.
             lost += res.cpus * (when.now - since).max(1.0);
--- a/src/shard/report.rs
+++ b/src/shard/report.rs
@@ -27,10 +27,10 @@
                 continue;
             };
             if self.yields(spec, place, Priority::Prod, now) {
-                yielding.give(&spec.ask());
+                yielding.add(&spec.task_resources());
             }
             if self.yields(spec, place, Priority::Standard, now) {
-                yielding_low.give(&spec.ask());
+                yielding_low.add(&spec.task_resources());
             }
         }
         let mut images: Vec<Arc<str>> = m.images.iter().map(|i| i.0.clone()).collect();
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -116,7 +116,8 @@
                     generation,
                     machines,
                 } => {
-                    if cache.shares.generation >= *generation && self.transfers.taken.insert(*id) {
+                    if cache.shard_map.generation >= *generation && self.transfers.taken.insert(*id)
+                    {
                         self.take_share(range, machines, cache, now);
                     }
                 }
@@ -236,7 +237,7 @@
         for id in &gone {
             self.let_go(id);
         }
-        let (node, table) = (&self.node, &cache.shares);
+        let (node, table) = (&self.node, &cache.shard_map);
         for fence in self.transfers.fences.values_mut() {
             fence.released |= table.sole_owner(&fence.range) != Some(node);
         }
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -28,7 +28,7 @@
 /// What the keys of job records begin with.
 pub const JOB_PREFIX: &str = "fw/j/";
 /// The key of the table of shares.
-pub const SHARES_KEY: &str = "fw/s";
+pub const SHARD_MAP_KEY: &str = "fw/s";
 /// The key of the catalog.
 pub const CATALOG_KEY: &str = "fw/c";
 
@@ -46,7 +46,7 @@
 pub const GANG_CAPABILITY: u32 = 1;
 
 /// The capability of those that also go by the table of shares.
-pub const SHARES_CAPABILITY: u32 = 2;
+pub const SHARD_MAP_CAPABILITY: u32 = 2;
 
 impl Member {
     /// A member of this version, that goes by the table of shares or not.
@@ -54,7 +54,7 @@
         Member {
             incarnation,
             capability: if shares {
-                SHARES_CAPABILITY
+                SHARD_MAP_CAPABILITY
             } else {
                 GANG_CAPABILITY
             },
@@ -74,13 +74,14 @@
 /// Who is entitled to act, and in what role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Epoch {
-    pub n: u64,
+    #[serde(rename = "n")]
+    pub number: u64,
     /// Name to incarnation.
     pub members: BTreeMap<String, u64>,
     pub leader: String,
     /// All members go by the table of shares; left out where one doesn't.
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
-    pub shares: bool,
+    pub uses_shard_map: bool,
 }
 
 /// A job as it is stored.
@@ -94,10 +95,10 @@
     pub epoch: u64,
     /// The time of day, in milliseconds, when it was accepted.
     #[serde(rename = "t")]
-    pub at_ms: u64,
+    pub accepted_at_ms: u64,
     /// How many tasks it has.
     #[serde(rename = "n")]
-    pub tasks: u32,
+    pub task_count: u32,
     #[serde(rename = "x", default)]
     pub cancelled: bool,
     #[serde(rename = "d", default)]
@@ -115,7 +116,7 @@
             _ if self.done || self.cancelled => Ok(()),
             None => Err(RecordError::NoDescription),
             Some(spec) if &*spec.id != id => Err(RecordError::OtherJob),
-            Some(spec) if spec.tasks != self.tasks => Err(RecordError::TaskCount),
+            Some(spec) if spec.task_count != self.task_count => Err(RecordError::TaskCount),
             _ => Ok(()),
         }
     }
@@ -132,10 +133,10 @@
     pub spot: bool,
     /// Whether tasks may have been started on it: written before the first.
     #[serde(rename = "u", default)]
-    pub up: bool,
+    pub in_use: bool,
     /// The time of day, in milliseconds, when it was rented or found.
     #[serde(rename = "t", default)]
-    pub at_ms: u64,
+    pub rented_at_ms: u64,
     /// Where its worker takes commands, once that is known: a new owner asks
     /// it at once what it runs.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
@@ -153,7 +154,7 @@
     #[serde(rename = "s")]
     pub spot: bool,
     #[serde(rename = "t", default)]
-    pub at_ms: u64,
+    pub rented_at_ms: u64,
     /// Machine to the address of its worker; none while nothing was started there.
     #[serde(rename = "m")]
     pub machines: BTreeMap<MachineId, Option<Arc<str>>>,
@@ -165,8 +166,8 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            up: address.is_some(),
-            at_ms: self.at_ms,
+            in_use: address.is_some(),
+            rented_at_ms: self.rented_at_ms,
             address: address.clone().filter(|a| !a.is_empty()),
         }
     }
@@ -204,7 +205,7 @@
     Job(JobId),
     Machines(Vec<MachineId>),
     Catalog,
-    Shares,
+    ShardMap,
     Nothing,
 }
 
@@ -223,8 +224,8 @@
     pub catalog: Option<Arc<Catalog>>,
     pub catalog_revision: u64,
     /// What is owned otherwise than the hash says.
-    pub shares: ShardMap,
-    pub shares_revision: u64,
+    pub shard_map: ShardMap,
+    pub shard_map_revision: u64,
     /// Records that make no sense, and are left alone.
     pub unreadable: UnreadableRecords,
     /// Tasks of each numbered chunk, as production counts them.
@@ -237,7 +238,7 @@
             None => StoredTask::UnknownJob,
             Some(job) if job.record.done => StoredTask::JobDone,
             Some(job) if job.record.cancelled => StoredTask::JobCancelled,
-            Some(job) if task.index >= job.record.tasks => StoredTask::NoSuchTask,
+            Some(job) if task.index >= job.record.task_count => StoredTask::NoSuchTask,
             Some(job) if job.finished.contains(task.index) => StoredTask::Finished,
             Some(_) => StoredTask::Unfinished,
         }
@@ -269,13 +270,13 @@
     }
     let record: MachineRecord = read(value)?;
     let address = record
-        .up
+        .in_use
         .then(|| record.address.unwrap_or_else(|| "".into()));
     Ok(RegistryPage {
         machine_type: record.machine_type,
         zone: record.zone,
         spot: record.spot,
-        at_ms: record.at_ms,
+        rented_at_ms: record.rented_at_ms,
         machines: [(name.into(), address)].into_iter().collect(),
     })
 }
@@ -329,7 +330,7 @@
     pub fn put(&mut self, key: &str, value: Value, revision: u64) -> CacheChange {
         match self.try_put(key, value, revision) {
             Ok(change) => {
-                if change != CacheChange::Shares {
+                if change != CacheChange::ShardMap {
                     self.unreadable.remove(key, revision);
                 }
                 change
@@ -355,7 +356,7 @@
         match key {
             EPOCH_KEY => return self.put_epoch(value, revision),
             CATALOG_KEY => return self.put_catalog(value, revision),
-            SHARES_KEY => return self.put_shares(value, revision),
+            SHARD_MAP_KEY => return self.put_shares(value, revision),
             _ => {}
         }
         let rest = key.strip_prefix("fw/").ok_or(RecordError::ForeignKey)?;
@@ -394,7 +395,7 @@
     /// What a table fails to say, the hash decides; so it does for all controllers alike,
     /// whatever they knew before.
     fn put_shares(&mut self, value: Value, revision: u64) -> Result<CacheChange, RecordError> {
-        if revision <= self.shares_revision {
+        if revision <= self.shard_map_revision {
             return Ok(CacheChange::Nothing);
         }
         let stored: Result<StoredShardMap, RecordError> = read(value);
@@ -402,21 +403,21 @@
             Ok(stored) => ShardMap::read(stored),
             Err(_) => (ShardMap::default(), vec![ShardMapError::Malformed]),
         };
-        self.shares = table;
-        self.shares_revision = revision;
+        self.shard_map = table;
+        self.shard_map_revision = revision;
         if errors.is_empty() {
-            self.unreadable.remove(SHARES_KEY, revision);
+            self.unreadable.remove(SHARD_MAP_KEY, revision);
         } else {
             tracing::warn!(
-                key = SHARES_KEY,
+                key = SHARD_MAP_KEY,
                 revision,
                 ?errors,
                 "stored shares are left out"
             );
             self.unreadable
-                .add(SHARES_KEY, revision, RecordError::Malformed);
+                .add(SHARD_MAP_KEY, revision, RecordError::Malformed);
         }
-        Ok(CacheChange::Shares)
+        Ok(CacheChange::ShardMap)
     }
 
     fn put_member(
@@ -483,7 +484,10 @@
         let mut finished = job.finished.clone();
         finished.add_hex(first, &text);
         // Guard: counted, they would make a job done before all its tasks are.
-        if finished.last().is_some_and(|task| task >= job.record.tasks) {
+        if finished
+            .last()
+            .is_some_and(|task| task >= job.record.task_count)
+        {
             return Err(RecordError::NoSuchTask);
         }
         job.chunks.insert(chunk, revision);
--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -33,7 +33,7 @@
         ..(*spec("wk-1", count, Priority::Low)).clone()
     });
     PendingDemand {
-        ask: spec.ask(),
+        ask: spec.task_resources(),
         count,
         spec,
         age_s: 99.0,
@@ -119,7 +119,7 @@
     s.scatter = true;
     let demand = PendingDemand {
         zones: BTreeMap::new(),
-        ask: s.ask(),
+        ask: s.task_resources(),
         count: 4,
         spec: Arc::new(s),
         age_s: 0.0,
@@ -170,7 +170,7 @@
         let s = spec("wk-1", 4, priority);
         let demand = PendingDemand {
             zones: BTreeMap::new(),
-            ask: s.ask(),
+            ask: s.task_resources(),
             count: 2,
             spec: s,
             age_s,
@@ -207,7 +207,7 @@
         free: Resources {
             cpus: 4.0 - used,
             gpus: 0.0,
-            mem: 16.0,
+            mem_gb: 16.0,
         },
         idle_s: if used > 0.0 { 0.0 } else { 100.0 },
         age_s: 200.0,
@@ -246,7 +246,7 @@
         free: Resources {
             cpus: 4.0 - used,
             gpus: 0.0,
-            mem: 16.0,
+            mem_gb: 16.0,
         },
         idle_s: 0.0,
         age_s: 200.0,
--- a/tests/cold_restart_cores.rs
+++ b/tests/cold_restart_cores.rs
@@ -416,10 +416,10 @@
     let mut l =
         Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 2.0")]).expect("settings"));
     let e = Epoch {
-        n: EPOCH,
+        number: EPOCH,
         members: [("a".to_string(), 7)].into_iter().collect(),
         leader: "a".into(),
-        shares: false,
+        uses_shard_map: false,
     };
     assert!(!l.enter(&e, 7, &m), "it knew nothing before");
     let mut p = Shard::new("a", TIMING, Default::default());
@@ -517,7 +517,10 @@
     assert_eq!(m.unreadable.len(), odd.len());
     assert_eq!(m.jobs.len(), 1);
     assert_eq!(
-        (m.jobs["wk-1"].record.tasks, m.jobs["wk-1"].finished.len()),
+        (
+            m.jobs["wk-1"].record.task_count,
+            m.jobs["wk-1"].finished.len()
+        ),
         (3, 0),
         "what was known stays"
     );
--- a/tests/common/cores.rs
+++ b/tests/common/cores.rs
@@ -44,10 +44,10 @@
 
 pub fn record(spec: &Arc<JobSpec>, cancelled: bool) -> Value {
     json!(JobRecord {
-        tasks: spec.tasks,
+        task_count: spec.task_count,
         spec: Some(spec.clone()),
         epoch: 1,
-        at_ms: 0,
+        accepted_at_ms: 0,
         cancelled,
         done: false,
         cancelled_at_ms: cancelled.then_some(10_000),
@@ -66,8 +66,8 @@
             machine_type: "k".into(),
             zone: zone.into(),
             spot: false,
-            up: true,
-            at_ms: 0,
+            in_use: true,
+            rented_at_ms: 0,
             address: Some("10.0.0.1:1".into()),
         };
         m.put(&format!("fw/r/m-{i}"), json!(r), 1 + i as u64);
@@ -85,7 +85,7 @@
         task: (*task).into(),
         attempt: *attempt,
         state: *state,
-        why: why.map(String::from),
+        cause: why.map(String::from),
         saved: None,
     };
     Heartbeat {
@@ -169,10 +169,10 @@
 pub fn leader(cache: &StoreCache) -> Leader {
     let mut l = Leader::new(&settings(&[]).expect("settings"));
     let e = Epoch {
-        n: EPOCH,
+        number: EPOCH,
         members: [("a".to_string(), 7)].into_iter().collect(),
         leader: "a".into(),
-        shares: false,
+        uses_shard_map: false,
     };
     l.enter(&e, 7, cache);
     l
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -301,14 +301,14 @@
     assert_eq!(l.counts().1, 3);
     assert!(l.needs_new_epoch());
     let present = Epoch {
-        n: EPOCH,
+        number: EPOCH,
         members: [("a".to_string(), 7)].into_iter().collect(),
         leader: "a".into(),
-        shares: false,
+        uses_shard_map: false,
     };
     let next = renewed_epoch(&present);
     assert_eq!(
-        (next.n, &next.members, &next.leader),
+        (next.number, &next.members, &next.leader),
         (EPOCH + 1, &present.members, &present.leader)
     );
     assert!(l.enter(&next, 7, &m) && !l.needs_new_epoch());
@@ -431,7 +431,7 @@
     let rented = |spec: &Arc<JobSpec>, there: &[(&str, u32)], count: u32| -> Vec<String> {
         let zones = there.iter().map(|(z, n)| ((*z).into(), *n)).collect();
         let demand = PendingDemand {
-            ask: spec.ask(),
+            ask: spec.task_resources(),
             count,
             spec: spec.clone(),
             age_s: 99.0,
@@ -462,10 +462,10 @@
         .collect();
     l.enter(
         &Epoch {
-            n: EPOCH,
+            number: EPOCH,
             members,
             leader: "a".into(),
-            shares: false,
+            uses_shard_map: false,
         },
         7,
         cache,
@@ -587,10 +587,10 @@
         Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 8.0")]).expect("settings"));
     l.enter(
         &Epoch {
-            n: EPOCH,
+            number: EPOCH,
             members: [("a".to_string(), 7)].into_iter().collect(),
             leader: "a".into(),
-            shares: false,
+            uses_shard_map: false,
         },
         7,
         &m,
@@ -651,7 +651,7 @@
     let job = spec("wk-1", 1, |_| {});
     let mut cache = cache(1, &[&job]);
     let mut record = cache.registry["m-1"].0.clone();
-    record.up = false;
+    record.in_use = false;
     cache.put("fw/r/m-1", json!(record), 200);
     let mut shard = shard(&cache);
     let token = met(&mut shard, &cache, 1, 0.2);
@@ -663,7 +663,7 @@
     place(&mut shard, &cache, 0.5);
     let (token, calls) = answered(shard.report(&report(1, 1, 3, token, &[]), false, &cache, 0.6));
     assert_eq!(calls, []);
-    record.up = true;
+    record.in_use = true;
     cache.put("fw/r/m-1", json!(record.clone()), 201);
     shard.list(&"m-1".into(), &record, 0.7);
     shard.orders(&orders(2, deal("wk-1", &[(0, 51)])), &cache, 0.8);
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -54,7 +54,7 @@
             task: task.clone(),
             attempt: *attempt,
             state: TaskState::Running,
-            why: None,
+            cause: None,
             saved: None,
         };
         Heartbeat {
@@ -145,7 +145,7 @@
                 machine_type: "k".into(),
                 zone: zone.into(),
                 spot: false,
-                at_ms: 0,
+                rented_at_ms: 0,
                 machines
             });
             assert!(
@@ -168,10 +168,10 @@
         for n in 0..JOBS {
             let spec = Arc::new(spec(n));
             let record = JobRecord {
-                tasks: spec.tasks,
+                task_count: spec.task_count,
                 spec: Some(spec.clone()),
                 epoch: 1,
-                at_ms: 0,
+                accepted_at_ms: 0,
                 cancelled: false,
                 done: false,
                 cancelled_at_ms: None,
@@ -183,10 +183,10 @@
             );
         }
         let epoch = Epoch {
-            n: 0,
+            number: 0,
             members: BTreeMap::new(),
             leader: "a".into(),
-            shares: false,
+            uses_shard_map: false,
         };
         let leader = Leader::new(&settings);
         let mut fleet = Fleet {
@@ -209,12 +209,12 @@
             .map(|name| Shard::new(name, TIMING, HashMap::new()))
             .collect();
         self.leader = Leader::new(&self.settings);
-        self.enter(now, 100 * (self.epoch.n + 1));
+        self.enter(now, 100 * (self.epoch.number + 1));
     }
 
     /// The next epoch, in which controllers have incarnations from `inc` on.
     fn enter(&mut self, now: f64, incarnation: u64) {
-        self.epoch.n += 1;
+        self.epoch.number += 1;
         self.epoch.members = NODES
             .iter()
             .zip(incarnation..)
@@ -223,7 +223,7 @@
         let members = self.epoch.members.clone();
         for (name, shard) in NODES.iter().zip(&mut self.shards) {
             let owns = |id: &str| owner(&members, id) == Some(*name);
-            shard.enter(self.epoch.n, members[*name], &self.cache, now, owns);
+            shard.enter(self.epoch.number, members[*name], &self.cache, now, owns);
         }
         let _ = self
             .leader
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -116,13 +116,13 @@
     fn take_over(&mut self, incarnation: u64) {
         let members = [("a".to_string(), incarnation)].into_iter().collect();
         let epoch = Epoch {
-            n: EPOCH + 1,
+            number: EPOCH + 1,
             members,
             leader: "a".into(),
-            shares: false,
+            uses_shard_map: false,
         };
         self.shard
-            .enter(epoch.n, incarnation, &self.cache, self.now, |_| true);
+            .enter(epoch.number, incarnation, &self.cache, self.now, |_| true);
         self.leader = Leader::new(&settings(&[]).expect("settings"));
         self.leader.enter(&epoch, incarnation, &self.cache);
     }
@@ -208,10 +208,10 @@
     let members = [("a".to_string(), 7)].into_iter().collect();
     l.enter(
         &Epoch {
-            n: EPOCH,
+            number: EPOCH,
             members,
             leader: "a".into(),
-            shares: false,
+            uses_shard_map: false,
         },
         7,
         &m,
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -51,7 +51,7 @@
         team: "t".into(),
         job_kind,
         priority,
-        tasks,
+        task_count: tasks,
         cpus: 1.0,
         gpus: 0.0,
         mem_gb: 1.0,
@@ -112,7 +112,7 @@
                     task: t.clone(),
                     attempt: *attempt,
                     state: *state,
-                    why: why.clone(),
+                    cause: why.clone(),
                     saved: None,
                 })
                 .collect(),
@@ -302,10 +302,10 @@
             log: Vec::new(),
             revision: 0,
             epoch: Epoch {
-                n: 0,
+                number: 0,
                 members: BTreeMap::new(),
                 leader: String::new(),
-                shares: false,
+                uses_shard_map: false,
             },
             shares,
             table: ShardMap::default(),
@@ -378,8 +378,8 @@
             machine_type: "k".into(),
             zone: zone.as_str().into(),
             spot: false,
-            up: true,
-            at_ms: 0,
+            in_use: true,
+            rented_at_ms: 0,
             address: Some(id.as_str().into()),
         };
         self.put(
@@ -497,7 +497,7 @@
                 )
             })
             .collect();
-        let present = (self.epoch.n > 0).then(|| self.epoch.clone());
+        let present = (self.epoch.number > 0).then(|| self.epoch.clone());
         if let Some(e) = membership::next_epoch(present.as_ref(), &live) {
             self.epoch = e.clone();
             self.put("fw/epoch", serde_json::to_value(e).expect("json"));
@@ -614,7 +614,7 @@
         members: Vec<(usize, String, u64, TaskState)>,
     ) {
         let now = self.now;
-        let tasks = self.specs[job].tasks as usize;
+        let tasks = self.specs[job].task_count as usize;
         let awake = |m: &&(usize, String, u64, TaskState)| now >= self.workers[m.0].hung_until;
         let in_state = |state: TaskState| {
             members
@@ -756,7 +756,8 @@
                 let entitled = self.entitled(to);
                 let node = &mut self.nodes[to];
                 let member = node.cache.epoch.as_ref().is_some_and(|e| {
-                    e.members.get(NODES[to]) == Some(&node.incarnation) && node.shard.epoch() == e.n
+                    e.members.get(NODES[to]) == Some(&node.incarnation)
+                        && node.shard.epoch() == e.number
                 });
                 if !entitled || !member || node.shard.epoch() == 0 {
                     return;
@@ -767,7 +768,7 @@
                 };
                 let epoch = node.cache.epoch.clone().expect("an epoch");
                 let owner =
-                    membership::owner_by_shard_map(&epoch, &node.cache.shares, &report.machine);
+                    membership::owner_by_shard_map(&epoch, &node.cache.shard_map, &report.machine);
                 let owner = owner.expect("an owner").to_string();
                 if owner != NODES[to] {
                     return;
@@ -882,7 +883,7 @@
                     .cache
                     .epoch
                     .as_ref()
-                    .is_some_and(|e| e.leader == NODES[to] && node.shard.epoch() == e.n);
+                    .is_some_and(|e| e.leader == NODES[to] && node.shard.epoch() == e.number);
                 if node.alive && leads {
                     let from = report.node.clone();
                     let mut report = report;
@@ -959,9 +960,9 @@
                 finchwood::store::cache::CacheChange::Epoch => {
                     let e = node.cache.epoch.clone().expect("an epoch");
                     if e.members.get(NODES[i]) == Some(&node.incarnation) {
-                        let table = node.cache.shares.clone();
+                        let table = node.cache.shard_map.clone();
                         node.shard
-                            .enter(e.n, node.incarnation, &node.cache, now, |m| {
+                            .enter(e.number, node.incarnation, &node.cache, now, |m| {
                                 membership::owner_by_shard_map(&e, &table, m) == Some(NODES[i])
                             });
                         node.transfers.new_epoch(now);
@@ -984,7 +985,7 @@
                 }
                 finchwood::store::cache::CacheChange::Machines(ids) => {
                     let e = node.cache.epoch.clone();
-                    let table = node.cache.shares.clone();
+                    let table = node.cache.shard_map.clone();
                     let mine = |id: &str| {
                         let owner =
                             |e| membership::owner_by_shard_map(e, &table, id) == Some(NODES[i]);
@@ -998,16 +999,16 @@
                         }
                     }
                 }
-                finchwood::store::cache::CacheChange::Shares => {
+                finchwood::store::cache::CacheChange::ShardMap => {
                     let Some(e) = node
                         .cache
                         .epoch
                         .clone()
-                        .filter(|e| e.shares && e.n == node.shard.epoch())
+                        .filter(|e| e.uses_shard_map && e.number == node.shard.epoch())
                     else {
                         continue;
                     };
-                    let table = node.cache.shares.clone();
+                    let table = node.cache.shard_map.clone();
                     node.shard.shares_changed(&node.cache, now, |m| {
                         membership::owner_by_shard_map(&e, &table, m) == Some(NODES[i])
                     });
@@ -1022,10 +1023,10 @@
     fn move_shares(&mut self, i: usize, reached: bool) {
         let now = self.now;
         let node = &mut self.nodes[i];
-        let Some(e) = node.cache.epoch.clone().filter(|e| e.shares) else {
+        let Some(e) = node.cache.epoch.clone().filter(|e| e.uses_shard_map) else {
             return;
         };
-        node.transfers.table_is(&node.cache.shares, now);
+        node.transfers.table_is(&node.cache.shard_map, now);
         if node
             .table_refused_at
             .is_some_and(|at| node.last_synced_at > at)
@@ -1040,8 +1041,8 @@
             .remove(&TransferEnd::Owned)
             .unwrap_or(0);
         if reached && node.table_refused_at.is_none() {
-            if let Some(write) = node.transfers.to_write(&node.cache.shares, now) {
-                let (revision, epoch) = (node.cache.shares_revision, e.n);
+            if let Some(write) = node.transfers.to_write(&node.cache.shard_map, now) {
+                let (revision, epoch) = (node.cache.shard_map_revision, e.number);
                 if self.rng.gen_bool(0.2) {
                     let at = now + self.rng.gen_range(0.5..12.0);
                     self.late_tables.push((at, revision, epoch, write.table));
@@ -1068,7 +1069,7 @@
             first,
             last,
         };
-        let Some(source) = node.cache.shares.sole_owner(&range).map(String::from) else {
+        let Some(source) = node.cache.shard_map.sole_owner(&range).map(String::from) else {
             return;
         };
         if e.members.contains_key(&source) && e.members.contains_key(target) {
@@ -1086,18 +1087,18 @@
     fn check_all_is_over(&self, seed: u64) {
         for (id, spec) in &self.specs {
             let done = self.finished.get(id).map_or(0, HashSet::len);
-            let over = self.cancelled.contains_key(id) || done as u32 == spec.tasks;
+            let over = self.cancelled.contains_key(id) || done as u32 == spec.task_count;
             assert!(
                 over,
                 "seed {seed}: {id} has {done} of {} tasks done long after all troubles",
-                spec.tasks
+                spec.task_count
             );
         }
     }
 
     /// A write of the table, on the condition of its revision and of the epoch.
     fn commit_table(&mut self, revision: u64, epoch: u64, table: &ShardMap) -> bool {
-        if self.table_version != revision || self.epoch.n != epoch {
+        if self.table_version != revision || self.epoch.number != epoch {
             return false;
         }
         self.put("fw/s", serde_json::to_value(table.stored()).expect("json"));
@@ -1122,7 +1123,7 @@
         let leads = self.nodes[i].cache.epoch.as_ref().is_some_and(|e| {
             e.leader == NODES[i]
                 && e.members.get(NODES[i]) == Some(&self.nodes[i].incarnation)
-                && self.nodes[i].shard.epoch() == e.n
+                && self.nodes[i].shard.epoch() == e.number
         });
         if self.shares && leads {
             self.move_shares(i, reached);
@@ -1141,7 +1142,7 @@
         };
         if !node.alive
             || e.members.get(NODES[i]) != Some(&node.incarnation)
-            || node.shard.epoch() != e.n
+            || node.shard.epoch() != e.number
         {
             return;
         }
@@ -1270,13 +1271,13 @@
         for &t in done.iter() {
             bits.add(t);
         }
-        let n = self.specs[job].tasks;
+        let n = self.specs[job].task_count;
         if bits.len() == n {
             let r = JobRecord {
                 spec: None,
                 epoch: 0,
-                at_ms: 0,
-                tasks: n,
+                accepted_at_ms: 0,
+                task_count: n,
                 cancelled: false,
                 done: true,
                 cancelled_at_ms: None,
@@ -1303,12 +1304,12 @@
         }
         self.specs.insert(s.id.clone(), s.clone());
         // The accepting node may be an epoch behind.
-        let behind = u64::from(self.rng.gen_bool(0.2)).min(self.epoch.n - 1);
+        let behind = u64::from(self.rng.gen_bool(0.2)).min(self.epoch.number - 1);
         let r = JobRecord {
             spec: Some(s.clone()),
-            epoch: self.epoch.n - behind,
-            at_ms: u64::from(n),
-            tasks,
+            epoch: self.epoch.number - behind,
+            accepted_at_ms: u64::from(n),
+            task_count: tasks,
             cancelled: false,
             done: false,
             cancelled_at_ms: None,
@@ -1327,7 +1328,7 @@
         let over = self
             .finished
             .get(&id)
-            .is_some_and(|f| f.len() as u32 == s.tasks);
+            .is_some_and(|f| f.len() as u32 == s.task_count);
         if over || self.cancelled.contains_key(&id) {
             return;
         }
@@ -1335,8 +1336,8 @@
         let r = JobRecord {
             spec: Some(s.clone()),
             epoch: 0,
-            at_ms: 0,
-            tasks: s.tasks,
+            accepted_at_ms: 0,
+            task_count: s.task_count,
             cancelled: true,
             done: false,
             cancelled_at_ms: Some((self.now * 1000.0) as u64),
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -164,7 +164,7 @@
         machine_type: "k".into(),
         zone: "e".into(),
         spot: false,
-        at_ms: 5,
+        rented_at_ms: 5,
         machines: ids
             .iter()
             .map(|(id, a)| ((*id).into(), a.map(Into::into)))
@@ -199,8 +199,8 @@
         let r = JobRecord {
             spec: Some(Arc::new(spec)),
             epoch: 1,
-            at_ms: 0,
-            tasks: 1000,
+            accepted_at_ms: 0,
+            task_count: 1000,
             cancelled: false,
             done: false,
             cancelled_at_ms: None,
@@ -233,7 +233,7 @@
             } else {
                 TaskState::Running
             },
-            why: ended.then(|| "stopped".into()),
+            cause: ended.then(|| "stopped".into()),
             saved: None,
         };
         let r = Heartbeat {
@@ -258,10 +258,10 @@
 fn leader(cache: &StoreCache) -> Leader {
     let mut l = Leader::new(&settings());
     let e = Epoch {
-        n: EPOCH,
+        number: EPOCH,
         members: [("a".to_string(), 7)].into_iter().collect(),
         leader: "a".into(),
-        shares: false,
+        uses_shard_map: false,
     };
     l.enter(&e, 9, cache);
     l
@@ -411,18 +411,18 @@
         json!(page(&[("m-1", None), ("m-2", Some("x"))])),
         1,
     );
-    assert!(!m.registry["m-1"].0.up && m.registry["m-2"].0.up);
+    assert!(!m.registry["m-1"].0.in_use && m.registry["m-2"].0.in_use);
     let old = json!({"b": "k", "z": "e", "s": true, "u": true, "t": 4, "a": "y"});
     assert_eq!(
         m.put("fw/r/m-9", old, 2),
         CacheChange::Machines(vec!["m-9".into()])
     );
-    assert!(m.registry["m-9"].0.up && m.registry["m-9"].0.spot);
+    assert!(m.registry["m-9"].0.in_use && m.registry["m-9"].0.spot);
     // Found by another leader as well.
     m.put("fw/r/b.0", json!(page(&[("m-2", Some("x"))])), 3);
     m.put("fw/r/a.0", json!(page(&[("m-1", Some("z"))])), 4);
     assert!(m.registry.contains_key("m-2"), "page b still has it");
-    assert!(m.registry["m-1"].0.up);
+    assert!(m.registry["m-1"].0.in_use);
     assert_eq!(
         m.put("fw/r/a.0", json!(page(&[])), 3),
         CacheChange::Nothing,
@@ -455,13 +455,13 @@
         let mut s = Scene::new();
         let mut l = Leader::new(&settings());
         let epoch = |n: u64, members: &[(&str, u64)]| Epoch {
-            n,
+            number: n,
             members: members
                 .iter()
                 .map(|(m, incarnation)| (m.to_string(), *incarnation))
                 .collect(),
             leader: "a".into(),
-            shares: false,
+            uses_shard_map: false,
         };
         l.enter(&epoch(EPOCH, &[("a", 7), ("b", 8)]), 9, &s.cache);
         s.report(0, 1.0, &[(1, false)]);
--- a/tests/many_small_jobs.rs
+++ b/tests/many_small_jobs.rs
@@ -68,8 +68,8 @@
         let record = JobRecord {
             spec: Some(spec),
             epoch: EPOCH,
-            at_ms: 0,
-            tasks: 1,
+            accepted_at_ms: 0,
+            task_count: 1,
             cancelled: false,
             done: false,
             cancelled_at_ms: None,
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -29,7 +29,7 @@
         team: "t".into(),
         job_kind: JobKind::Array,
         priority: Priority::Standard,
-        tasks: 1,
+        task_count: 1,
         cpus: f64::from(ask[0]) / 2.0,
         gpus: f64::from(ask[1]),
         mem_gb: f64::from(ask[2]),
@@ -149,7 +149,7 @@
                 free: Resources {
                     cpus: f64::from(n.free[0]) / 2.0,
                     gpus: f64::from(n.free[1]),
-                    mem: f64::from(n.free[2]),
+                    mem_gb: f64::from(n.free[2]),
                 },
                 cached: n.cached,
                 zone_peers: n.zone_peers,
@@ -179,7 +179,7 @@
         free: Resources {
             cpus: f64::from(n.free[0]) / 2.0,
             gpus: f64::from(n.free[1]),
-            mem: f64::from(n.free[2]),
+            mem_gb: f64::from(n.free[2]),
         },
         preemptible: Resources::default(),
         preemptible_low: Resources::default(),
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -53,10 +53,10 @@
         let members = [("a".to_string(), 7)].into_iter().collect();
         leader.enter(
             &Epoch {
-                n: EPOCH,
+                number: EPOCH,
                 members,
                 leader: "a".into(),
-                shares: false,
+                uses_shard_map: false,
             },
             7,
             &cache,
@@ -79,10 +79,10 @@
     /// A job that was accepted so many seconds ago by the time of day, in this epoch.
     fn submit(&mut self, spec: &Arc<JobSpec>, seconds_ago: i64) {
         let record = JobRecord {
-            tasks: spec.tasks,
+            task_count: spec.task_count,
             spec: Some(spec.clone()),
             epoch: EPOCH,
-            at_ms: wall_clock_ms().saturating_add_signed(-seconds_ago * 1000),
+            accepted_at_ms: wall_clock_ms().saturating_add_signed(-seconds_ago * 1000),
             cancelled: false,
             done: false,
             cancelled_at_ms: None,
--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -62,8 +62,8 @@
         machine_type: "k".into(),
         zone: "e".into(),
         spot: false,
-        up: true,
-        at_ms: 0,
+        in_use: true,
+        rented_at_ms: 0,
         address: None,
     };
     put(&mut m, "fw/r/m-1", serde_json::json!(record), 2);
@@ -71,8 +71,8 @@
         let r = JobRecord {
             spec: Some(spec(id, 4, *priority)),
             epoch: 1,
-            at_ms: 0,
-            tasks: 4,
+            accepted_at_ms: 0,
+            task_count: 4,
             cancelled: *cancelled,
             done: false,
             cancelled_at_ms: None,
@@ -109,7 +109,7 @@
                 task: (*t).into(),
                 attempt: *attempt,
                 state: *state,
-                why: why.map(String::from),
+                cause: why.map(String::from),
                 saved: None,
             })
             .collect(),
@@ -370,7 +370,7 @@
             .collect()
     };
     let first = next_epoch(None, &live(&[("a", 1), ("b", 2), ("c", 3)])).expect("an epoch");
-    assert_eq!((first.n, first.leader.as_str()), (1, "a"));
+    assert_eq!((first.number, first.leader.as_str()), (1, "a"));
     assert_eq!(
         next_epoch(Some(&first), &live(&[("a", 1), ("b", 2), ("c", 3)])),
         None
@@ -378,7 +378,7 @@
     let without: Epoch =
         next_epoch(Some(&first), &live(&[("a", 9), ("b", 2), ("c", 3)])).expect("an epoch");
     assert_eq!(
-        (without.n, without.leader.as_str()),
+        (without.number, without.leader.as_str()),
         (2, "b"),
         "a restart knows nothing"
     );
@@ -408,8 +408,8 @@
         let r = JobRecord {
             spec: Some(Arc::new(s)),
             epoch: 1,
-            at_ms: 0,
-            tasks: 1,
+            accepted_at_ms: 0,
+            task_count: 1,
             cancelled: false,
             done: false,
             cancelled_at_ms: None,
@@ -709,8 +709,8 @@
             machine_type: "k".into(),
             zone: "e".into(),
             spot: false,
-            up: true,
-            at_ms: 0,
+            in_use: true,
+            rented_at_ms: 0,
             address: Some("10.0.0.9:1".into()),
         };
         m.put(&format!("fw/r/m-{i}"), serde_json::json!(r), 30 + i);
--- a/tests/registry_pages.rs
+++ b/tests/registry_pages.rs
@@ -11,7 +11,7 @@
         machine_type: "k".into(),
         zone: "e".into(),
         spot: false,
-        at_ms: 0,
+        rented_at_ms: 0,
         machines: (0..machines)
             .map(|i| (format!("m-{i:06}").into(), None))
             .collect(),
@@ -90,7 +90,7 @@
         }
     }
     assert!(deleted);
-    let up = cache.registry.values().filter(|(r, _)| r.up).count();
+    let up = cache.registry.values().filter(|(r, _)| r.in_use).count();
     assert_eq!(up, long.machines.values().filter(|a| a.is_some()).count());
     assert!(cache
         .registry_pages
--- a/tests/shard_transfers.rs
+++ b/tests/shard_transfers.rs
@@ -11,7 +11,7 @@
 use finchwood::cluster::peer::{Envelope, PeerMessage};
 use finchwood::scheduler::Leader;
 use finchwood::shard::{HeartbeatReply, Shard};
-use finchwood::store::cache::{Epoch, StoreCache, SHARES_KEY};
+use finchwood::store::cache::{Epoch, StoreCache, SHARD_MAP_KEY};
 use finchwood::wire::{Command, Heartbeat, MachineId, TaskReport, TaskState};
 use finchwood_sharding::shard_map::HashRange;
 use finchwood_sharding::transfer::{MoveReason, TransferEnd, TransferState, Transfers, WantedMove};
@@ -69,10 +69,10 @@
             cache,
             revision: 1000,
             epoch: Epoch {
-                n: 2,
+                number: 2,
                 members: BTreeMap::new(),
                 leader: "a".into(),
-                shares: true,
+                uses_shard_map: true,
             },
             incs: 10,
             shards: BTreeMap::new(),
@@ -114,14 +114,20 @@
     }
 
     fn next_epoch(&mut self, leader: &str) {
-        self.epoch.n += 1;
+        self.epoch.number += 1;
         self.epoch.leader = leader.into();
         let epoch = self.epoch.clone();
         self.put("fw/epoch", json!(epoch));
-        let table = self.cache.shares.clone();
+        let table = self.cache.shard_map.clone();
         for (name, shard) in &mut self.shards {
             let owns = |id: &str| owner_by_shard_map(&epoch, &table, id) == Some(name.as_str());
-            shard.enter(epoch.n, epoch.members[name], &self.cache, self.now, owns);
+            shard.enter(
+                epoch.number,
+                epoch.members[name],
+                &self.cache,
+                self.now,
+                owns,
+            );
         }
         if !self.epoch.members.contains_key(leader) {
             return;
@@ -132,7 +138,7 @@
     }
 
     fn owner(&self, id: &str) -> String {
-        owner_by_shard_map(&self.epoch, &self.cache.shares, id)
+        owner_by_shard_map(&self.epoch, &self.cache.shard_map, id)
             .expect("an owner")
             .into()
     }
@@ -252,19 +258,19 @@
         if self.table_waits {
             return;
         }
-        let Some(write) = self.transfers.to_write(&self.cache.shares, self.now) else {
+        let Some(write) = self.transfers.to_write(&self.cache.shard_map, self.now) else {
             return;
         };
         if self.state_away {
             return;
         }
-        self.put(SHARES_KEY, json!(write.table.stored()));
-        let (epoch, table) = (self.epoch.clone(), self.cache.shares.clone());
+        self.put(SHARD_MAP_KEY, json!(write.table.stored()));
+        let (epoch, table) = (self.epoch.clone(), self.cache.shard_map.clone());
         for (name, shard) in &mut self.shards {
             let owns = |id: &str| owner_by_shard_map(&epoch, &table, id) == Some(name.as_str());
             shard.shares_changed(&self.cache, self.now, owns);
         }
-        self.transfers.table_is(&self.cache.shares, self.now);
+        self.transfers.table_is(&self.cache.shard_map, self.now);
     }
 
     /// All machines whose home is `a` are to go to `b`.
@@ -338,7 +344,7 @@
         task: task.clone(),
         attempt: *attempt,
         state: TaskState::Running,
-        why: None,
+        cause: None,
         saved: None,
     };
     Heartbeat {
@@ -532,7 +538,7 @@
         let spec = job("wk-9", "array", 16);
         two.put("fw/j/wk-9", cores::record(&spec, false));
         let mut record = cores::record(&spec, false);
-        record["e"] = json!(two.epoch.n);
+        record["e"] = json!(two.epoch.number);
         two.put("fw/j/wk-9", record);
         two.leader.job_changed(&"wk-9".into(), &two.cache);
         (0..6).for_each(|_| two.turn());
@@ -621,11 +627,11 @@
     two.begin();
     (0..8).for_each(|_| two.turn());
     assert!(two.workers.keys().all(|id| two.owner(id) == "b"));
-    two.epoch.shares = false;
+    two.epoch.uses_shard_map = false;
     two.next_epoch("a");
     assert!(two.workers.keys().any(|id| two.owner(id) == "a"));
     two.settles("by the hash");
-    two.epoch.shares = true;
+    two.epoch.uses_shard_map = true;
     two.next_epoch("a");
     two.settles("by the table again");
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -171,7 +171,7 @@
     assert_eq!(
         m.epoch
             .as_ref()
-            .map(|e| (e.n, e.leader.as_str(), e.members.len())),
+            .map(|e| (e.number, e.leader.as_str(), e.members.len())),
         Some((4, "a", 2))
     );
     assert_eq!(m.catalog.as_ref().map(|c| c.types.len()), Some(1));
@@ -197,7 +197,7 @@
     let up: Vec<(&str, bool)> = m
         .registry
         .iter()
-        .map(|(id, (r, _))| (&**id, r.up))
+        .map(|(id, (r, _))| (&**id, r.in_use))
         .collect();
     assert_eq!(
         up,
@@ -412,12 +412,12 @@
     report.machines[0].preemptible = Resources {
         cpus: 6.0,
         gpus: 0.0,
-        mem: 1.0,
+        mem_gb: 1.0,
     };
     report.machines[0].preemptible_low = Resources {
         cpus: 4.0,
         gpus: 0.0,
-        mem: 1.0,
+        mem_gb: 1.0,
     };
     let id = report.machines[0].id.to_string();
     let read = in_production(PeerMessage::ShardReport(report));
@@ -486,7 +486,7 @@
         next(&[knows("a", 7, true), knows("b", 8, true)]),
         next(&[knows("a", 7, true), knows("b", 8, false)]),
     );
-    assert!(all.shares && !mixed.shares);
+    assert!(all.uses_shard_map && !mixed.uses_shard_map);
     assert_eq!(
         json!(mixed),
         json!({"n": 1, "members": {"a": 7, "b": 8}, "leader": "a"}),
--- a/tests/wire_format.rs
+++ b/tests/wire_format.rs
@@ -24,7 +24,7 @@
         team: "vision".into(),
         job_kind,
         priority,
-        tasks: 16,
+        task_count: 16,
         cpus: 8.0,
         gpus: 1.0,
         mem_gb: 64.0,
@@ -120,7 +120,7 @@
         task: "wk-000412/3".into(),
         attempt: 2,
         state,
-        why: why.map(String::from),
+        cause: why.map(String::from),
         saved,
     }
 }
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -34,7 +34,7 @@
     Resources {
         cpus,
         gpus: 1.0,
-        mem: 16.5,
+        mem_gb: 16.5,
     }
 }
 
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -14,7 +14,7 @@
 use finchwood::finished::{Chunk, TaskSet};
 use finchwood::store::cache::{
     job_key, member_key, page_key, Epoch, JobRecord, MachineRecord, Member, RegistryPage,
-    StoreCache, CATALOG_KEY, EPOCH_KEY, JOB_PREFIX, REGISTRY_PREFIX, SHARES_KEY,
+    StoreCache, CATALOG_KEY, EPOCH_KEY, JOB_PREFIX, REGISTRY_PREFIX, SHARD_MAP_KEY,
 };
 use finchwood::store::{
     CallError, CommitOutcome, KeyChange, RateBudget, StoreClient, WriteOp, PREFIX,
@@ -37,7 +37,7 @@
         team: "t".into(),
         job_kind: JobKind::Array,
         priority: Priority::Low,
-        tasks: 5000,
+        task_count: 5000,
         cpus: 2.0,
         gpus: 0.0,
         mem_gb: 1.0,
@@ -59,8 +59,8 @@
     JobRecord {
         spec: spec.map(Into::into),
         epoch: 3,
-        at_ms: 1_764_652_800_000,
-        tasks: 5000,
+        accepted_at_ms: 1_764_652_800_000,
+        task_count: 5000,
         cancelled: cancelled_at_ms.is_some(),
         done,
         cancelled_at_ms,
@@ -72,10 +72,10 @@
         .into_iter()
         .collect();
     Epoch {
-        n: 4,
+        number: 4,
         members,
         leader: "a".into(),
-        shares,
+        uses_shard_map: shares,
     }
 }
 
@@ -84,8 +84,8 @@
         machine_type: "k".into(),
         zone: "e".into(),
         spot: true,
-        up,
-        at_ms: 7,
+        in_use: up,
+        rented_at_ms: 7,
         address: address.map(Into::into),
     }
 }
@@ -96,7 +96,7 @@
         machine_type: "k".into(),
         zone: "w".into(),
         spot: true,
-        at_ms: 9,
+        rented_at_ms: 9,
         machines: machines.iter().map(machine).collect(),
     }
 }
@@ -163,7 +163,7 @@
     assert_eq!(
         sparse,
         MachineRecord {
-            at_ms: 0,
+            rented_at_ms: 0,
             ..machine(false, None)
         }
     );
@@ -180,7 +180,7 @@
     assert_eq!(
         sparse,
         RegistryPage {
-            at_ms: 0,
+            rented_at_ms: 0,
             ..page(&[])
         }
     );
@@ -214,7 +214,7 @@
     let keys = [
         ("key.epoch", EPOCH_KEY.to_string()),
         ("key.catalog", CATALOG_KEY.to_string()),
-        ("key.shares", SHARES_KEY.to_string()),
+        ("key.shares", SHARD_MAP_KEY.to_string()),
         ("key.member", member_key("a")),
         ("key.job", job_key("wk-1")),
         ("key.page", page_key("fw-7-1.0")),
@@ -255,7 +255,7 @@
     assert!(cache.unreadable.is_empty(), "{:?}", cache.unreadable);
     assert_eq!(cache.epoch, Some(epoch(true)));
     assert_eq!(cache.catalog.as_deref(), Some(&catalog()));
-    assert_eq!(cache.shares, table());
+    assert_eq!(cache.shard_map, table());
     assert_eq!(cache.members["a"].0, Member::of_this_version(7));
     assert_eq!(
         cache.jobs["wk-1"].record,
@@ -268,7 +268,7 @@
     let registry: Vec<(&str, bool)> = cache
         .registry
         .iter()
-        .map(|(id, (r, _))| (&**id, r.up))
+        .map(|(id, (r, _))| (&**id, r.in_use))
         .collect();
     assert_eq!(
         registry,
