--- /dev/null
+++ b/src/api/listeners.rs
@@ -0,0 +1,83 @@
+//! The two listeners of a controller: one for users and workers, one for the other
+//! controllers and operators.
+
+use crate::api::http_request::HttpRequest;
+use crate::api::responder::Responder;
+use crate::api::routes::{self, Request, RouteError};
+use crate::api::server::{self, Limits};
+use crate::config::settings::{max_peer_message_bytes, Settings};
+use crate::wire::BODY_LIMIT;
+use std::io;
+
+/// The fewest connections that a listener accepts, however few the settings allow.
+const MIN_CONNECTIONS: usize = 8;
+
+/// One of the two listeners.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Listener {
+    /// For users and workers.
+    Public,
+    /// For the other controllers and for operators.
+    Internal,
+}
+
+impl Listener {
+    /// Both of them.
+    pub const ALL: [Listener; 2] = [Listener::Public, Listener::Internal];
+
+    fn thread_name(self) -> &'static str {
+        match self {
+            Listener::Public => "listen",
+            Listener::Internal => "listen-back",
+        }
+    }
+
+    /// Three quarters of the process's sockets serve clients from outside, a tenth the
+    /// other controllers; the rest is for what this controller requests of others.
+    fn limits(self, settings: &Settings) -> Limits {
+        let sockets = settings.params.machine_limits.max_connections;
+        let (connections, body) = match self {
+            Listener::Public => (sockets * 3 / 4, BODY_LIMIT),
+            Listener::Internal => (
+                sockets / 10,
+                max_peer_message_bytes(settings.params.machine_limits.ram_mb),
+            ),
+        };
+        Limits {
+            connections: connections.max(MIN_CONNECTIONS),
+            body,
+        }
+    }
+
+    fn parse(self, request: HttpRequest) -> Result<Request, RouteError> {
+        match self {
+            Listener::Public => routes::parse_public(request),
+            Listener::Internal => routes::parse_internal(request),
+        }
+    }
+}
+
+/// Starts a listener that hands each valid request to `on_request`, and refuses the
+/// others itself.
+///
+/// # Errors
+///
+/// If the address can't be bound.
+pub fn listen<F>(settings: &Settings, listener: Listener, on_request: F) -> io::Result<()>
+where
+    F: Fn(Request, Responder) + Send + 'static,
+{
+    let address = match listener {
+        Listener::Public => settings.client_listen,
+        Listener::Internal => settings.back,
+    };
+    server::listen(
+        listener.thread_name(),
+        address,
+        listener.limits(settings),
+        move |http_request, responder| match listener.parse(http_request) {
+            Ok(request) => on_request(request, responder),
+            Err(error) => responder.send_error(error.status(), &error.to_string()),
+        },
+    )
+}
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,9 +1,20 @@
-//! What the outside world asks of a controller: the HTTP server, the routes of users,
-//! workers, other controllers and operators, and the reports that operators read.
+//! The interface of a controller to users, workers, other controllers and operators.
+//!
+//! Inbound: [`listeners`] opens the sockets, [`server`] speaks HTTP/1.1 on them, [`routes`]
+//! turns requests into [`routes::Request`]s, and a [`responder::Responder`] carries each
+//! response back. Outbound: [`relay_pool`] relays heartbeats to their owner, and
+//! [`command_pool`] sends direct commands to workers.
 
-pub mod http;
+pub mod command_pool;
+mod connection;
+mod http_agent;
 pub mod http_request;
+pub mod listeners;
 pub mod published_report;
+pub mod relay_pool;
+pub mod responder;
 pub mod restart_report;
+pub mod routes;
 pub mod server;
 pub mod shard_map_report;
+pub mod status;
--- a/src/api/published_report.rs
+++ b/src/api/published_report.rs
@@ -1,14 +1,18 @@
-//! Reports that the controller's actor publishes, and the listener hands out.
-//!
-//! A question is answered from what was published last, so that it costs the actor
-//! nothing, changes nothing, and is answered while the actor is busy.
+//! Reports that the controller's event loop publishes, and the listeners hand out.
 
-use crate::api::server::{error_body, Responder};
+use crate::api::responder::Responder;
+use crate::api::status;
 use arc_swap::ArcSwapOption;
 use serde::Serialize;
 use std::sync::Arc;
 
-/// The place of the report that was published last.
+/// When a client is told to retry if there is no report yet, in seconds.
+const RETRY_AFTER_S: u32 = 1;
+
+/// The report that was published last; clones share it.
+///
+/// Requests for it are answered from here by the listener's thread, so that they cost the
+/// controller's event loop nothing, change nothing, and are answered while it is busy.
 #[derive(Debug)]
 pub struct PublishedReport<T> {
     feature: &'static str,
@@ -27,7 +31,7 @@
 }
 
 impl<T: Serialize> PublishedReport<T> {
-    /// Nothing published yet, by a part that is switched on or not.
+    /// No report yet, of a feature that is enabled or not.
     pub fn new(feature: &'static str, enabled: bool) -> PublishedReport<T> {
         PublishedReport {
             feature,
@@ -36,22 +40,24 @@
         }
     }
 
-    /// Replaces what was published before.
+    /// Replaces the report that was published before.
     pub fn publish(&self, report: T) {
         self.report.store(Some(Arc::new(report)));
     }
 
-    /// Answers a question.
+    /// Sends the report, or why there is none.
     pub fn answer(&self, responder: Responder) {
         if !self.enabled {
-            return responder.send(
-                404,
-                error_body(&format!("the part {} is not switched on", self.feature)),
-            );
+            let why = format!("the part {} is not switched on", self.feature);
+            return responder.send_error(status::NOT_FOUND, &why);
         }
         match self.report.load_full() {
-            Some(report) => responder.send(200, serde_json::to_vec(&*report).unwrap_or_default()),
-            None => responder.retry_later(503, 1, "no report yet"),
+            Some(report) => {
+                responder.send(status::OK, serde_json::to_vec(&*report).unwrap_or_default())
+            }
+            None => {
+                responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "no report yet")
+            }
         }
     }
 }
--- /dev/null
+++ b/src/api/relay_pool.rs
@@ -0,0 +1,69 @@
+//! The pools that relay heartbeats to the controllers that own their machines.
+
+use crate::api::http_agent::{build_agent, read_body};
+use crate::api::responder::Responder;
+use crate::api::status;
+use crate::clock::{self, Seconds};
+use crate::store::spawn;
+use crossbeam::channel::{bounded, Receiver, Sender};
+use std::net::SocketAddr;
+
+/// How many heartbeats may wait for each thread of a pool.
+const QUEUED_PER_THREAD: usize = 16;
+/// When a worker is told to retry if its heartbeat could not be relayed, in seconds.
+const RETRY_AFTER_S: u32 = 1;
+
+/// A heartbeat to be relayed to its owner.
+pub struct RelayedHeartbeat {
+    /// The body as the worker sent it.
+    pub body: Vec<u8>,
+    /// Where the owner's response goes.
+    pub responder: Responder,
+    /// When the worker will have given up.
+    pub deadline: Seconds,
+}
+
+/// Starts the pool that relays heartbeats to the controller at `owner`, and passes its
+/// responses on, whatever they are. Each controller has a pool of its own: one that hangs
+/// must not hold up the heartbeats that belong to the others.
+///
+/// `timeout` bounds each request, in seconds. The threads are detached, and end when the
+/// returned sender is dropped.
+pub fn start_relay_pool(
+    owner: SocketAddr,
+    threads: usize,
+    timeout: Seconds,
+) -> Sender<RelayedHeartbeat> {
+    let (queue, inbox) = bounded(threads * QUEUED_PER_THREAD);
+    let agent = build_agent(timeout, threads, threads);
+    for index in 0..threads {
+        let (inbox, agent) = (inbox.clone(), agent.clone());
+        spawn(&format!("relay-{index}"), move || {
+            relay_all(&inbox, &agent, owner)
+        });
+    }
+    queue
+}
+
+fn relay_all(inbox: &Receiver<RelayedHeartbeat>, agent: &ureq::Agent, owner: SocketAddr) {
+    while let Ok(heartbeat) = inbox.recv() {
+        relay(heartbeat, agent, owner);
+    }
+}
+
+fn relay(heartbeat: RelayedHeartbeat, agent: &ureq::Agent, owner: SocketAddr) {
+    let responder = heartbeat.responder;
+    if clock::now() >= heartbeat.deadline {
+        return refuse(responder, "the owner takes too long");
+    }
+    let url = format!("http://{owner}/relay");
+    match agent.post(&url).send_bytes(&heartbeat.body) {
+        Ok(response) => responder.send(status::OK, read_body(response)),
+        Err(ureq::Error::Status(code, response)) => responder.send(code, read_body(response)),
+        Err(ureq::Error::Transport(_)) => refuse(responder, "the owner can't be reached"),
+    }
+}
+
+fn refuse(responder: Responder, why: &str) {
+    responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, why);
+}
--- a/src/cluster/peer.rs
+++ b/src/cluster/peer.rs
@@ -1,8 +1,7 @@
 //! What controllers say to each other, in CBOR, and the actors that say it.
 
-use crate::api::http::largest_message;
 use crate::clock::{self, Seconds};
-use crate::config::settings::Settings;
+use crate::config::settings::{max_peer_message_bytes, Settings};
 use crate::shard::{Orders, ShardReport};
 use crate::store::spawn;
 use crate::wire::JobId;
@@ -99,7 +98,7 @@
     {
         let mut boxes = HashMap::new();
         let timeout = settings.params.workers.report_s / 3.0;
-        let limit = largest_message(settings.params.machine_limits.ram_mb);
+        let limit = max_peer_message_bytes(settings.params.machine_limits.ram_mb);
         for m in &settings.members {
             let (mailbox, inbox) = bounded::<Envelope>(16);
             let others: Vec<SocketAddr> = settings
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -2,6 +2,7 @@
 //! ignored; a missing or senseless one is named in a single line.
 
 use crate::clock;
+use crate::wire::BODY_LIMIT;
 use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -198,6 +199,19 @@
     pub list_lag_s: f64,
 }
 
+/// The part of a controller's memory that one message of another may take.
+const PEER_MESSAGE_MEMORY_FRACTION: f64 = 0.1;
+/// What a message between controllers may always have, as a multiple of [`BODY_LIMIT`].
+const MIN_PEER_MESSAGE_BODIES: usize = 32;
+
+/// The largest message that a controller with so much memory (in MiB) accepts from
+/// another, in bytes: a full report of a shard, in a cluster where few controllers share
+/// thousands of machines.
+pub fn max_peer_message_bytes(ram_mb: f64) -> usize {
+    let bytes = ram_mb * PEER_MESSAGE_MEMORY_FRACTION * 1024.0 * 1024.0;
+    (bytes as usize).max(MIN_PEER_MESSAGE_BODIES * BODY_LIMIT)
+}
+
 /// What this process may use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -2,7 +2,8 @@
 //! sent on to another controller.
 
 use super::{Controller, RELAY_REPORTS};
-use crate::api::http::{RelayedHeartbeat, Responder};
+use crate::api::relay_pool::RelayedHeartbeat;
+use crate::api::responder::Responder;
 use crate::clock::Seconds;
 use crate::cluster::membership;
 use crate::shard::HeartbeatReply;
@@ -46,11 +47,11 @@
 }
 
 impl Controller {
-    /// Answers a worker's report, of which `raw` is the body as it came.
+    /// Answers a worker's report, of which `body` is the body as it came.
     pub(super) fn report(
         &mut self,
         report: Heartbeat,
-        raw: Vec<u8>,
+        body: Vec<u8>,
         relayed: bool,
         responder: Responder,
         now: Seconds,
@@ -70,7 +71,7 @@
                 self.answer_own_worker(&report, relayed, responder, now);
             }
             _ if relayed => responder.retry_later(503, 1, "not the owner"),
-            Some(owner) => self.pass_on(report, raw, owner, responder, now),
+            Some(owner) => self.pass_on(report, body, owner, responder, now),
             None => responder.retry_later(503, 1, "no owner"),
         }
     }
@@ -97,7 +98,7 @@
     fn pass_on(
         &mut self,
         report: Heartbeat,
-        raw: Vec<u8>,
+        body: Vec<u8>,
         owner: String,
         responder: Responder,
         now: Seconds,
@@ -128,12 +129,12 @@
         self.redirected.insert(report.machine, passing);
         match self.relay_pools.get(&owner) {
             Some(way) if relay && around.is_none() => {
-                let until = now + self.settings.params.workers.report_s * RELAY_REPORTS;
+                let deadline = now + self.settings.params.workers.report_s * RELAY_REPORTS;
                 // A full queue drops the reply, which then says 503.
                 let _ = way.try_send(RelayedHeartbeat {
-                    raw,
+                    body,
                     responder,
-                    until,
+                    deadline,
                 });
             }
             _ => {
--- a/src/controller/job_requests.rs
+++ b/src/controller/job_requests.rs
@@ -3,7 +3,7 @@
 //! where something is to be kept.
 
 use super::{Controller, WritePurpose};
-use crate::api::http::{error_body, Responder};
+use crate::api::responder::{error_body, Responder};
 use crate::clock::{self, Seconds};
 use crate::cluster::peer::CancellationNotice;
 use crate::store::cache::{job_key, JobRecord};
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -15,9 +15,13 @@
 mod shard_transfers;
 mod watch_events;
 
-use crate::api::http::{self, CommandPool, CommandResult, RelayedHeartbeat, Request, Responder};
+use crate::api::command_pool::{CommandPool, CommandResult};
+use crate::api::listeners::{listen, Listener};
 use crate::api::published_report::PublishedReport;
+use crate::api::relay_pool::{start_relay_pool, RelayedHeartbeat};
+use crate::api::responder::Responder;
 use crate::api::restart_report::RestartReport;
+use crate::api::routes::Request;
 use crate::api::shard_map_report::ShardMapReport;
 use crate::autoscaler::cloud;
 use crate::clock::{self, Moment, Seconds};
@@ -143,9 +147,9 @@
         PublishedReport::new("shared-machines", features.shared_machines.is_some()),
     );
     let (tx, rx) = bounded::<ControllerEvent>(8192);
-    for back in [false, true] {
+    for listener in Listener::ALL {
         let (tx, published) = (tx.clone(), published.clone());
-        http::listen(&settings, back, move |ask, responder| match ask {
+        listen(&settings, listener, move |ask, responder| match ask {
             Request::RestartReport => published.0.answer(responder),
             Request::ShardMapReport => published.1.answer(responder),
             // A full queue drops the reply, which then says 503.
@@ -204,7 +208,7 @@
         let relay = |m: &crate::config::settings::Member| {
             (
                 m.node_name.clone(),
-                http::start_relay_pool(m.endpoint, relay_threads, report_s * RELAY_REPORTS),
+                start_relay_pool(m.endpoint, relay_threads, report_s * RELAY_REPORTS),
             )
         };
         let relay_pools = settings.members.iter().map(relay).collect();
@@ -334,18 +338,18 @@
                 self.reachability.reached(&name, !apart);
             }
             ControllerEvent::CommandCompleted(d) => {
-                let pool = if d.sent.unverified {
+                let pool = if d.command.unverified {
                     &mut self.unverified_pool
                 } else {
                     &mut self.command_pool
                 };
-                pool.done();
+                pool.record_completion();
                 let mine = self.shard.epoch() > 0;
                 if mine {
                     self.shard.command_completed(
-                        &d.sent.machine,
-                        &d.sent.body,
-                        d.answer.as_ref(),
+                        &d.command.machine,
+                        &d.command.body,
+                        d.response.as_ref(),
                         &self.cache,
                         now,
                     );
@@ -368,9 +372,9 @@
             Request::Withdraw(id) => self.withdraw(id.as_str().into(), responder, now),
             Request::Heartbeat {
                 report,
-                raw,
+                body,
                 relayed,
-            } => self.report(*report, raw, relayed, responder, now),
+            } => self.report(*report, body, relayed, responder, now),
             Request::Peer(envelope) => {
                 responder.send(200, Vec::new());
                 self.peer(*envelope, now);
@@ -406,8 +410,8 @@
             self.shard
                 .place(&self.cache, Moment::present(), || clock::now() < end);
             let room = CommandCapacity {
-                responsive: self.command_pool.room(),
-                unverified: self.unverified_pool.room(),
+                responsive: self.command_pool.available(),
+                unverified: self.unverified_pool.available(),
             };
             for direct in self.shard.due_commands_within(&self.cache, now, room) {
                 let pool = if direct.unverified {
@@ -415,7 +419,7 @@
                 } else {
                     &mut self.command_pool
                 };
-                if let Err(d) = pool.send((direct, until)) {
+                if let Err(d) = pool.send(direct, until) {
                     self.shard
                         .command_completed(&d.machine, &d.body, None, &self.cache, now);
                 }
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -2,8 +2,8 @@
 //! switched on: the leader's transfers, and what every controller makes of the table.
 
 use super::{Controller, WritePurpose};
-use crate::api::http::{error_body, Responder};
 use crate::api::published_report::PublishedReport;
+use crate::api::responder::{error_body, Responder};
 use crate::api::shard_map_report::{OwnedRange, ShardMapReport, TransfersReport};
 use crate::clock::Seconds;
 use crate::cluster::membership;
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -5,10 +5,10 @@
 #[path = "common/settings.rs"]
 mod base;
 
-use finchwood::api::http::largest_message;
 use finchwood::clock::Moment;
 use finchwood::cluster::membership::owner;
 use finchwood::cluster::peer::{Envelope, PeerMessage};
+use finchwood::config::settings::max_peer_message_bytes;
 use finchwood::config::settings::Settings;
 use finchwood::scheduler::Leader;
 use finchwood::shard::{CommandCapacity, HeartbeatReply, Orders, Shard, ShardReport, Timing};
@@ -407,7 +407,7 @@
     );
     // Two of five hold all: their messages still fit.
     let biggest = fleet.largest.max(whole) * 5 / 2;
-    let limit = largest_message(fleet.settings.params.machine_limits.ram_mb);
+    let limit = max_peer_message_bytes(fleet.settings.params.machine_limits.ram_mb);
     assert!(biggest < limit, "{biggest} bytes of {limit}");
     fleet.reports(33.0);
     fleet.round(33.0);
@@ -443,7 +443,7 @@
     let report = shard.snapshot(&fleet.cache, 0.2);
     assert_eq!(report.assigned.len(), 32 * MACHINES);
     let bytes = fleet.send(report);
-    let limit = largest_message(136.0);
+    let limit = max_peer_message_bytes(136.0);
     println!("{bytes} bytes of {limit} for {MACHINES} machines with 32 tasks each");
     assert!(bytes < limit && bytes > 2 << 20, "{bytes} of {limit}");
 }
--- a/tests/wire_format.rs
+++ b/tests/wire_format.rs
@@ -5,7 +5,7 @@
 #[path = "common/fixtures.rs"]
 mod fixtures;
 
-use finchwood::api::http::error_body;
+use finchwood::api::responder::error_body;
 use finchwood::wire::{
     cause, Catalog, Command, CommandBatch, Heartbeat, HeartbeatResponse, JobKind, JobSpec,
     JobStatus, ListedMachine, MachineListPage, MachineNames, MachineType, Priority, Redirect,
--- a/tests/wire_format_commands.rs
+++ b/tests/wire_format_commands.rs
@@ -10,9 +10,10 @@
 #[path = "common/settings.rs"]
 mod settings;
 
-use finchwood::api::http::{
-    listen, start_relay_pool, CommandPool, CommandResult, RelayedHeartbeat, Request,
-};
+use finchwood::api::command_pool::{CommandPool, CommandResult};
+use finchwood::api::listeners::{listen, Listener};
+use finchwood::api::relay_pool::{start_relay_pool, RelayedHeartbeat};
+use finchwood::api::routes::Request;
 use finchwood::clock;
 use finchwood::cluster::peer::{Envelope, PeerMessage, PeerTransport};
 use finchwood::config::settings::{Member, Settings};
@@ -58,7 +59,7 @@
         },
         unverified: false,
     };
-    pool.send((direct, clock::now() + PATIENCE_S))
+    pool.send(direct, clock::now() + PATIENCE_S)
         .expect("there is room");
     fixtures.same(&format!("{name}.call"), &recorder.call());
     done.recv_timeout(Duration::from_secs_f64(PATIENCE_S))
@@ -67,30 +68,30 @@
 
 fn direct_commands(fixtures: &Fixtures) {
     for name in ["direct", "direct-refused"] {
-        let report = sent(fixtures, name).answer.expect("a report");
+        let report = sent(fixtures, name).response.expect("a report");
         assert_eq!(
             (&*report.machine, report.seq, report.tasks.len()),
             ("m-1", 88, 0)
         );
     }
-    assert!(sent(fixtures, "direct-malformed").answer.is_none());
+    assert!(sent(fixtures, "direct-malformed").response.is_none());
 }
 
 /// What a worker gets whose report is passed on to `owner`, and until when that may be.
-fn relayed(fixtures: &Fixtures, owner: SocketAddr, until: f64) -> String {
+fn relayed(fixtures: &Fixtures, owner: SocketAddr, deadline: f64) -> String {
     let mut settings = Settings::parse(settings::SETTINGS).expect("settings");
     settings.client_listen = free_address();
     let way = start_relay_pool(owner, 1, PATIENCE_S);
     let pass_on = move |asked, responder| {
-        if let Request::Heartbeat { raw, .. } = asked {
+        if let Request::Heartbeat { body, .. } = asked {
             let _ = way.try_send(RelayedHeartbeat {
-                raw,
+                body,
                 responder,
-                until,
+                deadline,
             });
         }
     };
-    listen(&settings, false, pass_on).expect("it listens");
+    listen(&settings, Listener::Public, pass_on).expect("it listens");
     ask(
         settings.client_listen,
         fixtures.text("relay.report").as_bytes(),
--- a/tests/wire_format_refusals.rs
+++ b/tests/wire_format_refusals.rs
@@ -8,7 +8,9 @@
 #[path = "common/settings.rs"]
 mod settings;
 
-use finchwood::api::http::{listen, Request, Responder};
+use finchwood::api::listeners::{listen, Listener};
+use finchwood::api::responder::Responder;
+use finchwood::api::routes::Request;
 use finchwood::clock;
 use finchwood::config::settings::Settings;
 use fixtures::Fixtures;
@@ -19,11 +21,11 @@
 const PEERS: &str = include_str!("fixtures/wire-format/peers.txt");
 
 /// A listener that answers what it is asked with what it has understood.
-fn listener(back: bool) -> SocketAddr {
+fn start(listener: Listener) -> SocketAddr {
     let address = free_address();
     let mut settings = Settings::parse(settings::SETTINGS).expect("settings");
     (settings.client_listen, settings.back) = (address, address);
-    listen(&settings, back, answer).expect("it listens");
+    listen(&settings, listener, answer).expect("it listens");
     address
 }
 
@@ -37,13 +39,13 @@
         Request::Up => "up".into(),
         Request::Heartbeat {
             report,
-            raw,
+            body,
             relayed,
         } => {
             format!(
                 "report of {}, {} bytes, relayed {relayed}",
                 report.machine,
-                raw.len()
+                body.len()
             )
         }
         Request::Peer(envelope) => format!("message from {}", envelope.from),
@@ -71,21 +73,21 @@
 #[test]
 fn answers_of_the_listeners_keep_their_bytes() {
     let fixtures = Fixtures::new(REQUESTS);
-    for (machine_type, back) in [(".front", false), (".back", true)] {
-        let address = listener(back);
+    for (suffix, side) in [(".front", Listener::Public), (".back", Listener::Internal)] {
+        let address = start(side);
         for name in fixtures
             .lines()
-            .filter_map(|(name, _)| name.strip_suffix(machine_type))
+            .filter_map(|(name, _)| name.strip_suffix(suffix))
         {
             let said = ask(
                 address,
-                fixtures.text(&format!("{name}{machine_type}")).as_bytes(),
+                fixtures.text(&format!("{name}{suffix}")).as_bytes(),
             );
             fixtures.same(&format!("{name}.answer"), &said);
         }
     }
     let mut message = fixtures.text("message.head").into_bytes();
     message.extend_from_slice(&Fixtures::new(PEERS).bytes("hello"));
-    fixtures.same("message.answer", &ask(listener(true), &message));
+    fixtures.same("message.answer", &ask(start(Listener::Internal), &message));
     fixtures.all_used();
 }
