--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -198,7 +198,7 @@
         delete.extend(self.machines_not_rid_of_cancelled_tasks());
         self.delete(delete, now);
         let spare = self.leader.service_cpus() * self.policy.scaling.spare_share;
-        self.leader.reserve = spare;
+        self.leader.reserved_cpus = spare;
         if consolidates {
             self.empty_machines(&up.in_use, &catalog, spare, now);
         }
@@ -341,7 +341,7 @@
         evicts_unasked: bool,
         now: Seconds,
     ) -> Up {
-        let faults = self.leader.close_faulty(&self.cache);
+        let faults = self.leader.cordon_faulty_machines(&self.cache);
         let wall_clock_ms = clock::wall_clock_ms();
         let mut out = Up::default();
         for m in self.leader.machines_at(now) {
@@ -368,7 +368,7 @@
                 Verdict::Wait => continue,
                 Verdict::Keep => {}
             }
-            let draining = self.leader.drain.contains(&m.id);
+            let draining = self.leader.draining.contains(&m.id);
             let proven_faulty = faults.get(&m.id) == Some(&MachineFault::Proven);
             // Guard: one that is closed for a while on suspicion is not returned.
             if m.tasks == 0 && (proven_faulty || m.draining && m.reconciled && draining) {
@@ -447,7 +447,7 @@
         now: Seconds,
     ) {
         let report_s = self.settings.params.workers.report_s;
-        self.leader.drain.extend(scaling::returns(
+        self.leader.draining.extend(scaling::returns(
             in_use,
             catalog,
             spare,
@@ -460,14 +460,16 @@
                 self.autoscaler.emptied_at = now;
                 for id in scaling::to_empty(in_use, catalog, spare, &self.policy.scaling) {
                     tracing::debug!(%id, "emptying");
-                    self.leader.drain.insert(id);
+                    self.leader.draining.insert(id);
                 }
             }
             self.move_replicas(in_use, catalog, spare, now);
         }
         let registry = &self.cache.registry;
-        self.leader.drain.retain(|id| registry.contains_key(id));
-        self.leader.moving.retain(|id| registry.contains_key(id));
+        self.leader.draining.retain(|id| registry.contains_key(id));
+        self.leader
+            .consolidating
+            .retain(|id| registry.contains_key(id));
     }
 
     /// Opens as many machines that were to be emptied as the waiting work needs.
@@ -475,12 +477,12 @@
         let wanted_cpus = |demand: &PendingDemand| demand.ask.cpus * f64::from(demand.count);
         let mut needed: f64 = self.leader.pending_demand.iter().map(wanted_cpus).sum();
         for m in in_use.iter().filter(|m| m.tasks > 0) {
-            if needed <= 0.0 || !self.leader.drain.contains(&m.id) {
+            if needed <= 0.0 || !self.leader.draining.contains(&m.id) {
                 continue;
             }
             needed -= m.free.cpus.max(0.0);
-            self.leader.drain.remove(&m.id);
-            self.leader.moving.remove(&m.id);
+            self.leader.draining.remove(&m.id);
+            self.leader.consolidating.remove(&m.id);
         }
     }
 
@@ -494,7 +496,7 @@
         spare: f64,
         now: Seconds,
     ) {
-        if !self.leader.resolved() {
+        if !self.leader.is_reconciled() {
             return;
         }
         let report_s = self.settings.params.workers.report_s;
@@ -512,8 +514,8 @@
             moved += cpus;
             *after += (cpus / all / MOVED_PER_S).max(report_s / 100.0);
             in_use.retain(|m| m.id != id);
-            self.leader.drain.insert(id.clone());
-            self.leader.moving.insert(id);
+            self.leader.draining.insert(id.clone());
+            self.leader.consolidating.insert(id);
         }
     }
 
@@ -565,7 +567,7 @@
     /// died while nobody led.
     fn signs(&self, now: Seconds) -> HashMap<MachineId, MachineHealth> {
         let report_s = self.settings.params.workers.report_s;
-        let met = self.leader.met(report_s * 4.0);
+        let met = self.leader.seen_by_other_shards(report_s * 4.0);
         let used = |m: &MachineSnapshot| {
             m.has_reported
                 || self
@@ -583,7 +585,7 @@
                 reached: m.reached,
                 met: met.contains(&m.id),
                 ignores_commands: m.ignores_commands,
-                owner_unheard: m.ignores_commands && self.leader.owner_unheard(&m.id),
+                owner_unheard: m.ignores_commands && self.leader.owner_responds_late(&m.id),
             };
             (m.id.clone(), sign)
         };
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -5,7 +5,7 @@
 use crate::clock::Seconds;
 use crate::config::settings::StateLimits;
 use crate::finished::{chunks_covering, tasks_per_chunk};
-use crate::scheduler::Finish;
+use crate::scheduler::FinishedTasks;
 use crate::store::cache::{job_key, Job, JobRecord};
 use crate::store::pending_writes::{PendingWrites, WriteId};
 use crate::store::{CommitOutcome, ConditionalWrite, WriteClass, WriteOp, BULK_SHARE};
@@ -32,9 +32,9 @@
         let limits = self.settings.params.state.clone();
         let most = (limits.write_rps * BULK_SHARE / 2.0).max(2.0) as usize;
         let room = most.saturating_sub(self.finishes.count());
-        for finish in self.leader.finishes(now, room, &self.cache) {
+        for finish in self.leader.completions_to_commit(now, room, &self.cache) {
             let Some(job) = self.cache.jobs.get(&finish.job).filter(|job| job.live()) else {
-                self.leader.finish_answered(&finish.job, now, now);
+                self.leader.commit_answered(&finish.job, now, now);
                 continue;
             };
             let Transaction { conditions, ops } = finish_transaction(&finish, job, &limits);
@@ -47,7 +47,7 @@
                 purpose,
             };
             if self.writer.send(WriteClass::Bulk, write).is_err() {
-                self.leader.finish_answered(&finish.job, now, now);
+                self.leader.commit_answered(&finish.job, now, now);
             } else {
                 self.finishes.sent(write_id, finish.job, ops);
             }
@@ -70,7 +70,7 @@
             .unwrap_or_default();
         let CommitOutcome::Committed(revision) = outcome else {
             let retry_at = now + self.settings.params.workers.report_s / 6.0;
-            return self.leader.finish_answered(job, now, retry_at);
+            return self.leader.commit_answered(job, now, retry_at);
         };
         for op in ops {
             if let WriteOp::Put { key, value, .. } = op {
@@ -78,11 +78,11 @@
             }
         }
         self.job_changed(job);
-        self.leader.finish_answered(job, now, now);
+        self.leader.commit_answered(job, now, now);
     }
 }
 
-fn finish_transaction(finish: &Finish, job: &Job, limits: &StateLimits) -> Transaction {
+fn finish_transaction(finish: &FinishedTasks, job: &Job, limits: &StateLimits) -> Transaction {
     let mut finished = job.finished.clone();
     for &task in &finish.tasks {
         finished.add(task);
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -19,8 +19,8 @@
     pub(super) fn lead(&mut self, now: Seconds, end: Seconds) {
         let deleted = &self.autoscaler.deleted;
         self.leader
-            .resolve(&self.cache, &|id| deleted.contains_key(id));
-        self.leader.run_gangs(self.cache.all_run_gangs());
+            .reconcile(&self.cache, &|id| deleted.contains_key(id));
+        self.leader.allow_gangs(self.cache.all_run_gangs());
         let touched = self
             .leader
             .assign_tasks(&self.cache, now, || clock::now() < end);
@@ -58,7 +58,7 @@
             dealt = assigned,
             unknown,
             ?waiting,
-            draining = self.leader.drain.len(),
+            draining = self.leader.draining.len(),
             "state"
         );
     }
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -127,7 +127,7 @@
         let deleted = &self.autoscaler.deleted;
         let progress = || {
             self.leader
-                .restart_progress(&self.cache, &|id| deleted.contains_key(id))
+                .reconciliation_progress(&self.cache, &|id| deleted.contains_key(id))
         };
         RestartReport {
             node: self.settings.node_name.clone(),
--- a/src/controller/watch_events.rs
+++ b/src/controller/watch_events.rs
@@ -111,7 +111,9 @@
                 });
         }
         if epoch.leader == self.settings.node_name {
-            let kept = self.leader.enter(&epoch, self.incarnation, &self.cache);
+            let kept = self
+                .leader
+                .start_epoch(&epoch, self.incarnation, &self.cache);
             self.began_to_lead(kept, now);
             self.forget_transfers(now);
             self.autoscaler.lead(now);
--- a/src/scheduler/capacity.rs
+++ b/src/scheduler/capacity.rs
@@ -11,14 +11,14 @@
 
 /// Numbers for the names of types, zones, shards and images.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameInterner {
     all: HashMap<Arc<str>, u32>,
     back: Vec<Arc<str>>,
 }
 
-impl Names {
+impl NameInterner {
     /// The number of a name, a new one if need be.
-    pub fn number(&mut self, name: &Arc<str>) -> u32 {
+    pub fn intern(&mut self, name: &Arc<str>) -> u32 {
         if let Some(&n) = self.all.get(name) {
             return n;
         }
@@ -28,7 +28,7 @@
         n
     }
     /// The number of a name that has one.
-    pub fn known(&self, name: &str) -> Option<u32> {
+    pub fn lookup(&self, name: &str) -> Option<u32> {
         self.all.get(name).copied()
     }
     /// A name by its number.
@@ -39,7 +39,7 @@
 
 /// One open machine.
 #[derive(Debug, Clone)]
-pub struct Slot {
+pub struct MachineSlot {
     pub id: MachineId,
     pub shard: u32,
     pub machine_type: u32,
@@ -54,16 +54,16 @@
     pub images: Arc<[u32]>,
 }
 
-impl Slot {
+impl MachineSlot {
     /// The slot of a machine of `shard`.
-    pub fn new(view: &MachineStatus, shard: u32, names: &mut Names) -> Slot {
-        let mut images: Vec<u32> = view.images.iter().map(|i| names.number(i)).collect();
+    pub fn new(view: &MachineStatus, shard: u32, names: &mut NameInterner) -> MachineSlot {
+        let mut images: Vec<u32> = view.images.iter().map(|i| names.intern(i)).collect();
         images.sort_unstable();
-        Slot {
+        MachineSlot {
             id: view.id.clone(),
             shard,
-            machine_type: names.number(&view.machine_type),
-            zone: names.number(&view.zone),
+            machine_type: names.intern(&view.machine_type),
+            zone: names.intern(&view.zone),
             spot: view.spot,
             free: view.free,
             yielding: view.preemptible,
@@ -73,7 +73,7 @@
     }
 }
 
-impl Slot {
+impl MachineSlot {
     /// How many tasks of a request it has room for.
     fn count(&self, request: &PlacementRequest) -> u32 {
         let mut free = self.free;
@@ -138,19 +138,19 @@
     /// The wishes of a job.
     pub fn new(
         spec: &JobSpec,
-        names: &Names,
+        names: &NameInterner,
         avoid: Vec<MachineId>,
         latency_sensitive: bool,
         preempts: Preempts,
     ) -> PlacementRequest {
         // A name that no machine has gets a number that none has.
-        let number = |n: &Arc<str>| names.known(n).unwrap_or(u32::MAX);
+        let number = |n: &Arc<str>| names.lookup(n).unwrap_or(u32::MAX);
         PlacementRequest {
             ask: spec.task_resources(),
             machine_types: spec.types.as_ref().map(|t| t.iter().map(number).collect()),
             zone: spec.zone.as_ref().map(number),
             spot: spec.spot,
-            image: names.known(&spec.image),
+            image: names.lookup(&spec.image),
             avoid,
             latency_sensitive,
             preempts,
@@ -167,7 +167,7 @@
     }
 
     /// Whether its job may run on a machine, and has not failed there.
-    fn allows(&self, slot: &Slot) -> bool {
+    fn allows(&self, slot: &MachineSlot) -> bool {
         (self.spot || !slot.spot)
             && self.zone.is_none_or(|zone| zone == slot.zone)
             && self
@@ -216,7 +216,7 @@
 /// The room of all shards.
 #[derive(Debug, Default)]
 pub struct FreeCapacity {
-    pub slots: Vec<Slot>,
+    pub slots: Vec<MachineSlot>,
     shards: Vec<ShardCapacity>,
     /// CPUs on each shard's ordinary machines that only work which makes others
     /// give way may take: what it would else drive out loses its progress.
@@ -228,7 +228,7 @@
 impl FreeCapacity {
     /// FreeCapacity of these machines, of which `reserve` CPUs on ordinary ones are
     /// kept for the highest priority.
-    pub fn new(slots: Vec<Slot>, reserve: f64) -> FreeCapacity {
+    pub fn new(slots: Vec<MachineSlot>, reserve: f64) -> FreeCapacity {
         let mut shards: Vec<ShardCapacity> = Vec::new();
         for s in &slots {
             if !shards.iter().any(|p| p.shard == s.shard) {
@@ -315,7 +315,7 @@
     pub fn count_by_zone(&self, request: &PlacementRequest) -> BTreeMap<u32, ZoneCount> {
         let kept = self.kept(request);
         let mut zones: BTreeMap<u32, ZoneCount> = BTreeMap::new();
-        let open = |s: &&Slot| request.allows(s) && (s.spot || !kept.contains(&s.shard));
+        let open = |s: &&MachineSlot| request.allows(s) && (s.spot || !kept.contains(&s.shard));
         for slot in self.slots.iter().filter(open) {
             let tasks = slot.count(request);
             let zone = zones.entry(slot.zone).or_default();
@@ -359,7 +359,7 @@
     }
 
     /// Nothing anywhere had room for one task of this request.
-    pub fn note_no_fit(&mut self, request: &PlacementRequest) {
+    pub fn record_no_fit(&mut self, request: &PlacementRequest) {
         if request.avoid.is_empty() {
             self.known_not_to_fit.push(request.clone());
         }
@@ -399,7 +399,7 @@
 
     /// The shard with the most room, of those not in `full`; the first by name
     /// of several.
-    pub fn roomiest(&self, full: &[u32], names: &Names) -> Option<u32> {
+    pub fn roomiest(&self, full: &[u32], names: &NameInterner) -> Option<u32> {
         let open = self.shards.iter().filter(|p| !full.contains(&p.shard));
         open.max_by(|a, b| {
             a.free
@@ -456,11 +456,12 @@
 
     /// How many of the chosen machines have the image of a job latency-sensitive, and
     /// room for it without driving anybody out.
-    pub fn warm(&self, request: &PlacementRequest, chosen: &[usize]) -> usize {
+    pub fn with_cached_image(&self, request: &PlacementRequest, chosen: &[usize]) -> usize {
         match request.image {
             Some(i) if request.latency_sensitive => {
-                let ready =
-                    |s: &Slot| s.images.binary_search(&i).is_ok() && s.free.fits(&request.ask);
+                let ready = |s: &MachineSlot| {
+                    s.images.binary_search(&i).is_ok() && s.free.fits(&request.ask)
+                };
                 chosen.iter().filter(|&&s| ready(&self.slots[s])).count()
             }
             _ => 0,
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -8,7 +8,7 @@
 
 /// Finished tasks to commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Finish {
+pub struct FinishedTasks {
     pub job: JobId,
     pub tasks: Vec<u32>,
 }
@@ -18,7 +18,12 @@
     /// The ends of jobs come first, as users wait for them. Then come up to
     /// `room` jobs that have got further: a worker keeps a result until it is
     /// committed, so that this is in no hurry, unless its machine is to go.
-    pub fn finishes(&mut self, now: Seconds, room: usize, cache: &StoreCache) -> Vec<Finish> {
+    pub fn completions_to_commit(
+        &mut self,
+        now: Seconds,
+        room: usize,
+        cache: &StoreCache,
+    ) -> Vec<FinishedTasks> {
         let mut out = Vec::new();
         let mut some: Vec<(bool, Seconds, JobId)> = Vec::new();
         let leaving: HashSet<&MachineId> = self
@@ -38,7 +43,7 @@
             let before = job.finished.len();
             if before + e.finishing.len() >= e.spec.task_count {
                 e.committing = true;
-                out.push(Finish {
+                out.push(FinishedTasks {
                     job: id.clone(),
                     tasks: e.finishing.iter().collect(),
                 });
@@ -59,7 +64,7 @@
         for (_, _, id) in some.into_iter().take(room.saturating_sub(out.len())) {
             if let Some(e) = self.jobs.get_mut(&id) {
                 e.committing = true;
-                out.push(Finish {
+                out.push(FinishedTasks {
                     job: id,
                     tasks: e.finishing.iter().collect(),
                 });
@@ -70,7 +75,7 @@
 
     /// A commit of finished tasks has been answered; the same job's next
     /// progress follows after a report interval, a refused one from `retry` on.
-    pub fn finish_answered(&mut self, job: &JobId, now: Seconds, retry: Seconds) {
+    pub fn commit_answered(&mut self, job: &JobId, now: Seconds, retry: Seconds) {
         if let Some(e) = self.jobs.get_mut(job) {
             e.committing = false;
             e.retry_after = retry;
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -156,7 +156,10 @@
     }
 
     /// Notes which machines failures speak against; they get no new tasks.
-    pub fn close_faulty(&mut self, cache: &StoreCache) -> BTreeMap<MachineId, MachineFault> {
+    pub fn cordon_faulty_machines(
+        &mut self,
+        cache: &StoreCache,
+    ) -> BTreeMap<MachineId, MachineFault> {
         self.failed_on
             .retain(|machine, _| cache.registry.contains_key(machine));
         let faults = self.machine_faults(cache);
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -236,7 +236,7 @@
 
     /// Whether gangs are assigned: not while a controller of a version without
     /// them may lead or own machines.
-    pub fn run_gangs(&mut self, allowed: bool) {
+    pub fn allow_gangs(&mut self, allowed: bool) {
         self.gangs_allowed = allowed;
     }
 }
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -3,7 +3,7 @@
 use super::Leader;
 use crate::clock::Seconds;
 use crate::cluster::failure_detection::Reached;
-use crate::scheduler::capacity::Slot;
+use crate::scheduler::capacity::MachineSlot;
 use crate::shard::{MachineStatus, SilentMachine};
 use crate::wire::MachineId;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct TrackedMachine {
     pub view: MachineStatus,
-    pub(super) slot: Slot,
+    pub(super) slot: MachineSlot,
     /// Since when it holds nothing.
     pub(super) idle_since: Seconds,
 }
@@ -111,14 +111,14 @@
 
     /// Machines that may be silent for their owners only: some other controller
     /// has met their workers within `age`.
-    pub fn met(&self, age: Seconds) -> HashSet<&MachineId> {
+    pub fn seen_by_other_shards(&self, age: Seconds) -> HashSet<&MachineId> {
         let all = self.shards.values().flat_map(|p| p.met.iter());
         all.filter(|(_, &a)| a < age).map(|(id, _)| id).collect()
     }
 
     /// Whether a quarter of the machines of this one's owner heed nothing: then
     /// it is the owner whose answers come too late, not the machines.
-    pub fn owner_unheard(&self, id: &MachineId) -> bool {
+    pub fn owner_responds_late(&self, id: &MachineId) -> bool {
         self.shards
             .values()
             .find(|p| p.machines.contains_key(id))
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -17,7 +17,7 @@
 mod shard_reports;
 mod urgency;
 
-pub use completions::Finish;
+pub use completions::FinishedTasks;
 pub use failures::MachineFault;
 pub use machines::{MachineSnapshot, ShardView, TrackedMachine};
 pub use urgency::ServiceObjectives;
@@ -26,7 +26,7 @@
 use crate::clock::{self, Seconds};
 use crate::config::settings::{Settings, Team};
 use crate::finished::TaskSet;
-use crate::scheduler::capacity::Names;
+use crate::scheduler::capacity::NameInterner;
 use crate::shard::TaskPhase;
 use crate::store::cache::{Epoch, StoreCache};
 use crate::wire::{JobId, JobKind, JobSpec, MachineId};
@@ -120,13 +120,16 @@
     /// Every member has told what it holds.
     pub all_joined: bool,
     /// Nothing is in doubt any more.
-    pub resolved: bool,
+    #[serde(rename = "resolved")]
+    pub reconciled: bool,
     /// Unfinished jobs, by what is known of their tasks.
     pub jobs: BTreeMap<ReconciliationPhase, u32>,
     /// Tasks that nobody has proven to be anywhere, or nowhere.
-    pub tasks_in_doubt: u32,
+    #[serde(rename = "tasks_in_doubt")]
+    pub unreconciled_tasks: u32,
     /// Machines whose content is not known.
-    pub machines_in_doubt: u32,
+    #[serde(rename = "machines_in_doubt")]
+    pub unreconciled_machines: u32,
 }
 
 /// The leader's table.
@@ -137,8 +140,8 @@
     members: BTreeMap<String, u64>,
     jobs: BTreeMap<JobId, JobEntry>,
     pub shards: BTreeMap<String, ShardView>,
-    names: Names,
-    resolved: bool,
+    names: NameInterner,
+    reconciled: bool,
     /// Something came in that may prove where tasks are.
     news: bool,
     /// Shards whose holdings have come in since the last task became unknown.
@@ -159,17 +162,17 @@
     /// After how long whatever an earlier owner renewed is over.
     takeover_s: Seconds,
     /// Machines that take no more tasks.
-    pub drain: BTreeSet<MachineId>,
+    pub draining: BTreeSet<MachineId>,
     /// Jobs with tasks that failed on each machine.
     failed_on: failures::FailedOn,
     /// Machines that failures speak against: they take no more tasks.
     faulty: BTreeSet<MachineId>,
     /// CPUs on ordinary machines that are kept free for services to come.
-    pub reserve: f64,
+    pub reserved_cpus: f64,
     /// Nothing is stopped to make room: machines in doubt may have it.
     pub preemption_held: bool,
     /// Machines whose replicas are to move to others.
-    pub moving: BTreeSet<MachineId>,
+    pub consolidating: BTreeSet<MachineId>,
     /// What could not be assigned in the last round, for renting.
     pub pending_demand: Vec<PendingDemand>,
     /// Teams that use more than they are guaranteed.
@@ -186,8 +189,8 @@
             members: BTreeMap::new(),
             jobs: BTreeMap::new(),
             shards: BTreeMap::new(),
-            names: Names::default(),
-            resolved: false,
+            names: NameInterner::default(),
+            reconciled: false,
             news: true,
             joined: BTreeSet::new(),
             attempts: 0,
@@ -208,11 +211,11 @@
             latest_at: 0.0,
             takeover_s: clock::with_drift_margin(settings.params.workers.lease_s)
                 + clock::with_drift_margin(settings.member_life_s()),
-            drain: BTreeSet::new(),
-            moving: BTreeSet::new(),
+            draining: BTreeSet::new(),
+            consolidating: BTreeSet::new(),
             failed_on: failures::FailedOn::new(),
             faulty: BTreeSet::new(),
-            reserve: 0.0,
+            reserved_cpus: 0.0,
             preemption_held: false,
             pending_demand: Vec::new(),
             borrowing: Vec::new(),
@@ -223,12 +226,12 @@
     /// Enters an epoch as its leader. The table is kept if this incarnation
     /// led the one just before; what was assigned is unknown until it is seen.
     /// Says whether it is.
-    pub fn enter(&mut self, e: &Epoch, incarnation: u64, cache: &StoreCache) -> bool {
+    pub fn start_epoch(&mut self, e: &Epoch, incarnation: u64, cache: &StoreCache) -> bool {
         let stays = self.incarnation == incarnation && self.epoch + 1 == e.number;
         if !stays {
             self.jobs.clear();
-            self.drain.clear();
-            self.moving.clear();
+            self.draining.clear();
+            self.consolidating.clear();
             self.failed_on.clear();
             self.faulty.clear();
         }
@@ -247,7 +250,7 @@
         self.shards.clear();
         self.joined.clear();
         self.first_report_at = None;
-        self.resolved = false;
+        self.reconciled = false;
         self.attempts = 0;
         for job in self.jobs.values_mut() {
             let assigned = std::mem::take(&mut job.assigned);
@@ -272,20 +275,20 @@
     }
 
     /// How far what was in doubt has been found out.
-    pub fn restart_progress(
+    pub fn reconciliation_progress(
         &self,
         cache: &StoreCache,
         gone: &dyn Fn(&MachineId) -> bool,
     ) -> ReconciliationProgress {
         let mut progress = ReconciliationProgress {
             all_joined: self.all_joined(),
-            resolved: self.resolved,
-            machines_in_doubt: self.unreconciled_machines(cache, gone).count(),
+            reconciled: self.reconciled,
+            unreconciled_machines: self.unreconciled_machines(cache, gone).count(),
             ..ReconciliationProgress::default()
         };
         for entry in self.jobs.values() {
             let in_doubt = entry.unknown.len();
-            progress.tasks_in_doubt += in_doubt;
+            progress.unreconciled_tasks += in_doubt;
             let phase = ReconciliationPhase::of(in_doubt, entry.assigned.len());
             *progress.jobs.entry(phase).or_default() += 1;
         }
@@ -322,7 +325,7 @@
             }
             if !unknown.is_empty() {
                 // Reports taken in before this job was known said nothing of it.
-                self.resolved = false;
+                self.reconciled = false;
                 self.joined.clear();
             }
             let entry = JobEntry {
--- a/src/scheduler/orders.rs
+++ b/src/scheduler/orders.rs
@@ -61,14 +61,16 @@
                 )
             }));
         }
-        if !self.moving.is_empty() {
+        if !self.consolidating.is_empty() {
             for (id, e) in self
                 .jobs
                 .iter()
                 .filter(|(_, e)| e.spec.job_kind == JobKind::Service)
             {
                 let there = |d: &TaskAssignment| {
-                    d.machine.as_ref().is_some_and(|m| self.moving.contains(m))
+                    d.machine
+                        .as_ref()
+                        .is_some_and(|m| self.consolidating.contains(m))
                 };
                 let on = e
                     .assigned
@@ -92,7 +94,7 @@
             acknowledged_seq: ack,
             assignments,
             recall,
-            drain: self.drain.union(&self.faulty).cloned().collect(),
+            drain: self.draining.union(&self.faulty).cloned().collect(),
             running,
             borrowing: self.borrowing.clone(),
             transfers: Vec::new(),
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -2,7 +2,7 @@
 
 use super::{Assignment, JobEntry, Leader, ZoneRoom};
 use crate::clock::Seconds;
-use crate::scheduler::capacity::{FreeCapacity, Names, PlacementRequest};
+use crate::scheduler::capacity::{FreeCapacity, NameInterner, PlacementRequest};
 use crate::store::cache::StoreCache;
 use crate::wire::{JobId, BEGIN_WITHIN_S};
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,12 +45,13 @@
         // No shard has room where the image is for all of a job latency-sensitive:
         // several shards share it, each told how many a zone may take of it.
         if request.latency_sensitive
-            && capacity.warm(request, &chosen) < free.len()
+            && capacity.with_cached_image(request, &chosen) < free.len()
             && !spec.one_zone
         {
             let spread = capacity.try_place(request, free.len(), None, &room, false);
             if spread.len() >= chosen.len()
-                && capacity.warm(request, &spread) > capacity.warm(request, &chosen)
+                && capacity.with_cached_image(request, &spread)
+                    > capacity.with_cached_image(request, &chosen)
             {
                 return self.assign_over_parts(id, request, &spread, free, capacity);
             }
@@ -98,7 +99,7 @@
         let mut counts: BTreeMap<u32, u32> = BTreeMap::new();
         for d in e.assigned.values() {
             let (record, _) = cache.registry.get(d.machine.as_ref()?)?;
-            *counts.entry(self.names.known(&record.zone)?).or_default() += 1;
+            *counts.entry(self.names.lookup(&record.zone)?).or_default() += 1;
         }
         let zones: BTreeSet<u32> = capacity.slots.iter().map(|s| s.zone).collect();
         let allowed = |z: &u32| !e.spec.one_zone || counts.is_empty() || counts.contains_key(z);
@@ -204,7 +205,7 @@
     capacity: &mut FreeCapacity,
     room: &[(u32, u32)],
     one_zone: bool,
-    names: &Names,
+    names: &NameInterner,
 ) -> Option<(u32, Vec<usize>)> {
     let mut best: Option<(usize, usize, f64, u32, Vec<usize>)> = None;
     let mut shards = capacity.shards();
@@ -213,7 +214,7 @@
         let chosen = capacity.try_place(request, n, Some(shard), room, one_zone);
         let key = (
             chosen.len(),
-            capacity.warm(request, &chosen),
+            capacity.with_cached_image(request, &chosen),
             capacity.total(shard),
         );
         if !chosen.is_empty() && best.as_ref().is_none_or(|b| key > (b.0, b.1, b.2)) {
@@ -227,7 +228,7 @@
     request: &PlacementRequest,
     free: &[u32],
     capacity: &mut FreeCapacity,
-    names: &Names,
+    names: &NameInterner,
 ) -> Assignment {
     let zones: BTreeSet<u32> = capacity.slots.iter().map(|s| s.zone).collect();
     let all: Vec<(u32, u32)> = zones.into_iter().map(|z| (z, u32::MAX)).collect();
@@ -246,7 +247,7 @@
     request: &PlacementRequest,
     free: &[u32],
     capacity: &mut FreeCapacity,
-    names: &Names,
+    names: &NameInterner,
 ) -> Assignment {
     let mut out: BTreeMap<Arc<str>, Vec<u32>> = BTreeMap::new();
     let mut full: Vec<u32> = Vec::new();
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -31,10 +31,11 @@
         let open = self.shards.values().flat_map(|p| p.machines.values());
         let open = open.filter(|m| {
             m.view.schedulable
-                && !self.drain.contains(&m.view.id)
+                && !self.draining.contains(&m.view.id)
                 && !self.faulty.contains(&m.view.id)
         });
-        let mut capacity = FreeCapacity::new(open.map(|m| m.slot.clone()).collect(), self.reserve);
+        let mut capacity =
+            FreeCapacity::new(open.map(|m| m.slot.clone()).collect(), self.reserved_cpus);
         for e in self.jobs.values() {
             let mut request = None;
             for d in e.assigned.values().filter(|d| d.machine.is_none()) {
@@ -45,7 +46,7 @@
                     };
                     PlacementRequest::new(&e.spec, &self.names, Vec::new(), false, preempts)
                 });
-                if let Some(slot) = capacity.best(request, self.names.known(&d.shard), None) {
+                if let Some(slot) = capacity.best(request, self.names.lookup(&d.shard), None) {
                     capacity.take(slot, &request.ask);
                 }
             }
@@ -194,7 +195,7 @@
         let chosen = self.choose_parts(id, &request, &free, round);
         let placed: usize = chosen.iter().map(|(_, tasks)| tasks.len()).sum();
         if placed == 0 && round.capacity.best(&request, None, None).is_none() {
-            round.capacity.note_no_fit(&request);
+            round.capacity.record_no_fit(&request);
         }
         if placed < free.len() {
             let demand = self.want(id, (free.len() - placed) as u32, age_s, round);
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -4,7 +4,7 @@
 use super::{Leader, ShardView, TaskAssignment, TrackedMachine};
 use crate::clock::Seconds;
 use crate::finished::TaskSet;
-use crate::scheduler::capacity::Slot;
+use crate::scheduler::capacity::MachineSlot;
 use crate::shard::{
     AssignedTaskStatus, MachineStatus, RemovalReason, RemovedTask, ShardReport, TaskPhase,
 };
@@ -99,7 +99,7 @@
         machines: Vec<MachineStatus>,
         now: Seconds,
     ) {
-        let shard_number = self.names.number(shard);
+        let shard_number = self.names.intern(shard);
         let Some(view) = self.shards.get_mut(&**shard) else {
             return;
         };
@@ -118,7 +118,7 @@
                 .get(&m.id)
                 .filter(|o| o.view.tasks == 0 && (o.view.schedulable || !m.schedulable));
             let before = before.map(|o| o.idle_since);
-            let slot = Slot::new(&m, shard_number, &mut self.names);
+            let slot = MachineSlot::new(&m, shard_number, &mut self.names);
             let news = TrackedMachine {
                 slot,
                 idle_since: before.unwrap_or(now),
@@ -261,7 +261,7 @@
         if let Some(attempt) = entry.attempt.as_mut() {
             attempt.doubt_task();
         }
-        self.resolved = false;
+        self.reconciled = false;
     }
 
     fn forget_what_is_over(&mut self, cache: &StoreCache) {
@@ -345,8 +345,8 @@
     ///
     /// `gone` knows whose deletion was answered: that is proof long before the
     /// machine registry shows it, which may be written late when there is much to write.
-    pub fn resolve(&mut self, cache: &StoreCache, gone: &dyn Fn(&MachineId) -> bool) {
-        if self.resolved || !self.news || !self.all_joined() {
+    pub fn reconcile(&mut self, cache: &StoreCache, gone: &dyn Fn(&MachineId) -> bool) {
+        if self.reconciled || !self.news || !self.all_joined() {
             return;
         }
         self.news = false;
@@ -354,7 +354,7 @@
             return;
         }
         let unreconciled = self.unreconciled_machines(cache, gone);
-        self.resolved = unreconciled.is_empty();
+        self.reconciled = unreconciled.is_empty();
         for entry in self.jobs.values_mut().filter(|e| !e.unknown.is_empty()) {
             if !unreconciled.may_hold(&entry.spec) {
                 entry.unknown = TaskSet::default();
@@ -364,7 +364,7 @@
     }
 
     /// Whether nothing is in doubt any more.
-    pub fn resolved(&self) -> bool {
-        self.resolved
+    pub fn is_reconciled(&self) -> bool {
+        self.reconciled
     }
 }
--- a/tests/cold_restart_cores.rs
+++ b/tests/cold_restart_cores.rs
@@ -62,7 +62,7 @@
 /// What the leader has assigned anew after a round.
 fn assigned(l: &mut Leader, p: &mut Shard, cache: &StoreCache, now: f64) -> Vec<(Arc<str>, u32)> {
     l.apply_shard_report(p.snapshot(cache, now), cache, now);
-    l.resolve(cache, &|_| false);
+    l.reconcile(cache, &|_| false);
     l.assign_tasks(cache, now, || true);
     let orders = l.orders("a").expect("orders");
     orders
@@ -114,7 +114,7 @@
         assigned(&mut l, &mut p, &m, 0.6).is_empty(),
         "all was found"
     );
-    assert!(l.resolved());
+    assert!(l.is_reconciled());
     let record = p.restart_record(1.0);
     assert_eq!(
         record
@@ -184,7 +184,7 @@
         "only what leaves no result"
     );
     assert_eq!(assigned(&mut l, &mut p, &m, 0.3), [("wk-1".into(), 1)]);
-    let finishes = l.finishes(1.0, 9, &m);
+    let finishes = l.completions_to_commit(1.0, 9, &m);
     assert_eq!(
         finishes.iter().map(|f| f.tasks.clone()).collect::<Vec<_>>(),
         [vec![0]]
@@ -389,7 +389,7 @@
         );
     }
     assigned(&mut l, &mut p, &m, 0.3);
-    let finishes = l.finishes(1.0, 9, &m);
+    let finishes = l.completions_to_commit(1.0, 9, &m);
     assert_eq!(finishes.len(), 1);
     assert_eq!(
         finishes[0].tasks,
@@ -421,7 +421,7 @@
         leader: "a".into(),
         uses_shard_map: false,
     };
-    assert!(!l.enter(&e, 7, &m), "it knew nothing before");
+    assert!(!l.start_epoch(&e, 7, &m), "it knew nothing before");
     let mut p = Shard::new("a", TIMING, Default::default());
     p.enter(EPOCH, 7, &m, 0.0, |_| true);
     shows(&mut p, &m, 1, &[], 0.1);
--- a/tests/common/cores.rs
+++ b/tests/common/cores.rs
@@ -174,7 +174,7 @@
         leader: "a".into(),
         uses_shard_map: false,
     };
-    l.enter(&e, 7, cache);
+    l.start_epoch(&e, 7, cache);
     l
 }
 
@@ -184,14 +184,14 @@
     let tokens = (1..=machines).map(|i| met(&mut p, cache, i, 0.2)).collect();
     let mut l = leader(cache);
     assert!(l.apply_shard_report(p.snapshot(cache, 0.3), cache, 0.3));
-    l.resolve(cache, &|_| false);
+    l.reconcile(cache, &|_| false);
     (l, p, tokens)
 }
 
 /// One round of both: reports up, orders down, placing, commands taken for sent.
 pub fn round(l: &mut Leader, p: &mut Shard, cache: &StoreCache, now: f64) {
     l.apply_shard_report(p.snapshot(cache, now), cache, now);
-    l.resolve(cache, &|_| false);
+    l.reconcile(cache, &|_| false);
     l.assign_tasks(cache, now, || true);
     let o = l.orders("a").expect("orders");
     p.orders(&o, cache, now);
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -164,7 +164,7 @@
         "the part reports its end"
     );
     assert!(l.apply_shard_report(told, &m, 0.8));
-    assert_eq!(l.finishes(0.9, 9, &m), Vec::new());
+    assert_eq!(l.completions_to_commit(0.9, 9, &m), Vec::new());
 }
 
 // A task saves because it was to move, and then its job is cancelled: with a
@@ -311,7 +311,7 @@
         (next.number, &next.members, &next.leader),
         (EPOCH + 1, &present.members, &present.leader)
     );
-    assert!(l.enter(&next, 7, &m) && !l.needs_new_epoch());
+    assert!(l.start_epoch(&next, 7, &m) && !l.needs_new_epoch());
 }
 
 #[test]
@@ -460,7 +460,7 @@
     let members: BTreeMap<String, u64> = [("a".to_string(), 7), ("b".to_string(), 8)]
         .into_iter()
         .collect();
-    l.enter(
+    l.start_epoch(
         &Epoch {
             number: EPOCH,
             members,
@@ -479,7 +479,7 @@
         }
         assert!(l.apply_shard_report(p.snapshot(cache, 0.3), cache, 0.3));
     }
-    l.resolve(cache, &|_| false);
+    l.reconcile(cache, &|_| false);
     l
 }
 
@@ -585,7 +585,7 @@
     m.put("fw/j/wk-2", json!(accepted), 150);
     let mut l =
         Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 8.0")]).expect("settings"));
-    l.enter(
+    l.start_epoch(
         &Epoch {
             number: EPOCH,
             members: [("a".to_string(), 7)].into_iter().collect(),
@@ -606,7 +606,7 @@
         }
         p.expire_leases(now);
         assert!(l.apply_shard_report(p.snapshot(m, now), m, now));
-        l.resolve(m, &|_| false);
+        l.reconcile(m, &|_| false);
         l.assign_tasks(m, now, || true);
         let o = l.orders("a").expect("orders");
         p.orders(
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -59,7 +59,7 @@
     /// machine reports and runs what it is answered.
     fn step(&mut self) {
         self.now += 0.5;
-        self.leader.close_faulty(&self.cache);
+        self.leader.cordon_faulty_machines(&self.cache);
         round(&mut self.leader, &mut self.shard, &self.cache, self.now);
         self.commit_completed_jobs();
         for machine in 0..self.shown.len() {
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -227,7 +227,7 @@
         }
         let _ = self
             .leader
-            .enter(&self.epoch, members[&self.epoch.leader], &self.cache);
+            .start_epoch(&self.epoch, members[&self.epoch.leader], &self.cache);
     }
 
     /// A shard's report as it goes over the wire; its size counts.
@@ -262,7 +262,7 @@
             .map(|shard| shard.snapshot(&self.cache, now))
             .collect();
         let bytes = reports.into_iter().map(|report| self.send(report)).sum();
-        self.leader.resolve(&self.cache, &|_| false);
+        self.leader.reconcile(&self.cache, &|_| false);
         self.leader.assign_tasks(&self.cache, now, || true);
         for (name, shard) in NODES.iter().zip(&mut self.shards) {
             let orders: Orders = self.leader.orders(name).expect("orders");
@@ -339,7 +339,7 @@
             all.starts += given.starts;
             all.stops += given.stops;
             all.reaps += given.reaps;
-            if self.leader.resolved() && self.leader.counts().2 == 0 {
+            if self.leader.is_reconciled() && self.leader.counts().2 == 0 {
                 return (all, turn);
             }
         }
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -124,7 +124,7 @@
         self.shard
             .enter(epoch.number, incarnation, &self.cache, self.now, |_| true);
         self.leader = Leader::new(&settings(&[]).expect("settings"));
-        self.leader.enter(&epoch, incarnation, &self.cache);
+        self.leader.start_epoch(&epoch, incarnation, &self.cache);
     }
 
     fn steps(&mut self, count: usize) {
@@ -206,7 +206,7 @@
     let mut l =
         Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 12.0")]).expect("settings"));
     let members = [("a".to_string(), 7)].into_iter().collect();
-    l.enter(
+    l.start_epoch(
         &Epoch {
             number: EPOCH,
             members,
@@ -221,7 +221,7 @@
         met(&mut p, &m, machine, 0.2);
     }
     assert!(l.apply_shard_report(p.snapshot(&m, 0.3), &m, 0.3));
-    l.resolve(&m, &|_| false);
+    l.reconcile(&m, &|_| false);
     l.assign_tasks(&m, 0.5, || true);
     let deals = l.orders("a").expect("orders").assignments;
     let dealt: Vec<(&str, usize)> = deals.iter().map(|d| (&*d.job, d.tasks.len())).collect();
@@ -339,7 +339,7 @@
         .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("done")));
     b.step();
     b.step();
-    let finishes = b.leader.finishes(b.now, 9, &b.cache);
+    let finishes = b.leader.completions_to_commit(b.now, 9, &b.cache);
     assert_eq!(
         finishes.iter().map(|f| f.tasks.len()).collect::<Vec<_>>(),
         [3],
@@ -460,7 +460,7 @@
         !b.cache.all_run_gangs(),
         "a member of the version before says nothing of gangs"
     );
-    b.leader.run_gangs(b.cache.all_run_gangs());
+    b.leader.allow_gangs(b.cache.all_run_gangs());
     b.steps(2);
     assert!(b.on_machines().is_empty());
     member(
@@ -468,7 +468,7 @@
         json!(finchwood::store::cache::Member::of_this_version(5)),
         &mut b.cache,
     );
-    b.leader.run_gangs(b.cache.all_run_gangs());
+    b.leader.allow_gangs(b.cache.all_run_gangs());
     b.steps(2);
     b.shared_attempt(2);
     // Its process ends and comes back as it was before the upgrade.
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -968,7 +968,7 @@
                         node.transfers.new_epoch(now);
                         node.table_refused_at = None;
                         if e.leader == NODES[i] {
-                            node.leader.enter(&e, node.incarnation, &node.cache);
+                            node.leader.start_epoch(&e, node.incarnation, &node.cache);
                         }
                     }
                 }
@@ -1162,13 +1162,14 @@
         let mut finishes = Vec::new();
         let mut unreached: Vec<String> = Vec::new();
         if e.leader == NODES[i] {
-            node.leader.resolve(&node.cache, &|id| gone.contains(&**id));
+            node.leader
+                .reconcile(&node.cache, &|id| gone.contains(&**id));
             node.leader.assign_tasks(&node.cache, now, || true);
             if reached {
-                finishes = node.leader.finishes(now, 9, &node.cache);
+                finishes = node.leader.completions_to_commit(now, 9, &node.cache);
             }
             for f in &finishes {
-                node.leader.finish_answered(&f.job, now, now + 1.0);
+                node.leader.commit_answered(&f.job, now, now + 1.0);
             }
             if reached {
                 unreached = node
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -263,7 +263,7 @@
         leader: "a".into(),
         uses_shard_map: false,
     };
-    l.enter(&e, 9, cache);
+    l.start_epoch(&e, 9, cache);
     l
 }
 
@@ -463,7 +463,7 @@
             leader: "a".into(),
             uses_shard_map: false,
         };
-        l.enter(&epoch(EPOCH, &[("a", 7), ("b", 8)]), 9, &s.cache);
+        l.start_epoch(&epoch(EPOCH, &[("a", 7), ("b", 8)]), 9, &s.cache);
         s.report(0, 1.0, &[(1, false)]);
         assert!(l.apply_shard_report(s.shard.snapshot(&s.cache, 1.0), &s.cache, 1.0));
         assert_eq!((l.counts().1, l.counts().2), (1, 999));
@@ -471,7 +471,7 @@
         s.report(0, 2.0, &[(1, true)]);
         let mut members = vec![("a", a)];
         members.extend(others);
-        l.enter(&epoch(EPOCH + 1, &members), 9, &s.cache);
+        l.start_epoch(&epoch(EPOCH + 1, &members), 9, &s.cache);
         s.shard.enter(EPOCH + 1, a, &s.cache, 2.1, |_| true);
         let told = s.shard.snapshot(&s.cache, 2.2);
         assert!(told.since == 0 && told.assigned.is_empty());
--- a/tests/many_small_jobs.rs
+++ b/tests/many_small_jobs.rs
@@ -98,7 +98,7 @@
         self.step += 1;
         let now = 1.0 + f64::from(self.step) * 0.5;
         round(&mut self.leader, &mut self.shard, &self.cache, now);
-        for finish in self.leader.finishes(now, 100, &self.cache) {
+        for finish in self.leader.completions_to_commit(now, 100, &self.cache) {
             let record = self.cache.jobs[&finish.job].record.clone();
             self.commit(
                 &finish.job,
@@ -108,7 +108,7 @@
                     ..record
                 },
             );
-            self.leader.finish_answered(&finish.job, now, now);
+            self.leader.commit_answered(&finish.job, now, now);
         }
         for machine in 0..MACHINES {
             self.report(machine, now);
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -1,7 +1,9 @@
 //! The placement against a slow plain reading of the paper's algorithm.
 
 use finchwood::scheduler::bin_packing::{pick, Candidate};
-use finchwood::scheduler::capacity::{FreeCapacity, Names, PlacementRequest, Preempts, Slot};
+use finchwood::scheduler::capacity::{
+    FreeCapacity, MachineSlot, NameInterner, PlacementRequest, Preempts,
+};
 use finchwood::shard::MachineStatus;
 use finchwood::wire::{JobKind, JobSpec, Priority, Resources};
 use proptest::prelude::*;
@@ -249,10 +251,10 @@
                 }
             })
             .collect();
-        let mut names = Names::default();
+        let mut names = NameInterner::default();
         let slots = nodes
             .iter()
-            .map(|n| Slot::new(&view(n), 0, &mut names))
+            .map(|n| MachineSlot::new(&view(n), 0, &mut names))
             .collect();
         let mut capacity = FreeCapacity::new(slots, 0.0);
         for (ask, (spot, machine_type, zone, latency_sensitive)) in jobs {
@@ -280,7 +282,7 @@
                         .zip(ask)
                         .for_each(|(have, took)| *have -= took);
                 }
-                None => capacity.note_no_fit(&request),
+                None => capacity.record_no_fit(&request),
             }
         }
         Ok(())
@@ -318,7 +320,7 @@
         proptest::option::of(0..2usize),
     );
     let result = runner.run(&case, |(raw, (cpus, gpus, mem), spot, machine_type)| {
-        let mut names = Names::default();
+        let mut names = NameInterner::default();
         let nodes =
             raw.into_iter()
                 .enumerate()
@@ -335,18 +337,20 @@
                         machine_peers: 0,
                     }
                 });
-        let slots = nodes.map(|n| Slot::new(&view(&n), 0, &mut names)).collect();
+        let slots = nodes
+            .map(|n| MachineSlot::new(&view(&n), 0, &mut names))
+            .collect();
         let mut capacity = FreeCapacity::new(slots, 0.0);
         let spec = spec([cpus, gpus, mem], spot, machine_type, None);
         let request = PlacementRequest::new(&spec, &names, Vec::new(), true, Preempts::Nothing);
         let counts = capacity.count_by_zone(&request);
-        for zone in ZONES.iter().filter_map(|z| names.known(z)) {
+        for zone in ZONES.iter().filter_map(|z| names.lookup(z)) {
             let counted = counts.get(&zone).copied().unwrap_or_default();
             let placed = capacity.try_place(&request, 10_000, None, &[(zone, u32::MAX)], false);
             prop_assert_eq!(counted.tasks as usize, placed.len());
             prop_assert_eq!(
                 counted.with_image as usize,
-                capacity.warm(&request, &placed)
+                capacity.with_cached_image(&request, &placed)
             );
             let keep = counted.tasks / 2;
             capacity.take_in_zones(&request, &[(zone, u32::MAX)], keep);
@@ -377,10 +381,10 @@
         machine_peers: 0,
     };
     let nodes = [node(0, false), node(1, false), node(2, true)];
-    let mut names = Names::default();
+    let mut names = NameInterner::default();
     let slots = nodes
         .iter()
-        .map(|n| Slot::new(&view(n), 0, &mut names))
+        .map(|n| MachineSlot::new(&view(n), 0, &mut names))
         .collect();
     let mut capacity = FreeCapacity::new(slots, 4.0);
     let array = spec([2, 0, 1], true, None, None);
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -51,7 +51,7 @@
         ];
         let mut leader = Leader::new(&settings(&changes).expect("settings"));
         let members = [("a".to_string(), 7)].into_iter().collect();
-        leader.enter(
+        leader.start_epoch(
             &Epoch {
                 number: EPOCH,
                 members,
@@ -62,7 +62,7 @@
             &cache,
         );
         leader.apply_shard_report(shard.snapshot(&cache, 0.3), &cache, 0.3);
-        leader.resolve(&cache, &|_| false);
+        leader.reconcile(&cache, &|_| false);
         let running = vec![BTreeMap::new(); machines];
         Fleet {
             cache,
--- a/tests/shard_transfers.rs
+++ b/tests/shard_transfers.rs
@@ -133,7 +133,7 @@
             return;
         }
         self.leader
-            .enter(&epoch, epoch.members[leader], &self.cache);
+            .start_epoch(&epoch, epoch.members[leader], &self.cache);
         self.transfers.new_epoch(self.now);
     }
 
@@ -179,8 +179,8 @@
             if self.leader.apply_shard_report(report, &self.cache, now) {
                 self.transfers.take_in(name, transfers, now);
             }
-            self.leader.resolve(&self.cache, &|_| false);
-            self.leader.run_gangs(true);
+            self.leader.reconcile(&self.cache, &|_| false);
+            self.leader.allow_gangs(true);
             self.leader.assign_tasks(&self.cache, now, || true);
             if let Some(mut orders) = self.leader.orders(name) {
                 orders.transfers = self.transfers.orders_for(name);
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -124,10 +124,10 @@
     ];
     ReconciliationProgress {
         all_joined: true,
-        resolved: false,
+        reconciled: false,
         jobs: phases.into_iter().collect(),
-        tasks_in_doubt: 5,
-        machines_in_doubt: 6,
+        unreconciled_tasks: 5,
+        unreconciled_machines: 6,
     }
 }
 
