--- a/src/api/http_request.rs
+++ b/src/api/http_request.rs
@@ -1,108 +1,158 @@
-//! Reading HTTP/1.1 requests from bytes as they come in.
+//! Parses HTTP/1.1 requests from the bytes received so far.
 
-/// The largest head of a request.
+use crate::api::status;
+use std::ops::Range;
+
+/// The largest head of a request, in bytes.
 pub(crate) const HEAD_LIMIT: usize = 16 * 1024;
+/// The most headers of a request.
+const MAX_HEADERS: usize = 48;
+/// The length of the line break that ends a chunk, in bytes.
+const CHUNK_END_LENGTH: usize = 2;
 
-/// A request as it came.
+/// A request as it was received.
 #[derive(Debug)]
 pub struct HttpRequest {
+    /// The method, such as `GET`.
     pub method: String,
-    /// Without what follows a question mark.
+    /// The path, without what follows a question mark.
     pub path: String,
+    /// The body, without the framing of chunks.
     pub body: Vec<u8>,
 }
 
-/// How far a request has come in.
+/// How much of a request has been received.
 #[derive(Debug)]
 pub enum Progress {
     /// More bytes are needed.
     Incomplete,
-    /// It can't be read; the status says why.
+    /// It can't be read, and is to be answered with this status.
     Malformed(u16),
-    /// It is there: `used` bytes of the input, and the `last` on its connection or not.
+    /// All of it.
     Complete {
+        /// The request.
         request: HttpRequest,
+        /// How many bytes of the input it took.
         used: usize,
+        /// The client expects the connection to be closed after the response.
         last: bool,
     },
 }
 
-/// Reads a request, whose body may have up to `limit` bytes, from the beginning of
-/// what has come in.
-pub fn read_request(input: &[u8], limit: usize) -> Progress {
-    let mut headers = [httparse::EMPTY_HEADER; 48];
-    let mut r = httparse::Request::new(&mut headers);
-    let head = match r.parse(input) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if input.len() > HEAD_LIMIT => {
-            return Progress::Malformed(400)
+/// Why no request could be parsed.
+enum ParseError {
+    Incomplete,
+    Malformed,
+}
+
+/// A body and how many bytes of the input it took.
+struct Body {
+    bytes: Vec<u8>,
+    used: usize,
+}
+
+/// Parses the request at the beginning of `input`; its body may have up to `body_limit`
+/// bytes.
+pub fn read_request(input: &[u8], body_limit: usize) -> Progress {
+    match parse_request(input, body_limit) {
+        Ok(complete) => complete,
+        Err(ParseError::Incomplete) => Progress::Incomplete,
+        Err(ParseError::Malformed) => Progress::Malformed(status::BAD_REQUEST),
+    }
+}
+
+fn parse_request(input: &[u8], body_limit: usize) -> Result<Progress, ParseError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    let head_length = match head.parse(input) {
+        Ok(httparse::Status::Complete(length)) => length,
+        Ok(httparse::Status::Partial) if input.len() <= HEAD_LIMIT => {
+            return Err(ParseError::Incomplete)
         }
-        Ok(httparse::Status::Partial) => return Progress::Incomplete,
-        Err(_) => return Progress::Malformed(400),
-    };
-    let header = |name: &str| {
-        let found = r
-            .headers
-            .iter()
-            .find(|h| h.name.eq_ignore_ascii_case(name))?;
-        std::str::from_utf8(found.value).ok().map(str::trim)
+        Ok(httparse::Status::Partial) | Err(_) => return Err(ParseError::Malformed),
     };
-    let says = |name: &str, word: &str| header(name).is_some_and(|v| v.eq_ignore_ascii_case(word));
-    let last =
-        says("Connection", "close") || r.version == Some(0) && !says("Connection", "keep-alive");
-    let (body, used) = if says("Transfer-Encoding", "chunked") {
-        match chunked(&input[head..], limit) {
-            Ok(Some((body, n))) => (body, head + n),
-            Ok(None) => return Progress::Incomplete,
-            Err(status) => return Progress::Malformed(status),
-        }
-    } else {
-        let length = match header("Content-Length").map(str::parse::<usize>) {
-            None => 0,
-            Some(Ok(n)) if n > limit => return Progress::Malformed(400),
-            Some(Ok(n)) => n,
-            Some(Err(_)) => return Progress::Malformed(400),
-        };
-        if input.len() < head + length {
-            return Progress::Incomplete;
-        }
-        (input[head..head + length].to_vec(), head + length)
+    let body = parse_body(&head, &input[head_length..], body_limit)?;
+    Ok(Progress::Complete {
+        request: HttpRequest {
+            method: head.method.unwrap_or_default().to_string(),
+            path: path_without_query(&head).to_string(),
+            body: body.bytes,
+        },
+        used: head_length + body.used,
+        last: closes_connection(&head),
+    })
+}
+
+fn path_without_query<'input>(head: &httparse::Request<'_, 'input>) -> &'input str {
+    let path = head.path.unwrap_or_default();
+    path.split('?').next().unwrap_or_default()
+}
+
+/// HTTP/1.0 closes connections unless the client asks to keep them.
+fn closes_connection(head: &httparse::Request) -> bool {
+    let http_1_0 = head.version == Some(0);
+    header_is(head, "Connection", "close")
+        || http_1_0 && !header_is(head, "Connection", "keep-alive")
+}
+
+fn header<'input>(head: &httparse::Request<'_, 'input>, name: &str) -> Option<&'input str> {
+    let header = head
+        .headers
+        .iter()
+        .find(|header| header.name.eq_ignore_ascii_case(name))?;
+    std::str::from_utf8(header.value).ok().map(str::trim)
+}
+
+fn header_is(head: &httparse::Request, name: &str, expected: &str) -> bool {
+    header(head, name).is_some_and(|value| value.eq_ignore_ascii_case(expected))
+}
+
+fn parse_body(head: &httparse::Request, input: &[u8], limit: usize) -> Result<Body, ParseError> {
+    if header_is(head, "Transfer-Encoding", "chunked") {
+        return parse_chunked_body(input, limit);
+    }
+    let length = match header(head, "Content-Length") {
+        None => 0,
+        Some(value) => value.parse().map_err(|_| ParseError::Malformed)?,
     };
-    let path = r
-        .path
-        .unwrap_or_default()
-        .split('?')
-        .next()
-        .unwrap_or_default()
-        .to_string();
-    let method = r.method.unwrap_or_default().to_string();
-    Progress::Complete {
-        request: HttpRequest { method, path, body },
-        used,
-        last,
+    if length > limit {
+        return Err(ParseError::Malformed);
     }
+    let bytes = input.get(..length).ok_or(ParseError::Incomplete)?.to_vec();
+    Ok(Body {
+        bytes,
+        used: length,
+    })
 }
 
-/// A body in chunks and how many bytes it took; none while it isn't whole.
-fn chunked(input: &[u8], limit: usize) -> Result<Option<(Vec<u8>, usize)>, u16> {
-    let (mut body, mut at) = (Vec::new(), 0);
+fn parse_chunked_body(input: &[u8], limit: usize) -> Result<Body, ParseError> {
+    let mut bytes = Vec::new();
+    let mut used = 0;
     loop {
-        let (start, size) = match httparse::parse_chunk_size(&input[at..]) {
-            Ok(httparse::Status::Complete(c)) => c,
-            Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(400),
-        };
-        if size > (limit - body.len()) as u64 {
-            return Err(400);
-        }
-        let (from, size) = (at + start, size as usize);
-        if input.len() < from + size + 2 {
-            return Ok(None);
-        }
-        body.extend_from_slice(&input[from..from + size]);
-        at = from + size + 2;
-        if size == 0 {
-            return Ok(Some((body, at)));
+        let chunk = parse_chunk(input, used, limit - bytes.len())?;
+        used = chunk.end + CHUNK_END_LENGTH;
+        if chunk.is_empty() {
+            return Ok(Body { bytes, used });
         }
+        bytes.extend_from_slice(&input[chunk]);
+    }
+}
+
+/// Where the content of the chunk that starts at `start` stands in the input. The last
+/// chunk is empty.
+fn parse_chunk(input: &[u8], start: usize, limit: usize) -> Result<Range<usize>, ParseError> {
+    let (head_length, size) = match httparse::parse_chunk_size(&input[start..]) {
+        Ok(httparse::Status::Complete(parsed)) => parsed,
+        Ok(httparse::Status::Partial) => return Err(ParseError::Incomplete),
+        Err(_) => return Err(ParseError::Malformed),
+    };
+    if size > limit as u64 {
+        return Err(ParseError::Malformed);
+    }
+    let content = start + head_length;
+    let content = content..content + size as usize;
+    if input.len() < content.end + CHUNK_END_LENGTH {
+        return Err(ParseError::Incomplete);
     }
+    Ok(content)
 }
--- a/src/api/restart_report.rs
+++ b/src/api/restart_report.rs
@@ -1,31 +1,33 @@
-//! What a controller says of its last restart or takeover, to operators who ask
-//! (`GET /restart` at the address for the other controllers).
+//! The body of `GET /restart` on the internal listener: what a controller found at its
+//! last restart or takeover.
 
 use crate::scheduler::ReconciliationProgress;
 use finchwood_reconciliation::restart_record::RecordView;
 use serde::Serialize;
 
-/// What a controller found and did since it last knew nothing.
+/// What a controller has found and done since it last started, or took over the lead,
+/// without any state.
 #[derive(Debug, Clone, Serialize)]
 pub struct RestartReport {
-    /// The controller's name.
+    /// The name of the controller.
     pub node: String,
     /// Seconds from the start of the process to the first job that it accepted.
     pub first_accepted_after_s: Option<f64>,
-    /// Its own machines and their tasks.
+    /// The machines it owns and their tasks.
     pub machines: RecordView,
-    /// The jobs, if it leads.
+    /// How far the jobs are reconciled, if it leads.
     pub leader: Option<ReconciliationProgress>,
-    /// Stored records that are left alone, the first by key.
+    /// Unreadable records of the key-value store, which are left as they are: the first
+    /// of them by key.
     pub records_left_alone: Vec<RecordLeftAlone>,
-    /// How many there are.
+    /// The number of all unreadable records.
     pub records_left_alone_count: usize,
 }
 
-/// A stored record that can't be read, or names what nobody knows.
+/// A stored record that can't be read, or refers to something unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct RecordLeftAlone {
-    /// Its key.
+    /// The key of the record.
     pub key: String,
     /// What is wrong with it.
     pub why: String,
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -23,9 +23,9 @@
     /// A user asks for the state of the job with this id.
     Query(String),
     /// A user cancels the job with this id.
-    Withdraw(String),
+    Cancel(String),
     /// Whether the controller is ready to serve users.
-    Up,
+    HealthCheck,
     /// A worker reports the state of its machine and tasks.
     Heartbeat {
         /// The decoded report.
@@ -42,7 +42,7 @@
     /// Operators ask for the shard map and the transfers under way.
     ShardMapReport,
     /// Operators submit a plan of transfers.
-    SharesPlan(Plan),
+    ShardMapPlan(Plan),
 }
 
 /// Why a request is refused before it reaches the controller. The text of each is the
@@ -82,7 +82,7 @@
 /// Routes a request of a user or worker.
 pub fn parse_public(request: HttpRequest) -> Result<Request, RouteError> {
     match (request.method.as_str(), request.path.as_str()) {
-        ("GET", "/up") => Ok(Request::Up),
+        ("GET", "/up") => Ok(Request::HealthCheck),
         ("POST", JOBS_PATH) => parse_job(&request.body),
         ("POST", "/agent/beat") => parse_heartbeat(request.body, false),
         (method, path) => parse_job_path(method, path),
@@ -107,7 +107,7 @@
         .strip_prefix(JOB_PREFIX)
         .ok_or(RouteError::UnknownRoute)?;
     match (method, rest.strip_suffix(CANCEL_SUFFIX)) {
-        ("POST", Some(id)) if valid_job_id(id) => Ok(Request::Withdraw(id.into())),
+        ("POST", Some(id)) if valid_job_id(id) => Ok(Request::Cancel(id.into())),
         ("GET", None) if valid_job_id(rest) => Ok(Request::Query(rest.into())),
         _ => Err(RouteError::UnknownRoute),
     }
@@ -125,7 +125,7 @@
 
 fn parse_plan(body: &[u8]) -> Result<Request, RouteError> {
     let plan = serde_json::from_slice(body).map_err(RouteError::MalformedPlan)?;
-    Ok(Request::SharesPlan(plan))
+    Ok(Request::ShardMapPlan(plan))
 }
 
 fn parse_heartbeat(body: Vec<u8>, relayed: bool) -> Result<Request, RouteError> {
--- a/src/api/shard_map_report.rs
+++ b/src/api/shard_map_report.rs
@@ -1,5 +1,5 @@
-//! What a controller says of the shares, to operators who ask (`GET /shares` at the address
-//! for the other controllers).
+//! The body of `GET /shares` on the internal listener: the shard map and the transfers
+//! under way.
 
 use crate::wire::MachineId;
 use finchwood_sharding::plan::Plan;
@@ -8,50 +8,50 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Shares, as one controller knows them.
+/// The shard map, as one controller knows it.
 #[derive(Debug, Clone, Serialize)]
 pub struct ShardMapReport {
-    /// The controller's name.
+    /// The name of the controller.
     pub node: String,
-    /// The present epoch; 0 before the first.
+    /// The current epoch; 0 before the first.
     pub epoch: u64,
-    /// All members of the epoch go by the table.
+    /// All members of the epoch follow the shard map.
     pub in_use: bool,
-    /// How often the table has changed.
+    /// The number of changes of the shard map so far.
     pub generation: u64,
-    /// What is owned otherwise than the hash says.
+    /// The hash ranges that another controller than their hash owner owns.
     pub shares: Vec<OwnedRange>,
     /// The machines that this controller owns.
     pub machines: Vec<MachineId>,
-    /// Of these, the ones that get no orders, as they are being handed over.
+    /// Those of its machines that get no orders, as they are being transferred.
     pub fenced: Vec<MachineId>,
-    /// The transfers, if it leads.
+    /// The transfers of the cluster, if it leads.
     pub leader: Option<TransfersReport>,
 }
 
-/// A share with its owner.
+/// A hash range and its owner.
 #[derive(Debug, Clone, Serialize)]
 pub struct OwnedRange {
-    /// What it holds.
+    /// The machines of the range.
     #[serde(flatten)]
     pub range: HashRange,
-    /// Who owns it.
+    /// The name of the controller that owns them.
     pub owner: String,
 }
 
-/// The leader's transfers.
+/// The transfers that the leader carries out.
 #[derive(Debug, Clone, Serialize)]
 pub struct TransfersReport {
-    /// Under way.
+    /// The transfers under way.
     pub under_way: Vec<Transfer>,
-    /// How many ended, and how.
+    /// The number of transfers that ended, by how they ended.
     pub ended: BTreeMap<TransferEnd, u64>,
-    /// Machines that changed hands.
+    /// The number of machines that changed their owner.
     pub machines_moved: u64,
-    /// The longest transfer that moved a share, in seconds.
+    /// The duration of the longest transfer that moved a hash range, in seconds.
     pub longest_s: f64,
-    /// Machines of the machine registry that no controller has told to own.
+    /// The number of registered machines that no controller has reported to own.
     pub without_owner: usize,
-    /// What operators asked for and is not carried out yet.
+    /// What operators have requested and is not carried out yet.
     pub plan: Plan,
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -360,7 +360,7 @@
 
     fn ask(&mut self, ask: Request, responder: Responder, now: Seconds) {
         match ask {
-            Request::Up => {
+            Request::HealthCheck => {
                 if self.healthy_now(now) {
                     responder.send(200, b"{}".to_vec());
                 } else {
@@ -369,7 +369,7 @@
             }
             Request::Submit(spec) => self.submit(*spec, responder, now),
             Request::Query(id) => self.query(id.as_str().into(), responder, now),
-            Request::Withdraw(id) => self.withdraw(id.as_str().into(), responder, now),
+            Request::Cancel(id) => self.withdraw(id.as_str().into(), responder, now),
             Request::Heartbeat {
                 report,
                 body,
@@ -383,7 +383,7 @@
             Request::RestartReport | Request::ShardMapReport => {
                 responder.retry_later(503, 1, "no report yet")
             }
-            Request::SharesPlan(plan) => self.take_plan(plan, responder),
+            Request::ShardMapPlan(plan) => self.take_plan(plan, responder),
         }
     }
 
--- a/tests/wire_format_refusals.rs
+++ b/tests/wire_format_refusals.rs
@@ -33,10 +33,10 @@
     let understood = match ask {
         Request::Query(id) => return answer_query(&id, responder),
         // Dropped unanswered.
-        Request::Withdraw(id) if id == "wk-dropped" => return,
-        Request::Withdraw(id) => format!("withdraw {id}"),
+        Request::Cancel(id) if id == "wk-dropped" => return,
+        Request::Cancel(id) => format!("withdraw {id}"),
         Request::Submit(spec) => format!("submit {}", spec.id),
-        Request::Up => "up".into(),
+        Request::HealthCheck => "up".into(),
         Request::Heartbeat {
             report,
             body,
@@ -51,7 +51,7 @@
         Request::Peer(envelope) => format!("message from {}", envelope.from),
         Request::RestartReport => "report of a restart".into(),
         Request::ShardMapReport => "report of shares".into(),
-        Request::SharesPlan(plan) => format!("plan to empty {:?}", plan.drain),
+        Request::ShardMapPlan(plan) => format!("plan to empty {:?}", plan.drain),
     };
     responder.send(200, understood.into_bytes());
 }
