--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -1,20 +1,18 @@
 //! Commands to workers, as answers to reports or sent directly, and the tokens
 //! that tell late copies from new ones.
 
+use super::machine::ObservedTask;
 use super::{Shard, Stop, TaskPhase, LATE_REPORTS};
 use crate::clock::Seconds;
 use crate::cluster::membership::{token, token_counter, token_epoch};
 use crate::store::cache::StoreCache;
-use crate::wire::{Command, CommandBatch, Heartbeat, MachineId, Task, TaskState};
+use crate::wire::{Command, CommandBatch, Heartbeat, MachineId, Task};
 use finchwood_reconciliation::restart_record::StopCause;
 use finchwood_reconciliation::stored_jobs::StoredJobs;
-use finchwood_reconciliation::verdict::{may_reap, must_stop, ReportedTask};
+use finchwood_reconciliation::verdict::{may_reap, must_stop};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A task as its machine last showed it: attempt, state and cause.
-type TaskObservation = (u64, TaskState, Option<String>);
-
 /// What to answer a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
@@ -81,10 +79,10 @@
         let Some(m) = self.machines.get_mut(id) else {
             return (token(epoch, 0), Vec::new());
         };
-        if !m.certain() || m.spent() {
-            return (token(epoch, m.counter), m.cancelled_stops(cache));
+        if !m.is_reconciled() || m.token_exhausted() {
+            return (token(epoch, m.token.counter), m.cancelled_stops(cache));
         }
-        let reaps = if m.in_flight {
+        let reaps = if m.commands.in_flight {
             Vec::new()
         } else {
             self.reaps(id, cache)
@@ -94,10 +92,10 @@
             return (token(epoch, 0), Vec::new());
         };
         if !reaps.is_empty() {
-            m.counter += 1;
+            m.token.counter += 1;
         }
-        m.in_flight |= direct;
-        let token = token(epoch, m.counter);
+        m.commands.in_flight |= direct;
+        let token = token(epoch, m.token.counter);
         let counts = &mut self.record.orders;
         counts.reaps += reaps.len() as u64;
         *counts.stops.entry(StopCause::NotHeld).or_default() += stops.len() as u64;
@@ -118,7 +116,7 @@
         token: u64,
         cache: &StoreCache,
     ) -> Option<Command> {
-        let (session, up) = self.machines.get(id).map(|m| (m.session, m.up))?;
+        let (session, up) = self.machines.get(id).map(|m| (m.session.id, m.used))?;
         let attempt = self.held.get(task)?.attempt;
         let place = self.held.place_mut(task)?;
         let counts = &mut self.record.orders;
@@ -157,18 +155,13 @@
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
-        let due = m.lines.iter().filter(|(task, (attempt, state, why))| {
-            let reported = ReportedTask::new(*attempt, *state, why.as_deref());
-            may_reap(
-                reported,
-                self.holding(id, task, *attempt),
-                cache.stored(task),
-            )
-            .is_some()
+        let due = m.contents.tasks.iter().filter(|(task, observed)| {
+            let holding = self.holding(id, task, observed.attempt);
+            may_reap(observed.reported(), holding, cache.stored(task)).is_some()
         });
         due.map(|(task, line)| Command::Forget {
             task: task.to_string(),
-            attempt: line.0,
+            attempt: line.attempt,
         })
         .collect()
     }
@@ -178,13 +171,13 @@
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
-        let due = m.lines.iter().filter(|(task, (attempt, state, why))| {
-            let reported = ReportedTask::new(*attempt, *state, why.as_deref());
-            must_stop(reported, self.holding(id, task, *attempt)).is_some()
+        let due = m.contents.tasks.iter().filter(|(task, observed)| {
+            let holding = self.holding(id, task, observed.attempt);
+            must_stop(observed.reported(), holding).is_some()
         });
-        let stop = |(task, line): (&Task, &TaskObservation)| Command::Stop {
+        let stop = |(task, line): (&Task, &ObservedTask)| Command::Stop {
             task: task.to_string(),
-            attempt: line.0,
+            attempt: line.attempt,
             grace_s: 0.0,
         };
         due.map(stop).collect()
@@ -226,9 +219,9 @@
             self.machines
                 .iter()
                 .filter(|(_, m)| {
-                    m.probe
-                        || m.up && !m.certain() && m.session == 0
-                        || m.up && now - m.heard.unwrap_or(entered.max(m.since)) > late
+                    m.commands.probe_due
+                        || m.used && !m.is_reconciled() && m.session.id == 0
+                        || m.used && m.silent_for(entered, now) > late
                 })
                 .map(|(id, _)| id.clone()),
         );
@@ -240,13 +233,17 @@
             let Some(m) = self.machines.get_mut(&id) else {
                 continue;
             };
-            if m.in_flight || now < m.direct_bad_until || m.session <= m.over && m.session != 0 {
+            if m.commands.in_flight
+                || m.commands.retry_after.is_some_and(|at| now < at)
+                || m.session.id != 0 && m.session.has_ended()
+            {
                 continue;
             }
-            let (Some(address), session) = (m.address.clone(), m.session) else {
+            let (Some(address), session) = (m.identity.address.clone(), m.session.id) else {
                 continue;
             };
-            let unverified = m.unanswered_since.is_some() || m.heard.is_none_or(|h| now - h > late);
+            let unverified = m.commands.unanswered_since.is_some()
+                || m.session.last_heartbeat_at.is_none_or(|h| now - h > late);
             let left = if unverified {
                 &mut room.unverified
             } else {
@@ -256,14 +253,14 @@
                 continue;
             }
             *left -= 1;
-            m.probe = false;
-            m.asked = m.asked.or(Some(now));
-            if !m.certain() {
-                m.in_flight = true;
+            m.commands.probe_due = false;
+            m.commands.outstanding_since = m.commands.outstanding_since.or(Some(now));
+            if !m.is_reconciled() {
+                m.commands.in_flight = true;
                 let commands = m.cancelled_stops(cache);
                 self.record.orders.questions += 1;
                 let body = CommandBatch {
-                    token: token(self.epoch, m.counter),
+                    token: token(self.epoch, m.token.counter),
                     session,
                     commands,
                 };
@@ -303,7 +300,7 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        m.in_flight = false;
+        m.commands.in_flight = false;
         // What is known of it has gone over to its target: no more may change.
         if self.transfers.is_fenced(id) {
             return;
@@ -312,20 +309,20 @@
             Some(r) if r.machine == *id && token_epoch(r.token) <= epoch => {
                 // It has just been reached: what it is told reaches it. That
                 // renews no lease, though: only an answered report does.
-                m.unacknowledged = None;
-                m.obeyed(report_s, now);
-                if r.token > token(epoch, m.counter) {
-                    m.counter = token_counter(r.token) + 1;
+                m.token.unacknowledged = None;
+                m.record_command_response(report_s, now);
+                if r.token > token(epoch, m.token.counter) {
+                    m.token.counter = token_counter(r.token) + 1;
                 }
                 if r.token > sent.token || r.session != sent.session {
-                    m.probe = true;
+                    m.commands.probe_due = true;
                     for task in self.held.names_on(id) {
                         if let Some(p) = self.held.place_mut(&task).filter(|p| !p.confirmed) {
                             p.sent = false;
                         }
                     }
                 }
-                let zone = m.zone.clone();
+                let zone = m.identity.zone.clone();
                 self.take_in(r, cache, now);
                 self.reach(&zone, now);
             }
@@ -340,19 +337,25 @@
                     .iter()
                     .any(|c| !matches!(c, Command::Stop { .. }))
                 {
-                    m.counter += 1;
+                    m.token.counter += 1;
                 }
                 // One taken over that doesn't answer the first question is
                 // suspected at once, but only if others of its zone are reached
                 // meanwhile. It is asked once more, as it may only just be back
                 // from a short cut.
-                let late = m.heard.is_none_or(|h| now - h > report_s * LATE_REPORTS);
-                let asked = m.asked.unwrap_or(now);
-                let others = self.reached.get(&m.zone).is_some_and(|s| s.last > asked);
-                let suspect = late && others && m.unanswered_since.is_none();
-                m.direct_bad_until = if suspect { now } else { now + report_s };
+                let late = m
+                    .session
+                    .last_heartbeat_at
+                    .is_none_or(|h| now - h > report_s * LATE_REPORTS);
+                let asked = m.commands.outstanding_since.unwrap_or(now);
+                let others = self
+                    .reached
+                    .get(&m.identity.zone)
+                    .is_some_and(|s| s.last > asked);
+                let suspect = late && others && m.commands.unanswered_since.is_none();
+                m.commands.retry_after = Some(if suspect { now } else { now + report_s });
                 if suspect {
-                    m.unanswered_since = Some(now);
+                    m.commands.unanswered_since = Some(now);
                 }
             }
         }
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Workers' reports: which are newer than what is known, what they prove, and
 //! what has become of the tasks that this shard holds.
 
-use super::machine::Machine;
+use super::machine::{Machine, MachineIdentity, ObservedTask};
 use super::{HeartbeatReply, Shard};
 use crate::clock::Seconds;
 use crate::cluster::failure_detection::ReachedSpan;
@@ -16,7 +16,7 @@
     /// machine is not mute.
     pub fn note_contact(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id) {
-            m.unreported = None;
+            m.commands.without_heartbeat = None;
         }
     }
 
@@ -45,41 +45,43 @@
             .registry
             .get(&r.machine)
             .map(|(record, _)| record.clone());
-        let m = self
-            .machines
-            .entry(r.machine.clone())
-            .or_insert_with(|| Machine {
+        let m = self.machines.entry(r.machine.clone()).or_insert_with(|| {
+            let identity = MachineIdentity {
                 machine_type: r.machine_type.clone(),
                 zone: r.zone.clone(),
                 spot: r.spot,
+                address: None,
+            };
+            Machine {
                 source_renews_until,
-                ..Machine::unknown(now)
-            });
+                ..Machine::new(identity, now)
+            }
+        });
         if let Some(record) = known {
-            m.listed = true;
-            m.up |= record.in_use;
+            m.registered = true;
+            m.used |= record.in_use;
         }
-        if (r.session, r.seq) <= (m.session, m.seq) || r.session <= m.over {
+        if m.session.is_outdated(r) {
             return HeartbeatReply::Refuse;
         }
-        m.answered = Some(now);
-        m.unreported = None;
-        if r.token > token(epoch, m.counter) {
-            m.counter = token_counter(r.token) + 1;
+        m.session.last_answered_at = Some(now);
+        m.commands.without_heartbeat = None;
+        if r.token > token(epoch, m.token.counter) {
+            m.token.counter = token_counter(r.token) + 1;
         }
-        m.note_seen_token(r, epoch, relayed, self.timing, now);
+        m.record_seen_token(r, epoch, relayed, self.timing, now);
         self.take_in(r, cache, now);
         if let Some(m) = self
             .machines
             .get(&r.machine)
-            .filter(|m| !relayed && m.heard == Some(now))
+            .filter(|m| !relayed && m.session.last_heartbeat_at == Some(now))
         {
-            let zone = m.zone.clone();
+            let zone = m.identity.zone.clone();
             self.reach(&zone, now);
         }
         let (token, commands) = self.compose(&r.machine, cache, false);
         if let Some(m) = self.machines.get_mut(&r.machine) {
-            m.told(r.token, token, now);
+            m.record_answer(r.token, token, now);
         }
         HeartbeatReply::Accepted { token, commands }
     }
@@ -92,8 +94,12 @@
         if known.is_some_and(|k| k.first != stretch.first) {
             // The zone is back: all its machines are asked at once, as what may
             // be on them waits for their answers.
-            for m in self.machines.values_mut().filter(|m| m.zone == *zone) {
-                m.direct_bad_until = m.direct_bad_until.min(now);
+            for m in self
+                .machines
+                .values_mut()
+                .filter(|m| m.identity.zone == *zone)
+            {
+                m.commands.retry_after = m.commands.retry_after.map(|at| at.min(now));
             }
         }
     }
@@ -104,60 +110,65 @@
         let Some(m) = self.machines.get_mut(&id) else {
             return;
         };
-        if (r.session, r.seq) <= (m.session, m.seq) || r.session <= m.over {
+        if m.session.is_outdated(r) {
             return;
         }
-        let new_session = r.session > m.session;
+        let new_session = r.session > m.session.id;
         if new_session {
-            m.session_seen = now;
+            m.session.first_seen_at = Some(now);
         }
-        m.session = r.session;
-        m.seq = r.seq;
-        m.address = Some(r.address.as_str().into());
+        m.session.id = r.session;
+        m.session.sequence = r.seq;
+        m.identity.address = Some(r.address.as_str().into());
         // A copy of an old report may come long after its machine is gone, to
         // a node that never saw the first: only a worker that has seen a token
         // of this epoch is alive in it. One that was never used has sent no
         // report before; whoever is neither is asked, and proves it.
-        let fresh = m.listed && !m.up;
+        let fresh = m.registered && !m.used;
         let alive = fresh || token_epoch(r.token) == self.epoch;
         if alive {
-            m.asked = None;
-            m.unanswered_since = None;
+            m.commands.outstanding_since = None;
+            m.commands.unanswered_since = None;
         }
-        if m.heard.is_none() && alive {
-            m.idle_since = now;
+        if m.session.last_heartbeat_at.is_none() && alive {
+            m.contents.idle_since = now;
             self.dirty = true;
         }
         // Left alone: a notice that lies in the past makes no sense.
         if let Some(s) = r.notice_s.filter(|s| *s >= 0.0) {
-            if m.notice_until.is_none() {
+            if m.reclaimed_at.is_none() {
                 self.dirty = true;
             }
-            m.notice_until = Some(now + s);
+            m.reclaimed_at = Some(now + s);
         }
-        m.lines = r
+        m.contents.tasks = r
             .tasks
             .iter()
             .filter_map(|l: &TaskReport| {
-                Some((Task::parse(&l.task)?, (l.attempt, l.state, l.cause.clone())))
+                let observed = ObservedTask {
+                    attempt: l.attempt,
+                    state: l.state,
+                    cause: l.cause.clone(),
+                };
+                Some((Task::parse(&l.task)?, observed))
             })
             .collect();
-        let was_certain = m.certain();
+        let was_certain = m.is_reconciled();
         let transition = m.state.after(MachineEvent::Heartbeat {
-            first_contact: m.heard.is_none(),
-            used: m.up,
-            shows_token: r.token >= token(self.epoch, m.counter),
+            first_contact: m.session.last_heartbeat_at.is_none(),
+            used: m.used,
+            shows_token: r.token >= token(self.epoch, m.token.counter),
         });
         m.state = transition.state;
         if alive {
-            m.heard = Some(now);
+            m.session.last_heartbeat_at = Some(now);
         }
-        let certain = m.certain();
+        let certain = m.is_reconciled();
         if transition.ask {
             // Its answer under our token is proof.
-            m.probe = true;
+            m.commands.probe_due = true;
         } else if !was_certain {
-            m.probe = false;
+            m.commands.probe_due = false;
             self.dirty = true;
         }
         if new_session {
@@ -167,8 +178,8 @@
             self.reconcile(&id, r.token, cache, now);
         }
         if let Some(m) = self.machines.get_mut(&id) {
-            if !m.lines.is_empty() || self.held.count_on(&id) > 0 {
-                m.idle_since = now;
+            if !m.contents.tasks.is_empty() || self.held.count_on(&id) > 0 {
+                m.contents.idle_since = now;
             }
         }
     }
--- a/src/shard/leases.rs
+++ b/src/shard/leases.rs
@@ -24,26 +24,31 @@
                 // Guard: a session without an answer has its lease from when it
                 // began. A worker that reports to nobody begins one after the
                 // other, and direct commands start tasks in each.
-                let mut renewed = m.answered.unwrap_or(entered).max(m.session_seen);
+                let mut renewed = m.session.last_answered_at.unwrap_or(entered);
+                if let Some(first_seen_at) = m.session.first_seen_at {
+                    renewed = renewed.max(first_seen_at);
+                }
                 // Guard: while it has not shown our token, our answer may have been
                 // lost, and an earlier owner's accepted after it.
-                if !m.certain() {
+                if !m.is_reconciled() {
                     renewed = renewed.max(entered);
                 }
-                renewed = renewed.max(m.source_renews_until);
-                !m.in_flight && now - renewed > limit
+                if let Some(until) = m.source_renews_until {
+                    renewed = renewed.max(until);
+                }
+                !m.commands.in_flight && now - renewed > limit
             })
             .filter(|(id, _)| !self.transfers.is_fenced(id))
-            .filter(|(_, m)| !m.certain() || m.session > m.over)
+            .filter(|(_, m)| !m.is_reconciled() || !m.session.has_ended())
             .map(|(id, _)| id.clone())
             .collect();
         for id in silent {
             if let Some(m) = self.machines.get_mut(&id) {
-                tracing::info!(%id, session = m.session, "a worker's lease is past");
+                tracing::info!(%id, session = m.session.id, "a worker's lease is past");
                 m.state = m.state.after(MachineEvent::LeasePast).state;
-                m.over = m.session;
-                m.lines.clear();
-                let below = m.session + 1;
+                m.session.ended_up_to = m.session.id;
+                m.contents.tasks.clear();
+                let below = m.session.id + 1;
                 self.lose(&id, below);
                 self.dirty = true;
             }
@@ -56,7 +61,7 @@
         let noticed = self
             .machines
             .iter()
-            .filter_map(|(id, m)| Some((id, m.notice_until?)));
+            .filter_map(|(id, m)| Some((id, m.reclaimed_at?)));
         for (until, (task, h)) in
             noticed.flat_map(|(id, until)| self.held.on(id).map(move |t| (until, t)))
         {
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -7,240 +7,368 @@
 use crate::store::cache::StoreCache;
 use crate::wire::{Command, Heartbeat, JobId, Task, TaskState};
 use finchwood_reconciliation::machine_state::MachineState;
-use finchwood_reconciliation::verdict::Verdict;
+use finchwood_reconciliation::verdict::{ReportedTask, Verdict};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
 /// A worker that has answered direct commands for so many intervals without one
-/// report is mute: it goes round all controllers in less.
+/// heartbeat has stopped reporting: it tries all controllers in less.
 const SILENT_REPORTS: f64 = 3.5;
 
+/// A machine on which tasks of so many jobs failed is faulty.
+const FAULTY_AT_FAILED_JOBS: usize = 2;
+
+/// A machine that has seen none of so many answers, for so many reporting intervals,
+/// gets no new work.
+const SUSPECT_AFTER_ANSWERS: u32 = 2;
+const SUSPECT_AFTER_REPORTS: f64 = 1.5;
+
+/// A machine that has seen none of so many answers, for so many reporting intervals,
+/// ignores commands.
+const IGNORES_AFTER_ANSWERS: u32 = 3;
+const IGNORES_AFTER_REPORTS: f64 = 3.0;
+
+/// A machine of this shard.
 #[derive(Debug, Clone)]
 pub(super) struct Machine {
+    /// What kind of machine it is, and where.
+    pub(super) identity: MachineIdentity,
+    /// It is on the machine registry.
+    pub(super) registered: bool,
+    /// Tasks may have been started there: the machine registry says so.
+    pub(super) used: bool,
+    /// What is known of its content.
+    pub(super) state: MachineState,
+    /// The session of its worker.
+    pub(super) session: WorkerSession,
+    /// The fencing token under which it is commanded.
+    pub(super) token: TokenAcknowledgement,
+    /// Direct commands to its worker.
+    pub(super) commands: CommandChannel,
+    /// What its worker last showed to be there.
+    pub(super) contents: MachineContents,
+    /// When this shard came to know of it.
+    pub(super) known_since: Seconds,
+    /// When the cloud takes it back, if it has given notice.
+    pub(super) reclaimed_at: Option<Seconds>,
+    /// It takes no more tasks, by the leader's order.
+    pub(super) draining: bool,
+    /// Until when the controller that gave it away may have renewed its worker's lease.
+    pub(super) source_renews_until: Option<Seconds>,
+}
+
+/// What a machine is, and how to reach it.
+#[derive(Debug, Clone)]
+pub(super) struct MachineIdentity {
     pub(super) machine_type: Arc<str>,
     pub(super) zone: Arc<str>,
+    /// The cloud may take it back at short notice.
     pub(super) spot: bool,
+    /// Where its worker takes direct commands, once that is known.
     pub(super) address: Option<Arc<str>>,
+}
+
+/// The session of a machine's worker: a worker whose lease has expired kills its
+/// tasks and begins a new one.
+#[derive(Debug, Clone, Default)]
+pub(super) struct WorkerSession {
+    /// The newest session; 0 before the first heartbeat.
+    pub(super) id: u64,
+    /// The newest heartbeat of the session.
+    pub(super) sequence: u64,
+    /// When the session was first seen: it can't have begun later.
+    pub(super) first_seen_at: Option<Seconds>,
+    /// Sessions up to this one have ended, by the length of their lease.
+    pub(super) ended_up_to: u64,
+    /// When it last gave a sign of life that can't be a late copy.
+    pub(super) last_heartbeat_at: Option<Seconds>,
+    /// When it was last sent an answer that renews its lease.
+    pub(super) last_answered_at: Option<Seconds>,
+}
+
+impl WorkerSession {
+    /// Whether a heartbeat is no newer than the last one, or of a session that has ended.
+    pub(super) fn is_outdated(&self, heartbeat: &Heartbeat) -> bool {
+        (heartbeat.session, heartbeat.seq) <= (self.id, self.sequence)
+            || heartbeat.session <= self.ended_up_to
+    }
+
+    /// Whether the session has ended by the length of its lease.
+    pub(super) fn has_ended(&self) -> bool {
+        self.id <= self.ended_up_to
+    }
+
+    /// For how long there has been no heartbeat, counted from `start` if there never was one.
+    pub(super) fn silent_for(&self, start: Seconds, now: Seconds) -> Seconds {
+        now - self.last_heartbeat_at.unwrap_or(start)
+    }
+}
+
+/// The fencing token of a machine, and whether its worker shows that it has seen it.
+#[derive(Debug, Clone, Default)]
+pub(super) struct TokenAcknowledgement {
+    /// The token within this shard's epoch.
+    pub(super) counter: u64,
+    /// The first answer that the worker has not shown to have seen.
+    pub(super) unacknowledged: Option<UnacknowledgedToken>,
+    /// When the token was last raised only to see whether the worker follows.
+    pub(super) last_probe_at: Option<Seconds>,
+}
+
+/// The direct commands to a machine's worker.
+#[derive(Debug, Clone, Default)]
+pub(super) struct CommandChannel {
+    /// A command was sent and neither answered nor given up yet.
+    pub(super) in_flight: bool,
+    /// The worker is to be asked for its state.
+    pub(super) probe_due: bool,
     /// When the first command was sent that it has not answered.
-    pub(super) asked: Option<Seconds>,
+    pub(super) outstanding_since: Option<Seconds>,
     /// Since when it does not answer, asked after a silence, while others of
     /// its zone are reached.
     pub(super) unanswered_since: Option<Seconds>,
-    pub(super) listed: bool,
-    pub(super) up: bool,
-    /// What is known of its content.
-    pub(super) state: MachineState,
-    pub(super) session: u64,
-    pub(super) seq: u64,
-    pub(super) counter: u64,
-    pub(super) heard: Option<Seconds>,
-    /// When this shard came to know of it.
-    pub(super) since: Seconds,
-    /// When it was last sent an answer that renews its lease.
-    pub(super) answered: Option<Seconds>,
-    /// When its present session was first seen: it can't have begun later.
-    pub(super) session_seen: Seconds,
-    /// Sessions up to this one have ended, by the length of their lease.
-    pub(super) over: u64,
-    pub(super) lines: BTreeMap<Task, (u64, TaskState, Option<String>)>,
-    pub(super) notice_until: Option<Seconds>,
-    pub(super) draining: bool,
-    pub(super) errors: HashSet<JobId>,
-    pub(super) in_flight: bool,
-    pub(super) direct_bad_until: Seconds,
+    /// No command is sent before this time, as the last one failed.
+    pub(super) retry_after: Option<Seconds>,
+    /// Direct commands answered without any heartbeat between.
+    pub(super) without_heartbeat: Option<ResponsePeriod>,
+}
+
+/// What a machine's worker last showed to be there.
+#[derive(Debug, Clone)]
+pub(super) struct MachineContents {
+    /// The tasks of the newest heartbeat.
+    pub(super) tasks: ObservedTasks,
+    /// What was last judged of them, with the attempt, other than that they are known.
+    pub(super) verdicts: BTreeMap<Task, (u64, Verdict)>,
+    /// They were compared with the assigned tasks at least once since this shard came
+    /// to own the machine.
+    pub(super) compared: bool,
+    /// Images that are likely cached, the latest first.
+    pub(super) images: VecDeque<CachedImage>,
+    /// Jobs of which a task failed there.
+    pub(super) failed_jobs: HashSet<JobId>,
+    /// Since when it holds nothing.
     pub(super) idle_since: Seconds,
-    pub(super) images: VecDeque<(Arc<str>, f64)>,
-    pub(super) probe: bool,
-    /// The first answer that the worker has not shown to have seen.
-    pub(super) unacknowledged: Option<Unacknowledged>,
-    /// When its token was last raised only to see whether it follows.
-    pub(super) tested: Option<Seconds>,
-    /// Direct commands answered without any report between.
-    pub(super) unreported: Option<Unreported>,
-    /// Until when the controller that gave it away may have renewed its worker's lease.
-    pub(super) source_renews_until: Seconds,
-    /// Its content was taken in at least once since its owner came to own it.
-    pub(super) reconciled: bool,
-    /// What was last judged of its tasks, other than that they are known.
-    pub(super) judged: BTreeMap<Task, (u64, Verdict)>,
 }
 
-/// For how long a machine has answered direct commands without a report.
+/// An image in a machine's cache: its name, and its size in gigabytes.
+pub(super) type CachedImage = (Arc<str>, f64);
+
+/// The tasks that a machine showed in its newest heartbeat.
+pub(super) type ObservedTasks = BTreeMap<Task, ObservedTask>;
+
+/// A task as its machine last showed it.
+#[derive(Debug, Clone)]
+pub(super) struct ObservedTask {
+    pub(super) attempt: u64,
+    pub(super) state: TaskState,
+    /// Why it ended, in the worker's word.
+    pub(super) cause: Option<String>,
+}
+
+impl ObservedTask {
+    /// What a verdict on the task needs to know of it.
+    pub(super) fn reported(&self) -> ReportedTask {
+        ReportedTask::new(self.attempt, self.state, self.cause.as_deref())
+    }
+}
+
+/// For how long a machine has answered direct commands without a heartbeat.
 #[derive(Debug, Clone)]
-pub(super) struct Unreported {
-    pub(super) since: Seconds,
-    pub(super) last: Seconds,
+pub(super) struct ResponsePeriod {
+    pub(super) first_at: Seconds,
+    pub(super) last_at: Seconds,
 }
 
-/// An answer that shows no effect.
+/// An answer that the worker has not shown to have seen.
 #[derive(Debug, Clone)]
-pub(super) struct Unacknowledged {
+pub(super) struct UnacknowledgedToken {
     pub(super) token: u64,
-    pub(super) since: Seconds,
+    pub(super) first_sent_at: Seconds,
+    /// Answers sent since, the first included.
     pub(super) answers: u32,
 }
 
+impl MachineContents {
+    /// Nothing, as far as is known.
+    pub(super) fn empty(now: Seconds) -> MachineContents {
+        MachineContents {
+            tasks: BTreeMap::new(),
+            verdicts: BTreeMap::new(),
+            compared: false,
+            images: VecDeque::new(),
+            failed_jobs: HashSet::new(),
+            idle_since: now,
+        }
+    }
+}
+
 impl Machine {
-    pub(super) fn unknown(now: Seconds) -> Machine {
+    /// A machine of which nothing else is known at `now`.
+    pub(super) fn new(identity: MachineIdentity, now: Seconds) -> Machine {
         Machine {
-            machine_type: "".into(),
-            zone: "".into(),
-            spot: false,
-            address: None,
-            asked: None,
-            unanswered_since: None,
-            listed: false,
-            up: false,
+            identity,
+            registered: false,
+            used: false,
             state: MachineState::Unheard,
-            session: 0,
-            seq: 0,
-            counter: 0,
-            heard: None,
-            since: now,
-            answered: None,
-            session_seen: 0.0,
-            over: 0,
-            lines: BTreeMap::new(),
-            notice_until: None,
+            session: WorkerSession::default(),
+            token: TokenAcknowledgement::default(),
+            commands: CommandChannel::default(),
+            contents: MachineContents::empty(now),
+            known_since: now,
+            reclaimed_at: None,
             draining: false,
-            errors: HashSet::new(),
-            in_flight: false,
-            direct_bad_until: 0.0,
-            idle_since: now,
-            images: VecDeque::new(),
-            probe: false,
-            unacknowledged: None,
-            tested: None,
-            unreported: None,
-            source_renews_until: f64::MIN,
-            reconciled: false,
-            judged: BTreeMap::new(),
+            source_renews_until: None,
         }
     }
 
     /// Whether its content is known.
-    pub(super) fn certain(&self) -> bool {
+    pub(super) fn is_reconciled(&self) -> bool {
         self.state.is_certain()
     }
 
+    /// Whether an image is likely in its cache.
     pub(super) fn has_image(&self, image: &str) -> bool {
-        self.images.iter().any(|i| &*i.0 == image)
+        self.contents
+            .images
+            .iter()
+            .any(|(name, _)| &**name == image)
     }
 
-    /// A machine on which tasks of two jobs failed is taken out of use.
-    pub(super) fn faulty(&self) -> bool {
-        self.errors.len() >= 2
+    /// Whether tasks of several jobs failed there: it is taken out of use.
+    pub(super) fn is_faulty(&self) -> bool {
+        self.contents.failed_jobs.len() >= FAULTY_AT_FAILED_JOBS
     }
 
-    /// Notes what a report shows of whether our answers reach the machine. A
-    /// worker whose report came through another controller may hear nobody at
-    /// all, so it is told a higher token now and then: it must show it.
-    pub(super) fn note_seen_token(
+    /// For how long it has sent no heartbeat. One that never sent any counts from
+    /// `epoch_started_at`, or from when it became known.
+    pub(super) fn silent_for(&self, epoch_started_at: Seconds, now: Seconds) -> Seconds {
+        let start = epoch_started_at.max(self.known_since);
+        self.session.silent_for(start, now)
+    }
+
+    /// Records what a heartbeat shows of whether our answers reach the machine. A
+    /// worker whose heartbeat came through another controller may hear nobody at
+    /// all, so its token is raised now and then: it must show the new one.
+    pub(super) fn record_seen_token(
         &mut self,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         epoch: u64,
         relayed: bool,
         timing: Timing,
         now: Seconds,
     ) {
-        let mine = token_epoch(r.token) == epoch;
-        if self
-            .unacknowledged
-            .as_ref()
-            .is_some_and(|u| r.token >= u.token)
-        {
-            self.unacknowledged = None;
+        let of_this_epoch = token_epoch(heartbeat.token) == epoch;
+        let unacknowledged = self.token.unacknowledged.as_ref();
+        if unacknowledged.is_some_and(|sent| heartbeat.token >= sent.token) {
+            self.token.unacknowledged = None;
         }
-        // Its lease ran out although it was answered well within it.
-        let risen = mine && self.session > 0 && r.session > self.session;
-        let tested = self.tested.is_some_and(|t| now - t < timing.lease_s / 2.0);
-        if (risen || relayed && !tested) && mine {
-            self.counter += 1;
-            self.tested = Some(now);
+        // Its lease expired although it was answered well within it.
+        let restarted = self.session.id > 0 && heartbeat.session > self.session.id;
+        let probed_lately = self
+            .token
+            .last_probe_at
+            .is_some_and(|at| now - at < timing.lease_s / 2.0);
+        if of_this_epoch && (restarted || relayed && !probed_lately) {
+            self.token.counter += 1;
+            self.token.last_probe_at = Some(now);
         }
     }
 
-    /// An answer with `token` went out to a report that showed `seen`.
-    pub(super) fn told(&mut self, seen: u64, token: u64, now: Seconds) {
-        if seen < token {
-            let u = self.unacknowledged.get_or_insert(Unacknowledged {
+    /// Records that an answer with `token` went out to a heartbeat that showed `seen`.
+    pub(super) fn record_answer(&mut self, seen: u64, token: u64, now: Seconds) {
+        if seen >= token {
+            return;
+        }
+        let sent = self
+            .token
+            .unacknowledged
+            .get_or_insert(UnacknowledgedToken {
                 token,
-                since: now,
+                first_sent_at: now,
                 answers: 0,
             });
-            u.answers += 1;
-        }
+        sent.answers += 1;
     }
 
-    /// An answer has not been heeded for longer than its worker takes to
-    /// report again: no new work until it is.
-    pub(super) fn suspect(&self, report_s: Seconds, now: Seconds) -> bool {
-        self.unacknowledged
-            .as_ref()
-            .is_some_and(|u| u.answers >= 2 && now - u.since > report_s * 1.5)
-            || self.unreported_for(now) > report_s * SILENT_REPORTS * 0.75
+    /// Whether answers may not reach it, or its heartbeats not us: for longer than its
+    /// worker takes to report again. It gets no new work meanwhile.
+    pub(super) fn is_suspect(&self, report_s: Seconds, now: Seconds) -> bool {
+        let unseen = self.token.unacknowledged.as_ref().is_some_and(|sent| {
+            sent.answers >= SUSPECT_AFTER_ANSWERS
+                && now - sent.first_sent_at > report_s * SUSPECT_AFTER_REPORTS
+        });
+        unseen || self.without_heartbeat_for(now) > report_s * SILENT_REPORTS * 0.75
     }
 
-    /// It answers direct commands but doesn't report: those renew no lease, so
-    /// that what runs there will be killed, and what is started anew as well.
+    /// Whether it answers direct commands but sends no heartbeats: those commands renew
+    /// no lease, so that what runs there will be killed, and what is started anew as well.
     pub(super) fn stopped_reporting(&self, report_s: Seconds, now: Seconds) -> bool {
-        self.unreported_for(now) > report_s * SILENT_REPORTS
+        self.without_heartbeat_for(now) > report_s * SILENT_REPORTS
     }
 
-    pub(super) fn unreported_for(&self, now: Seconds) -> Seconds {
-        self.unreported.as_ref().map_or(0.0, |u| now - u.since)
+    fn without_heartbeat_for(&self, now: Seconds) -> Seconds {
+        let period = self.commands.without_heartbeat.as_ref();
+        period.map_or(0.0, |period| now - period.first_at)
     }
 
-    /// It answered a direct command. Guard: where none was sent for a while, as
-    /// this node had no right to command, reports were refused too, and what
-    /// went before says nothing: an outage made half a fleet look mute.
-    pub(super) fn obeyed(&mut self, report_s: Seconds, now: Seconds) {
-        match &mut self.unreported {
-            Some(u) if now - u.last < report_s * SILENT_REPORTS / 1.5 => u.last = now,
+    /// Records that it answered a direct command. After a while without any command the
+    /// count begins anew: this node then had no right to command, and refused heartbeats
+    /// too, so what went before says nothing. Otherwise an outage would make half of the
+    /// machines look as if they had stopped reporting.
+    pub(super) fn record_command_response(&mut self, report_s: Seconds, now: Seconds) {
+        match &mut self.commands.without_heartbeat {
+            Some(period) if now - period.last_at < report_s * SILENT_REPORTS / 1.5 => {
+                period.last_at = now;
+            }
             _ => {
-                self.unreported = Some(Unreported {
-                    since: now,
-                    last: now,
-                })
+                self.commands.without_heartbeat = Some(ResponsePeriod {
+                    first_at: now,
+                    last_at: now,
+                });
             }
         }
     }
 
-    /// Its token can't be raised any more: no start there could be proven dead.
-    pub(super) fn spent(&self) -> bool {
-        self.counter >= MAX_COUNTER
+    /// Whether its token can't be raised any more: no start there could be proven dead.
+    pub(super) fn token_exhausted(&self) -> bool {
+        self.token.counter >= MAX_COUNTER
     }
 
     /// Stops for what it showed to run of cancelled jobs. They need no proof of
     /// what else is there: an answer without them renewed such tasks again and
     /// again while owners changed faster than a worker reports.
     pub(super) fn cancelled_stops(&self, cache: &StoreCache) -> Vec<Command> {
-        let over = |t: &Task| cache.jobs.get(&t.job).is_some_and(|j| j.record.cancelled);
-        let runs = self
-            .lines
+        let cancelled = |task: &Task| {
+            let job = cache.jobs.get(&task.job);
+            job.is_some_and(|job| job.record.cancelled)
+        };
+        self.contents
+            .tasks
             .iter()
-            .filter(|(t, l)| l.1 != TaskState::Ended && over(t));
-        runs.map(|(t, l)| Command::Stop {
-            task: t.to_string(),
-            attempt: l.0,
-            grace_s: 0.0,
-        })
-        .collect()
+            .filter(|(task, observed)| observed.state != TaskState::Ended && cancelled(task))
+            .map(|(task, observed)| Command::Stop {
+                task: task.to_string(),
+                attempt: observed.attempt,
+                grace_s: 0.0,
+            })
+            .collect()
     }
 
-    /// Its reports arrive, but nothing that it is answered or told reaches it:
-    /// for so long that one lost answer, after which a worker tries other
+    /// Whether its heartbeats arrive, but nothing that it is answered or told reaches
+    /// it: for so long that one lost answer, after which a worker tries other
     /// controllers first, can't be why.
     pub(super) fn ignores_commands(&self, report_s: Seconds, now: Seconds) -> bool {
-        self.unacknowledged
-            .as_ref()
-            .is_some_and(|u| u.answers >= 3 && now - u.since > report_s * 3.0)
+        self.token.unacknowledged.as_ref().is_some_and(|sent| {
+            sent.answers >= IGNORES_AFTER_ANSWERS
+                && now - sent.first_sent_at > report_s * IGNORES_AFTER_REPORTS
+        })
     }
 
     /// Makes the token higher than `floor`, if it isn't.
-    pub(super) fn raise(&mut self, epoch: u64, floor: u64) {
-        if floor != u64::MAX && token(epoch, self.counter) <= floor {
-            self.counter += 1;
+    pub(super) fn raise_token_above(&mut self, epoch: u64, floor: u64) {
+        if token(epoch, self.token.counter) <= floor {
+            self.token.counter += 1;
         }
     }
 }
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -32,7 +32,7 @@
 use finchwood_reconciliation::machine_state::MachineState;
 use finchwood_reconciliation::restart_record::RestartRecord;
 use finchwood_reconciliation::stored_jobs::StoredJobs;
-use machine::Machine;
+use machine::{Machine, MachineIdentity};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 use transfer::TransferParticipant;
@@ -235,18 +235,23 @@
         if self.transfers.is_awaited(id) {
             return;
         }
-        let m = self.machines.entry(id.clone()).or_insert_with(|| Machine {
-            machine_type: record.machine_type.clone(),
-            zone: record.zone.clone(),
-            spot: record.spot,
-            // Never used by anybody: the machine registry would say so.
-            state: MachineState::listed(record.in_use),
-            ..Machine::unknown(now)
+        let m = self.machines.entry(id.clone()).or_insert_with(|| {
+            let identity = MachineIdentity {
+                machine_type: record.machine_type.clone(),
+                zone: record.zone.clone(),
+                spot: record.spot,
+                address: None,
+            };
+            Machine {
+                // Never used by anybody: the machine registry would say so.
+                state: MachineState::listed(record.in_use),
+                ..Machine::new(identity, now)
+            }
         });
-        m.listed = true;
-        m.up |= record.in_use;
-        if m.address.is_none() {
-            m.address.clone_from(&record.address);
+        m.registered = true;
+        m.used |= record.in_use;
+        if m.identity.address.is_none() {
+            m.identity.address.clone_from(&record.address);
         }
         self.dirty = true;
     }
@@ -266,7 +271,7 @@
     pub fn listed_machines(&self) -> Vec<MachineId> {
         self.machines
             .iter()
-            .filter(|(_, m)| m.listed)
+            .filter(|(_, m)| m.registered)
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -438,8 +443,8 @@
                     }
                     let (id, floor) = (p.machine.clone(), p.start_token);
                     if let Some(m) = self.machines.get_mut(&id) {
-                        m.raise(epoch, floor);
-                        m.probe = true;
+                        m.raise_token_above(epoch, floor);
+                        m.commands.probe_due = true;
                     }
                 }
             }
@@ -508,8 +513,11 @@
         // Neither rented nor shown to be alive: a copy of a report, or a machine
         // whose lease is past by now.
         let (lease_s, entered) = (self.timing.lease_s, self.entered);
-        self.machines
-            .retain(|_, m| m.listed || m.heard.is_some() || now - m.since.max(entered) < lease_s);
+        self.machines.retain(|_, m| {
+            m.registered
+                || m.session.last_heartbeat_at.is_some()
+                || now - m.known_since.max(entered) < lease_s
+        });
         let held = &self.held;
         self.seen
             .retain(|t, _| held.contains(t) || cache.jobs.get(&t.job).is_none_or(|j| j.live()));
--- a/src/shard/placement.rs
+++ b/src/shard/placement.rs
@@ -21,15 +21,15 @@
         let Some(total) = cache
             .catalog
             .as_ref()
-            .and_then(|c| c.get(&m.machine_type))
+            .and_then(|c| c.get(&m.identity.machine_type))
             .map(|t| t.total())
         else {
             return Resources::default();
         };
         let mut free = total;
         let spec = |job: &JobId| cache.jobs.get(job).and_then(|j| j.record.spec.as_ref());
-        for (task, (_, state, _)) in &m.lines {
-            if *state != TaskState::Ended {
+        for (task, observed) in &m.contents.tasks {
+            if observed.state != TaskState::Ended {
                 match spec(&task.job) {
                     Some(s) => free.subtract(&s.task_resources()),
                     None => return Resources::default(),
@@ -37,7 +37,11 @@
             }
         }
         for (task, h) in self.held.on(id) {
-            if m.lines.get(task).is_none_or(|l| l.0 != h.attempt) {
+            if m.contents
+                .tasks
+                .get(task)
+                .is_none_or(|l| l.attempt != h.attempt)
+            {
                 if let Some(s) = spec(&task.job) {
                     free.subtract(&s.task_resources());
                 }
@@ -47,12 +51,14 @@
     }
 
     pub(super) fn open(&self, m: &Machine, now: Seconds) -> bool {
-        m.up && m.listed
-            && m.certain()
+        m.used
+            && m.registered
+            && m.is_reconciled()
             && !m.draining
-            && m.notice_until.is_none()
-            && !m.suspect(self.timing.report_s, now)
-            && m.heard
+            && m.reclaimed_at.is_none()
+            && !m.is_suspect(self.timing.report_s, now)
+            && m.session
+                .last_heartbeat_at
                 .is_some_and(|h| now - h < self.timing.report_s * 2.5)
     }
 
@@ -150,18 +156,21 @@
                     h.at.as_ref()
                         .and_then(|p| Some((p, self.machines.get(&p.machine)?)))
                 {
-                    *zones.entry(&m.1.zone).or_default() += 1;
+                    *zones.entry(&m.1.identity.zone).or_default() += 1;
                     *machines.entry(&m.0.machine).or_default() += 1;
                 }
             }
         }
         let candidates = free.iter().filter_map(|(id, f)| {
             let m = self.machines.get(id)?;
-            if held.avoid.contains(id) || m.lines.contains_key(task) || kept.0.contains_key(id) {
+            if held.avoid.contains(id)
+                || m.contents.tasks.contains_key(task)
+                || kept.0.contains_key(id)
+            {
                 return None;
             }
             if let Some(b) = bounds {
-                if b.room.get(&m.zone).copied().unwrap_or(0) == 0 {
+                if b.room.get(&m.identity.zone).copied().unwrap_or(0) == 0 {
                     return None;
                 }
             } else if spec.one_zone || spec.scatter {
@@ -169,12 +178,12 @@
             }
             Some(Candidate {
                 id,
-                machine_type: &m.machine_type,
-                zone: &m.zone,
-                spot: m.spot,
+                machine_type: &m.identity.machine_type,
+                zone: &m.identity.zone,
+                spot: m.identity.spot,
                 free: *f,
                 cached: m.has_image(&spec.image),
-                zone_peers: zones.get(&*m.zone).copied().unwrap_or(0),
+                zone_peers: zones.get(&*m.identity.zone).copied().unwrap_or(0),
                 machine_peers: machines.get(&**id).copied().unwrap_or(0),
             })
         });
@@ -190,7 +199,7 @@
         now: Seconds,
     ) {
         let cache = cache.catalog.as_ref().and_then(|c| {
-            c.get(&self.machines.get(id)?.machine_type)
+            c.get(&self.machines.get(id)?.identity.machine_type)
                 .map(|t| t.cache_gb)
         });
         let Some(m) = self.machines.get_mut(id) else {
@@ -198,15 +207,18 @@
         };
         let cached = m.has_image(&spec.image);
         tracing::debug!(%task, %id, cached, "placed");
-        m.images.retain(|i| i.0 != spec.image);
-        m.images.push_front((spec.image.clone(), spec.image_gb));
-        while m.images.len() > 1 && m.images.iter().map(|i| i.1).sum::<f64>() > cache.unwrap_or(0.0)
+        m.contents.images.retain(|i| i.0 != spec.image);
+        m.contents
+            .images
+            .push_front((spec.image.clone(), spec.image_gb));
+        while m.contents.images.len() > 1
+            && m.contents.images.iter().map(|i| i.1).sum::<f64>() > cache.unwrap_or(0.0)
         {
-            m.images.pop_back();
+            m.contents.images.pop_back();
         }
-        m.idle_since = now;
-        let zone = m.zone.clone();
-        let session = m.session;
+        m.contents.idle_since = now;
+        let zone = m.identity.zone.clone();
+        let session = m.session.id;
         if let Some(b) = self.bounds.get_mut(&task.job) {
             if spec.one_zone {
                 b.room.retain(|z, _| *z == zone);
@@ -280,12 +292,13 @@
             let Some(m) = self.machines.get(id) else {
                 continue;
             };
-            let zone_full = bounds.is_some_and(|b| b.room.get(&m.zone).copied().unwrap_or(0) == 0);
+            let zone_full =
+                bounds.is_some_and(|b| b.room.get(&m.identity.zone).copied().unwrap_or(0) == 0);
             if held.avoid.contains(id)
                 || zone_full
                 || warm && !m.has_image(&spec.image)
-                || m.lines.contains_key(task)
-                || !spec.allowed_on(&m.machine_type, &m.zone, m.spot)
+                || m.contents.tasks.contains_key(task)
+                || !spec.allowed_on(&m.identity.machine_type, &m.identity.zone, m.identity.spot)
             {
                 continue;
             }
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -2,6 +2,7 @@
 //! Which is which is judged in `finchwood-reconcile`; here the verdicts are carried
 //! out.
 
+use super::machine::{ObservedTask, ObservedTasks};
 use super::{AssignedTask, Placement, RemovalReason, Shard, Stop, TaskPhase};
 use crate::clock::Seconds;
 use crate::store::cache::StoreCache;
@@ -9,14 +10,9 @@
 use finchwood_reconciliation::hold_off::{Action, HoldReason};
 use finchwood_reconciliation::restart_record::{DecisionEntry, RecordView};
 use finchwood_reconciliation::stored_jobs::StoredJobs;
-use finchwood_reconciliation::verdict::{
-    attempt_counts, judge, AdoptReason, Holding, ReportedTask, Verdict,
-};
+use finchwood_reconciliation::verdict::{attempt_counts, judge, AdoptReason, Holding, Verdict};
 use std::collections::BTreeMap;
 
-/// The tasks of a report: attempt, state and cause.
-type Lines = BTreeMap<Task, (u64, TaskState, Option<String>)>;
-
 /// A task that is held and not listed.
 struct Absent {
     task: Task,
@@ -49,33 +45,33 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        let lines = std::mem::take(&mut m.lines);
-        let judged_before = std::mem::take(&mut m.judged);
-        let (session, first_sight) = (m.session, !m.reconciled);
-        m.reconciled = true;
+        let lines = std::mem::take(&mut m.contents.tasks);
+        let judged_before = std::mem::take(&mut m.contents.verdicts);
+        let (session, first_sight) = (m.session.id, !m.contents.compared);
+        m.contents.compared = true;
         let mut judged = BTreeMap::new();
-        for (task, (attempt, state, why)) in &lines {
-            let reported = ReportedTask::new(*attempt, *state, why.as_deref());
-            let holding = self.holding(id, task, *attempt);
-            let verdict = judge(reported, holding, cache.stored(task), self.epoch);
+        for (task, observed) in &lines {
+            let attempt = observed.attempt;
+            let holding = self.holding(id, task, attempt);
+            let verdict = judge(observed.reported(), holding, cache.stored(task), self.epoch);
             if verdict != Verdict::Known {
-                judged.insert(task.clone(), (*attempt, verdict));
-                if judged_before.get(task) != Some(&(*attempt, verdict)) {
-                    self.note_verdict(id, session, task, *attempt, verdict, first_sight, now);
+                judged.insert(task.clone(), (attempt, verdict));
+                if judged_before.get(task) != Some(&(attempt, verdict)) {
+                    self.note_verdict(id, session, task, attempt, verdict, first_sight, now);
                 }
             }
-            if attempt_counts(*attempt, self.epoch) {
+            if attempt_counts(attempt, self.epoch) {
                 let seen = self.seen.entry(task.clone()).or_insert(0);
-                *seen = (*seen).max(*attempt);
+                *seen = (*seen).max(attempt);
             }
             let adopted = Placement::adopted(id, session, seen_token, now);
-            self.carry_out(verdict, task, *attempt, adopted, now);
-            self.take_in_line(verdict, task, (*attempt, *state, why.as_deref()), now);
+            self.carry_out(verdict, task, attempt, adopted, now);
+            self.take_in_line(verdict, task, observed, now);
         }
         self.take_in_absent(id, &lines, seen_token);
         if let Some(m) = self.machines.get_mut(id) {
-            m.lines = lines;
-            m.judged = judged;
+            m.contents.tasks = lines;
+            m.contents.verdicts = judged;
         }
     }
 
@@ -121,20 +117,20 @@
         &mut self,
         verdict: Verdict,
         task: &Task,
-        (attempt, state, why): (u64, TaskState, Option<&str>),
+        observed: &ObservedTask,
         now: Seconds,
     ) {
         match verdict {
             Verdict::Reap(_) | Verdict::Conflict(_) => {}
             Verdict::Stop(_) => {
-                self.progress(task, state, why, now);
-                self.recall(task, attempt, Stop::Cancelled);
+                self.progress(task, observed, now);
+                self.recall(task, observed.attempt, Stop::Cancelled);
             }
             Verdict::Known
             | Verdict::Adopt(_)
             | Verdict::RecordFinished
             | Verdict::LeaveInDoubt(_) => {
-                self.progress(task, state, why, now);
+                self.progress(task, observed, now);
             }
         }
     }
@@ -169,11 +165,15 @@
     }
 
     /// What this shard holds on a machine and the newest report doesn't list.
-    fn take_in_absent(&mut self, id: &MachineId, lines: &Lines, seen_token: u64) {
+    fn take_in_absent(&mut self, id: &MachineId, lines: &ObservedTasks, seen_token: u64) {
         let absent: Vec<Absent> = self
             .held
             .on(id)
-            .filter(|(task, held)| lines.get(*task).is_none_or(|line| line.0 != held.attempt))
+            .filter(|(task, held)| {
+                lines
+                    .get(*task)
+                    .is_none_or(|line| line.attempt != held.attempt)
+            })
             .filter_map(|(task, held)| {
                 let place = held.at.as_ref()?;
                 Some(Absent {
@@ -208,8 +208,8 @@
                 }
             } else if confirmed || stopping {
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.raise(self.epoch, seen_token);
-                    m.probe = true;
+                    m.raise_token_above(self.epoch, seen_token);
+                    m.commands.probe_due = true;
                 }
             }
         }
@@ -222,19 +222,17 @@
 
     /// What was found and decided since this shard last knew nothing.
     pub fn restart_record(&mut self, now: Seconds) -> RecordView {
-        let in_doubt = self.machines.values().filter(|m| !m.certain()).count();
+        let in_doubt = self
+            .machines
+            .values()
+            .filter(|m| !m.is_reconciled())
+            .count();
         self.record.note_doubt(in_doubt, now);
         self.record
             .view(self.machines.values().map(|m| m.state), now)
     }
 
-    pub(super) fn progress(
-        &mut self,
-        task: &Task,
-        state: TaskState,
-        why: Option<&str>,
-        now: Seconds,
-    ) {
+    pub(super) fn progress(&mut self, task: &Task, observed: &ObservedTask, now: Seconds) {
         let Some(since) = self.held.get(task).map(|h| h.since) else {
             return;
         };
@@ -243,18 +241,18 @@
         };
         p.confirmed = true;
         p.sent = true;
-        let phase = match state {
+        let phase = match observed.state {
             // A gang that gathers does not run yet.
             TaskState::Fetching | TaskState::Gathering => TaskPhase::Fetching,
             TaskState::Running | TaskState::Other => TaskPhase::Running,
             TaskState::Saving => TaskPhase::Saving,
-            TaskState::Ended => match why {
+            TaskState::Ended => match observed.cause.as_deref() {
                 Some(cause::DONE) => TaskPhase::Done,
                 Some(cause::STOPPED) => return self.leave(task, RemovalReason::Stopped),
                 Some(cause::ERROR) => {
                     let machine = p.machine.clone();
                     if let Some(m) = self.machines.get_mut(&machine) {
-                        m.errors.insert(task.job.clone());
+                        m.contents.failed_jobs.insert(task.job.clone());
                     }
                     return self.leave(task, RemovalReason::Error);
                 }
--- a/src/shard/report.rs
+++ b/src/shard/report.rs
@@ -33,28 +33,28 @@
                 yielding_low.add(&spec.task_resources());
             }
         }
-        let mut images: Vec<Arc<str>> = m.images.iter().map(|i| i.0.clone()).collect();
+        let mut images: Vec<Arc<str>> = m.contents.images.iter().map(|i| i.0.clone()).collect();
         images.sort();
         MachineStatus {
             id: id.clone(),
-            machine_type: m.machine_type.clone(),
-            zone: m.zone.clone(),
-            spot: m.spot,
-            reconciled: m.certain(),
-            has_reported: m.heard.is_some(),
-            registered: m.listed,
-            address: m.address.clone(),
+            machine_type: m.identity.machine_type.clone(),
+            zone: m.identity.zone.clone(),
+            spot: m.identity.spot,
+            reconciled: m.is_reconciled(),
+            has_reported: m.session.last_heartbeat_at.is_some(),
+            registered: m.registered,
+            address: m.identity.address.clone(),
             free: self.machine_free(id, m, cache),
             preemptible: yielding,
             preemptible_low: yielding_low,
             schedulable: self.open(m, now) && !self.transfers.is_fenced(id),
-            spot_notice: m.notice_until.is_some(),
-            faulty: m.faulty(),
+            spot_notice: m.reclaimed_at.is_some(),
+            faulty: m.is_faulty(),
             ignores_commands: m.ignores_commands(self.timing.report_s, now)
                 || m.stopped_reporting(self.timing.report_s, now)
-                || m.spent(),
+                || m.token_exhausted(),
             draining: m.draining,
-            tasks: (self.held.count_on(id) as u32).max(m.lines.len() as u32),
+            tasks: (self.held.count_on(id) as u32).max(m.contents.tasks.len() as u32),
             images,
         }
     }
@@ -81,12 +81,14 @@
             if entry.1 > since {
                 machines.push(entry.0.clone());
             }
-            let silent_s = now - m.heard.unwrap_or(self.entered.max(m.since));
-            if silent_s > self.timing.report_s * LATE_REPORTS || m.unanswered_since.is_some() {
+            let silent_s = m.silent_for(self.entered, now);
+            if silent_s > self.timing.report_s * LATE_REPORTS
+                || m.commands.unanswered_since.is_some()
+            {
                 quiet.push(SilentMachine {
                     id: id.clone(),
                     silent_s,
-                    unanswered_s: m.unanswered_since.map(|d| now - d),
+                    unanswered_s: m.commands.unanswered_since.map(|d| now - d),
                 });
             }
         }
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -6,7 +6,10 @@
 //! What is on the machine can only become less, so that what the target is told is never
 //! too little, however late it comes.
 
-use super::machine::Machine;
+use super::machine::{
+    CommandChannel, Machine, MachineContents, MachineIdentity, ObservedTask, TokenAcknowledgement,
+    WorkerSession,
+};
 use super::{AssignedTask, HeartbeatReply, Placement, RemovalReason, Shard, Stop, TaskPhase};
 use crate::clock::{self, Seconds};
 use crate::cluster::membership::{self, token, token_epoch};
@@ -140,9 +143,9 @@
             .collect();
         for id in &machines {
             self.give_back_unsent(id);
-            if let Some(m) = self.machines.get_mut(id).filter(|m| m.in_flight) {
+            if let Some(m) = self.machines.get_mut(id).filter(|m| m.commands.in_flight) {
                 // It may be executed yet: dead once its worker has seen a higher token.
-                m.counter += 1;
+                m.token.counter += 1;
             }
         }
         let knowledge = machines
@@ -190,13 +193,13 @@
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return HeartbeatReply::Refuse;
         };
-        if (r.session, r.seq) <= (m.session, m.seq) || r.session <= m.over {
+        if m.session.is_outdated(r) {
             return HeartbeatReply::Refuse;
         }
-        m.answered = Some(now);
+        m.session.last_answered_at = Some(now);
         // Guard: it would look silent for as long as the table can't be written.
         if token_epoch(r.token) == epoch {
-            m.heard = Some(now);
+            m.session.last_heartbeat_at = Some(now);
         }
         let cancelled = |task: &str| {
             let job = Task::parse(task).and_then(|task| cache.jobs.get(&task.job));
@@ -214,7 +217,7 @@
             })
             .collect();
         HeartbeatReply::Accepted {
-            token: token(epoch, m.counter),
+            token: token(epoch, m.token.counter),
             commands,
         }
     }
@@ -294,11 +297,11 @@
 
     /// Until when the source of a machine that has just come may renew its worker's lease:
     /// one that has not read the changed table answers until its knowledge is too old.
-    pub(super) fn source_renews_until(&self) -> Seconds {
+    pub(super) fn source_renews_until(&self) -> Option<Seconds> {
         let margin = clock::with_drift_margin(self.timing.member_life_s);
         self.transfers
             .table_changed_at
-            .map_or(f64::MIN, |changed| changed + margin)
+            .map(|changed| changed + margin)
     }
 
     /// What is known of a machine, for its target.
@@ -309,33 +312,35 @@
             .on(id)
             .filter_map(|(task, held)| task_knowledge(task, held, now));
         let lines = m
-            .lines
+            .contents
+            .tasks
             .iter()
-            .map(|(task, (attempt, state, why))| ReportedTaskState {
+            .map(|(task, observed)| ReportedTaskState {
                 task: task.clone(),
-                attempt: *attempt,
-                state: *state,
-                why: why.clone(),
+                attempt: observed.attempt,
+                state: observed.state,
+                why: observed.cause.clone(),
             });
         Some(MachineTransferState {
             id: id.clone(),
-            machine_type: m.machine_type.clone(),
-            zone: m.zone.clone(),
-            spot: m.spot,
-            address: m.address.clone(),
-            listed: m.listed,
-            up: m.up,
+            machine_type: m.identity.machine_type.clone(),
+            zone: m.identity.zone.clone(),
+            spot: m.identity.spot,
+            address: m.identity.address.clone(),
+            listed: m.registered,
+            up: m.used,
             state: m.state,
-            session: m.session,
-            seq: m.seq,
-            counter: m.counter,
-            over: m.over,
-            heard_ago_s: m.heard.map(|at| now - at),
-            session_seen_ago_s: now - m.session_seen,
-            notice_in_s: m.notice_until.map(|until| until - now),
+            session: m.session.id,
+            seq: m.session.sequence,
+            counter: m.token.counter,
+            over: m.session.ended_up_to,
+            heard_ago_s: m.session.last_heartbeat_at.map(|at| now - at),
+            // On the wire, a session that was never seen began with the clock.
+            session_seen_ago_s: now - m.session.first_seen_at.unwrap_or(0.0),
+            notice_in_s: m.reclaimed_at.map(|until| until - now),
             lines: lines.collect(),
             held: held.collect(),
-            images: m.images.iter().cloned().collect(),
+            images: m.contents.images.iter().cloned().collect(),
         })
     }
 
@@ -345,27 +350,41 @@
         let lines = known
             .lines
             .iter()
-            .map(|l| (l.task.clone(), (l.attempt, l.state, l.why.clone())));
-        let machine = Machine {
+            .map(|l| (l.task.clone(), ObservedTask::from(l)));
+        let identity = MachineIdentity {
             machine_type: known.machine_type.clone(),
             zone: known.zone.clone(),
             spot: known.spot,
             address: known.address.clone(),
-            listed: known.listed,
-            up: known.up,
+        };
+        let machine = Machine {
+            registered: known.listed,
+            used: known.up,
             state: known.state,
-            session: known.session,
-            seq: known.seq,
-            counter: known.counter + 1,
-            over: known.over,
-            heard: known.heard_ago_s.map(|ago| now - ago),
-            session_seen: now - known.session_seen_ago_s,
-            notice_until: known.notice_in_s.map(|in_s| now + in_s),
-            lines: lines.collect(),
-            images: known.images.iter().cloned().collect(),
-            probe: true,
-            reconciled: true,
-            ..Machine::unknown(now)
+            session: WorkerSession {
+                id: known.session,
+                sequence: known.seq,
+                first_seen_at: Some(now - known.session_seen_ago_s),
+                ended_up_to: known.over,
+                last_heartbeat_at: known.heard_ago_s.map(|ago| now - ago),
+                last_answered_at: None,
+            },
+            token: TokenAcknowledgement {
+                counter: known.counter + 1,
+                ..TokenAcknowledgement::default()
+            },
+            commands: CommandChannel {
+                probe_due: true,
+                ..CommandChannel::default()
+            },
+            contents: MachineContents {
+                tasks: lines.collect(),
+                compared: true,
+                images: known.images.iter().cloned().collect(),
+                ..MachineContents::empty(now)
+            },
+            reclaimed_at: known.notice_in_s.map(|in_s| now + in_s),
+            ..Machine::new(identity, now)
         };
         self.machines.insert(known.id.clone(), machine);
         for task in &known.held {
@@ -424,6 +443,16 @@
     }
 }
 
+impl From<&ReportedTaskState> for ObservedTask {
+    fn from(known: &ReportedTaskState) -> ObservedTask {
+        ObservedTask {
+            attempt: known.attempt,
+            state: known.state,
+            cause: known.why.clone(),
+        }
+    }
+}
+
 fn task_knowledge(task: &Task, held: &AssignedTask, now: Seconds) -> Option<AssignedTaskState> {
     let place = held.at.as_ref()?;
     Some(AssignedTaskState {
