--- a/src/cluster/failure_detection.rs
+++ b/src/cluster/failure_detection.rs
@@ -26,23 +26,27 @@
 /// How a zone has been reached with nobody in between: the present stretch
 /// without a gap.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ReachedSpan {
-    pub first: Seconds,
-    pub last: Seconds,
+pub struct ZoneContactSpan {
+    pub began_at: Seconds,
+    pub last_at: Seconds,
 }
 
-impl ReachedSpan {
+impl ZoneContactSpan {
     /// A machine of the zone was reached now; a gap longer than a report may
     /// take begins a new stretch.
-    pub fn reached(known: Option<ReachedSpan>, now: Seconds, report_s: Seconds) -> ReachedSpan {
+    pub fn extend(
+        known: Option<ZoneContactSpan>,
+        now: Seconds,
+        report_s: Seconds,
+    ) -> ZoneContactSpan {
         match known {
-            Some(s) if now - s.last <= report_s * ALONE_REPORTS => ReachedSpan {
-                first: s.first,
-                last: now,
+            Some(s) if now - s.last_at <= report_s * ALONE_REPORTS => ZoneContactSpan {
+                began_at: s.began_at,
+                last_at: now,
             },
-            _ => ReachedSpan {
-                first: now,
-                last: now,
+            _ => ZoneContactSpan {
+                began_at: now,
+                last_at: now,
             },
         }
     }
@@ -51,9 +55,11 @@
 /// The same as a shard tells it: how long ago the stretch began, and how long
 /// ago the zone was last reached.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Reached {
-    pub since_s: f64,
-    pub last_s: f64,
+pub struct ZoneContact {
+    #[serde(rename = "since_s")]
+    pub began_ago_s: f64,
+    #[serde(rename = "last_s")]
+    pub last_ago_s: f64,
 }
 
 /// One machine that was in use, as the leader knows it.
@@ -61,19 +67,19 @@
 pub struct MachineHealth {
     pub zone: Arc<str>,
     /// What it holds is known.
-    pub certain: bool,
+    pub state_known: bool,
     pub silent_s: f64,
     /// Since when it has not answered when asked, while others of its zone were
     /// reached.
     pub unanswered_s: Option<f64>,
     /// How its owner reaches its zone.
-    pub reached: Option<Reached>,
+    pub zone_contact: Option<ZoneContact>,
     /// Some other controller has met its worker lately.
-    pub met: bool,
+    pub seen_by_other_controller: bool,
     /// Its reports arrive, but nothing reaches it.
     pub ignores_commands: bool,
     /// Nothing reaches a quarter of its owner's machines.
-    pub owner_unheard: bool,
+    pub owner_unreachable: bool,
 }
 
 impl MachineHealth {
@@ -117,9 +123,12 @@
         let mut zones: HashMap<Arc<str>, (u32, u32)> = HashMap::new();
         let mut reached: HashMap<Arc<str>, f64> = HashMap::new();
         for s in all {
-            if let Some(r) = s.reached.filter(|r| r.last_s <= report_s * ALONE_REPORTS) {
+            if let Some(r) = s
+                .zone_contact
+                .filter(|r| r.last_ago_s <= report_s * ALONE_REPORTS)
+            {
                 let longest = reached.entry(s.zone.clone()).or_default();
-                *longest = longest.max(r.since_s);
+                *longest = longest.max(r.began_ago_s);
             }
             let z = zones.entry(s.zone.clone()).or_default();
             z.0 += 1;
@@ -143,17 +152,17 @@
 
     /// Whether nobody at all reaches a zone: new machines there would be of no
     /// use.
-    pub fn lost(&self, zone: &str) -> bool {
+    pub fn zone_unreachable(&self, zone: &str) -> bool {
         self.cut(zone) && !self.reached.contains_key(zone)
     }
 
     /// What to do with a machine that was in use.
     pub fn verdict(&self, s: &MachineHealth) -> Verdict {
         let recent = s
-            .reached
-            .filter(|r| r.last_s <= self.report_s * ALONE_REPORTS);
+            .zone_contact
+            .filter(|r| r.last_ago_s <= self.report_s * ALONE_REPORTS);
         let back_s = recent
-            .map(|r| r.since_s)
+            .map(|r| r.began_ago_s)
             .or_else(|| self.reached.get(&s.zone).copied());
         let alone = s
             .unanswered_s
@@ -162,17 +171,21 @@
         let silent_s = back_s.map_or(s.silent_s, |b| s.silent_s.min(b));
         // Reports that come and answers that don't arrive: never those of a
         // whole zone, or of a shard whose owner is too slow to be heard.
-        if s.ignores_commands && !self.cut(&s.zone) && !s.owner_unheard {
+        if s.ignores_commands && !self.cut(&s.zone) && !s.owner_unreachable {
             return Verdict::Replace;
         }
-        let limit = match (s.met, alone, self.lost(&s.zone)) {
+        let limit = match (
+            s.seen_by_other_controller,
+            alone,
+            self.zone_unreachable(&s.zone),
+        ) {
             (true, _, _) | (false, false, true) => self.lease_s * CUT_LEASES,
             (false, true, _) => self.report_s * ALONE_REPORTS,
             (false, false, false) => self.report_s * UNKNOWN_REPORTS,
         };
         if silent_s > limit {
             Verdict::Replace
-        } else if s.silent_s > self.report_s * ALONE_REPORTS || !s.certain {
+        } else if s.silent_s > self.report_s * ALONE_REPORTS || !s.state_known {
             // One that is only just heard again looked idle in that moment, and
             // was returned with all others of its zone.
             Verdict::Wait
--- a/src/cluster/peer.rs
+++ b/src/cluster/peer.rs
@@ -51,13 +51,16 @@
     pub from: String,
     pub to: String,
     /// Whether the sender reaches the key-value store.
-    pub fresh: bool,
+    #[serde(rename = "fresh")]
+    pub store_reachable: bool,
     /// Whom the sender hears (and knows to reach the key-value store).
     #[serde(default)]
-    pub hears: Vec<String>,
+    #[serde(rename = "hears")]
+    pub heard_peers: Vec<String>,
     /// Whom the sender can't reach directly.
     #[serde(default)]
-    pub apart: Vec<String>,
+    #[serde(rename = "apart")]
+    pub unreachable_peers: Vec<String>,
     /// Jobs whose cancellation was committed a moment ago. Facts that need no
     /// epoch, said again and again for a while.
     #[serde(rename = "called_off", default)]
--- a/src/cluster/reachability.rs
+++ b/src/cluster/reachability.rs
@@ -30,7 +30,7 @@
     }
 
     /// This controller can't reach another one directly, or can again.
-    pub fn reached(&mut self, name: &str, reached: bool) {
+    pub fn record_direct_contact(&mut self, name: &str, reached: bool) {
         if reached {
             self.apart.remove(name);
         } else {
@@ -39,12 +39,12 @@
     }
 
     /// Another controller says whom it can't reach.
-    pub fn told(&mut self, name: &str, apart: Vec<String>, now: Seconds) {
+    pub fn record_unreachable_peers(&mut self, name: &str, apart: Vec<String>, now: Seconds) {
         self.told.insert(name.into(), (now, apart));
     }
 
     /// Whom this controller can't reach.
-    pub fn apart(&self) -> Vec<String> {
+    pub fn unreachable_peers(&self) -> Vec<String> {
         self.apart.iter().cloned().collect()
     }
 
@@ -57,7 +57,7 @@
 
     /// Whether a zone is apart from a controller in another one: some
     /// controller there can't reach it.
-    pub fn cut(&self, zone: &str, owner: &str, now: Seconds) -> bool {
+    pub fn is_partitioned(&self, zone: &str, owner: &str, now: Seconds) -> bool {
         if self.others.iter().any(|(n, z)| n == owner && z == zone) {
             return false;
         }
@@ -72,7 +72,7 @@
     /// Where a worker goes on to that can't reach its owner, when this
     /// controller can't either: one that reaches the owner and is reached from
     /// here. None if its report is better passed on.
-    pub fn around(&self, owner: &str, now: Seconds) -> Option<&str> {
+    pub fn alternate_controller(&self, owner: &str, now: Seconds) -> Option<&str> {
         if !self.apart.contains(owner) {
             return None;
         }
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -219,7 +219,7 @@
                 .get(offer)
                 .is_some_and(|n| now < n.until)
         };
-        let blocked = |offer: &Offer| detector.lost(&offer.1) || lacking(offer);
+        let blocked = |offer: &Offer| detector.zone_unreachable(&offer.1) || lacking(offer);
         let zones = &not_up.ordinary_in_zone;
         let orders = scaling::rent(
             &pending_demand,
@@ -303,7 +303,7 @@
                 continue;
             }
             // Whether it is up can't be seen, and nothing can be run there.
-            if detector.lost(&record.zone) {
+            if detector.zone_unreachable(&record.zone) {
                 continue;
             }
             let age_s = wall_clock_ms.saturating_sub(record.rented_at_ms) as f64 / 1000.0;
@@ -579,13 +579,13 @@
         let sign = |m: MachineSnapshot| {
             let sign = MachineHealth {
                 zone: m.zone.clone(),
-                certain: m.reconciled,
+                state_known: m.reconciled,
                 silent_s: m.silent_s,
                 unanswered_s: m.unanswered_s,
-                reached: m.reached,
-                met: met.contains(&m.id),
+                zone_contact: m.reached,
+                seen_by_other_controller: met.contains(&m.id),
                 ignores_commands: m.ignores_commands,
-                owner_unheard: m.ignores_commands && self.leader.owner_responds_late(&m.id),
+                owner_unreachable: m.ignores_commands && self.leader.owner_responds_late(&m.id),
             };
             (m.id.clone(), sign)
         };
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -116,12 +116,14 @@
         let obeyed = self
             .my_epoch()
             .is_some_and(|e| membership::token_epoch(report.token) == e.number);
-        let cut = self.reachability.cut(&report.zone, &owner, now);
+        let cut = self.reachability.is_partitioned(&report.zone, &owner, now);
         let relay = cut || tried.is_some() || obeyed && first;
         // While its zone is known to be apart from its owner's it need not try,
         // and goes on to one that reaches both.
         let around = if cut {
-            self.reachability.around(&owner, now).map(String::from)
+            self.reachability
+                .alternate_controller(&owner, now)
+                .map(String::from)
         } else {
             None
         };
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -335,7 +335,7 @@
             ControllerEvent::Cloud(answer) => self.cloud_answer(answer, now),
             ControllerEvent::Apart(name, apart) => {
                 tracing::info!(name, apart, "the way to another controller changed");
-                self.reachability.reached(&name, !apart);
+                self.reachability.record_direct_contact(&name, !apart);
             }
             ControllerEvent::CommandCompleted(d) => {
                 let pool = if d.command.unverified {
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -8,9 +8,11 @@
 
 impl Controller {
     pub(super) fn peer(&mut self, e: Envelope, now: Seconds) {
-        self.hears.insert(e.from.clone(), (now, e.hears.clone()));
-        self.reachability.told(&e.from, e.apart.clone(), now);
-        if e.fresh {
+        self.hears
+            .insert(e.from.clone(), (now, e.heard_peers.clone()));
+        self.reachability
+            .record_unreachable_peers(&e.from, e.unreachable_peers.clone(), now);
+        if e.store_reachable {
             self.healthy.insert(e.from.clone(), now);
         }
         // What is committed is so for whoever hears of it: a controller that
@@ -68,9 +70,9 @@
         self.peers.send(Envelope {
             from: self.settings.node_name.clone(),
             to: to.into(),
-            fresh: !self.store_unreachable && self.last_synced_at.is_some(),
-            hears: self.healthy.keys().cloned().collect(),
-            apart: self.reachability.apart(),
+            store_reachable: !self.store_unreachable && self.last_synced_at.is_some(),
+            heard_peers: self.healthy.keys().cloned().collect(),
+            unreachable_peers: self.reachability.unreachable_peers(),
             cancellation_notices: self
                 .cancellation_notices
                 .iter()
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::clock::Seconds;
-use crate::cluster::failure_detection::Reached;
+use crate::cluster::failure_detection::ZoneContact;
 use crate::scheduler::capacity::MachineSlot;
 use crate::shard::{MachineStatus, SilentMachine};
 use crate::wire::MachineId;
@@ -27,7 +27,7 @@
     pub idle_s: f64,
     /// How its owner reaches its zone. A report that came through a third
     /// controller shows nothing of that.
-    pub reached: Option<Reached>,
+    pub reached: Option<ZoneContact>,
 }
 
 impl std::ops::Deref for MachineSnapshot<'_> {
@@ -44,7 +44,7 @@
     pub(super) seq: u64,
     pub(super) machines: BTreeMap<MachineId, TrackedMachine>,
     pub(super) quiet: HashMap<MachineId, SilentMachine>,
-    pub(super) zones_met: HashMap<Arc<str>, Reached>,
+    pub(super) zones_met: HashMap<Arc<str>, ZoneContact>,
     pub(super) met: HashMap<MachineId, f64>,
     pub(super) orders_seq: u64,
     pub(super) heard: Seconds,
@@ -83,9 +83,9 @@
                     } else {
                         0.0
                     },
-                    reached: p.zones_met.get(&m.view.zone).map(|r| Reached {
-                        since_s: r.since_s + age,
-                        last_s: r.last_s + age,
+                    reached: p.zones_met.get(&m.view.zone).map(|r| ZoneContact {
+                        began_ago_s: r.began_ago_s + age,
+                        last_ago_s: r.last_ago_s + age,
                     }),
                 }
             })
--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -351,7 +351,7 @@
                 let others = self
                     .reached
                     .get(&m.identity.zone)
-                    .is_some_and(|s| s.last > asked);
+                    .is_some_and(|s| s.last_at > asked);
                 let suspect = late && others && m.commands.unanswered_since.is_none();
                 m.commands.retry_after = Some(if suspect { now } else { now + report_s });
                 if suspect {
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -4,7 +4,7 @@
 use super::machine::{Machine, MachineIdentity, ObservedTask};
 use super::{HeartbeatReply, Shard};
 use crate::clock::Seconds;
-use crate::cluster::failure_detection::ReachedSpan;
+use crate::cluster::failure_detection::ZoneContactSpan;
 use crate::cluster::membership::{token, token_counter, token_epoch};
 use crate::store::cache::StoreCache;
 use crate::wire::{Heartbeat, MachineId, Task, TaskReport};
@@ -89,9 +89,9 @@
     /// A machine of a zone was reached with nobody in between.
     pub(super) fn reach(&mut self, zone: &Arc<str>, now: Seconds) {
         let known = self.reached.get(zone).copied();
-        let stretch = ReachedSpan::reached(known, now, self.timing.report_s);
+        let stretch = ZoneContactSpan::extend(known, now, self.timing.report_s);
         self.reached.insert(zone.clone(), stretch);
-        if known.is_some_and(|k| k.first != stretch.first) {
+        if known.is_some_and(|k| k.began_at != stretch.began_at) {
             // The zone is back: all its machines are asked at once, as what may
             // be on them waits for their answers.
             for m in self
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -1,7 +1,7 @@
 //! What a shard and the leader tell each other. The names of fields and variants
 //! are read by other versions.
 
-use crate::cluster::failure_detection::Reached;
+use crate::cluster::failure_detection::ZoneContact;
 use crate::wire::{JobId, MachineId, Resources, Task};
 use finchwood_sharding::transfer::{TransferOrder, TransferReport};
 use serde::{Deserialize, Serialize};
@@ -152,7 +152,7 @@
     pub silent_machines: Vec<SilentMachine>,
     /// How zones are reached with nobody in between.
     #[serde(rename = "zones_met")]
-    pub zone_contacts: Vec<(Arc<str>, Reached)>,
+    pub zone_contacts: Vec<(Arc<str>, ZoneContact)>,
     /// Machines of other shards that came here, and how long ago.
     #[serde(rename = "met")]
     pub seen_elsewhere: Vec<(MachineId, f64)>,
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -25,7 +25,7 @@
 };
 
 use crate::clock::Seconds;
-use crate::cluster::failure_detection::ReachedSpan;
+use crate::cluster::failure_detection::ZoneContactSpan;
 use crate::store::cache::{MachineRecord, StoreCache};
 use crate::wire::{JobId, JobKind, MachineId, Task, START_COUNTS_S};
 use assigned_tasks::AssignedTasks;
@@ -126,7 +126,7 @@
     /// Teams that use more than they are guaranteed, as the leader last told.
     borrowing: HashSet<Arc<str>>,
     /// How zones are reached with nobody in between.
-    reached: BTreeMap<Arc<str>, ReachedSpan>,
+    reached: BTreeMap<Arc<str>, ZoneContactSpan>,
     seq: u64,
     orders_seq: u64,
     /// Something changed that the leader should hear.
--- a/src/shard/report.rs
+++ b/src/shard/report.rs
@@ -3,7 +3,7 @@
 use super::machine::Machine;
 use super::{MachineStatus, Shard, ShardReport, SilentMachine, LATE_REPORTS};
 use crate::clock::Seconds;
-use crate::cluster::failure_detection::Reached;
+use crate::cluster::failure_detection::ZoneContact;
 use crate::store::cache::StoreCache;
 use crate::wire::{MachineId, Priority, Resources};
 use std::sync::Arc;
@@ -96,9 +96,9 @@
         let reached = reached.map(|(z, s)| {
             (
                 z.clone(),
-                Reached {
-                    since_s: now - s.first,
-                    last_s: now - s.last,
+                ZoneContact {
+                    began_ago_s: now - s.began_at,
+                    last_ago_s: now - s.last_at,
                 },
             )
         });
--- a/tests/failure_detection_model.rs
+++ b/tests/failure_detection_model.rs
@@ -2,7 +2,7 @@
 //! in any number and anywhere, zones are cut off and come back.
 
 use finchwood::cluster::failure_detection::{
-    FailureDetector, MachineHealth, Reached, ReachedSpan, Verdict,
+    FailureDetector, MachineHealth, Verdict, ZoneContact, ZoneContactSpan,
 };
 use proptest::prelude::*;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
 ) -> Vec<(usize, f64)> {
     let names: Vec<Arc<str>> = (0..zones).map(|z| format!("z{z}").into()).collect();
     // By owner and zone: a zone's machines belong to several owners.
-    let mut reached: Vec<[Option<ReachedSpan>; OWNERS]> = vec![[None; OWNERS]; zones];
+    let mut reached: Vec<[Option<ZoneContactSpan>; OWNERS]> = vec![[None; OWNERS]; zones];
     let mut judged = Vec::new();
     let mut now = 0.0;
     while now < span {
@@ -61,7 +61,7 @@
                     answers = true;
                 } else if m.asking {
                     // Given up; once more at once, then now and then.
-                    let others = known.is_some_and(|r| m.asked.is_some_and(|a| r.last > a));
+                    let others = known.is_some_and(|r| m.asked.is_some_and(|a| r.last_at > a));
                     let suspect = others && m.deaf.is_none();
                     m.ask = if suspect { now } else { now + REPORT_S };
                     if suspect {
@@ -80,7 +80,7 @@
                 m.deaf = None;
                 m.asked = None;
                 m.asking = false;
-                *known = Some(ReachedSpan::reached(*known, now, REPORT_S));
+                *known = Some(ZoneContactSpan::extend(*known, now, REPORT_S));
             }
         }
         let signs: Vec<MachineHealth> = machines
@@ -89,16 +89,16 @@
             .map(|(i, m)| MachineHealth {
                 zone: names[m.zone].clone(),
                 // Its first report after a while may say nothing new.
-                certain: m.heard > 0.0 && now - m.heard >= STEP_S || i % 3 > 0,
+                state_known: m.heard > 0.0 && now - m.heard >= STEP_S || i % 3 > 0,
                 silent_s: now - m.heard,
                 unanswered_s: m.deaf.map(|d| now - d),
-                reached: reached[m.zone][i % OWNERS].map(|s| Reached {
-                    since_s: now - s.first,
-                    last_s: now - s.last,
+                zone_contact: reached[m.zone][i % OWNERS].map(|s| ZoneContact {
+                    began_ago_s: now - s.began_at,
+                    last_ago_s: now - s.last_at,
                 }),
-                met: false,
+                seen_by_other_controller: false,
                 ignores_commands: false,
-                owner_unheard: false,
+                owner_unreachable: false,
             })
             .collect();
         let judge = FailureDetector::new(REPORT_S, LEASE_S, signs.iter());
@@ -106,8 +106,14 @@
             let silent = cut.filter(|c| c.0 == z).map(|c| (now - c.1, now - c.2));
             let shown = silent.is_some_and(|(begun, over)| begun > REPORT_S * 3.5 && over < 0.0);
             let may = silent.is_some_and(|(begun, over)| begun > 0.0 && over < REPORT_S * 2.0);
-            assert!(judge.lost(name) || !shown, "a cut zone still gets machines");
-            assert!(!judge.lost(name) || may, "{name} is given up at {now}");
+            assert!(
+                judge.zone_unreachable(name) || !shown,
+                "a cut zone still gets machines"
+            );
+            assert!(
+                !judge.zone_unreachable(name) || may,
+                "{name} is given up at {now}"
+            );
         }
         for (i, s) in signs.iter().enumerate() {
             let verdict = judge.verdict(s);
@@ -115,7 +121,7 @@
                 judged.push((i, now));
             }
             // Neither idle nor of use while it shows no sign.
-            assert!(verdict != Verdict::Keep || s.silent_s <= REPORT_S * 2.0 && s.certain);
+            assert!(verdict != Verdict::Keep || s.silent_s <= REPORT_S * 2.0 && s.state_known);
         }
         now += STEP_S;
     }
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -235,9 +235,9 @@
         let envelope = Envelope {
             from: report.node.clone(),
             to: self.epoch.leader.clone(),
-            fresh: true,
-            hears: Vec::new(),
-            apart: Vec::new(),
+            store_reachable: true,
+            heard_peers: Vec::new(),
+            unreachable_peers: Vec::new(),
             cancellation_notices: Vec::new(),
             message: PeerMessage::ShardReport(report),
         };
--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -313,7 +313,7 @@
     let told = p.snapshot(&m, 9.0);
     assert!(told.silent_machines.is_empty(), "it is alive");
     assert!(
-        told.zone_contacts[0].1.last_s > 8.0,
+        told.zone_contacts[0].1.last_ago_s > 8.0,
         "but its zone was not reached"
     );
 }
--- a/tests/reachability.rs
+++ b/tests/reachability.rs
@@ -9,31 +9,39 @@
     let others = [("b", "west"), ("c", "north"), ("d", "west")];
     let others = others.map(|(n, z)| (n.to_string(), z.to_string())).to_vec();
     let mut ways = Reachability::new("east", others, 8.0);
-    assert!(!ways.cut("east", "b", 1.0), "nothing is known");
-    ways.reached("b", false);
-    ways.reached("d", false);
+    assert!(!ways.is_partitioned("east", "b", 1.0), "nothing is known");
+    ways.record_direct_contact("b", false);
+    ways.record_direct_contact("d", false);
     assert!(
-        ways.cut("east", "b", 1.0) && !ways.cut("west", "b", 1.0) && !ways.cut("north", "b", 1.0)
+        ways.is_partitioned("east", "b", 1.0)
+            && !ways.is_partitioned("west", "b", 1.0)
+            && !ways.is_partitioned("north", "b", 1.0)
     );
     assert_eq!(
-        ways.around("b", 1.0),
+        ways.alternate_controller("b", 1.0),
         None,
         "nobody has said that it reaches the owner"
     );
-    ways.told("c", vec!["x".into()], 1.0);
-    ways.told("d", vec!["a".into(), "c".into()], 1.0);
-    assert_eq!(ways.around("b", 2.0), Some("c"));
+    ways.record_unreachable_peers("c", vec!["x".into()], 1.0);
+    ways.record_unreachable_peers("d", vec!["a".into(), "c".into()], 1.0);
+    assert_eq!(ways.alternate_controller("b", 2.0), Some("c"));
     assert_eq!(
-        ways.around("c", 2.0),
+        ways.alternate_controller("c", 2.0),
         None,
         "this one reaches it and passes the report on"
     );
-    assert!(ways.cut("west", "c", 2.0), "told by a controller there");
+    assert!(
+        ways.is_partitioned("west", "c", 2.0),
+        "told by a controller there"
+    );
     assert_eq!(
-        (ways.around("b", 10.0), ways.cut("west", "c", 10.0)),
+        (
+            ways.alternate_controller("b", 10.0),
+            ways.is_partitioned("west", "c", 10.0)
+        ),
         (None, false),
         "long ago"
     );
-    ways.reached("b", true);
-    assert!(!ways.cut("east", "b", 2.0));
+    ways.record_direct_contact("b", true);
+    assert!(!ways.is_partitioned("east", "b", 2.0));
 }
--- a/tests/shard_transfers.rs
+++ b/tests/shard_transfers.rs
@@ -161,13 +161,13 @@
                 .snapshot(&self.cache, now);
             let size = |message| {
                 let (from, to) = (String::new(), String::new());
-                let (hears, apart, cancellation_notices) = Default::default();
+                let (heard_peers, unreachable_peers, cancellation_notices) = Default::default();
                 Envelope {
                     from,
                     to,
-                    fresh: true,
-                    hears,
-                    apart,
+                    store_reachable: true,
+                    heard_peers,
+                    unreachable_peers,
                     cancellation_notices,
                     message,
                 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -151,9 +151,9 @@
     let envelope = Envelope {
         from: "a".into(),
         to: "b".into(),
-        fresh: true,
-        hears: Vec::new(),
-        apart: Vec::new(),
+        store_reachable: true,
+        heard_peers: Vec::new(),
+        unreachable_peers: Vec::new(),
         cancellation_notices: Vec::new(),
         message,
     };
@@ -221,8 +221,8 @@
     assert_eq!(
         (
             shard.cancellation_notices.len(),
-            shard.hears.len(),
-            shard.apart.len()
+            shard.heard_peers.len(),
+            shard.unreachable_peers.len()
         ),
         (1, 1, 1)
     );
@@ -443,9 +443,9 @@
     let envelope = Envelope {
         from: "a".into(),
         to: "b".into(),
-        fresh: true,
-        hears: Vec::new(),
-        apart: Vec::new(),
+        store_reachable: true,
+        heard_peers: Vec::new(),
+        unreachable_peers: Vec::new(),
         cancellation_notices: vec![CancellationNotice {
             job: "wk-1".into(),
             revision: 3,
--- a/tests/wire_format_commands.rs
+++ b/tests/wire_format_commands.rs
@@ -129,9 +129,9 @@
     PeerTransport::start(&settings, |_, _| true).send(Envelope {
         from: "a".into(),
         to: "b".into(),
-        fresh: true,
-        hears: Vec::new(),
-        apart: Vec::new(),
+        store_reachable: true,
+        heard_peers: Vec::new(),
+        unreachable_peers: Vec::new(),
         cancellation_notices: Vec::new(),
         message: PeerMessage::KeepAlive,
     });
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -4,7 +4,7 @@
 #[path = "common/fixtures.rs"]
 mod fixtures;
 
-use finchwood::cluster::failure_detection::Reached;
+use finchwood::cluster::failure_detection::ZoneContact;
 use finchwood::cluster::peer::{CancellationNotice, Envelope, PeerMessage};
 use finchwood::shard::{
     AssignedTaskStatus, JobAssignment, MachineStatus, Orders, RemovalReason, RemovedTask,
@@ -219,9 +219,9 @@
         ],
         zone_contacts: vec![(
             "e".into(),
-            Reached {
-                since_s: 100.5,
-                last_s: 0.25,
+            ZoneContact {
+                began_ago_s: 100.5,
+                last_ago_s: 0.25,
             },
         )],
         seen_elsewhere: vec![("m-5".into(), 1.5)],
@@ -319,9 +319,9 @@
     Envelope {
         from: "a".into(),
         to: "b".into(),
-        fresh: true,
-        hears: vec!["b".into()],
-        apart: vec!["c".into()],
+        store_reachable: true,
+        heard_peers: vec!["b".into()],
+        unreachable_peers: vec!["c".into()],
         cancellation_notices: vec![CancellationNotice {
             job: "wk-1".into(),
             revision: 3,
@@ -333,9 +333,9 @@
 
 fn bare_envelope(message: PeerMessage) -> Envelope {
     Envelope {
-        fresh: false,
-        hears: Vec::new(),
-        apart: Vec::new(),
+        store_reachable: false,
+        heard_peers: Vec::new(),
+        unreachable_peers: Vec::new(),
         cancellation_notices: Vec::new(),
         ..full_envelope(message)
     }
