--- /dev/null
+++ b/tests/common/simulated_cluster/faults.rs
@@ -0,0 +1,226 @@
+//! The faults of workers, controllers and the key-value store, and recovery from them.
+
+use super::controllers::Controller;
+use super::{SimulatedCluster, CONTROLLERS, JOB_NUMBERS, MEMBER_LEASE_S, WORKER_LEASE_S};
+use rand::Rng;
+
+/// The longest that a fault of workers lasts.
+const LONGEST_WORKER_FAULT_S: f64 = 3.0 * WORKER_LEASE_S;
+/// Faults of single workers hit one of so many latest machines.
+const LATEST_MACHINES: usize = 5;
+
+/// A controller that is away, and when it comes back.
+#[derive(Clone, Copy)]
+pub(super) struct PendingRecovery {
+    controller: usize,
+    at: f64,
+}
+
+impl SimulatedCluster {
+    /// What fails next, and what comes back.
+    pub(super) fn inject_faults(&mut self) {
+        if let Some(recovery) = self.recovery {
+            if self.now >= recovery.at {
+                self.recover(recovery.controller);
+                self.recovery = self.next_recovery();
+            }
+            return;
+        }
+        if self.rng.gen_bool(0.003) {
+            self.drop_incoming_of_one_worker();
+        }
+        if self.rng.gen_bool(0.001) {
+            self.drop_incoming_of_many_workers();
+        }
+        if self.rng.gen_bool(0.003) {
+            self.pause_or_silence_workers();
+        }
+        if self.rng.gen_bool(0.002) {
+            self.refuse_one_controller();
+        }
+        if self
+            .mass_cancellation_at
+            .is_some_and(|due_at| self.now >= due_at)
+        {
+            self.cancel_many_and_stop_store();
+        }
+        if self.rng.gen_bool(0.001) {
+            // Leases have their full time again after it.
+            self.store_outage_until = self.now + self.rng.gen_range(1.0..2.0 * MEMBER_LEASE_S);
+        }
+        if self.rng.gen_bool(0.001) {
+            return self.stop_all_controllers();
+        }
+        if self.rng.gen_bool(0.01) {
+            self.fail_one_controller();
+        }
+    }
+
+    /// If all controllers were away, the next one follows within a moment.
+    fn next_recovery(&mut self) -> Option<PendingRecovery> {
+        let controller = self
+            .controllers
+            .iter()
+            .position(|controller| !controller.alive)?;
+        let at = self.now + self.rng.gen_range(0.1..2.0);
+        Some(PendingRecovery { controller, at })
+    }
+
+    fn latest_machine(&mut self) -> usize {
+        let count = self.workers.len();
+        self.rng
+            .gen_range(count.saturating_sub(LATEST_MACHINES)..count)
+    }
+
+    /// A machine that hears nothing, for less or more than its lease.
+    fn drop_incoming_of_one_worker(&mut self) {
+        let index = self.latest_machine();
+        self.workers[index].drops_incoming_until =
+            self.now + self.rng.gen_range(5.0..LONGEST_WORKER_FAULT_S);
+    }
+
+    /// Many fall together: most of a zone, or half of all.
+    fn drop_incoming_of_many_workers(&mut self) {
+        let until = self.now + self.rng.gen_range(5.0..LONGEST_WORKER_FAULT_S);
+        let choice = self.rng.gen_range(0..3);
+        for (index, worker) in self.workers.iter_mut().enumerate() {
+            let is_hit = if choice == 2 {
+                index % 4 < 2
+            } else {
+                worker.zone == format!("z{choice}") && index % 8 > 1
+            };
+            if is_hit {
+                worker.drops_incoming_until = until;
+            }
+        }
+    }
+
+    /// Machines whose heartbeats reach nobody, or that hang, one of them or a few.
+    fn pause_or_silence_workers(&mut self) {
+        let span_s = self.rng.gen_range(5.0..LONGEST_WORKER_FAULT_S);
+        let pauses = self.rng.gen_bool(0.5);
+        for _ in 0..self.rng.gen_range(1..4) {
+            let index = self.latest_machine();
+            let worker = &mut self.workers[index];
+            if pauses {
+                worker.paused_until = self.now + span_s / 2.0;
+            } else {
+                worker.drops_outgoing_until = self.now + span_s;
+                self.statistics.silenced_workers += 1;
+            }
+        }
+    }
+
+    /// The store refuses one controller alone; jobs will be cancelled through others,
+    /// and then nobody is answered for longer than a cancellation has.
+    fn refuse_one_controller(&mut self) {
+        let leader = super::membership::controller_named(&self.epoch.leader).unwrap_or(0);
+        let index = if self.rng.gen_bool(0.7) {
+            leader
+        } else {
+            self.rng.gen_range(0..CONTROLLERS.len())
+        };
+        self.controllers[index].refused_until =
+            self.now + self.rng.gen_range(1.0..3.0 * MEMBER_LEASE_S);
+        self.statistics.refused_controllers += 1;
+        self.mass_cancellation_at = Some(self.now + self.rng.gen_range(0.2..MEMBER_LEASE_S));
+    }
+
+    fn cancel_many_and_stop_store(&mut self) {
+        self.mass_cancellation_at = None;
+        for number in 0..JOB_NUMBERS {
+            if self.rng.gen_bool(0.3) {
+                self.cancel(number);
+            }
+        }
+        if self.rng.gen_bool(0.7) {
+            self.store_outage_until = self.now + self.rng.gen_range(0.5..2.5 * WORKER_LEASE_S);
+        }
+    }
+
+    /// All are away, for less or more than a worker's lease; one is back before the
+    /// others.
+    fn stop_all_controllers(&mut self) {
+        for index in 0..CONTROLLERS.len() {
+            self.controllers[index] = Controller::stopped(index);
+        }
+        self.statistics.full_outages += 1;
+        let controller = self.rng.gen_range(0..CONTROLLERS.len());
+        let at = self.now + self.rng.gen_range(0.3..2.0 * WORKER_LEASE_S);
+        self.recovery = Some(PendingRecovery { controller, at });
+    }
+
+    fn fail_one_controller(&mut self) {
+        let index = self.rng.gen_range(0..CONTROLLERS.len());
+        match self.rng.gen_range(0..10) {
+            // Back within a moment: the epoch never saw it go.
+            0..=2 => self.join(index),
+            3 => {
+                // Several at once, one of them in the middle of the election.
+                for offset in 0..self.rng.gen_range(2..=CONTROLLERS.len()) {
+                    self.join((index + offset) % CONTROLLERS.len());
+                }
+                self.join(index);
+            }
+            4..=5 => {
+                self.expel(index);
+                self.recover_within_seconds(index);
+            }
+            6..=7 => self.partition(index),
+            _ => {
+                self.leave(index);
+                self.recover_within_seconds(index);
+            }
+        }
+    }
+
+    fn recover_within_seconds(&mut self, controller: usize) {
+        let at = self.now + self.rng.gen_range(0.5..15.0);
+        self.recovery = Some(PendingRecovery { controller, at });
+    }
+
+    /// Its workers still reach it; the rest expel it only when its lease must have
+    /// expired.
+    fn partition(&mut self, controller: usize) {
+        self.statistics.partitioned_controllers += 1;
+        let at = self.now
+            + self
+                .rng
+                .gen_range(MEMBER_LEASE_S + 0.5..3.0 * MEMBER_LEASE_S);
+        self.controllers[controller].partitioned_until = at;
+        self.recovery = Some(PendingRecovery { controller, at });
+    }
+
+    fn recover(&mut self, index: usize) {
+        let controller = &mut self.controllers[index];
+        if controller.partitioned_until > 0.0 {
+            controller.partitioned_until = 0.0;
+            self.rejoin(index);
+        } else if controller.alive {
+            self.readmit(index);
+        } else {
+            self.join(index);
+        }
+    }
+
+    /// All faults end, and all services are cancelled.
+    pub(crate) fn end_faults(&mut self) {
+        self.faults_ended = true;
+        self.store_outage_until = 0.0;
+        for index in 0..CONTROLLERS.len() {
+            self.controllers[index].partitioned_until = 0.0;
+            self.controllers[index].refused_until = 0.0;
+            if !self.controllers[index].alive || !self.is_member(index) {
+                self.join(index);
+            }
+        }
+        for worker in &mut self.workers {
+            worker.drops_incoming_until = 0.0;
+            worker.drops_outgoing_until = 0.0;
+            worker.paused_until = 0.0;
+        }
+        for number in (0..JOB_NUMBERS).filter(|number| number % 3 == 0) {
+            self.cancel(number);
+        }
+    }
+}
--- /dev/null
+++ b/tests/common/simulated_cluster/mod.rs
@@ -0,0 +1,214 @@
+//! A simulated cluster that loses, delays and repeats messages, pauses and partitions
+//! workers and controllers, and lets the key-value store go away.
+//!
+//! The shards, leaders and shard transfers under test are the real ones; workers, the
+//! network and the order of the key-value store's events are plain models. A seed
+//! determines the whole run. Every start of a task is checked as it happens.
+
+mod checks;
+mod controllers;
+mod faults;
+mod gangs;
+mod jobs;
+mod membership;
+mod network;
+#[path = "../settings.rs"]
+mod settings_text;
+mod shard_transfers;
+mod state_store;
+mod statistics;
+mod workers;
+
+use controllers::Controller;
+use faults::PendingRecovery;
+use finchwood::config::settings::Settings;
+use finchwood::store::cache::Epoch;
+use finchwood::store::KeyChange;
+use finchwood::wire::{Catalog, JobSpec, MachineType};
+use finchwood_sharding::shard_map::ShardMap;
+use gangs::GangRun;
+use network::Packet;
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use settings_text::SETTINGS;
+use state_store::{DelayedFinish, DelayedShardMap};
+pub(crate) use statistics::Statistics;
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::sync::Arc;
+use workers::Worker;
+
+const CONTROLLERS: [&str; 5] = ["a", "b", "c", "d", "e"];
+const INITIAL_MACHINES: usize = 5;
+/// Jobs are numbered below this.
+const JOB_NUMBERS: u32 = 60;
+const WORKER_LEASE_S: f64 = 20.0;
+/// The life of a controller's membership lease.
+const MEMBER_LEASE_S: f64 = WORKER_LEASE_S * 0.4;
+const TEAM_CPU_LIMIT: f64 = 14.0;
+const STEP_S: f64 = 0.1;
+
+/// Something that happens at a time to come.
+struct Scheduled<T> {
+    due_at: f64,
+    what: T,
+}
+
+/// Controllers, workers, the network between them and the key-value store.
+pub(crate) struct SimulatedCluster {
+    settings: Settings,
+    rng: StdRng,
+    now: f64,
+    /// All events of the key-value store, in order.
+    store_log: Vec<KeyChange>,
+    revision: u64,
+    epoch: Epoch,
+    /// All controllers go by the shard map, and ranges of it move.
+    uses_shard_map: bool,
+    shard_map: ShardMap,
+    shard_map_revision: u64,
+    /// Writes of the shard map without an answer.
+    delayed_shard_maps: Vec<Scheduled<DelayedShardMap>>,
+    last_incarnation: u64,
+    controllers: Vec<Controller>,
+    workers: Vec<Worker>,
+    packets: Vec<Scheduled<Packet>>,
+    next_job: u32,
+    specs: HashMap<Arc<str>, Arc<JobSpec>>,
+    gangs: HashSet<Arc<str>>,
+    /// Attempts of gangs that have run, by job and attempt.
+    gang_runs: HashMap<(Arc<str>, u64), GangRun>,
+    /// Gangs that have completed, whoever knows of it.
+    completed_gangs: HashSet<Arc<str>>,
+    /// Committed tasks of each job.
+    finished: HashMap<Arc<str>, HashSet<u32>>,
+    /// When the cancellation of each job was confirmed.
+    cancelled: HashMap<Arc<str>, f64>,
+    /// The revision of each job's record.
+    job_revisions: HashMap<Arc<str>, u64>,
+    /// Commits of finished tasks without an answer.
+    delayed_finishes: Vec<Scheduled<DelayedFinish>>,
+    /// The key-value store answers nobody until then.
+    store_outage_until: f64,
+    /// When many jobs are cancelled while the store refuses one controller.
+    mass_cancellation_at: Option<f64>,
+    /// The controller that is away and when it returns.
+    recovery: Option<PendingRecovery>,
+    /// No more faults.
+    faults_ended: bool,
+    statistics: Statistics,
+}
+
+impl SimulatedCluster {
+    /// A cluster whose controllers have all joined, with machines that nobody knows yet.
+    pub(crate) fn new(seed: u64, uses_shard_map: bool) -> SimulatedCluster {
+        let mut cluster = SimulatedCluster {
+            settings: settings(),
+            rng: StdRng::seed_from_u64(seed),
+            now: 0.0,
+            store_log: Vec::new(),
+            revision: 0,
+            epoch: Epoch {
+                number: 0,
+                members: BTreeMap::new(),
+                leader: String::new(),
+                uses_shard_map: false,
+            },
+            uses_shard_map,
+            shard_map: ShardMap::default(),
+            shard_map_revision: 0,
+            delayed_shard_maps: Vec::new(),
+            last_incarnation: 0,
+            controllers: Vec::new(),
+            workers: Vec::new(),
+            packets: Vec::new(),
+            next_job: 1,
+            specs: HashMap::new(),
+            gangs: HashSet::new(),
+            gang_runs: HashMap::new(),
+            completed_gangs: HashSet::new(),
+            finished: HashMap::new(),
+            cancelled: HashMap::new(),
+            job_revisions: HashMap::new(),
+            delayed_finishes: Vec::new(),
+            store_outage_until: 0.0,
+            mass_cancellation_at: None,
+            recovery: None,
+            faults_ended: false,
+            statistics: Statistics::default(),
+        };
+        cluster.put_catalog();
+        for _ in 0..INITIAL_MACHINES {
+            cluster.add_machine();
+        }
+        for index in 0..CONTROLLERS.len() {
+            cluster.controllers.push(Controller::stopped(index));
+        }
+        for index in 0..CONTROLLERS.len() {
+            cluster.join(index);
+        }
+        cluster
+    }
+
+    /// What has happened so far.
+    pub(crate) fn statistics(&self) -> &Statistics {
+        &self.statistics
+    }
+
+    /// Runs until the time `end`, in seconds from the start.
+    pub(crate) fn run_until(&mut self, end: f64) {
+        while self.now < end {
+            self.now += STEP_S;
+            self.deliver_due_packets();
+            self.carry_out_delayed_writes();
+            for index in 0..self.workers.len() {
+                self.worker_round(index);
+            }
+            self.gang_round();
+            self.check_cancelled();
+            for index in 0..CONTROLLERS.len() {
+                if self.rng.gen_bool(0.5) {
+                    self.controller_round(index);
+                }
+                self.expel_if_lease_expired(index);
+            }
+            if self.faults_ended || self.now < self.store_outage_until {
+                continue;
+            }
+            self.users_round();
+            self.inject_faults();
+        }
+    }
+
+    fn put_catalog(&mut self) {
+        let machine_type = MachineType {
+            name: "k".into(),
+            cpus: 4.0,
+            gpus: 0.0,
+            mem_gb: 64.0,
+            cache_gb: 10.0,
+            fetch_gb_per_s: 1.0,
+            price: 1.0,
+            spot_price: 0.5,
+            boot_s: 5.0,
+            zones: vec!["z0".into(), "z1".into()],
+        };
+        let catalog = Catalog {
+            types: vec![machine_type],
+        };
+        self.put("fw/c", serde_json::to_value(catalog).expect("JSON"));
+    }
+}
+
+fn settings() -> Settings {
+    let limit = format!("cpus_max = {TEAM_CPU_LIMIT:.1}");
+    Settings::parse(&SETTINGS.replace("cpus_max = 400.0", &limit)).expect("settings")
+}
+
+/// Takes out what is due, in the order in which it was scheduled.
+fn take_due<T>(scheduled: &mut Vec<Scheduled<T>>, now: f64) -> Vec<T> {
+    let (due, later): (Vec<_>, Vec<_>) = std::mem::take(scheduled)
+        .into_iter()
+        .partition(|entry| entry.due_at <= now);
+    *scheduled = later;
+    due.into_iter().map(|entry| entry.what).collect()
+}
--- /dev/null
+++ b/tests/common/simulated_cluster/workers.rs
@@ -0,0 +1,282 @@
+//! Workers as the protocol describes them, and the machines that they run on.
+
+use super::network::{HeartbeatPacket, Packet};
+use super::{SimulatedCluster, CONTROLLERS, WORKER_LEASE_S};
+use finchwood::cluster::membership;
+use finchwood::store::cache::MachineRecord;
+use finchwood::store::KeyChange;
+use finchwood::wire::{Command, Heartbeat, JobKind, Task, TaskReport, TaskState};
+use rand::Rng;
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::sync::Arc;
+
+/// A task on a worker.
+pub(super) struct WorkerTask {
+    pub(super) attempt: u64,
+    pub(super) state: TaskState,
+    /// Why it has ended.
+    pub(super) cause: Option<String>,
+}
+
+impl WorkerTask {
+    /// Whether it still takes room on its machine.
+    pub(super) fn is_active(&self) -> bool {
+        self.state != TaskState::Ended
+    }
+
+    pub(super) fn end(&mut self, cause: &str) {
+        self.state = TaskState::Ended;
+        self.cause = Some(cause.into());
+    }
+}
+
+/// A machine and its worker.
+#[derive(Default)]
+pub(super) struct Worker {
+    pub(super) id: String,
+    pub(super) zone: String,
+    pub(super) alive: bool,
+    pub(super) session: u64,
+    pub(super) sequence: u64,
+    /// The highest fencing token that it was shown.
+    pub(super) token: u64,
+    pub(super) lease_renewed_at: f64,
+    pub(super) tasks: BTreeMap<String, WorkerTask>,
+    /// The sequence number of the heartbeat whose answer it waits for.
+    pub(super) awaited_answer: Option<u64>,
+    /// Heartbeats go out, but nothing comes in until then.
+    pub(super) drops_incoming_until: f64,
+    /// Heartbeats are lost until then, but commands come in.
+    pub(super) drops_outgoing_until: f64,
+    /// It hangs until then: what comes in meanwhile waits.
+    pub(super) paused_until: f64,
+    pub(super) next_heartbeat_at: f64,
+    /// When each task of a gang has its image, or began to wait for the others.
+    pub(super) gang_waiting_since: HashMap<String, f64>,
+}
+
+impl Worker {
+    /// The next heartbeat.
+    pub(super) fn heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
+        let report = |(id, task): (&String, &WorkerTask)| TaskReport {
+            task: id.clone(),
+            attempt: task.attempt,
+            state: task.state,
+            cause: task.cause.clone(),
+            saved: None,
+        };
+        Heartbeat {
+            machine: self.id.as_str().into(),
+            address: self.id.clone(),
+            machine_type: "k".into(),
+            zone: self.zone.as_str().into(),
+            spot: false,
+            session: self.session,
+            seq: self.sequence,
+            token: self.token,
+            notice_s: None,
+            tasks: self.tasks.iter().map(report).collect(),
+        }
+    }
+
+    /// Kills all tasks and begins a new session if the lease has expired.
+    pub(super) fn expire_lease(&mut self, now: f64) {
+        if now - self.lease_renewed_at > WORKER_LEASE_S {
+            self.tasks.clear();
+            self.session += 1;
+            self.sequence = 0;
+            self.lease_renewed_at = now;
+            self.awaited_answer = None;
+        }
+    }
+
+    /// Carries out commands and returns the tasks that were started; tasks of `gangs`
+    /// fetch their image first.
+    pub(super) fn apply_commands(
+        &mut self,
+        commands: &[Command],
+        gangs: &HashSet<Arc<str>>,
+        now: f64,
+    ) -> Vec<Task> {
+        let mut started = Vec::new();
+        for command in commands {
+            match command {
+                Command::Start { task, attempt } => {
+                    started.extend(self.start(task, *attempt, gangs, now));
+                }
+                Command::Stop { task, attempt, .. } => self.stop(task, *attempt),
+                Command::Forget { task, attempt } => self.forget(task, *attempt),
+            }
+        }
+        started
+    }
+
+    /// A start while the same or another attempt is active is ignored: the heartbeat
+    /// keeps showing that one.
+    fn start(
+        &mut self,
+        id: &str,
+        attempt: u64,
+        gangs: &HashSet<Arc<str>>,
+        now: f64,
+    ) -> Option<Task> {
+        if let Some(present) = self.tasks.get(id) {
+            if present.attempt == attempt || present.is_active() {
+                return None;
+            }
+        }
+        let task = Task::parse(id).expect("a task");
+        let state = if gangs.contains(&task.job) {
+            TaskState::Fetching
+        } else {
+            TaskState::Running
+        };
+        let assigned = WorkerTask {
+            attempt,
+            state,
+            cause: None,
+        };
+        self.tasks.insert(id.into(), assigned);
+        // Some images are there, others take seconds.
+        let fetch_s = (self.sequence % 4) as f64;
+        self.gang_waiting_since.insert(id.into(), now + fetch_s);
+        Some(task)
+    }
+
+    fn stop(&mut self, id: &str, attempt: u64) {
+        if let Some(task) = self.tasks.get_mut(id) {
+            if task.attempt == attempt && task.is_active() {
+                task.end("stopped");
+            }
+        }
+    }
+
+    fn forget(&mut self, id: &str, attempt: u64) {
+        let ended = |task: &WorkerTask| task.attempt == attempt && !task.is_active();
+        if self.tasks.get(id).is_some_and(ended) {
+            self.tasks.remove(id);
+        }
+    }
+}
+
+impl SimulatedCluster {
+    /// A new machine, in the machine registry and up.
+    pub(super) fn add_machine(&mut self) {
+        let number = self.workers.len();
+        let id = format!("m-{number}");
+        let zone = format!("z{}", number % 2);
+        let record = MachineRecord {
+            machine_type: "k".into(),
+            zone: zone.as_str().into(),
+            spot: false,
+            in_use: true,
+            rented_at_ms: 0,
+            address: Some(id.as_str().into()),
+        };
+        self.put(
+            &format!("fw/r/{id}"),
+            serde_json::to_value(record).expect("JSON"),
+        );
+        self.workers.push(Worker {
+            id,
+            zone,
+            alive: true,
+            session: 1,
+            lease_renewed_at: self.now,
+            ..Worker::default()
+        });
+    }
+
+    /// The leader has a machine deleted: with the answer it is gone, and controllers
+    /// read so a little later. Another comes in its place.
+    pub(super) fn replace_machine(&mut self, id: &str) {
+        let found = self
+            .workers
+            .iter_mut()
+            .find(|worker| worker.id == id && worker.alive);
+        let Some(worker) = found else {
+            return;
+        };
+        worker.alive = false;
+        worker.tasks.clear();
+        self.statistics.replaced_machines += 1;
+        self.revision += 1;
+        self.store_log.push(KeyChange::Delete {
+            key: format!("fw/r/{id}"),
+            revision: self.revision,
+        });
+        self.add_machine();
+    }
+
+    /// The number of the worker on a machine.
+    pub(super) fn worker_on(&self, machine: &str) -> Option<usize> {
+        self.workers.iter().position(|worker| worker.id == machine)
+    }
+
+    /// Ends a task now and then, and sends the heartbeat that is due.
+    pub(super) fn worker_round(&mut self, index: usize) {
+        let now = self.now;
+        let worker = &mut self.workers[index];
+        if !worker.alive || now < worker.paused_until {
+            return;
+        }
+        worker.expire_lease(now);
+        if self.rng.gen_bool(0.05) {
+            self.complete_array_task(index);
+        }
+        if now >= self.workers[index].next_heartbeat_at {
+            self.send_heartbeat(index);
+        }
+    }
+
+    fn complete_array_task(&mut self, index: usize) {
+        let running_array = |(id, task): (&String, &WorkerTask)| {
+            let kind = Task::parse(id).map(|task| self.specs[&task.job].job_kind);
+            task.state == TaskState::Running && kind == Some(JobKind::Array)
+        };
+        let tasks = &self.workers[index].tasks;
+        let Some(id) = tasks
+            .iter()
+            .find(|entry| running_array(*entry))
+            .map(|(id, _)| id.clone())
+        else {
+            return;
+        };
+        if let Some(task) = self.workers[index].tasks.get_mut(&id) {
+            task.end("done");
+        }
+        // Cancelled in that very moment.
+        let users_are_served = self.now >= self.store_outage_until && !self.faults_ended;
+        if users_are_served && self.rng.gen_bool(0.1) {
+            let job = id.split_once('/').map_or("", |(job, _)| job);
+            let number = job
+                .strip_prefix("wk-")
+                .and_then(|number| number.parse().ok());
+            self.cancel(number.unwrap_or(0));
+        }
+    }
+
+    /// A heartbeat goes to the owner in most cases, and else to any controller.
+    fn send_heartbeat(&mut self, index: usize) {
+        let now = self.now;
+        let worker = &mut self.workers[index];
+        worker.next_heartbeat_at = now + self.rng.gen_range(0.5..3.0);
+        let heartbeat = worker.heartbeat();
+        worker.awaited_answer = Some(heartbeat.seq);
+        let any = self.rng.gen_range(0..CONTROLLERS.len());
+        let owner =
+            membership::owner_by_shard_map(&self.epoch, &self.shard_map, &heartbeat.machine)
+                .and_then(super::membership::controller_named);
+        let to = if self.rng.gen_bool(0.8) {
+            owner.unwrap_or(any)
+        } else {
+            any
+        };
+        self.send(Packet::Heartbeat(HeartbeatPacket {
+            to,
+            heartbeat,
+            sent_at: now,
+        }));
+    }
+}
