--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -48,7 +48,7 @@
 }
 
 /// Steps in which costs count as equal: a hundredth of a CPU.
-pub fn steps(cost: f64) -> i64 {
+pub fn cost_steps(cost: f64) -> i64 {
     (cost * 100.0).round() as i64
 }
 
@@ -69,16 +69,19 @@
 ) -> Option<Candidate<'a>> {
     let ask = spec.task_resources();
     machines
-        .filter(|m| spec.allowed_on(m.machine_type, m.zone, m.spot) && m.free.fits(&ask))
-        .min_by_key(|m| {
+        .filter(|machine| {
+            spec.allowed_on(machine.machine_type, machine.zone, machine.spot)
+                && machine.free.fits(&ask)
+        })
+        .min_by_key(|machine| {
             (
-                latency_sensitive && !m.cached,
-                spec.spot && !m.spot,
-                steps(cost(&m.free, &ask)),
-                m.zone_peers,
-                m.machine_peers,
-                !m.cached,
-                m.id,
+                latency_sensitive && !machine.cached,
+                spec.spot && !machine.spot,
+                cost_steps(cost(&machine.free, &ask)),
+                machine.zone_peers,
+                machine.machine_peers,
+                !machine.cached,
+                machine.id,
             )
         })
 }
--- a/src/scheduler/capacity.rs
+++ b/src/scheduler/capacity.rs
@@ -77,12 +77,12 @@
     /// How many tasks of a request it has room for.
     fn count(&self, request: &PlacementRequest) -> u32 {
         let mut free = self.free;
-        free.add(&self.given_up_for(request.preempts));
+        free.add(&self.preemptible_for(request.preempts));
         free.max_tasks(&request.ask)
     }
 
     /// What other work would give up for a request.
-    fn given_up_for(&self, preempts: Preempts) -> Resources {
+    fn preemptible_for(&self, preempts: Preempts) -> Resources {
         match preempts {
             Preempts::Nothing => Resources::default(),
             Preempts::BorrowingLowWork => self.yielding_low,
@@ -178,7 +178,7 @@
     }
 
     /// Whether what doesn't fit for `other` can't fit for this one either.
-    fn harder(&self, other: &PlacementRequest) -> bool {
+    fn is_at_least_as_demanding_as(&self, other: &PlacementRequest) -> bool {
         self.machine_types == other.machine_types
             && self.zone == other.zone
             && (!self.spot || other.spot)
@@ -193,7 +193,7 @@
 
 /// What decides between machines, the lowest first: cold for one latency-sensitive,
 /// others driven out, dearer than need be, what is left over, cold.
-type Key = (bool, bool, bool, i64, bool);
+type PlacementRank = (bool, bool, bool, i64, bool);
 
 /// What a shard's machines have free.
 #[derive(Debug)]
@@ -230,16 +230,19 @@
     /// kept for the highest priority.
     pub fn new(slots: Vec<MachineSlot>, reserve: f64) -> FreeCapacity {
         let mut shards: Vec<ShardCapacity> = Vec::new();
-        for s in &slots {
-            if !shards.iter().any(|p| p.shard == s.shard) {
+        for slot in &slots {
+            if !shards.iter().any(|capacity| capacity.shard == slot.shard) {
                 shards.push(ShardCapacity {
-                    shard: s.shard,
+                    shard: slot.shard,
                     free: 0.0,
                     ordinary: 0.0,
                 });
             }
-            if let Some(p) = shards.iter_mut().find(|p| p.shard == s.shard) {
-                p.count(s.spot, s.free.cpus.max(0.0));
+            if let Some(capacity) = shards
+                .iter_mut()
+                .find(|capacity| capacity.shard == slot.shard)
+            {
+                capacity.count(slot.spot, slot.free.cpus.max(0.0));
             }
         }
         let reserve = reserve / shards.len().max(1) as f64;
@@ -252,15 +255,15 @@
     }
 
     /// The shards whose ordinary machines this request must leave alone.
-    fn kept(&self, request: &PlacementRequest) -> Vec<u32> {
+    fn shards_at_reserve(&self, request: &PlacementRequest) -> Vec<u32> {
         if request.uses_reserve || self.reserve <= 0.0 {
             return Vec::new();
         }
-        let kept = self
+        let at_reserve = self
             .shards
             .iter()
-            .filter(|p| p.ordinary - request.ask.cpus < self.reserve);
-        kept.map(|p| p.shard).collect()
+            .filter(|capacity| capacity.ordinary - request.ask.cpus < self.reserve);
+        at_reserve.map(|capacity| capacity.shard).collect()
     }
 
     /// The machine that the paper's cost chooses, of a shard or of all, among
@@ -271,38 +274,38 @@
         shard: Option<u32>,
         zones: Option<&[(u32, u32)]>,
     ) -> Option<usize> {
-        let mut best: Option<(Key, usize)> = None;
-        let kept = self.kept(request);
-        for (i, s) in self.slots.iter().enumerate() {
-            if shard.is_some_and(|p| p != s.shard)
-                || zones.is_some_and(|z| !z.iter().any(|(name, n)| *name == s.zone && *n > 0))
-                || !request.allows(s)
-                || !s.spot && kept.contains(&s.shard)
+        let mut best: Option<(PlacementRank, usize)> = None;
+        let at_reserve = self.shards_at_reserve(request);
+        for (i, slot) in self.slots.iter().enumerate() {
+            if shard.is_some_and(|capacity| capacity != slot.shard)
+                || zones.is_some_and(|z| !z.iter().any(|(name, n)| *name == slot.zone && *n > 0))
+                || !request.allows(slot)
+                || !slot.spot && at_reserve.contains(&slot.shard)
             {
                 continue;
             }
-            let mut free = s.free;
-            let drives_out = !free.fits(&request.ask);
-            if drives_out {
-                free.add(&s.given_up_for(request.preempts));
+            let mut free = slot.free;
+            let preempts = !free.fits(&request.ask);
+            if preempts {
+                free.add(&slot.preemptible_for(request.preempts));
             }
             if !free.fits(&request.ask) {
                 continue;
             }
             let cold = request
                 .image
-                .is_none_or(|i| s.images.binary_search(&i).is_err());
-            let cost = bin_packing::steps(bin_packing::cost(&free, &request.ask));
+                .is_none_or(|i| slot.images.binary_search(&i).is_err());
+            let cost = bin_packing::cost_steps(bin_packing::cost(&free, &request.ask));
             let key = (
                 request.latency_sensitive && cold,
-                drives_out,
-                request.spot && !s.spot,
+                preempts,
+                request.spot && !slot.spot,
                 cost,
                 cold,
             );
             let better = best
                 .as_ref()
-                .is_none_or(|(k, at)| key < *k || key == *k && s.id < self.slots[*at].id);
+                .is_none_or(|(k, at)| key < *k || key == *k && slot.id < self.slots[*at].id);
             if better {
                 best = Some((key, i));
             }
@@ -313,9 +316,11 @@
     /// How many tasks each zone has room for, and on how many of these their image
     /// is: one look at each machine, however many tasks there are.
     pub fn count_by_zone(&self, request: &PlacementRequest) -> BTreeMap<u32, ZoneCount> {
-        let kept = self.kept(request);
+        let at_reserve = self.shards_at_reserve(request);
         let mut zones: BTreeMap<u32, ZoneCount> = BTreeMap::new();
-        let open = |s: &&MachineSlot| request.allows(s) && (s.spot || !kept.contains(&s.shard));
+        let open = |slot: &&MachineSlot| {
+            request.allows(slot) && (slot.spot || !at_reserve.contains(&slot.shard))
+        };
         for slot in self.slots.iter().filter(open) {
             let tasks = slot.count(request);
             let zone = zones.entry(slot.zone).or_default();
@@ -355,7 +360,9 @@
 
     /// Whether nothing can have room for a request, as far as that is known.
     pub fn known_not_to_fit(&self, request: &PlacementRequest) -> bool {
-        self.known_not_to_fit.iter().any(|w| request.harder(w))
+        self.known_not_to_fit
+            .iter()
+            .any(|w| request.is_at_least_as_demanding_as(w))
     }
 
     /// Nothing anywhere had room for one task of this request.
@@ -375,38 +382,45 @@
     }
 
     fn change(&mut self, slot: usize, change: impl Fn(&mut Resources)) {
-        let s = &mut self.slots[slot];
-        let before = s.free.cpus.max(0.0);
-        change(&mut s.free);
-        let more = s.free.cpus.max(0.0) - before;
-        if let Some(p) = self.shards.iter_mut().find(|p| p.shard == s.shard) {
-            p.count(s.spot, more);
+        let slot = &mut self.slots[slot];
+        let before = slot.free.cpus.max(0.0);
+        change(&mut slot.free);
+        let more = slot.free.cpus.max(0.0) - before;
+        if let Some(capacity) = self
+            .shards
+            .iter_mut()
+            .find(|capacity| capacity.shard == slot.shard)
+        {
+            capacity.count(slot.spot, more);
         }
     }
 
     /// The shards that have open machines.
     pub fn shards(&self) -> Vec<u32> {
-        self.shards.iter().map(|p| p.shard).collect()
+        self.shards.iter().map(|capacity| capacity.shard).collect()
     }
 
     /// What a shard's machines have free.
     pub fn total(&self, shard: u32) -> f64 {
         self.shards
             .iter()
-            .find(|p| p.shard == shard)
-            .map_or(0.0, |p| p.free)
+            .find(|capacity| capacity.shard == shard)
+            .map_or(0.0, |capacity| capacity.free)
     }
 
     /// The shard with the most room, of those not in `full`; the first by name
     /// of several.
     pub fn roomiest(&self, full: &[u32], names: &NameInterner) -> Option<u32> {
-        let open = self.shards.iter().filter(|p| !full.contains(&p.shard));
+        let open = self
+            .shards
+            .iter()
+            .filter(|capacity| !full.contains(&capacity.shard));
         open.max_by(|a, b| {
             a.free
                 .total_cmp(&b.free)
                 .then(names.name(b.shard).cmp(names.name(a.shard)))
         })
-        .map(|p| p.shard)
+        .map(|capacity| capacity.shard)
     }
 
     /// As many of `n` tasks as fit one after another under the zones' bounds;
@@ -459,10 +473,13 @@
     pub fn with_cached_image(&self, request: &PlacementRequest, chosen: &[usize]) -> usize {
         match request.image {
             Some(i) if request.latency_sensitive => {
-                let ready = |s: &MachineSlot| {
-                    s.images.binary_search(&i).is_ok() && s.free.fits(&request.ask)
+                let ready = |slot: &MachineSlot| {
+                    slot.images.binary_search(&i).is_ok() && slot.free.fits(&request.ask)
                 };
-                chosen.iter().filter(|&&s| ready(&self.slots[s])).count()
+                chosen
+                    .iter()
+                    .filter(|&&slot| ready(&self.slots[slot]))
+                    .count()
             }
             _ => 0,
         }
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -29,44 +29,45 @@
         let leaving: HashSet<&MachineId> = self
             .shards
             .values()
-            .flat_map(|p| p.machines.values())
-            .filter(|m| m.view.spot_notice || m.view.draining)
-            .map(|m| &m.view.id)
+            .flat_map(|shard| shard.machines.values())
+            .filter(|machine| machine.view.spot_notice || machine.view.draining)
+            .map(|machine| &machine.view.id)
             .collect();
-        for (id, e) in &mut self.jobs {
+        for (id, entry) in &mut self.jobs {
             let Some(job) = cache.jobs.get(id).filter(|j| j.live()) else {
                 continue;
             };
-            if e.committing || e.finishing.is_empty() || now < e.retry_after {
+            if entry.commit_in_flight || entry.completed.is_empty() || now < entry.commit_retry_at {
                 continue;
             }
             let before = job.finished.len();
-            if before + e.finishing.len() >= e.spec.task_count {
-                e.committing = true;
+            if before + entry.completed.len() >= entry.spec.task_count {
+                entry.commit_in_flight = true;
                 out.push(FinishedTasks {
                     job: id.clone(),
-                    tasks: e.finishing.iter().collect(),
+                    tasks: entry.completed.iter().collect(),
                 });
                 continue;
             }
             let pressing = !leaving.is_empty()
-                && e.finishing.iter().any(|i| {
-                    e.assigned
+                && entry.completed.iter().any(|i| {
+                    entry
+                        .assigned
                         .get(&i)
-                        .and_then(|d| d.machine.as_ref())
-                        .is_some_and(|m| leaving.contains(m))
+                        .and_then(|assignment| assignment.machine.as_ref())
+                        .is_some_and(|machine| leaving.contains(machine))
                 });
-            if pressing || now >= e.commit_after {
-                some.push((!pressing, e.commit_after, id.clone()));
+            if pressing || now >= entry.next_commit_at {
+                some.push((!pressing, entry.next_commit_at, id.clone()));
             }
         }
         some.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
         for (_, _, id) in some.into_iter().take(room.saturating_sub(out.len())) {
-            if let Some(e) = self.jobs.get_mut(&id) {
-                e.committing = true;
+            if let Some(entry) = self.jobs.get_mut(&id) {
+                entry.commit_in_flight = true;
                 out.push(FinishedTasks {
                     job: id,
-                    tasks: e.finishing.iter().collect(),
+                    tasks: entry.completed.iter().collect(),
                 });
             }
         }
@@ -76,10 +77,10 @@
     /// A commit of finished tasks has been answered; the same job's next
     /// progress follows after a report interval, a refused one from `retry` on.
     pub fn commit_answered(&mut self, job: &JobId, now: Seconds, retry: Seconds) {
-        if let Some(e) = self.jobs.get_mut(job) {
-            e.committing = false;
-            e.retry_after = retry;
-            e.commit_after = now + self.report_s;
+        if let Some(entry) = self.jobs.get_mut(job) {
+            entry.commit_in_flight = false;
+            entry.commit_retry_at = retry;
+            entry.next_commit_at = now + self.report_s;
         }
     }
 }
@@ -87,7 +88,7 @@
 /// Whether a task's end is still to be committed. Guard: not once its job is
 /// cancelled, which a shard may hear later than the leader. Its last task's end,
 /// reported in between, made a job done that its user had been told is cancelled.
-pub(super) fn wanted(cache: &StoreCache, task: &Task) -> bool {
+pub(super) fn needs_commit(cache: &StoreCache, task: &Task) -> bool {
     cache
         .jobs
         .get(&task.job)
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -43,14 +43,14 @@
 
 impl JobFailures {
     /// A task has completed.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.succeeded = true;
         self.retry_at = 0.0;
     }
 
     /// A task has failed. All that fail until the next try is due belong to the
     /// same try, so that a large job doesn't wait longer than a small one.
-    pub fn note_failure(&mut self, machine: Option<MachineId>, report_s: Seconds, now: Seconds) {
+    pub fn record_failure(&mut self, machine: Option<MachineId>, report_s: Seconds, now: Seconds) {
         if let Some(machine) = machine {
             self.machines.retain(|known| *known != machine);
             self.machines.push(machine);
@@ -111,7 +111,7 @@
 }
 
 /// Jobs with tasks that failed on each machine.
-pub(super) type FailedOn = BTreeMap<MachineId, BTreeSet<JobId>>;
+pub(super) type FailedJobsByMachine = BTreeMap<MachineId, BTreeSet<JobId>>;
 
 /// What a failure says about the machine it happened on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -139,7 +139,7 @@
                 (any >= JOBS_OF_SUSPECTED_MACHINE).then_some(MachineFault::Suspected)
             }
         };
-        self.failed_on
+        self.failed_jobs_by_machine
             .iter()
             .filter_map(|(machine, jobs)| Some((machine.clone(), fault(jobs)?)))
             .collect()
@@ -160,7 +160,7 @@
         &mut self,
         cache: &StoreCache,
     ) -> BTreeMap<MachineId, MachineFault> {
-        self.failed_on
+        self.failed_jobs_by_machine
             .retain(|machine, _| cache.registry.contains_key(machine));
         let faults = self.machine_faults(cache);
         self.faulty = faults.keys().cloned().collect();
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -36,7 +36,7 @@
     broken: bool,
     /// Where some task was has not been known for a while: if it turns out to
     /// be nowhere, it may have been lost like that.
-    in_doubt: bool,
+    unreconciled: bool,
 }
 
 impl Attempt {
@@ -47,17 +47,17 @@
             since: now,
             started: false,
             broken: false,
-            in_doubt: false,
+            unreconciled: false,
         }
     }
 
     /// Where a task is has become unknown.
-    pub fn doubt_task(&mut self) {
-        self.in_doubt = true;
+    pub fn mark_unreconciled(&mut self) {
+        self.unreconciled = true;
     }
 
     /// A task left its machine, other than by being refused.
-    pub fn lost_task(&mut self) {
+    pub fn mark_broken(&mut self) {
         self.broken = true;
     }
 }
@@ -79,7 +79,7 @@
         // anywhere yet, none starts.
         let whole = self.assigned.len() + free == self.spec.task_count as usize;
         // A shard is told how many tasks a zone may take of all that it hasn't listed.
-        whole && !self.leaving && self.unlisted.is_empty()
+        whole && !self.withdrawing && self.unacknowledged.is_empty()
     }
 
     /// The attempt number for a task of a gang that is assigned now.
@@ -92,9 +92,13 @@
     /// Takes the attempt from what shards hold, after a change of leader.
     fn adopt_attempt(&mut self, now: Seconds) {
         if self.attempt.is_none() {
-            let number = self.assigned.values().map(|d| d.attempt).max();
+            let number = self
+                .assigned
+                .values()
+                .map(|assignment| assignment.attempt)
+                .max();
             self.attempt = number.map(|number| Attempt {
-                in_doubt: true,
+                unreconciled: true,
                 ..Attempt::begun(number, now)
             });
         }
@@ -112,10 +116,16 @@
                 TaskPhase::Running | TaskPhase::Saving | TaskPhase::Done
             )
         };
-        attempt.started |= self.assigned.values().any(|d| runs(d.phase));
-        let mixed = self.assigned.values().any(|d| d.attempt != attempt.number);
+        attempt.started |= self
+            .assigned
+            .values()
+            .any(|assignment| runs(assignment.phase));
+        let mixed = self
+            .assigned
+            .values()
+            .any(|assignment| assignment.attempt != attempt.number);
         let waits_too_long = now - attempt.since > gang_wait_s * INCOMPLETE_SHARE;
-        let over = attempt.started || attempt.in_doubt || waits_too_long;
+        let over = attempt.started || attempt.unreconciled || waits_too_long;
         if attempt.broken || mixed || over && !complete {
             Step::Withdraw
         } else {
@@ -128,34 +138,43 @@
     /// Looks after all gangs: withdraws attempts that can't run any more and
     /// those whose machine is about to be taken. Returns the shards that have
     /// new orders: a stop must reach all tasks within `gang_peer_s`.
-    pub(super) fn watch_gangs(&mut self, cache: &StoreCache, now: Seconds) -> BTreeSet<String> {
-        let mut touched = BTreeSet::new();
+    pub(super) fn update_gangs(&mut self, cache: &StoreCache, now: Seconds) -> BTreeSet<String> {
+        let mut shards_with_new_orders = BTreeSet::new();
         let to_be_taken = self.gangs_to_be_taken(now);
         let gang_wait_s = self.gang_wait_s;
         let gangs = self
             .jobs
             .iter_mut()
-            .filter(|(_, e)| e.spec.job_kind == JobKind::Gang);
+            .filter(|(_, entry)| entry.spec.job_kind == JobKind::Gang);
         for (id, entry) in gangs {
             if entry.assigned.is_empty() {
-                if entry.unknown.is_empty() {
+                if entry.unreconciled.is_empty() {
                     entry.attempt = None;
-                    entry.leaving = false;
+                    entry.withdrawing = false;
                 }
                 continue;
             }
             let live = cache.jobs.get(id).is_some_and(|job| job.live());
-            if !live || !entry.unknown.is_empty() || !entry.finishing.is_empty() || entry.leaving {
+            if !live
+                || !entry.unreconciled.is_empty()
+                || !entry.completed.is_empty()
+                || entry.withdrawing
+            {
                 continue;
             }
             let step = entry.next_step(gang_wait_s, now);
             if step == Step::Withdraw || to_be_taken.contains(id) {
                 tracing::info!(%id, attempt = ?entry.attempt, held = entry.assigned.len(), "a gang's attempt is withdrawn");
-                entry.leaving = true;
-                touched.extend(entry.assigned.values().map(|d| d.shard.to_string()));
+                entry.withdrawing = true;
+                shards_with_new_orders.extend(
+                    entry
+                        .assigned
+                        .values()
+                        .map(|assignment| assignment.shard.to_string()),
+                );
             }
         }
-        touched
+        shards_with_new_orders
     }
 
     /// Gangs with a task on a machine that will be taken before they end, all of
@@ -164,8 +183,8 @@
     fn gangs_to_be_taken(&self, now: Seconds) -> BTreeSet<JobId> {
         let noticed: BTreeSet<&MachineId> = self
             .machines()
-            .filter(|m| m.spot_notice)
-            .map(|m| &m.id)
+            .filter(|machine| machine.spot_notice)
+            .map(|machine| &machine.id)
             .collect();
         if noticed.is_empty() {
             return BTreeSet::new();
@@ -173,25 +192,32 @@
         let silent = self.report_s * REACHED_REPORTS;
         let reached: BTreeSet<&MachineId> = self
             .machines_at(now)
-            .filter(|m| m.reconciled && m.silent_s < silent)
-            .map(|m| &m.view.id)
+            .filter(|machine| machine.reconciled && machine.silent_s < silent)
+            .map(|machine| &machine.view.id)
             .collect();
-        let on = |e: &JobEntry, machines: &BTreeSet<&MachineId>| {
-            e.assigned
+        let on = |entry: &JobEntry, machines: &BTreeSet<&MachineId>| {
+            entry
+                .assigned
                 .values()
-                .filter(|d| d.machine.as_ref().is_some_and(|m| machines.contains(m)))
+                .filter(|assignment| {
+                    assignment
+                        .machine
+                        .as_ref()
+                        .is_some_and(|machine| machines.contains(machine))
+                })
                 .count()
         };
-        let saves = |e: &JobEntry| {
-            e.spec.checkpoint_s > 0.0 || !e.attempt.as_ref().is_some_and(|a| a.started)
+        let saves = |entry: &JobEntry| {
+            entry.spec.checkpoint_s > 0.0 || !entry.attempt.as_ref().is_some_and(|a| a.started)
         };
-        let gangs = self
-            .jobs
-            .iter()
-            .filter(|(_, e)| e.spec.job_kind == JobKind::Gang && !e.assigned.is_empty());
+        let gangs = self.jobs.iter().filter(|(_, entry)| {
+            entry.spec.job_kind == JobKind::Gang && !entry.assigned.is_empty()
+        });
         gangs
-            .filter(|(_, e)| saves(e))
-            .filter(|(_, e)| on(e, &noticed) > 0 && on(e, &reached) == e.assigned.len())
+            .filter(|(_, entry)| saves(entry))
+            .filter(|(_, entry)| {
+                on(entry, &noticed) > 0 && on(entry, &reached) == entry.assigned.len()
+            })
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -231,7 +257,7 @@
         if chosen.len() < free.len() {
             return Vec::new();
         }
-        self.assign_over_parts(id, request, &chosen, free, capacity)
+        self.spread_over_shards(id, request, &chosen, free, capacity)
     }
 
     /// Whether gangs are assigned: not while a controller of a version without
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -43,11 +43,11 @@
     pub(super) incarnation: u64,
     pub(super) seq: u64,
     pub(super) machines: BTreeMap<MachineId, TrackedMachine>,
-    pub(super) quiet: HashMap<MachineId, SilentMachine>,
-    pub(super) zones_met: HashMap<Arc<str>, ZoneContact>,
-    pub(super) met: HashMap<MachineId, f64>,
+    pub(super) silent_machines: HashMap<MachineId, SilentMachine>,
+    pub(super) zone_contacts: HashMap<Arc<str>, ZoneContact>,
+    pub(super) seen_elsewhere: HashMap<MachineId, f64>,
     pub(super) orders_seq: u64,
-    pub(super) heard: Seconds,
+    pub(super) last_report_at: Seconds,
 }
 
 impl ShardView {
@@ -57,11 +57,11 @@
             incarnation,
             seq: 0,
             machines: BTreeMap::new(),
-            quiet: HashMap::new(),
-            zones_met: HashMap::new(),
-            met: HashMap::new(),
+            silent_machines: HashMap::new(),
+            zone_contacts: HashMap::new(),
+            seen_elsewhere: HashMap::new(),
             orders_seq: 0,
-            heard: now,
+            last_report_at: now,
         }
     }
 }
@@ -70,23 +70,26 @@
     /// Every machine that some shard reports, as of `now`. A shard tells only
     /// of machines that are its own in this epoch.
     pub fn machines_at(&self, now: Seconds) -> impl Iterator<Item = MachineSnapshot<'_>> {
-        self.shards.values().flat_map(move |p| {
-            p.machines.values().map(move |m| {
-                let quiet = p.quiet.get(&m.view.id);
-                let age = now - p.heard;
+        self.shards.values().flat_map(move |shard| {
+            shard.machines.values().map(move |machine| {
+                let silent = shard.silent_machines.get(&machine.view.id);
+                let age = now - shard.last_report_at;
                 MachineSnapshot {
-                    view: &m.view,
-                    silent_s: quiet.map_or(0.0, |q| q.silent_s + age),
-                    unanswered_s: quiet.and_then(|q| q.unanswered_s).map(|d| d + age),
-                    idle_s: if m.view.tasks == 0 {
-                        now - m.idle_since
+                    view: &machine.view,
+                    silent_s: silent.map_or(0.0, |q| q.silent_s + age),
+                    unanswered_s: silent.and_then(|q| q.unanswered_s).map(|d| d + age),
+                    idle_s: if machine.view.tasks == 0 {
+                        now - machine.idle_since
                     } else {
                         0.0
                     },
-                    reached: p.zones_met.get(&m.view.zone).map(|r| ZoneContact {
-                        began_ago_s: r.began_ago_s + age,
-                        last_ago_s: r.last_ago_s + age,
-                    }),
+                    reached: shard
+                        .zone_contacts
+                        .get(&machine.view.zone)
+                        .map(|r| ZoneContact {
+                            began_ago_s: r.began_ago_s + age,
+                            last_ago_s: r.last_ago_s + age,
+                        }),
                 }
             })
         })
@@ -106,13 +109,16 @@
     pub fn machines(&self) -> impl Iterator<Item = &MachineStatus> {
         self.shards
             .values()
-            .flat_map(|p| p.machines.values().map(|m| &m.view))
+            .flat_map(|shard| shard.machines.values().map(|machine| &machine.view))
     }
 
     /// Machines that may be silent for their owners only: some other controller
     /// has met their workers within `age`.
     pub fn seen_by_other_shards(&self, age: Seconds) -> HashSet<&MachineId> {
-        let all = self.shards.values().flat_map(|p| p.met.iter());
+        let all = self
+            .shards
+            .values()
+            .flat_map(|shard| shard.seen_elsewhere.iter());
         all.filter(|(_, &a)| a < age).map(|(id, _)| id).collect()
     }
 
@@ -121,19 +127,21 @@
     pub fn owner_responds_late(&self, id: &MachineId) -> bool {
         self.shards
             .values()
-            .find(|p| p.machines.contains_key(id))
-            .is_some_and(|p| {
-                let ignores_commands = p
+            .find(|shard| shard.machines.contains_key(id))
+            .is_some_and(|shard| {
+                let ignores_commands = shard
                     .machines
                     .values()
-                    .filter(|m| m.view.ignores_commands)
+                    .filter(|machine| machine.view.ignores_commands)
                     .count();
-                ignores_commands >= 2 && ignores_commands * 4 >= p.machines.len()
+                ignores_commands >= 2 && ignores_commands * 4 >= shard.machines.len()
             })
     }
 
     /// A shard's age of news.
     pub fn shard_silence(&self, node: &str, now: Seconds) -> Option<Seconds> {
-        self.shards.get(node).map(|p| now - p.heard)
+        self.shards
+            .get(node)
+            .map(|shard| now - shard.last_report_at)
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -43,7 +43,7 @@
     /// Tells one assignment of an attempt from the next; 0 if its shard doesn't say.
     assignment: u64,
     /// The shard has listed it: it need not be sent again.
-    listed: bool,
+    acknowledged: bool,
     phase: TaskPhase,
     machine: Option<MachineId>,
 }
@@ -51,29 +51,29 @@
 #[derive(Debug)]
 struct JobEntry {
     spec: Arc<JobSpec>,
-    at_ms: u64,
-    unknown: TaskSet,
+    accepted_at_ms: u64,
+    unreconciled: TaskSet,
     /// Of the unknown, those that can only be with one shard, which has kept all
     /// that it knew: its word alone is proof.
-    with: BTreeMap<u32, Arc<str>>,
+    sole_holders: BTreeMap<u32, Arc<str>>,
     assigned: BTreeMap<u32, TaskAssignment>,
     /// Those of the assigned that their shard has not listed yet.
-    unlisted: BTreeSet<u32>,
+    unacknowledged: BTreeSet<u32>,
     /// Seen done by a shard, not yet committed.
-    finishing: TaskSet,
-    committing: bool,
-    commit_after: Seconds,
-    retry_after: Seconds,
+    completed: TaskSet,
+    commit_in_flight: bool,
+    next_commit_at: Seconds,
+    commit_retry_at: Seconds,
     failures: failures::JobFailures,
     /// Of a gang: the attempt that its tasks share.
     attempt: Option<gang::Attempt>,
     /// Since when a service that is bound to the zone of its tasks has had no
     /// room there.
-    stuck_since: Option<Seconds>,
+    no_room_since: Option<Seconds>,
     /// All its tasks are being stopped, to begin together in another zone.
-    leaving: bool,
+    withdrawing: bool,
     /// What each shard was told that zones may still take.
-    room: BTreeMap<Arc<str>, Vec<(Arc<str>, u32)>>,
+    zone_allowances: BTreeMap<Arc<str>, Vec<(Arc<str>, u32)>>,
 }
 
 impl TaskAssignment {
@@ -87,11 +87,11 @@
     /// The assignments that differ from their attempts, of tasks that a shard
     /// has not listed yet.
     fn assignments(&self, node: &str) -> Vec<(u32, u64)> {
-        let unlisted = self
-            .unlisted
+        let unacknowledged = self
+            .unacknowledged
             .iter()
             .filter_map(|index| Some((*index, self.assigned.get(index)?)));
-        let differ = unlisted.filter(|(_, d)| &*d.shard == node && d.assignment != d.attempt);
+        let differ = unacknowledged.filter(|(_, d)| &*d.shard == node && d.assignment != d.attempt);
         differ.map(|(index, d)| (index, d.assignment)).collect()
     }
     fn running_tasks(&self) -> usize {
@@ -101,14 +101,14 @@
             .count()
     }
     fn unassign(&mut self, index: u32) -> Option<TaskAssignment> {
-        self.unlisted.remove(&index);
+        self.unacknowledged.remove(&index);
         self.assigned.remove(&index)
     }
     fn assign(&mut self, index: u32, assigned: TaskAssignment) {
-        if assigned.listed {
-            self.unlisted.remove(&index);
+        if assigned.acknowledged {
+            self.unacknowledged.remove(&index);
         } else {
-            self.unlisted.insert(index);
+            self.unacknowledged.insert(index);
         }
         self.assigned.insert(index, assigned);
     }
@@ -143,28 +143,28 @@
     names: NameInterner,
     reconciled: bool,
     /// Something came in that may prove where tasks are.
-    news: bool,
+    has_new_evidence: bool,
     /// Shards whose holdings have come in since the last task became unknown.
-    joined: BTreeSet<String>,
-    attempts: u64,
+    reported_shards: BTreeSet<String>,
+    attempts_used: u64,
     /// No attempt number above this one is used in an epoch.
     pub attempt_limit: u64,
     teams: HashMap<Arc<str>, Team>,
-    start_aims: HashMap<Arc<str>, f64>,
-    classes_with_aims: HashSet<Arc<str>>,
+    start_objectives_s: HashMap<Arc<str>, f64>,
+    classes_with_objectives: HashSet<Arc<str>>,
     objectives: ServiceObjectives,
     report_s: Seconds,
     gang_wait_s: Seconds,
     gangs_allowed: bool,
     /// When the first report of this epoch came, and the latest of all.
     first_report_at: Option<Seconds>,
-    latest_at: Seconds,
+    last_report_at: Seconds,
     /// After how long whatever an earlier owner renewed is over.
     takeover_s: Seconds,
     /// Machines that take no more tasks.
     pub draining: BTreeSet<MachineId>,
     /// Jobs with tasks that failed on each machine.
-    failed_on: failures::FailedOn,
+    failed_jobs_by_machine: failures::FailedJobsByMachine,
     /// Machines that failures speak against: they take no more tasks.
     faulty: BTreeSet<MachineId>,
     /// CPUs on ordinary machines that are kept free for services to come.
@@ -177,7 +177,7 @@
     pub pending_demand: Vec<PendingDemand>,
     /// Teams that use more than they are guaranteed.
     borrowing: Vec<Arc<str>>,
-    cursor: Option<JobId>,
+    resume_from: Option<JobId>,
 }
 
 impl Leader {
@@ -191,9 +191,9 @@
             shards: BTreeMap::new(),
             names: NameInterner::default(),
             reconciled: false,
-            news: true,
-            joined: BTreeSet::new(),
-            attempts: 0,
+            has_new_evidence: true,
+            reported_shards: BTreeSet::new(),
+            attempts_used: 0,
             attempt_limit: MAX_COUNTER,
             teams: settings
                 .params
@@ -201,25 +201,25 @@
                 .iter()
                 .map(|t| (t.name.as_str().into(), t.clone()))
                 .collect(),
-            start_aims: settings.start_aims(),
-            classes_with_aims: settings.classes_with_aims(),
+            start_objectives_s: settings.start_aims(),
+            classes_with_objectives: settings.classes_with_aims(),
             objectives: ServiceObjectives::new(settings),
             report_s: settings.params.workers.report_s,
             gang_wait_s: settings.params.workers.gang_wait_s,
             gangs_allowed: true,
             first_report_at: None,
-            latest_at: 0.0,
+            last_report_at: 0.0,
             takeover_s: clock::with_drift_margin(settings.params.workers.lease_s)
                 + clock::with_drift_margin(settings.member_life_s()),
             draining: BTreeSet::new(),
             consolidating: BTreeSet::new(),
-            failed_on: failures::FailedOn::new(),
+            failed_jobs_by_machine: failures::FailedJobsByMachine::new(),
             faulty: BTreeSet::new(),
             reserved_cpus: 0.0,
             preemption_held: false,
             pending_demand: Vec::new(),
             borrowing: Vec::new(),
-            cursor: None,
+            resume_from: None,
         }
     }
 
@@ -232,7 +232,7 @@
             self.jobs.clear();
             self.draining.clear();
             self.consolidating.clear();
-            self.failed_on.clear();
+            self.failed_jobs_by_machine.clear();
             self.faulty.clear();
         }
         // Shards that live on and hand no machine over, as nobody is new: what
@@ -248,24 +248,24 @@
         self.incarnation = incarnation;
         self.members = e.members.clone();
         self.shards.clear();
-        self.joined.clear();
+        self.reported_shards.clear();
         self.first_report_at = None;
         self.reconciled = false;
-        self.attempts = 0;
+        self.attempts_used = 0;
         for job in self.jobs.values_mut() {
             let assigned = std::mem::take(&mut job.assigned);
-            job.unlisted.clear();
-            job.with.retain(|_, p| steady.contains(&**p));
+            job.unacknowledged.clear();
+            job.sole_holders.retain(|_, p| steady.contains(&**p));
             if let Some(attempt) = job.attempt.as_mut() {
-                attempt.doubt_task();
+                attempt.mark_unreconciled();
             }
             for (index, d) in assigned {
-                job.unknown.add(index);
+                job.unreconciled.add(index);
                 if steady.contains(&*d.shard) {
-                    job.with.insert(index, d.shard);
+                    job.sole_holders.insert(index, d.shard);
                 }
             }
-            job.committing = false;
+            job.commit_in_flight = false;
         }
         let ids: Vec<JobId> = cache.jobs.keys().cloned().collect();
         for id in ids {
@@ -287,7 +287,7 @@
             ..ReconciliationProgress::default()
         };
         for entry in self.jobs.values() {
-            let in_doubt = entry.unknown.len();
+            let in_doubt = entry.unreconciled.len();
             progress.unreconciled_tasks += in_doubt;
             let phase = ReconciliationPhase::of(in_doubt, entry.assigned.len());
             *progress.jobs.entry(phase).or_default() += 1;
@@ -298,7 +298,7 @@
     /// Whether half of the epoch's attempt numbers are used up: the next epoch has all
     /// of them anew. At a thousand starts a second that takes more than two hours.
     pub fn needs_new_epoch(&self) -> bool {
-        self.attempts > self.attempt_limit / 2
+        self.attempts_used > self.attempt_limit / 2
     }
 
     /// A job is new or has changed in the cache.
@@ -313,37 +313,37 @@
             return;
         };
         if !self.jobs.contains_key(id) {
-            let mut unknown = TaskSet::default();
+            let mut unreconciled = TaskSet::default();
             // Accepted in this epoch: nobody can have assigned it before us.
             if job.record.epoch < self.epoch {
                 for index in (0..spec.task_count).filter(|&i| !job.finished.contains(i)) {
-                    unknown.add(index);
+                    unreconciled.add(index);
                 }
             }
-            if job.record.cancelled && unknown.is_empty() {
+            if job.record.cancelled && unreconciled.is_empty() {
                 return;
             }
-            if !unknown.is_empty() {
+            if !unreconciled.is_empty() {
                 // Reports taken in before this job was known said nothing of it.
                 self.reconciled = false;
-                self.joined.clear();
+                self.reported_shards.clear();
             }
             let entry = JobEntry {
-                at_ms: job.record.accepted_at_ms,
+                accepted_at_ms: job.record.accepted_at_ms,
                 spec,
-                unknown,
-                with: BTreeMap::new(),
+                unreconciled,
+                sole_holders: BTreeMap::new(),
                 assigned: BTreeMap::new(),
-                unlisted: BTreeSet::new(),
-                finishing: TaskSet::default(),
-                committing: false,
-                commit_after: 0.0,
-                retry_after: 0.0,
+                unacknowledged: BTreeSet::new(),
+                completed: TaskSet::default(),
+                commit_in_flight: false,
+                next_commit_at: 0.0,
+                commit_retry_at: 0.0,
                 failures: failures::JobFailures::default(),
                 attempt: None,
-                stuck_since: None,
-                leaving: false,
-                room: BTreeMap::new(),
+                no_room_since: None,
+                withdrawing: false,
+                zone_allowances: BTreeMap::new(),
             };
             self.jobs.insert(id.clone(), entry);
         }
@@ -351,21 +351,21 @@
             return;
         };
         if !job.finished.is_empty() {
-            entry.failures.note_success();
+            entry.failures.record_success();
         }
         let over: Vec<u32> = entry
-            .finishing
+            .completed
             .iter()
             .filter(|&i| job.finished.contains(i))
             .collect();
         for i in over {
-            entry.finishing.remove(i);
-            entry.unknown.remove(i);
+            entry.completed.remove(i);
+            entry.unreconciled.remove(i);
             entry.unassign(i);
         }
         if job.record.cancelled {
-            entry.finishing = TaskSet::default();
-            if entry.unknown.is_empty() && entry.assigned.is_empty() {
+            entry.completed = TaskSet::default();
+            if entry.unreconciled.is_empty() && entry.assigned.is_empty() {
                 self.jobs.remove(id);
             }
         }
@@ -384,8 +384,8 @@
             let Some(job) = cache.jobs.get(id).filter(|j| j.record.cancelled) else {
                 continue;
             };
-            let at_ms = job.record.cancelled_at_ms.unwrap_or(wall_clock_ms);
-            if wall_clock_ms.saturating_sub(at_ms) as f64 / 1000.0 > after_s {
+            let accepted_at_ms = job.record.cancelled_at_ms.unwrap_or(wall_clock_ms);
+            if wall_clock_ms.saturating_sub(accepted_at_ms) as f64 / 1000.0 > after_s {
                 let there = e.assigned.values().filter(|d| d.phase != TaskPhase::Done);
                 out.extend(there.filter_map(|d| d.machine.clone()));
             }
@@ -396,8 +396,8 @@
     /// Counts for the log: jobs, assigned, unknown.
     pub fn counts(&self) -> (usize, usize, u32) {
         let assigned = self.jobs.values().map(|e| e.assigned.len()).sum();
-        let unknown = self.jobs.values().map(|e| e.unknown.len()).sum();
-        (self.jobs.len(), assigned, unknown)
+        let unreconciled = self.jobs.values().map(|e| e.unreconciled.len()).sum();
+        (self.jobs.len(), assigned, unreconciled)
     }
 
     /// CPUs that replicas of services take now.
--- a/src/scheduler/orders.rs
+++ b/src/scheduler/orders.rs
@@ -11,80 +11,92 @@
         view.orders_seq += 1;
         let (seq, ack) = (view.orders_seq, view.seq);
         let mut assignments = Vec::new();
-        for (id, e) in self.jobs.iter().filter(|(_, e)| !e.unlisted.is_empty()) {
-            let assigned = e
-                .unlisted
+        for (id, entry) in self
+            .jobs
+            .iter()
+            .filter(|(_, entry)| !entry.unacknowledged.is_empty())
+        {
+            let assigned = entry
+                .unacknowledged
                 .iter()
-                .filter_map(|i| Some((*i, e.assigned.get(i)?)));
+                .filter_map(|i| Some((*i, entry.assigned.get(i)?)));
             let tasks: Vec<(u32, u64)> = assigned
-                .filter(|(_, d)| &*d.shard == node)
-                .map(|(i, d)| (i, d.attempt))
+                .filter(|(_, assignment)| &*assignment.shard == node)
+                .map(|(i, assignment)| (i, assignment.attempt))
                 .collect();
             if !tasks.is_empty() {
                 assignments.push(JobAssignment {
                     job: id.clone(),
                     tasks,
-                    zone_room: e
-                        .room
+                    zone_room: entry
+                        .zone_allowances
                         .get(node)
                         .cloned()
-                        .filter(|_| e.spec.one_zone || e.spec.scatter),
-                    avoid: e.failures.avoided().to_vec(),
-                    assignments: e.assignments(node),
+                        .filter(|_| entry.spec.one_zone || entry.spec.scatter),
+                    avoid: entry.failures.avoided().to_vec(),
+                    assignments: entry.assignments(node),
                 });
             }
         }
         // Counts for display need not be of this moment.
         let running = (seq % 8 == 1).then(|| {
-            let running = |e: &JobEntry| {
-                e.assigned
+            let running = |entry: &JobEntry| {
+                entry
+                    .assigned
                     .values()
-                    .filter(|d| matches!(d.phase, TaskPhase::Running | TaskPhase::Saving))
+                    .filter(|assignment| {
+                        matches!(assignment.phase, TaskPhase::Running | TaskPhase::Saving)
+                    })
                     .count() as u32
             };
             self.jobs
                 .iter()
-                .map(|(id, e)| (id.clone(), running(e)))
+                .map(|(id, entry)| (id.clone(), running(entry)))
                 .filter(|(_, n)| *n > 0)
                 .collect()
         });
         let mut recall = Vec::new();
-        for (id, e) in self.jobs.iter().filter(|(_, e)| e.leaving) {
-            let theirs = e.assigned.iter().filter(|(_, d)| &*d.shard == node);
-            recall.extend(theirs.map(|(i, d)| {
+        for (id, entry) in self.jobs.iter().filter(|(_, entry)| entry.withdrawing) {
+            let theirs = entry
+                .assigned
+                .iter()
+                .filter(|(_, assignment)| &*assignment.shard == node);
+            recall.extend(theirs.map(|(i, assignment)| {
                 (
                     Task {
                         job: id.clone(),
                         index: *i,
                     },
-                    d.attempt,
+                    assignment.attempt,
                 )
             }));
         }
         if !self.consolidating.is_empty() {
-            for (id, e) in self
+            for (id, entry) in self
                 .jobs
                 .iter()
-                .filter(|(_, e)| e.spec.job_kind == JobKind::Service)
+                .filter(|(_, entry)| entry.spec.job_kind == JobKind::Service)
             {
-                let there = |d: &TaskAssignment| {
-                    d.machine
+                let there = |assignment: &TaskAssignment| {
+                    assignment
+                        .machine
                         .as_ref()
-                        .is_some_and(|m| self.consolidating.contains(m))
+                        .is_some_and(|machine| self.consolidating.contains(machine))
                 };
-                let on = e
-                    .assigned
-                    .iter()
-                    .filter(|(_, d)| &*d.shard == node && d.phase == TaskPhase::Running);
-                recall.extend(on.filter(|(_, d)| there(d)).map(|(i, d)| {
-                    (
-                        Task {
-                            job: id.clone(),
-                            index: *i,
-                        },
-                        d.attempt,
-                    )
-                }));
+                let on = entry.assigned.iter().filter(|(_, assignment)| {
+                    &*assignment.shard == node && assignment.phase == TaskPhase::Running
+                });
+                recall.extend(on.filter(|(_, assignment)| there(assignment)).map(
+                    |(i, assignment)| {
+                        (
+                            Task {
+                                job: id.clone(),
+                                index: *i,
+                            },
+                            assignment.attempt,
+                        )
+                    },
+                ));
             }
         }
         Some(Orders {
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -12,7 +12,7 @@
     /// Jobs whose tasks depend on each other. The leader counts the zones, so
     /// nothing is assigned while any task's zone isn't known, and what is assigned
     /// goes whole to one shard with what each zone may still take.
-    pub(super) fn assign_bound_to_zones(
+    pub(super) fn assign_zone_bound(
         &mut self,
         id: &JobId,
         request: &PlacementRequest,
@@ -20,14 +20,14 @@
         capacity: &mut FreeCapacity,
         cache: &StoreCache,
     ) -> Assignment {
-        let Some(e) = self.jobs.get(id) else {
+        let Some(entry) = self.jobs.get(id) else {
             return Vec::new();
         };
-        let spec = e.spec.clone();
-        if !e.unknown.is_empty() || e.leaving {
+        let spec = entry.spec.clone();
+        if !entry.unreconciled.is_empty() || entry.withdrawing {
             return Vec::new();
         }
-        let Some(room) = self.zone_room(e, capacity, cache) else {
+        let Some(room) = self.zone_room(entry, capacity, cache) else {
             return Vec::new();
         };
         // The roomiest shard that can take them all; else the one that takes
@@ -53,19 +53,20 @@
                 && capacity.with_cached_image(request, &spread)
                     > capacity.with_cached_image(request, &chosen)
             {
-                return self.assign_over_parts(id, request, &spread, free, capacity);
+                return self.spread_over_shards(id, request, &spread, free, capacity);
             }
         }
         // One shard's machines of one zone may be too few for a job that the
         // zone has room for: then several shards share it.
         if spec.one_zone && chosen.len() < free.len() {
             let spread = capacity.try_place(request, free.len(), None, &room, true);
-            if spread.len() > chosen.len() && (spread.len() == free.len() || !e.assigned.is_empty())
+            if spread.len() > chosen.len()
+                && (spread.len() == free.len() || !entry.assigned.is_empty())
             {
-                return self.assign_over_parts(id, request, &spread, free, capacity);
+                return self.spread_over_shards(id, request, &spread, free, capacity);
             }
         }
-        if spec.one_zone && chosen.len() < free.len() && e.assigned.is_empty() {
+        if spec.one_zone && chosen.len() < free.len() && entry.assigned.is_empty() {
             return Vec::new();
         }
         for &slot in &chosen {
@@ -75,15 +76,18 @@
         let shard = self.names.name(shard).clone();
         // Guard: a job for one zone is told which. Left to choose, the shard began
         // it where only some of its tasks had room.
-        let into: BTreeSet<u32> = chosen.iter().map(|&s| capacity.slots[s].zone).collect();
+        let into: BTreeSet<u32> = chosen
+            .iter()
+            .map(|&slot| capacity.slots[slot].zone)
+            .collect();
         let told = room
             .iter()
             .filter(|(z, _)| !spec.one_zone || into.contains(z));
         let told = told
             .map(|(z, n)| (self.names.name(*z).clone(), *n))
             .collect();
-        if let Some(e) = self.jobs.get_mut(id) {
-            e.room = [(shard.clone(), told)].into_iter().collect();
+        if let Some(entry) = self.jobs.get_mut(id) {
+            entry.zone_allowances = [(shard.clone(), told)].into_iter().collect();
         }
         vec![(shard, tasks)]
     }
@@ -92,21 +96,22 @@
     /// none while that isn't known of all.
     pub(super) fn zone_room(
         &self,
-        e: &JobEntry,
+        entry: &JobEntry,
         capacity: &FreeCapacity,
         cache: &StoreCache,
     ) -> Option<ZoneRoom> {
         let mut counts: BTreeMap<u32, u32> = BTreeMap::new();
-        for d in e.assigned.values() {
-            let (record, _) = cache.registry.get(d.machine.as_ref()?)?;
+        for assignment in entry.assigned.values() {
+            let (record, _) = cache.registry.get(assignment.machine.as_ref()?)?;
             *counts.entry(self.names.lookup(&record.zone)?).or_default() += 1;
         }
-        let zones: BTreeSet<u32> = capacity.slots.iter().map(|s| s.zone).collect();
-        let allowed = |z: &u32| !e.spec.one_zone || counts.is_empty() || counts.contains_key(z);
+        let zones: BTreeSet<u32> = capacity.slots.iter().map(|slot| slot.zone).collect();
+        let allowed = |z: &u32| !entry.spec.one_zone || counts.is_empty() || counts.contains_key(z);
         let left = |z: u32| {
             (
                 z,
-                e.spec
+                entry
+                    .spec
                     .zone_cap()
                     .saturating_sub(counts.get(&z).copied().unwrap_or(0)),
             )
@@ -118,12 +123,16 @@
     /// rest of them.
     pub(super) fn zones_of(&self, id: &JobId, cache: &StoreCache) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
-        let bound = |e: &&JobEntry| (e.spec.one_zone || e.spec.scatter) && !e.leaving;
-        let Some(e) = self.jobs.get(id).filter(bound) else {
+        let bound =
+            |entry: &&JobEntry| (entry.spec.one_zone || entry.spec.scatter) && !entry.withdrawing;
+        let Some(entry) = self.jobs.get(id).filter(bound) else {
             return zones;
         };
-        for d in e.assigned.values() {
-            let record = d.machine.as_ref().and_then(|m| cache.registry.get(m));
+        for assignment in entry.assigned.values() {
+            let record = assignment
+                .machine
+                .as_ref()
+                .and_then(|m| cache.registry.get(m));
             if let Some((r, _)) = record {
                 *zones.entry(r.zone.clone()).or_default() += 1;
             }
@@ -134,7 +143,7 @@
     /// A service whose zone has had no room for the rest of it for as long as
     /// several boots take moves as a whole, if another zone has room for it:
     /// its tasks are stopped, and assigned anew once all are proven gone.
-    pub(super) fn leave_zone(
+    pub(super) fn consider_zone_change(
         &mut self,
         id: &JobId,
         request: &PlacementRequest,
@@ -143,33 +152,37 @@
         now: Seconds,
     ) {
         let patience = BEGIN_WITHIN_S / 6.0;
-        let Some(e) = self.jobs.get_mut(id) else {
+        let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
-        if !stuck || e.assigned.is_empty() {
-            e.stuck_since = None;
-            e.leaving = false;
+        if !stuck || entry.assigned.is_empty() {
+            entry.no_room_since = None;
+            entry.withdrawing = false;
             return;
         }
-        let since = *e.stuck_since.get_or_insert(now);
-        let known = e.unknown.is_empty() && e.assigned.values().all(|d| d.machine.is_some());
-        if e.leaving || !known || now - since < patience {
+        let since = *entry.no_room_since.get_or_insert(now);
+        let known = entry.unreconciled.is_empty()
+            && entry
+                .assigned
+                .values()
+                .all(|assignment| assignment.machine.is_some());
+        if entry.withdrawing || !known || now - since < patience {
             return;
         }
-        let n = e.spec.task_count as usize;
-        let all: BTreeSet<u32> = capacity.slots.iter().map(|s| s.zone).collect();
+        let n = entry.spec.task_count as usize;
+        let all: BTreeSet<u32> = capacity.slots.iter().map(|slot| slot.zone).collect();
         let all: Vec<(u32, u32)> = all.into_iter().map(|z| (z, u32::MAX)).collect();
         if capacity.try_place(request, n, None, &all, true).len() == n {
             tracing::info!(%id, "no room for the rest of it in its zone: it moves");
-            if let Some(e) = self.jobs.get_mut(id) {
-                e.leaving = true;
+            if let Some(entry) = self.jobs.get_mut(id) {
+                entry.withdrawing = true;
             }
         }
     }
 
     /// Deals tasks to the parts of the chosen machines, and tells each shard
     /// how many of them a zone may take there.
-    pub(super) fn assign_over_parts(
+    pub(super) fn spread_over_shards(
         &mut self,
         id: &JobId,
         request: &PlacementRequest,
@@ -177,15 +190,15 @@
         free: &[u32],
         capacity: &mut FreeCapacity,
     ) -> Assignment {
-        let Some(e) = self.jobs.get_mut(id) else {
+        let Some(entry) = self.jobs.get_mut(id) else {
             return Vec::new();
         };
         let mut out: BTreeMap<Arc<str>, Vec<u32>> = BTreeMap::new();
-        e.room.clear();
+        entry.zone_allowances.clear();
         for (&slot, &index) in chosen.iter().zip(free) {
             let shard = self.names.name(capacity.slots[slot].shard).clone();
             let zone = self.names.name(capacity.slots[slot].zone);
-            let told = e.room.entry(shard.clone()).or_default();
+            let told = entry.zone_allowances.entry(shard.clone()).or_default();
             match told.iter_mut().find(|(z, _)| z == zone) {
                 Some((_, n)) => *n += 1,
                 None => told.push((zone.clone(), 1)),
@@ -230,7 +243,7 @@
     capacity: &mut FreeCapacity,
     names: &NameInterner,
 ) -> Assignment {
-    let zones: BTreeSet<u32> = capacity.slots.iter().map(|s| s.zone).collect();
+    let zones: BTreeSet<u32> = capacity.slots.iter().map(|slot| slot.zone).collect();
     let all: Vec<(u32, u32)> = zones.into_iter().map(|z| (z, u32::MAX)).collect();
     let Some((shard, chosen)) = roomiest_for(request, free.len(), capacity, &all, false, names)
     else {
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -17,36 +17,47 @@
 impl Leader {
     pub(super) fn used(&self) -> HashMap<Arc<str>, Resources> {
         let mut used: HashMap<Arc<str>, Resources> = HashMap::new();
-        for e in self.jobs.values() {
-            let n = f64::from(e.assigned.len() as u32 + e.unknown.len());
-            let u = used.entry(e.spec.team.clone()).or_default();
-            u.cpus += n * e.spec.cpus;
-            u.gpus += n * e.spec.gpus;
+        for entry in self.jobs.values() {
+            let n = f64::from(entry.assigned.len() as u32 + entry.unreconciled.len());
+            let u = used.entry(entry.spec.team.clone()).or_default();
+            u.cpus += n * entry.spec.cpus;
+            u.gpus += n * entry.spec.gpus;
         }
         used
     }
 
     /// Free room of every open machine, less what is assigned and not placed.
     pub(super) fn capacity(&self, wall_clock_ms: u64) -> FreeCapacity {
-        let open = self.shards.values().flat_map(|p| p.machines.values());
-        let open = open.filter(|m| {
-            m.view.schedulable
-                && !self.draining.contains(&m.view.id)
-                && !self.faulty.contains(&m.view.id)
+        let open = self
+            .shards
+            .values()
+            .flat_map(|shard| shard.machines.values());
+        let open = open.filter(|machine| {
+            machine.view.schedulable
+                && !self.draining.contains(&machine.view.id)
+                && !self.faulty.contains(&machine.view.id)
         });
-        let mut capacity =
-            FreeCapacity::new(open.map(|m| m.slot.clone()).collect(), self.reserved_cpus);
-        for e in self.jobs.values() {
+        let mut capacity = FreeCapacity::new(
+            open.map(|machine| machine.slot.clone()).collect(),
+            self.reserved_cpus,
+        );
+        for entry in self.jobs.values() {
             let mut request = None;
-            for d in e.assigned.values().filter(|d| d.machine.is_none()) {
+            for assignment in entry
+                .assigned
+                .values()
+                .filter(|assignment| assignment.machine.is_none())
+            {
                 let request = request.get_or_insert_with(|| {
-                    let preempts = match self.preempts(e, wall_clock_ms) {
+                    let preempts = match self.preempts(entry, wall_clock_ms) {
                         Preempts::AllLowerWork => Preempts::Nothing,
                         others => others,
                     };
-                    PlacementRequest::new(&e.spec, &self.names, Vec::new(), false, preempts)
+                    PlacementRequest::new(&entry.spec, &self.names, Vec::new(), false, preempts)
                 });
-                if let Some(slot) = capacity.best(request, self.names.lookup(&d.shard), None) {
+                if let Some(slot) =
+                    capacity.best(request, self.names.lookup(&assignment.shard), None)
+                {
                     capacity.take(slot, &request.ask);
                 }
             }
@@ -57,22 +68,25 @@
     /// Jobs that fit their team's guarantee together with the team's earlier
     /// unfinished jobs: they need not wait for what others borrow.
     pub(super) fn guaranteed(&self, cache: &StoreCache) -> HashSet<JobId> {
-        let mut by_age: Vec<(u64, &JobId, &JobEntry)> =
-            self.jobs.iter().map(|(id, e)| (e.at_ms, id, e)).collect();
+        let mut by_age: Vec<(u64, &JobId, &JobEntry)> = self
+            .jobs
+            .iter()
+            .map(|(id, entry)| (entry.accepted_at_ms, id, entry))
+            .collect();
         by_age.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
         let mut used: HashMap<&str, Resources> = HashMap::new();
         let mut out = HashSet::new();
-        for (_, id, e) in by_age {
-            let Some(team) = self.teams.get(&e.spec.team) else {
+        for (_, id, entry) in by_age {
+            let Some(team) = self.teams.get(&entry.spec.team) else {
                 continue;
             };
             let Some(job) = cache.jobs.get(id).filter(|j| j.live()) else {
                 continue;
             };
-            let left = f64::from(e.spec.task_count.saturating_sub(job.finished.len()));
-            let u = used.entry(&e.spec.team).or_default();
-            u.cpus += left * e.spec.cpus;
-            u.gpus += left * e.spec.gpus;
+            let left = f64::from(entry.spec.task_count.saturating_sub(job.finished.len()));
+            let u = used.entry(&entry.spec.team).or_default();
+            u.cpus += left * entry.spec.cpus;
+            u.gpus += left * entry.spec.gpus;
             if u.cpus <= team.cpus && u.gpus <= team.gpus {
                 out.insert(id.clone());
             }
@@ -89,9 +103,9 @@
         now: Seconds,
         mut more: impl FnMut() -> bool,
     ) -> BTreeSet<String> {
-        let touched = self.watch_gangs(cache, now);
+        let shards_with_new_orders = self.update_gangs(cache, now);
         if self.shards.is_empty() {
-            return touched;
+            return shards_with_new_orders;
         }
         let (wall_clock_ms, used) = (clock::wall_clock_ms(), self.used());
         self.borrowing = self.borrowing_teams(&used);
@@ -103,11 +117,11 @@
             capacity: self.capacity(wall_clock_ms),
             pending_demand: Vec::new(),
             gang_waits: false,
-            touched,
+            shards_with_new_orders,
         };
         for id in self.jobs_in_order(&round) {
             if !more() {
-                self.cursor = Some(id);
+                self.resume_from = Some(id);
                 break;
             }
             self.assign_job(&id, &mut round);
@@ -120,7 +134,7 @@
             tracing::debug!(job = %w.spec.id, count = w.count, "no room");
         }
         self.pending_demand = round.pending_demand;
-        round.touched
+        round.shards_with_new_orders
     }
 
     /// Jobs that may have free tasks, the most pressing first; from where the last
@@ -128,23 +142,28 @@
     fn jobs_in_order(&mut self, round: &Round) -> Vec<JobId> {
         let guaranteed = self.guaranteed(round.cache);
         let live = |id: &JobId| round.cache.jobs.get(id).is_some_and(|j| j.live());
-        let may_have_free = |e: &JobEntry| {
-            !e.failures.waits(round.now)
-                && (e.assigned.len() as u32 + e.unknown.len()) < e.spec.task_count
+        let may_have_free = |entry: &JobEntry| {
+            !entry.failures.waits(round.now)
+                && (entry.assigned.len() as u32 + entry.unreconciled.len()) < entry.spec.task_count
         };
         let waiting = self
             .jobs
             .iter()
-            .filter(|(id, e)| live(id) && may_have_free(e));
+            .filter(|(id, entry)| live(id) && may_have_free(entry));
         let mut order: Vec<(Stage, Priority, u8, i64, JobId)> = waiting
-            .map(|(id, e)| {
-                let (tier, due) = urgency(&e.spec, e.at_ms, round.wall_clock_ms, &self.objectives);
-                let stage = stage(id, e, guaranteed.contains(id), round);
-                (stage, e.spec.priority, tier, due, id.clone())
+            .map(|(id, entry)| {
+                let (tier, due) = urgency(
+                    &entry.spec,
+                    entry.accepted_at_ms,
+                    round.wall_clock_ms,
+                    &self.objectives,
+                );
+                let stage = stage(id, entry, guaranteed.contains(id), round);
+                (stage, entry.spec.priority, tier, due, id.clone())
             })
             .collect();
         order.sort();
-        if let Some(at) = self.cursor.take() {
+        if let Some(at) = self.resume_from.take() {
             if let Some(position) = order.iter().position(|o| o.4 == at) {
                 order.rotate_left(position);
             }
@@ -153,25 +172,25 @@
     }
 
     /// The free tasks of a job, as many as its team's limit allows.
-    fn free_tasks(&self, e: &JobEntry, job: &Job, used: &Resources) -> Vec<u32> {
-        let team = self.teams.get(&e.spec.team);
+    fn free_tasks(&self, entry: &JobEntry, job: &Job, used: &Resources) -> Vec<u32> {
+        let team = self.teams.get(&entry.spec.team);
         let left = Resources {
-            cpus: team.map_or(0.0, |t| t.cpu_cap()) - used.cpus,
-            gpus: team.map_or(0.0, |t| t.gpu_cap()) - used.gpus,
+            cpus: team.map_or(0.0, |team| team.cpu_cap()) - used.cpus,
+            gpus: team.map_or(0.0, |team| team.gpu_cap()) - used.gpus,
             mem_gb: f64::INFINITY,
         };
         let quota = left.max_tasks(&Resources {
             mem_gb: 0.0,
-            ..e.spec.task_resources()
+            ..entry.spec.task_resources()
         }) as usize;
-        let most = e.tries_allowed(quota);
+        let most = entry.tries_allowed(quota);
         let free = |i: &u32| {
             !job.finished.contains(*i)
-                && !e.finishing.contains(*i)
-                && !e.unknown.contains(*i)
-                && !e.assigned.contains_key(i)
+                && !entry.completed.contains(*i)
+                && !entry.unreconciled.contains(*i)
+                && !entry.assigned.contains_key(i)
         };
-        (0..e.spec.task_count).filter(free).take(most).collect()
+        (0..entry.spec.task_count).filter(free).take(most).collect()
     }
 
     /// Assigns what is free of one job; what has no room is wanted.
@@ -179,33 +198,35 @@
         let Some(job) = round.cache.jobs.get(id) else {
             return;
         };
-        let Some(e) = self.jobs.get(id) else { return };
-        let spec = e.spec.clone();
+        let Some(entry) = self.jobs.get(id) else {
+            return;
+        };
+        let spec = entry.spec.clone();
         let used = round.used.entry(spec.team.clone()).or_default();
-        let free = self.free_tasks(e, job, used);
-        let gang_may_not =
-            spec.job_kind == JobKind::Gang && !(self.gangs_allowed && e.gang_may_start(free.len()));
+        let free = self.free_tasks(entry, job, used);
+        let gang_may_not = spec.job_kind == JobKind::Gang
+            && !(self.gangs_allowed && entry.gang_may_start(free.len()));
         // Guard: a number beyond the limit would be one of a later epoch.
-        let numbers_left = self.attempts + free.len() as u64 <= self.attempt_limit;
+        let numbers_left = self.attempts_used + free.len() as u64 <= self.attempt_limit;
         if free.is_empty() || gang_may_not || !numbers_left {
             return;
         }
-        let age_s = round.age_s(e);
-        let request = self.request(e, round);
-        let chosen = self.choose_parts(id, &request, &free, round);
+        let age_s = round.age_s(entry);
+        let request = self.request(entry, round);
+        let chosen = self.choose_shards(id, &request, &free, round);
         let placed: usize = chosen.iter().map(|(_, tasks)| tasks.len()).sum();
         if placed == 0 && round.capacity.best(&request, None, None).is_none() {
             round.capacity.record_no_fit(&request);
         }
         if placed < free.len() {
-            let demand = self.want(id, (free.len() - placed) as u32, age_s, round);
+            let demand = self.pending_demand_of(id, (free.len() - placed) as u32, age_s, round);
             round.pending_demand.extend(demand);
         }
         let used = round.used.entry(spec.team.clone()).or_default();
         used.cpus += placed as f64 * spec.cpus;
         used.gpus += placed as f64 * spec.gpus;
         for (shard, tasks) in chosen {
-            round.touched.insert(shard.to_string());
+            round.shards_with_new_orders.insert(shard.to_string());
             for index in tasks {
                 self.assign_task(id, index, &shard, round.now);
             }
@@ -231,13 +252,13 @@
     /// What is stopped for the tasks of a job that have no room. Guard: without it,
     /// guests' low arrays that run for minutes held the machines which a team's own
     /// work then waited for.
-    fn preempts(&self, e: &JobEntry, wall_clock_ms: u64) -> Preempts {
-        let waited_s = wall_clock_ms.saturating_sub(e.at_ms) as f64 / 1000.0;
-        match e.spec.priority {
+    fn preempts(&self, entry: &JobEntry, wall_clock_ms: u64) -> Preempts {
+        let waited_s = wall_clock_ms.saturating_sub(entry.accepted_at_ms) as f64 / 1000.0;
+        match entry.spec.priority {
             _ if self.preemption_held => Preempts::Nothing,
             Priority::Prod => Preempts::AllLowerWork,
             Priority::Urgent | Priority::Standard
-                if !e.spec.has_coupled_tasks()
+                if !entry.spec.has_coupled_tasks()
                     && waited_s > self.report_s * PREEMPTS_AFTER_REPORTS =>
             {
                 Preempts::BorrowingLowWork
@@ -250,12 +271,18 @@
     /// that nobody has an aim for and that its team only borrows room for, no
     /// ordinary machine is rented but the first, so that it begins: the cloud has
     /// too few of them for all.
-    fn want(&self, id: &JobId, count: u32, age_s: Seconds, round: &Round) -> Option<PendingDemand> {
+    fn pending_demand_of(
+        &self,
+        id: &JobId,
+        count: u32,
+        age_s: Seconds,
+        round: &Round,
+    ) -> Option<PendingDemand> {
         let entry = self.jobs.get(id)?;
         let spec = &entry.spec;
         let idle_work = spec.spot
             && spec.priority == Priority::Low
-            && !self.classes_with_aims.contains(&spec.class)
+            && !self.classes_with_objectives.contains(&spec.class)
             && self.borrowing.contains(&spec.team);
         let is_late = stage(id, entry, false, round) == Stage::Unbegun;
         Some(PendingDemand {
@@ -268,18 +295,18 @@
         })
     }
 
-    fn request(&self, e: &JobEntry, round: &Round) -> PlacementRequest {
-        let spec = &e.spec;
+    fn request(&self, entry: &JobEntry, round: &Round) -> PlacementRequest {
+        let spec = &entry.spec;
         let latency_sensitive = bin_packing::is_latency_sensitive(
             spec,
-            &self.start_aims,
+            &self.start_objectives_s,
             round.cache.catalog.as_deref(),
         );
-        let avoid = e.failures.avoided().to_vec();
-        let preempts = self.preempts(e, round.wall_clock_ms);
+        let avoid = entry.failures.avoided().to_vec();
+        let preempts = self.preempts(entry, round.wall_clock_ms);
         let request = PlacementRequest::new(spec, &self.names, avoid, latency_sensitive, preempts);
         // The start of a gang with an aim needs room at once in a single zone.
-        if spec.job_kind == JobKind::Gang && self.start_aims.contains_key(&spec.class) {
+        if spec.job_kind == JobKind::Gang && self.start_objectives_s.contains_key(&spec.class) {
             request.with_reserve()
         } else {
             request
@@ -287,24 +314,24 @@
     }
 
     /// The shards that take tasks of a job, by its shape.
-    fn choose_parts(
+    fn choose_shards(
         &mut self,
         id: &JobId,
         request: &PlacementRequest,
         free: &[u32],
         round: &mut Round,
     ) -> Assignment {
-        let Some(e) = self
+        let Some(entry) = self
             .jobs
             .get(id)
             .filter(|_| !round.capacity.known_not_to_fit(request))
         else {
             return Vec::new();
         };
-        let spec = e.spec.clone();
+        let spec = entry.spec.clone();
         if spec.job_kind == JobKind::Gang {
             // The first of those that wait; for the others its room comes later.
-            let keeps_room = !round.gang_waits && round.age_s(e) < BEGIN_WITHIN_S * 2.0;
+            let keeps_room = !round.gang_waits && round.age_s(entry) < BEGIN_WITHIN_S * 2.0;
             let chosen = self.assign_gang(
                 id,
                 request,
@@ -317,9 +344,9 @@
             chosen
         } else if spec.one_zone || spec.scatter {
             let chosen =
-                self.assign_bound_to_zones(id, request, free, &mut round.capacity, round.cache);
+                self.assign_zone_bound(id, request, free, &mut round.capacity, round.cache);
             if spec.one_zone && spec.job_kind == JobKind::Service {
-                self.leave_zone(
+                self.consider_zone_change(
                     id,
                     request,
                     chosen.is_empty(),
@@ -337,24 +364,24 @@
 
     /// Gives a task to a shard, under an attempt of its own or that of its gang.
     fn assign_task(&mut self, id: &JobId, index: u32, shard: &Arc<str>, now: Seconds) {
-        self.attempts += 1;
-        let assignment = token::attempt(self.epoch, self.attempts);
-        let Some(e) = self.jobs.get_mut(id) else {
+        self.attempts_used += 1;
+        let assignment = token::attempt(self.epoch, self.attempts_used);
+        let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
-        let attempt = match e.spec.job_kind {
-            JobKind::Gang => e.gang_attempt(assignment, now),
+        let attempt = match entry.spec.job_kind {
+            JobKind::Gang => entry.gang_attempt(assignment, now),
             JobKind::Array | JobKind::Service => assignment,
         };
         let assigned = TaskAssignment {
             shard: shard.clone(),
             attempt,
             assignment,
-            listed: false,
+            acknowledged: false,
             phase: TaskPhase::Queued,
             machine: None,
         };
-        e.assign(index, assigned);
+        entry.assign(index, assigned);
     }
 }
 
@@ -374,12 +401,12 @@
     /// A gang waits for which room is kept.
     gang_waits: bool,
     /// Shards that have new orders.
-    touched: BTreeSet<String>,
+    shards_with_new_orders: BTreeSet<String>,
 }
 
 impl Round<'_> {
-    fn age_s(&self, e: &JobEntry) -> Seconds {
-        self.wall_clock_ms.saturating_sub(e.at_ms) as f64 / 1000.0
+    fn age_s(&self, entry: &JobEntry) -> Seconds {
+        self.wall_clock_ms.saturating_sub(entry.accepted_at_ms) as f64 / 1000.0
     }
 }
 
@@ -394,17 +421,17 @@
     Borrowed,
 }
 
-fn stage(id: &JobId, e: &JobEntry, guaranteed: bool, round: &Round) -> Stage {
-    let begun = !e.assigned.is_empty()
-        || !e.unknown.is_empty()
+fn stage(id: &JobId, entry: &JobEntry, guaranteed: bool, round: &Round) -> Stage {
+    let begun = !entry.assigned.is_empty()
+        || !entry.unreconciled.is_empty()
         || round
             .cache
             .jobs
             .get(id)
             .is_some_and(|j| !j.finished.is_empty());
-    match e.spec.priority {
+    match entry.spec.priority {
         Priority::Prod => Stage::HighestPriority,
-        _ if !begun && round.age_s(e) > BEGIN_WITHIN_S / 3.0 => Stage::Unbegun,
+        _ if !begun && round.age_s(entry) > BEGIN_WITHIN_S / 3.0 => Stage::Unbegun,
         _ if guaranteed => Stage::Guaranteed,
         _ => Stage::Borrowed,
     }
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -1,6 +1,6 @@
 //! Shards' reports, and what they prove about where tasks are.
 
-use super::completions::wanted;
+use super::completions::needs_commit;
 use super::{Leader, ShardView, TaskAssignment, TrackedMachine};
 use crate::clock::Seconds;
 use crate::finished::TaskSet;
@@ -21,81 +21,91 @@
     /// Takes in a shard's report. False if it is none of this epoch's, or
     /// builds on one that was never taken in: the shard, not told that it was,
     /// sends all that is missing again.
-    pub fn apply_shard_report(&mut self, r: ShardReport, cache: &StoreCache, now: Seconds) -> bool {
-        if !self.is_next_report(&r, now) {
+    pub fn apply_shard_report(
+        &mut self,
+        report: ShardReport,
+        cache: &StoreCache,
+        now: Seconds,
+    ) -> bool {
+        if !self.is_next_report(&report, now) {
             return false;
         }
-        self.news = true;
-        self.latest_at = now;
+        self.has_new_evidence = true;
+        self.last_report_at = now;
         self.first_report_at.get_or_insert(now);
-        self.joined.insert(r.node.clone());
-        let shard: Arc<str> = r.node.as_str().into();
-        let whole = r.since == 0;
-        self.take_in_machines(&shard, whole, &r.unregistered, r.machines, now);
-        if let Some(view) = self.shards.get_mut(&r.node) {
-            view.met = r.seen_elsewhere.into_iter().collect();
-            view.zones_met = r.zone_contacts.into_iter().collect();
-            view.quiet = r
+        self.reported_shards.insert(report.node.clone());
+        let shard: Arc<str> = report.node.as_str().into();
+        let whole = report.since == 0;
+        self.apply_machines(&shard, whole, &report.unregistered, report.machines, now);
+        if let Some(view) = self.shards.get_mut(&report.node) {
+            view.seen_elsewhere = report.seen_elsewhere.into_iter().collect();
+            view.zone_contacts = report.zone_contacts.into_iter().collect();
+            view.silent_machines = report
                 .silent_machines
                 .into_iter()
                 .map(|q| (q.id.clone(), q))
                 .collect();
         }
-        let listed: ListedTasks = r
+        let listed: ListedTasks = report
             .assigned
             .iter()
             .map(|h| (h.task.job.clone(), h.task.index))
             .collect();
-        for held in r.assigned {
-            self.take_in_held(&shard, held, cache);
+        for held in report.assigned {
+            self.apply_assigned_task(&shard, held, cache);
         }
-        for gone in r.removed {
-            self.take_in_gone(&shard, gone, now);
+        for gone in report.removed {
+            self.apply_removed_task(&shard, gone, now);
         }
-        if whole && r.state_retained {
-            self.take_word_for_the_rest(&shard, &listed);
+        if whole && report.state_retained {
+            self.reconcile_retained_shard(&shard, &listed);
         }
         let mut missing = if whole {
-            self.no_longer_listed(&shard, &listed)
+            self.missing_tasks(&shard, &listed)
         } else {
             Vec::new()
         };
         missing.extend(
-            r.completed
+            report
+                .completed
                 .into_iter()
-                .filter(|d| self.lists(&shard, &d.0, d.1))
+                .filter(|d| self.has_acknowledged(&shard, &d.0, d.1))
                 .map(|d| d.0),
         );
         for task in missing {
-            self.lose_sight_of(&task, cache);
+            self.mark_unreconciled(&task, cache);
         }
-        self.forget_what_is_over(cache);
+        self.remove_ended_jobs(cache);
         true
     }
 
     /// Whether a report is of this epoch and builds on what was taken in; notes
     /// that it came, if so.
-    fn is_next_report(&mut self, r: &ShardReport, now: Seconds) -> bool {
-        if r.epoch != self.epoch || self.members.get(&r.node) != Some(&r.incarnation) {
+    fn is_next_report(&mut self, report: &ShardReport, now: Seconds) -> bool {
+        if report.epoch != self.epoch || self.members.get(&report.node) != Some(&report.incarnation)
+        {
             return false;
         }
         let view = self
             .shards
-            .entry(r.node.clone())
-            .or_insert_with(|| ShardView::new(r.incarnation, now));
-        if r.seq <= view.seq || r.incarnation != view.incarnation || r.since > view.seq {
+            .entry(report.node.clone())
+            .or_insert_with(|| ShardView::new(report.incarnation, now));
+        if report.seq <= view.seq
+            || report.incarnation != view.incarnation
+            || report.since > view.seq
+        {
             return false;
         }
-        view.seq = r.seq;
-        view.heard = now;
+        view.seq = report.seq;
+        view.last_report_at = now;
         true
     }
 
-    fn take_in_machines(
+    fn apply_machines(
         &mut self,
         shard: &Arc<str>,
         whole: bool,
-        unlisted: &[(MachineId, u64)],
+        unacknowledged: &[(MachineId, u64)],
         machines: Vec<MachineStatus>,
         now: Seconds,
     ) {
@@ -104,32 +114,37 @@
             return;
         };
         if whole {
-            let told: HashSet<&MachineId> = machines.iter().map(|m| &m.id).collect();
+            let told: HashSet<&MachineId> = machines.iter().map(|machine| &machine.id).collect();
             view.machines.retain(|id, _| told.contains(id));
         }
-        for (id, _) in unlisted {
+        for (id, _) in unacknowledged {
             view.machines.remove(id);
         }
-        for m in machines {
+        for machine in machines {
             // One that takes tasks again has been idle since then: it was not
             // by itself that it held nothing.
             let before = view
                 .machines
-                .get(&m.id)
-                .filter(|o| o.view.tasks == 0 && (o.view.schedulable || !m.schedulable));
+                .get(&machine.id)
+                .filter(|o| o.view.tasks == 0 && (o.view.schedulable || !machine.schedulable));
             let before = before.map(|o| o.idle_since);
-            let slot = MachineSlot::new(&m, shard_number, &mut self.names);
+            let slot = MachineSlot::new(&machine, shard_number, &mut self.names);
             let news = TrackedMachine {
                 slot,
                 idle_since: before.unwrap_or(now),
-                view: m,
+                view: machine,
             };
             view.machines.insert(news.view.id.clone(), news);
         }
     }
 
     /// A shard holds a task.
-    fn take_in_held(&mut self, shard: &Arc<str>, held: AssignedTaskStatus, cache: &StoreCache) {
+    fn apply_assigned_task(
+        &mut self,
+        shard: &Arc<str>,
+        held: AssignedTaskStatus,
+        cache: &StoreCache,
+    ) {
         let index = held.task.index;
         let Some(entry) = self.jobs.get_mut(&held.task.job) else {
             return;
@@ -138,7 +153,7 @@
         if index >= entry.spec.task_count {
             return;
         }
-        if held.phase == TaskPhase::Done && wanted(cache, &held.task) {
+        if held.phase == TaskPhase::Done && needs_commit(cache, &held.task) {
             // The tasks of a gang complete together: if one is done, all are,
             // also those that are lost since.
             let gang = entry.spec.job_kind == JobKind::Gang;
@@ -148,16 +163,16 @@
                 index..index + 1
             };
             for task in done {
-                entry.finishing.add(task);
+                entry.completed.add(task);
             }
-            entry.failures.note_success();
+            entry.failures.record_success();
         }
-        entry.unknown.remove(index);
+        entry.unreconciled.remove(index);
         let assigned = TaskAssignment {
             shard: shard.clone(),
             attempt: held.attempt,
             assignment: held.assignment,
-            listed: true,
+            acknowledged: true,
             phase: held.phase,
             machine: held.machine,
         };
@@ -170,7 +185,7 @@
     }
 
     /// A task is certainly nowhere in a shard any more.
-    fn take_in_gone(&mut self, shard: &Arc<str>, gone: RemovedTask, now: Seconds) {
+    fn apply_removed_task(&mut self, shard: &Arc<str>, gone: RemovedTask, now: Seconds) {
         let report_s = self.report_s;
         let Some(entry) = self.jobs.get_mut(&gone.task.job) else {
             return;
@@ -188,14 +203,14 @@
             .as_mut()
             .filter(|_| gone.reason != RemovalReason::Passed)
         {
-            attempt.lost_task();
+            attempt.mark_broken();
         }
         if gone.reason == RemovalReason::Error {
             entry
                 .failures
-                .note_failure(gone.machine.clone(), report_s, now);
+                .record_failure(gone.machine.clone(), report_s, now);
             if let Some(machine) = gone.machine {
-                self.failed_on
+                self.failed_jobs_by_machine
                     .entry(machine)
                     .or_default()
                     .insert(gone.task.job);
@@ -205,30 +220,34 @@
 
     /// A shard that kept all it knew proves by its own word that what only it can
     /// hold, and it doesn't list, is nowhere.
-    fn take_word_for_the_rest(&mut self, shard: &Arc<str>, listed: &ListedTasks) {
-        for (id, entry) in self.jobs.iter_mut().filter(|(_, e)| !e.with.is_empty()) {
+    fn reconcile_retained_shard(&mut self, shard: &Arc<str>, listed: &ListedTasks) {
+        for (id, entry) in self
+            .jobs
+            .iter_mut()
+            .filter(|(_, entry)| !entry.sole_holders.is_empty())
+        {
             let theirs = entry
-                .with
+                .sole_holders
                 .iter()
                 .filter(|(_, p)| *p == shard)
                 .map(|(i, _)| *i);
             for index in theirs.collect::<Vec<u32>>() {
-                entry.with.remove(&index);
+                entry.sole_holders.remove(&index);
                 if !listed.contains(&(id.clone(), index)) {
-                    entry.unknown.remove(index);
+                    entry.unreconciled.remove(index);
                 }
             }
         }
     }
 
     /// What a shard had listed and lists no more, without a word.
-    fn no_longer_listed(&self, shard: &Arc<str>, listed: &ListedTasks) -> Vec<Task> {
+    fn missing_tasks(&self, shard: &Arc<str>, listed: &ListedTasks) -> Vec<Task> {
         let mut missing = Vec::new();
         for (id, entry) in &self.jobs {
             let theirs = entry
                 .assigned
                 .iter()
-                .filter(|(_, d)| d.shard == *shard && d.listed);
+                .filter(|(_, d)| d.shard == *shard && d.acknowledged);
             let lost = theirs.filter(|(index, _)| !listed.contains(&(id.clone(), **index)));
             missing.extend(lost.map(|(index, _)| Task {
                 job: id.clone(),
@@ -239,16 +258,16 @@
     }
 
     /// Whether a shard is known to list a task under this attempt.
-    fn lists(&self, shard: &Arc<str>, task: &Task, attempt: u64) -> bool {
+    fn has_acknowledged(&self, shard: &Arc<str>, task: &Task, attempt: u64) -> bool {
         let assigned = self
             .jobs
             .get(&task.job)
-            .and_then(|e| e.assigned.get(&task.index));
-        assigned.is_some_and(|d| d.shard == *shard && d.listed && d.attempt == attempt)
+            .and_then(|entry| entry.assigned.get(&task.index));
+        assigned.is_some_and(|d| d.shard == *shard && d.acknowledged && d.attempt == attempt)
     }
 
     /// A task is somewhere we don't know, unless it needs no more runs.
-    fn lose_sight_of(&mut self, task: &Task, cache: &StoreCache) {
+    fn mark_unreconciled(&mut self, task: &Task, cache: &StoreCache) {
         let Some(entry) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -257,24 +276,24 @@
         if job.is_some_and(|j| j.finished.contains(task.index) || j.record.done) {
             return;
         }
-        entry.unknown.add(task.index);
+        entry.unreconciled.add(task.index);
         if let Some(attempt) = entry.attempt.as_mut() {
-            attempt.doubt_task();
+            attempt.mark_unreconciled();
         }
         self.reconciled = false;
     }
 
-    fn forget_what_is_over(&mut self, cache: &StoreCache) {
-        self.jobs.retain(|id, e| {
-            !e.assigned.is_empty()
-                || !e.unknown.is_empty()
+    fn remove_ended_jobs(&mut self, cache: &StoreCache) {
+        self.jobs.retain(|id, entry| {
+            !entry.assigned.is_empty()
+                || !entry.unreconciled.is_empty()
                 || cache.jobs.get(id).is_some_and(|j| j.live())
         });
     }
 
     /// Machines whose content nobody knows yet under this epoch, apart from
     /// those that `gone` says are deleted.
-    pub(super) fn uncertain<'a>(
+    pub(super) fn unreconciled_registered<'a>(
         &'a self,
         cache: &'a StoreCache,
         gone: &'a dyn Fn(&MachineId) -> bool,
@@ -282,15 +301,16 @@
         cache
             .registry
             .iter()
-            .filter(|(_, (r, _))| r.in_use)
+            .filter(|(_, (report, _))| report.in_use)
             .map(|(id, _)| id)
             .filter(move |id| {
                 // A shard tells only of machines that are its own in this epoch.
                 !gone(id)
-                    && !self
-                        .shards
-                        .values()
-                        .any(|p| p.machines.get(*id).is_some_and(|m| m.view.reconciled))
+                    && !self.shards.values().any(|p| {
+                        p.machines
+                            .get(*id)
+                            .is_some_and(|machine| machine.view.reconciled)
+                    })
             })
     }
 
@@ -302,22 +322,25 @@
         gone: &dyn Fn(&MachineId) -> bool,
     ) -> UnreconciledMachines {
         let registered = self
-            .uncertain(cache, gone)
+            .unreconciled_registered(cache, gone)
             .filter_map(|id| cache.registry.get(id));
         let registered = registered.map(|(record, _)| MachineClass {
             machine_type: record.machine_type.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
         });
-        let unlisted = self.machines().filter(|m| {
-            m.has_reported && !m.reconciled && !cache.registry.contains_key(&m.id) && !gone(&m.id)
+        let unacknowledged = self.machines().filter(|machine| {
+            machine.has_reported
+                && !machine.reconciled
+                && !cache.registry.contains_key(&machine.id)
+                && !gone(&machine.id)
         });
-        let unlisted = unlisted.map(|m| MachineClass {
-            machine_type: m.machine_type.clone(),
-            zone: m.zone.clone(),
-            spot: m.spot,
+        let unacknowledged = unacknowledged.map(|machine| MachineClass {
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
         });
-        registered.chain(unlisted).collect()
+        registered.chain(unacknowledged).collect()
     }
 
     /// Whether machines that no readable page of the machine registry names may hold tasks. Such
@@ -326,12 +349,15 @@
         let Some(first_report_at) = self.first_report_at else {
             return true;
         };
-        cache.unreadable.any_registry_page() && self.latest_at - first_report_at < self.takeover_s
+        cache.unreadable.any_registry_page()
+            && self.last_report_at - first_report_at < self.takeover_s
     }
 
     /// Whether every member has sent its holdings in this epoch.
     pub fn all_joined(&self) -> bool {
-        self.members.keys().all(|m| self.joined.contains(m))
+        self.members
+            .keys()
+            .all(|machine| self.reported_shards.contains(machine))
     }
 
     /// Frees unknown tasks once they are proven to be nowhere: every shard has
@@ -346,21 +372,25 @@
     /// `gone` knows whose deletion was answered: that is proof long before the
     /// machine registry shows it, which may be written late when there is much to write.
     pub fn reconcile(&mut self, cache: &StoreCache, gone: &dyn Fn(&MachineId) -> bool) {
-        if self.reconciled || !self.news || !self.all_joined() {
+        if self.reconciled || !self.has_new_evidence || !self.all_joined() {
             return;
         }
-        self.news = false;
+        self.has_new_evidence = false;
         if self.may_be_on_unlisted_machines(cache) {
             return;
         }
         let unreconciled = self.unreconciled_machines(cache, gone);
         self.reconciled = unreconciled.is_empty();
-        for entry in self.jobs.values_mut().filter(|e| !e.unknown.is_empty()) {
+        for entry in self
+            .jobs
+            .values_mut()
+            .filter(|entry| !entry.unreconciled.is_empty())
+        {
             if !unreconciled.may_hold(&entry.spec) {
-                entry.unknown = TaskSet::default();
+                entry.unreconciled = TaskSet::default();
             }
         }
-        self.forget_what_is_over(cache);
+        self.remove_ended_jobs(cache);
     }
 
     /// Whether nothing is in doubt any more.
--- a/src/scheduler/urgency.rs
+++ b/src/scheduler/urgency.rs
@@ -33,13 +33,13 @@
 /// all, so that none starves.
 pub(super) fn urgency(
     spec: &JobSpec,
-    at_ms: u64,
+    accepted_at_ms: u64,
     wall_clock_ms: u64,
     objectives: &ServiceObjectives,
 ) -> (u8, i64) {
-    let age = (wall_clock_ms as f64 - at_ms as f64) / 1000.0;
+    let age = (wall_clock_ms as f64 - accepted_at_ms as f64) / 1000.0;
     let in_time = |span: f64| age + spec.estimate_s <= span;
-    let at = |span: f64| at_ms as i64 + (span * 1000.0) as i64;
+    let at = |span: f64| accepted_at_ms as i64 + (span * 1000.0) as i64;
     if let Some(d) = spec.deadline_s {
         return (0, at(d));
     }
