--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -56,7 +56,7 @@
         responder: Responder,
         now: Seconds,
     ) {
-        self.shard.note_contact(&report.machine);
+        self.shard.record_contact(&report.machine);
         let Some(epoch) = self.my_epoch() else {
             return responder.retry_later(503, 1, "not a member now");
         };
@@ -83,7 +83,10 @@
         responder: Responder,
         now: Seconds,
     ) {
-        match self.shard.report(report, relayed, &self.cache, now) {
+        match self
+            .shard
+            .apply_heartbeat(report, relayed, &self.cache, now)
+        {
             HeartbeatReply::Accepted { token, commands } => {
                 let body = HeartbeatResponse { token, commands };
                 let until = self.entitled_until();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -232,7 +232,7 @@
             .as_ref()
             .map(|with| Shares::new(with, &settings, shares_published));
         if let Some(with) = &features.cold_restart {
-            shard.keep_record(with.entries);
+            shard.set_record_limit(with.entries);
         }
         Controller {
             shard,
@@ -408,7 +408,7 @@
                 self.lead(now, end);
             }
             self.shard
-                .place(&self.cache, Moment::present(), || clock::now() < end);
+                .place_queued(&self.cache, Moment::present(), || clock::now() < end);
             let room = CommandCapacity {
                 responsive: self.command_pool.available(),
                 unverified: self.unverified_pool.available(),
@@ -430,7 +430,7 @@
         self.publish_shares(now);
         if now - self.tidied > self.settings.params.workers.report_s {
             self.tidied = now;
-            self.shard.forget_what_is_over(&self.cache, now);
+            self.shard.forget_finished(&self.cache, now);
             let lease_s = self.settings.params.workers.lease_s;
             self.redirected.retain(|_, p| now - p.at < lease_s);
         }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -48,7 +48,7 @@
 
     pub(super) fn take_orders(&mut self, o: &Orders, now: Seconds) {
         if o.epoch == self.shard.epoch() {
-            self.shard.orders(o, &self.cache, now);
+            self.shard.apply_orders(o, &self.cache, now);
             if let Some(running) = &o.running {
                 self.running = running.iter().cloned().collect();
             }
@@ -84,7 +84,7 @@
 
     pub(super) fn tell_leader(&mut self, now: Seconds) {
         let report_s = self.settings.params.workers.report_s;
-        let gap = if self.shard.dirty {
+        let gap = if self.shard.report_due {
             report_s / 20.0
         } else {
             report_s / 3.0
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -84,7 +84,7 @@
         };
         match restart.hold_off.hold(action, spec, situation) {
             Some(reason) => {
-                self.shard.note_hold(action, reason);
+                self.shard.record_hold_off(action, reason);
                 true
             }
             None => false,
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -92,7 +92,7 @@
         );
         let owns =
             |id: &str| membership::owner_by_shard_map(&epoch, &table, id) == Some(me.as_str());
-        self.shard.shares_changed(&self.cache, now, owns);
+        self.shard.apply_shard_map(&self.cache, now, owns);
         // The leader hears of it in this round.
         self.told_leader = f64::MIN;
     }
@@ -332,7 +332,7 @@
             in_use: self.my_epoch().is_some_and(|epoch| epoch.uses_shard_map),
             generation: table.generation,
             shares: table.shares().map(share).collect(),
-            machines: self.shard.listed_machines(),
+            machines: self.shard.registered_machines(),
             fenced: self.shard.fenced_machines(),
             leader: self
                 .shares
--- a/src/controller/watch_events.rs
+++ b/src/controller/watch_events.rs
@@ -26,7 +26,7 @@
                     self.job_changed(&id);
                 }
                 // What was taken off the machine registry between two readings.
-                for id in self.shard.listed_machines() {
+                for id in self.shard.registered_machines() {
                     if !self.cache.registry.contains_key(&id) {
                         self.machine_changed(&id, now);
                     }
@@ -83,11 +83,11 @@
         match self.cache.registry.get(id) {
             Some((record, _)) => {
                 if self.owner_of(id) == Some(&self.settings.node_name) {
-                    self.shard.list(id, &record.clone(), now);
+                    self.shard.register_machine(id, &record.clone(), now);
                 }
             }
             None => {
-                self.shard.unlist(id);
+                self.shard.unregister_machine(id);
                 self.autoscaler.forget(id);
             }
         }
@@ -106,7 +106,7 @@
         let shares = self.cache.shard_map.clone();
         if self.shard.epoch() != epoch.number {
             self.shard
-                .enter(epoch.number, self.incarnation, &self.cache, now, |id| {
+                .start_epoch(epoch.number, self.incarnation, &self.cache, now, |id| {
                     membership::owner_by_shard_map(&epoch, &shares, id) == Some(me.as_str())
                 });
         }
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -67,7 +67,7 @@
         };
         missing.extend(
             report
-                .completed
+                .released
                 .into_iter()
                 .filter(|d| self.has_acknowledged(&shard, &d.0, d.1))
                 .map(|d| d.0),
--- a/src/shard/assigned_tasks.rs
+++ b/src/shard/assigned_tasks.rs
@@ -22,7 +22,7 @@
     }
     /// One task's place, for everything but moving it to another machine.
     pub fn place_mut(&mut self, task: &Task) -> Option<&mut Placement> {
-        self.all.get_mut(task)?.at.as_mut()
+        self.all.get_mut(task)?.placement.as_mut()
     }
     /// Whether it is held.
     pub fn contains(&self, task: &Task) -> bool {
@@ -62,7 +62,7 @@
     /// Takes one in, in place of what was held of it.
     pub fn insert(&mut self, task: Task, held: AssignedTask) {
         self.remove(&task);
-        match &held.at {
+        match &held.placement {
             Some(p) => {
                 self.on
                     .entry(p.machine.clone())
@@ -78,7 +78,7 @@
     /// Lets go of one.
     pub fn remove(&mut self, task: &Task) -> Option<AssignedTask> {
         let held = self.all.remove(task)?;
-        match &held.at {
+        match &held.placement {
             Some(p) => {
                 if let Some(on) = self.on.get_mut(&p.machine) {
                     on.remove(task);
@@ -100,7 +100,7 @@
                 task.clone(),
                 AssignedTask {
                     attempt,
-                    at: Some(at),
+                    placement: Some(at),
                     ..held
                 },
             );
@@ -111,20 +111,20 @@
     pub fn changed(&mut self, seq: u64, since: u64) -> Vec<AssignedTaskStatus> {
         let mut out = Vec::new();
         for (task, h) in &mut self.all {
-            let phase = h.at.as_ref().map_or(TaskPhase::Queued, |p| p.phase);
-            let machine = h.at.as_ref().map(|p| &p.machine);
-            let same = h.told.as_ref().is_some_and(|t| {
+            let phase = h.placement.as_ref().map_or(TaskPhase::Queued, |p| p.phase);
+            let machine = h.placement.as_ref().map(|p| &p.machine);
+            let same = h.last_reported.as_ref().is_some_and(|t| {
                 t.attempt == h.attempt && t.phase == phase && t.machine.as_ref() == machine
             });
             if !same {
-                h.told = Some(LastReported {
+                h.last_reported = Some(LastReported {
                     attempt: h.attempt,
                     phase,
                     machine: machine.cloned(),
                     seq,
                 });
             }
-            if h.told.as_ref().is_some_and(|t| t.seq > since) {
+            if h.last_reported.as_ref().is_some_and(|t| t.seq > since) {
                 out.push(AssignedTaskStatus {
                     task: task.clone(),
                     attempt: h.attempt,
--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -69,7 +69,7 @@
     /// The commands a machine is due. Reaps wait while a direct command is
     /// unanswered, and always carry a token above every earlier start's: a
     /// late copy of a start would run a reaped attempt again.
-    pub(super) fn compose(
+    pub(super) fn commands_for(
         &mut self,
         id: &MachineId,
         cache: &StoreCache,
@@ -85,9 +85,9 @@
         let reaps = if m.commands.in_flight {
             Vec::new()
         } else {
-            self.reaps(id, cache)
+            self.forget_commands(id, cache)
         };
-        let stops = self.stops_of_unheld(id);
+        let stops = self.stops_for_unassigned(id);
         let Some(m) = self.machines.get_mut(id) else {
             return (token(epoch, 0), Vec::new());
         };
@@ -96,20 +96,20 @@
         }
         m.commands.in_flight |= direct;
         let token = token(epoch, m.token.counter);
-        let counts = &mut self.record.orders;
+        let counts = &mut self.restart_record.orders;
         counts.reaps += reaps.len() as u64;
         *counts.stops.entry(StopCause::NotHeld).or_default() += stops.len() as u64;
         let mut commands = reaps;
         commands.extend(stops);
-        for task in self.held.names_on(id) {
-            commands.extend(self.call_for_held(id, &task, token, cache));
+        for task in self.assigned.names_on(id) {
+            commands.extend(self.command_for_assigned(id, &task, token, cache));
         }
         (token, commands)
     }
 
     /// The command that a held task is due, if any: a stop until it has stopped, a
     /// start until it is seen.
-    fn call_for_held(
+    fn command_for_assigned(
         &mut self,
         id: &MachineId,
         task: &Task,
@@ -117,16 +117,16 @@
         cache: &StoreCache,
     ) -> Option<Command> {
         let (session, up) = self.machines.get(id).map(|m| (m.session.id, m.used))?;
-        let attempt = self.held.get(task)?.attempt;
-        let place = self.held.place_mut(task)?;
-        let counts = &mut self.record.orders;
+        let attempt = self.assigned.get(task)?.attempt;
+        let place = self.assigned.place_mut(task)?;
+        let counts = &mut self.restart_record.orders;
         let Some(stop) = place.stop else {
             if place.confirmed || !up {
                 return None;
             }
-            place.start_token = token;
+            place.start_token = Some(token);
             place.session = session;
-            place.sent = true;
+            place.start_sent = true;
             counts.starts += 1;
             return Some(Command::Start {
                 task: task.to_string(),
@@ -151,7 +151,7 @@
     }
 
     /// What a machine's worker may forget.
-    fn reaps(&self, id: &MachineId, cache: &StoreCache) -> Vec<Command> {
+    fn forget_commands(&self, id: &MachineId, cache: &StoreCache) -> Vec<Command> {
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
@@ -167,7 +167,7 @@
     }
 
     /// Stops for what a machine shows to run and this shard doesn't hold there.
-    fn stops_of_unheld(&self, id: &MachineId) -> Vec<Command> {
+    fn stops_for_unassigned(&self, id: &MachineId) -> Vec<Command> {
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
@@ -205,16 +205,16 @@
         mut room: CommandCapacity,
     ) -> Vec<DirectCommand> {
         let mut due: BTreeSet<MachineId> = BTreeSet::new();
-        for (_, h) in self.held.iter() {
-            if let Some(p) = &h.at {
-                if (!p.sent && p.stop.is_none()) || (p.stop.is_some() && !p.stop_sent) {
+        for (_, h) in self.assigned.iter() {
+            if let Some(p) = &h.placement {
+                if (!p.start_sent && p.stop.is_none()) || (p.stop.is_some() && !p.stop_sent) {
                     due.insert(p.machine.clone());
                 }
             }
         }
         // Ask machines that were taken over, and those that are late to report.
         let late = self.timing.report_s * LATE_REPORTS;
-        let entered = self.entered;
+        let entered = self.epoch_started_at;
         due.extend(
             self.machines
                 .iter()
@@ -258,7 +258,7 @@
             if !m.is_reconciled() {
                 m.commands.in_flight = true;
                 let commands = m.cancelled_stops(cache);
-                self.record.orders.questions += 1;
+                self.restart_record.orders.questions += 1;
                 let body = CommandBatch {
                     token: token(self.epoch, m.token.counter),
                     session,
@@ -272,7 +272,7 @@
                 });
                 continue;
             }
-            let (token, commands) = self.compose(&id, cache, true);
+            let (token, commands) = self.commands_for(&id, cache, true);
             out.push(DirectCommand {
                 machine: id,
                 address,
@@ -316,15 +316,15 @@
                 }
                 if r.token > sent.token || r.session != sent.session {
                     m.commands.probe_due = true;
-                    for task in self.held.names_on(id) {
-                        if let Some(p) = self.held.place_mut(&task).filter(|p| !p.confirmed) {
-                            p.sent = false;
+                    for task in self.assigned.names_on(id) {
+                        if let Some(p) = self.assigned.place_mut(&task).filter(|p| !p.confirmed) {
+                            p.start_sent = false;
                         }
                     }
                 }
                 let zone = m.identity.zone.clone();
-                self.take_in(r, cache, now);
-                self.reach(&zone, now);
+                self.apply_machine_state(r, cache, now);
+                self.record_zone_contact(&zone, now);
             }
             _ => {
                 // It may be executed yet: whatever it held is dead once the
@@ -349,7 +349,7 @@
                     .is_none_or(|h| now - h > report_s * LATE_REPORTS);
                 let asked = m.commands.outstanding_since.unwrap_or(now);
                 let others = self
-                    .reached
+                    .zone_contacts
                     .get(&m.identity.zone)
                     .is_some_and(|s| s.last_at > asked);
                 let suspect = late && others && m.commands.unanswered_since.is_none();
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -14,14 +14,14 @@
 impl Shard {
     /// A report came, and be it that this node has no right to answer it: its
     /// machine is not mute.
-    pub fn note_contact(&mut self, id: &MachineId) {
+    pub fn record_contact(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id) {
             m.commands.without_heartbeat = None;
         }
     }
 
     /// Takes in a worker's report and composes the answer.
-    pub fn report(
+    pub fn apply_heartbeat(
         &mut self,
         r: &Heartbeat,
         relayed: bool,
@@ -70,16 +70,16 @@
             m.token.counter = token_counter(r.token) + 1;
         }
         m.record_seen_token(r, epoch, relayed, self.timing, now);
-        self.take_in(r, cache, now);
+        self.apply_machine_state(r, cache, now);
         if let Some(m) = self
             .machines
             .get(&r.machine)
             .filter(|m| !relayed && m.session.last_heartbeat_at == Some(now))
         {
             let zone = m.identity.zone.clone();
-            self.reach(&zone, now);
+            self.record_zone_contact(&zone, now);
         }
-        let (token, commands) = self.compose(&r.machine, cache, false);
+        let (token, commands) = self.commands_for(&r.machine, cache, false);
         if let Some(m) = self.machines.get_mut(&r.machine) {
             m.record_answer(r.token, token, now);
         }
@@ -87,10 +87,10 @@
     }
 
     /// A machine of a zone was reached with nobody in between.
-    pub(super) fn reach(&mut self, zone: &Arc<str>, now: Seconds) {
-        let known = self.reached.get(zone).copied();
+    pub(super) fn record_zone_contact(&mut self, zone: &Arc<str>, now: Seconds) {
+        let known = self.zone_contacts.get(zone).copied();
         let stretch = ZoneContactSpan::extend(known, now, self.timing.report_s);
-        self.reached.insert(zone.clone(), stretch);
+        self.zone_contacts.insert(zone.clone(), stretch);
         if known.is_some_and(|k| k.began_at != stretch.began_at) {
             // The zone is back: all its machines are asked at once, as what may
             // be on them waits for their answers.
@@ -105,7 +105,7 @@
     }
 
     /// Takes in the newest known state of a machine.
-    pub(super) fn take_in(&mut self, r: &Heartbeat, cache: &StoreCache, now: Seconds) {
+    pub(super) fn apply_machine_state(&mut self, r: &Heartbeat, cache: &StoreCache, now: Seconds) {
         let id = r.machine.clone();
         let Some(m) = self.machines.get_mut(&id) else {
             return;
@@ -132,12 +132,12 @@
         }
         if m.session.last_heartbeat_at.is_none() && alive {
             m.contents.idle_since = now;
-            self.dirty = true;
+            self.report_due = true;
         }
         // Left alone: a notice that lies in the past makes no sense.
         if let Some(s) = r.notice_s.filter(|s| *s >= 0.0) {
             if m.reclaimed_at.is_none() {
-                self.dirty = true;
+                self.report_due = true;
             }
             m.reclaimed_at = Some(now + s);
         }
@@ -169,16 +169,16 @@
             m.commands.probe_due = true;
         } else if !was_certain {
             m.commands.probe_due = false;
-            self.dirty = true;
+            self.report_due = true;
         }
         if new_session {
-            self.lose(&id, r.session);
+            self.expire_session(&id, r.session);
         }
         if certain {
             self.reconcile(&id, r.token, cache, now);
         }
         if let Some(m) = self.machines.get_mut(&id) {
-            if !m.contents.tasks.is_empty() || self.held.count_on(&id) > 0 {
+            if !m.contents.tasks.is_empty() || self.assigned.count_on(&id) > 0 {
                 m.contents.idle_since = now;
             }
         }
--- a/src/shard/leases.rs
+++ b/src/shard/leases.rs
@@ -16,7 +16,7 @@
         let limit = clock::with_drift_margin(self.timing.lease_s);
         // An earlier owner may have been left out of the epoch while it was
         // alive, and answers until it reads so or its own lease's time is up.
-        let entered = self.entered + clock::with_drift_margin(self.timing.member_life_s);
+        let entered = self.epoch_started_at + clock::with_drift_margin(self.timing.member_life_s);
         let silent: Vec<MachineId> = self
             .machines
             .iter()
@@ -49,8 +49,8 @@
                 m.session.ended_up_to = m.session.id;
                 m.contents.tasks.clear();
                 let below = m.session.id + 1;
-                self.lose(&id, below);
-                self.dirty = true;
+                self.expire_session(&id, below);
+                self.report_due = true;
             }
         }
     }
@@ -63,9 +63,9 @@
             .iter()
             .filter_map(|(id, m)| Some((id, m.reclaimed_at?)));
         for (until, (task, h)) in
-            noticed.flat_map(|(id, until)| self.held.on(id).map(move |t| (until, t)))
+            noticed.flat_map(|(id, until)| self.assigned.on(id).map(move |t| (until, t)))
         {
-            let Some(p) = &h.at else { continue };
+            let Some(p) = &h.placement else { continue };
             if p.stop.is_some() || p.phase == TaskPhase::Done {
                 continue;
             }
@@ -80,7 +80,7 @@
             if spec.job_kind == JobKind::Gang {
                 continue;
             }
-            let left = spec.estimate_s - (now - p.since);
+            let left = spec.estimate_s - (now - p.phase_since);
             let ends_in_time = p.phase == TaskPhase::Running
                 && spec.job_kind == JobKind::Array
                 && now + left.max(0.0) < until;
@@ -89,7 +89,7 @@
             }
         }
         for (task, attempt) in moving {
-            self.recall(&task, attempt, Stop::Notice);
+            self.stop_task(&task, attempt, Stop::Notice);
         }
     }
 }
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -144,9 +144,10 @@
     pub assigned: Vec<AssignedTaskStatus>,
     #[serde(rename = "gone")]
     pub removed: Vec<RemovedTask>,
-    /// Tasks no longer held that need no word: committed as finished.
+    /// Tasks that this shard let go of and that need no proof of removal (committed as
+    /// finished, or on a machine that is another shard's): task, attempt, first report.
     #[serde(rename = "dropped")]
-    pub completed: Vec<(Task, u64, u64)>,
+    pub released: Vec<(Task, u64, u64)>,
     /// All machines that are silent now, whether that is new or not.
     #[serde(rename = "quiet")]
     pub silent_machines: Vec<SilentMachine>,
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -55,13 +55,13 @@
     pub session: u64,
     pub phase: TaskPhase,
     /// The token under which the last start was sent (or the task adopted);
-    /// the highest number while no start can be under way.
-    pub start_token: u64,
-    pub sent: bool,
+    /// none while no start can be under way.
+    pub start_token: Option<u64>,
+    pub start_sent: bool,
     pub confirmed: bool,
     pub stop: Option<Stop>,
     pub stop_sent: bool,
-    pub since: Seconds,
+    pub phase_since: Seconds,
 }
 
 #[derive(Debug, Clone)]
@@ -69,11 +69,11 @@
     pub attempt: u64,
     /// Tells one assignment of an attempt from the next.
     pub assignment: u64,
-    pub at: Option<Placement>,
-    pub since: Seconds,
+    pub placement: Option<Placement>,
+    pub assigned_at: Seconds,
     pub avoid: Vec<MachineId>,
     /// As the leader was last told, and in which report.
-    pub told: Option<LastReported>,
+    pub last_reported: Option<LastReported>,
 }
 
 /// What a report said of a task, and which.
@@ -85,10 +85,21 @@
     pub seq: u64,
 }
 
-/// Zone bounds of a job whose tasks depend on each other.
+/// How many more tasks of a job each zone may take, for a job whose tasks depend on
+/// each other.
 #[derive(Debug, Clone, Default)]
-struct Bounds {
-    room: BTreeMap<Arc<str>, u32>,
+struct ZoneCapacity {
+    remaining: BTreeMap<Arc<str>, u32>,
+}
+
+/// A task that this shard let go of without a proof of removal: it is committed as
+/// finished, or its machine is another shard's.
+#[derive(Debug, Clone)]
+struct ReleasedTask {
+    task: Task,
+    attempt: u64,
+    /// The first report that lists it.
+    report_seq: u64,
 }
 
 /// Settings that a shard needs.
@@ -106,33 +117,33 @@
     node: String,
     timing: Timing,
     /// Classes with an aim for their start.
-    start_aims: HashMap<Arc<str>, f64>,
+    start_objectives: HashMap<Arc<str>, f64>,
     epoch: u64,
-    entered: Seconds,
+    epoch_started_at: Seconds,
     incarnation: u64,
-    kept: bool,
+    state_retained: bool,
     machines: BTreeMap<MachineId, Machine>,
-    held: AssignedTasks,
-    gone: Vec<RemovedTask>,
-    dropped: Vec<(Task, u64, u64)>,
-    unlisted: Vec<(MachineId, u64)>,
+    assigned: AssignedTasks,
+    removed_tasks: Vec<RemovedTask>,
+    released_tasks: Vec<ReleasedTask>,
+    unregistered_machines: Vec<(MachineId, u64)>,
     /// Machines as the leader was last told, and in which report.
-    told: HashMap<MachineId, (MachineStatus, u64)>,
+    last_reported: HashMap<MachineId, (MachineStatus, u64)>,
     /// The newest report that the leader has taken in.
-    acked: u64,
+    acknowledged_seq: u64,
     /// The highest assignment seen of each task: a late copy does nothing.
-    seen: HashMap<Task, u64>,
-    bounds: HashMap<JobId, Bounds>,
+    highest_assignments: HashMap<Task, u64>,
+    zone_capacities: HashMap<JobId, ZoneCapacity>,
     /// Teams that use more than they are guaranteed, as the leader last told.
-    borrowing: HashSet<Arc<str>>,
+    borrowing_teams: HashSet<Arc<str>>,
     /// How zones are reached with nobody in between.
-    reached: BTreeMap<Arc<str>, ZoneContactSpan>,
-    seq: u64,
+    zone_contacts: BTreeMap<Arc<str>, ZoneContactSpan>,
+    report_seq: u64,
     orders_seq: u64,
     /// Something changed that the leader should hear.
-    pub dirty: bool,
+    pub report_due: bool,
     /// What was found and decided since this shard last knew nothing.
-    record: RestartRecord,
+    restart_record: RestartRecord,
     /// Shares that come or go.
     transfers: TransferParticipant,
 }
@@ -146,33 +157,33 @@
         Shard {
             node: node.into(),
             timing,
-            start_aims,
+            start_objectives: start_aims,
             epoch: 0,
-            entered: 0.0,
+            epoch_started_at: 0.0,
             incarnation: 0,
-            kept: false,
+            state_retained: false,
             machines: BTreeMap::new(),
-            held: AssignedTasks::default(),
-            gone: Vec::new(),
-            dropped: Vec::new(),
-            unlisted: Vec::new(),
-            told: HashMap::new(),
-            acked: 0,
-            seen: HashMap::new(),
-            bounds: HashMap::new(),
-            borrowing: HashSet::new(),
-            reached: BTreeMap::new(),
-            seq: 0,
+            assigned: AssignedTasks::default(),
+            removed_tasks: Vec::new(),
+            released_tasks: Vec::new(),
+            unregistered_machines: Vec::new(),
+            last_reported: HashMap::new(),
+            acknowledged_seq: 0,
+            highest_assignments: HashMap::new(),
+            zone_capacities: HashMap::new(),
+            borrowing_teams: HashSet::new(),
+            zone_contacts: BTreeMap::new(),
+            report_seq: 0,
             orders_seq: 0,
-            dirty: true,
-            record: RestartRecord::new(0),
+            report_due: true,
+            restart_record: RestartRecord::new(0),
             transfers: TransferParticipant::default(),
         }
     }
 
     /// Keeps the latest `most` decisions of a restart, for whoever asks.
-    pub fn keep_record(&mut self, most: usize) {
-        self.record = RestartRecord::new(most);
+    pub fn set_record_limit(&mut self, most: usize) {
+        self.restart_record = RestartRecord::new(most);
     }
 
     /// The epoch this shard acts in.
@@ -183,7 +194,7 @@
     /// Enters an epoch. What was known is kept only if this incarnation was a
     /// member of the epoch just before: otherwise somebody else may have
     /// owned the machines in between.
-    pub fn enter(
+    pub fn start_epoch(
         &mut self,
         epoch: u64,
         incarnation: u64,
@@ -196,41 +207,45 @@
             let fresh = Shard::new(
                 &self.node,
                 self.timing,
-                std::mem::take(&mut self.start_aims),
+                std::mem::take(&mut self.start_objectives),
             );
-            let record = std::mem::replace(&mut self.record, RestartRecord::new(0));
-            *self = Shard { record, ..fresh };
+            let record = std::mem::replace(&mut self.restart_record, RestartRecord::new(0));
+            *self = Shard {
+                restart_record: record,
+                ..fresh
+            };
         }
-        self.record.enter(epoch, stays, now);
+        self.restart_record.enter(epoch, stays, now);
         // Whatever a transfer has reached: owners of the new epoch ask their machines.
         let members = cache.epoch.as_ref().map(|e| e.members.clone());
         self.transfers = TransferParticipant::new(members.unwrap_or_default());
         self.epoch = epoch;
-        self.entered = now;
+        self.epoch_started_at = now;
         self.incarnation = incarnation;
-        self.kept = stays;
+        self.state_retained = stays;
         self.orders_seq = 0;
         // The whole is told anew.
-        self.acked = 0;
-        self.told.clear();
-        self.dropped.clear();
-        self.unlisted.clear();
+        self.acknowledged_seq = 0;
+        self.last_reported.clear();
+        self.released_tasks.clear();
+        self.unregistered_machines.clear();
         self.machines.retain(|id, _| owns(id));
         let machines = &self.machines;
-        self.held.retain(|_, h| {
-            h.at.as_ref()
+        self.assigned.retain(|_, h| {
+            h.placement
+                .as_ref()
                 .is_none_or(|p| machines.contains_key(&p.machine))
         });
         for (id, (record, _)) in &cache.registry {
             if owns(id) {
-                self.list(id, record, now);
+                self.register_machine(id, record, now);
             }
         }
-        self.dirty = true;
+        self.report_due = true;
     }
 
     /// A machine of this shard is on the machine registry, or was changed there.
-    pub fn list(&mut self, id: &MachineId, record: &MachineRecord, now: Seconds) {
+    pub fn register_machine(&mut self, id: &MachineId, record: &MachineRecord, now: Seconds) {
         // What its source knows of it is still to come.
         if self.transfers.is_awaited(id) {
             return;
@@ -253,22 +268,23 @@
         if m.identity.address.is_none() {
             m.identity.address.clone_from(&record.address);
         }
-        self.dirty = true;
+        self.report_due = true;
     }
 
     /// A machine is off the machine registry: it and all that was on it are gone.
-    pub fn unlist(&mut self, id: &MachineId) {
+    pub fn unregister_machine(&mut self, id: &MachineId) {
         self.transfers.forget(id);
         if self.machines.remove(id).is_some() {
-            self.told.remove(id);
-            self.lose(id, u64::MAX);
-            self.unlisted.push((id.clone(), self.seq + 1));
+            self.last_reported.remove(id);
+            self.expire_session(id, u64::MAX);
+            self.unregistered_machines
+                .push((id.clone(), self.report_seq + 1));
         }
-        self.dirty = true;
+        self.report_due = true;
     }
 
     /// The machines of this shard that are on the machine registry.
-    pub fn listed_machines(&self) -> Vec<MachineId> {
+    pub fn registered_machines(&self) -> Vec<MachineId> {
         self.machines
             .iter()
             .filter(|(_, m)| m.registered)
@@ -276,12 +292,12 @@
             .collect()
     }
 
-    fn lose(&mut self, id: &MachineId, below_session: u64) {
+    fn expire_session(&mut self, id: &MachineId, below_session: u64) {
         let lost: Vec<Task> = self
-            .held
+            .assigned
             .on(id)
             .filter(|(_, h)| {
-                h.at.as_ref().is_some_and(|p| {
+                h.placement.as_ref().is_some_and(|p| {
                     p.session < below_session && p.phase != TaskPhase::Done
                         || below_session == u64::MAX
                 })
@@ -289,57 +305,57 @@
             .map(|(t, _)| t.clone())
             .collect();
         for task in lost {
-            self.leave(&task, RemovalReason::Lost);
+            self.remove_task(&task, RemovalReason::Lost);
         }
     }
 
-    fn leave(&mut self, task: &Task, how: RemovalReason) {
-        if let Some(h) = self.held.remove(task) {
-            let how = match (&h.at, how) {
+    fn remove_task(&mut self, task: &Task, how: RemovalReason) {
+        if let Some(h) = self.assigned.remove(task) {
+            let how = match (&h.placement, how) {
                 (Some(p), RemovalReason::Lost) if p.stop.is_some() => RemovalReason::Stopped,
                 _ => how,
             };
-            tracing::debug!(%task, ?how, stop = ?h.at.as_ref().and_then(|p| p.stop), machine = ?h.at.as_ref().map(|p| &p.machine), "left");
-            self.gone.push(RemovedTask {
+            tracing::debug!(%task, ?how, stop = ?h.placement.as_ref().and_then(|p| p.stop), machine = ?h.placement.as_ref().map(|p| &p.machine), "left");
+            self.removed_tasks.push(RemovedTask {
                 task: task.clone(),
                 attempt: h.attempt,
                 reason: how,
                 assignment: h.assignment,
-                machine: h.at.map(|p| p.machine),
-                seq: self.seq + 1,
+                machine: h.placement.map(|p| p.machine),
+                seq: self.report_seq + 1,
             });
-            self.dirty = true;
+            self.report_due = true;
         }
     }
 
     /// Takes in the leader's orders.
-    pub fn orders(&mut self, orders: &Orders, cache: &StoreCache, now: Seconds) {
+    pub fn apply_orders(&mut self, orders: &Orders, cache: &StoreCache, now: Seconds) {
         if orders.epoch != self.epoch || orders.node != self.node {
             return;
         }
         for assignment in &orders.assignments {
-            self.take_assignment(assignment, cache, now);
+            self.apply_assignment(assignment, cache, now);
         }
-        self.dirty |= !orders.assignments.is_empty();
+        self.report_due |= !orders.assignments.is_empty();
         if orders.seq <= self.orders_seq {
             return;
         }
         self.orders_seq = orders.seq;
-        self.borrowing = orders.borrowing.iter().cloned().collect();
-        self.take_acknowledgement(orders.acknowledged_seq);
+        self.borrowing_teams = orders.borrowing.iter().cloned().collect();
+        self.apply_acknowledgement(orders.acknowledged_seq);
         self.apply_transfer_orders(&orders.transfers, cache, now);
         for (task, attempt) in &orders.recall {
-            self.take_recall(task, *attempt, cache, now);
+            self.apply_recall(task, *attempt, cache, now);
         }
         for (id, machine) in &mut self.machines {
             let drain = orders.drain.contains(id);
-            self.dirty |= drain != machine.draining;
+            self.report_due |= drain != machine.draining;
             machine.draining = drain;
         }
     }
 
     /// Queues the tasks of a job that this shard has not been given yet.
-    fn take_assignment(&mut self, job: &JobAssignment, cache: &StoreCache, now: Seconds) {
+    fn apply_assignment(&mut self, job: &JobAssignment, cache: &StoreCache, now: Seconds) {
         // The cache may be behind the leader's: the assignment comes again.
         let Some(known) = cache.jobs.get(&job.job) else {
             return;
@@ -351,13 +367,13 @@
                 index,
             };
             let assignment = job.assignment(index, attempt);
-            let seen = self.seen.entry(task.clone()).or_insert(0);
+            let seen = self.highest_assignments.entry(task.clone()).or_insert(0);
             if assignment <= *seen {
                 continue;
             }
             *seen = assignment;
             fresh = true;
-            if let Some(old) = self.held.get(&task) {
+            if let Some(old) = self.assigned.get(&task) {
                 tracing::warn!(%task, old = old.attempt, attempt, "assigned a task that is held already");
                 continue;
             }
@@ -365,42 +381,47 @@
             let held = AssignedTask {
                 attempt,
                 assignment,
-                at: None,
-                since: now,
+                placement: None,
+                assigned_at: now,
                 avoid,
-                told: None,
+                last_reported: None,
             };
-            self.held.insert(task.clone(), held);
+            self.assigned.insert(task.clone(), held);
             if !known.live() {
-                self.leave(&task, RemovalReason::Stopped);
+                self.remove_task(&task, RemovalReason::Stopped);
             }
         }
         if let Some(room) = job.zone_room.as_ref().filter(|_| fresh) {
-            self.bounds.insert(
+            self.zone_capacities.insert(
                 job.job.clone(),
-                Bounds {
-                    room: room.iter().cloned().collect(),
+                ZoneCapacity {
+                    remaining: room.iter().cloned().collect(),
                 },
             );
         }
     }
 
     /// The leader has taken in the reports up to `ack`.
-    fn take_acknowledgement(&mut self, ack: u64) {
-        self.acked = ack.min(self.seq);
-        self.gone.retain(|gone| gone.seq > ack);
-        self.dropped.retain(|dropped| dropped.2 > ack);
-        self.unlisted.retain(|unlisted| unlisted.1 > ack);
+    fn apply_acknowledgement(&mut self, ack: u64) {
+        self.acknowledged_seq = ack.min(self.report_seq);
+        self.removed_tasks.retain(|gone| gone.seq > ack);
+        self.released_tasks
+            .retain(|released| released.report_seq > ack);
+        self.unregistered_machines
+            .retain(|unlisted| unlisted.1 > ack);
     }
 
     /// A task is to be given back. One that has only just started is moved later:
     /// users count on a start for that long.
-    fn take_recall(&mut self, task: &Task, attempt: u64, cache: &StoreCache, now: Seconds) {
-        let place = self.held.get(task).and_then(|held| held.at.as_ref());
+    fn apply_recall(&mut self, task: &Task, attempt: u64, cache: &StoreCache, now: Seconds) {
+        let place = self
+            .assigned
+            .get(task)
+            .and_then(|held| held.placement.as_ref());
         let young = place.is_some_and(|place| {
             place.phase == TaskPhase::Running
                 && place.stop.is_none()
-                && now - place.since < START_COUNTS_S
+                && now - place.phase_since < START_COUNTS_S
         });
         // Guard: the tasks of a gang are stopped together or lose their progress.
         let spec = cache
@@ -409,22 +430,22 @@
             .and_then(|job| job.record.spec.as_ref());
         let gang = spec.is_some_and(|spec| spec.job_kind == JobKind::Gang);
         if !young || gang {
-            self.recall(task, attempt, Stop::Recalled);
+            self.stop_task(task, attempt, Stop::Recalled);
         }
     }
 
-    fn recall(&mut self, task: &Task, attempt: u64, why: Stop) {
+    fn stop_task(&mut self, task: &Task, attempt: u64, why: Stop) {
         let epoch = self.epoch;
-        if self.held.get(task).is_none_or(|h| h.attempt != attempt) {
+        if self.assigned.get(task).is_none_or(|h| h.attempt != attempt) {
             return;
         }
         let machine = self
-            .held
+            .assigned
             .get(task)
-            .and_then(|held| Some(held.at.as_ref()?.machine.clone()));
+            .and_then(|held| Some(held.placement.as_ref()?.machine.clone()));
         let fenced = machine.is_some_and(|machine| self.transfers.is_fenced(&machine));
-        match self.held.place_mut(task) {
-            None => self.leave(task, RemovalReason::Stopped),
+        match self.assigned.place_mut(task) {
+            None => self.remove_task(task, RemovalReason::Stopped),
             // What its target was told must not become untrue: the leader tells the target.
             Some(_) if fenced => {}
             // Saving for another start: nobody has any use for that any more, and
@@ -437,11 +458,11 @@
                 p.stop = Some(why);
                 p.stop_sent = false;
                 if !p.confirmed {
-                    if p.start_token == u64::MAX {
+                    let Some(floor) = p.start_token else {
                         // No start was ever sent, or it is proven dead.
-                        return self.leave(task, RemovalReason::Stopped);
-                    }
-                    let (id, floor) = (p.machine.clone(), p.start_token);
+                        return self.remove_task(task, RemovalReason::Stopped);
+                    };
+                    let id = p.machine.clone();
                     if let Some(m) = self.machines.get_mut(&id) {
                         m.raise_token_above(epoch, floor);
                         m.commands.probe_due = true;
@@ -467,59 +488,68 @@
             index: u32::MAX,
         };
         let tasks: Vec<(Task, u64, bool)> = self
-            .held
+            .assigned
             .range(from..=to)
             .map(|(t, h)| {
                 (
                     t.clone(),
                     h.attempt,
-                    h.at.as_ref().is_some_and(|p| p.phase == TaskPhase::Done),
+                    h.placement
+                        .as_ref()
+                        .is_some_and(|p| p.phase == TaskPhase::Done),
                 )
             })
             .collect();
         for (task, attempt, done) in tasks {
             if done && finished(cache, &task) {
-                self.drop_held(&task);
+                self.release_task(&task);
             } else if job.record.cancelled {
-                self.recall(&task, attempt, Stop::Cancelled);
+                self.stop_task(&task, attempt, Stop::Cancelled);
             }
         }
         if job.record.done || job.record.cancelled {
-            self.bounds.remove(id);
+            self.zone_capacities.remove(id);
         }
     }
 
     /// Lets go of a task that needs no word to the leader beyond that.
-    fn drop_held(&mut self, task: &Task) {
-        if let Some(h) = self.held.remove(task) {
-            self.dropped.push((task.clone(), h.attempt, self.seq + 1));
-            self.dirty = true;
+    fn release_task(&mut self, task: &Task) {
+        if let Some(h) = self.assigned.remove(task) {
+            self.released_tasks.push(ReleasedTask {
+                task: task.clone(),
+                attempt: h.attempt,
+                report_seq: self.report_seq + 1,
+            });
+            self.report_due = true;
         }
     }
 
     /// Forgets what nobody needs any more.
-    pub fn forget_what_is_over(&mut self, cache: &StoreCache, now: Seconds) {
+    pub fn forget_finished(&mut self, cache: &StoreCache, now: Seconds) {
         let over: Vec<Task> = self
-            .held
+            .assigned
             .iter()
             .filter(|(t, h)| {
-                h.at.as_ref().is_some_and(|p| p.phase == TaskPhase::Done) && finished(cache, t)
+                h.placement
+                    .as_ref()
+                    .is_some_and(|p| p.phase == TaskPhase::Done)
+                    && finished(cache, t)
             })
             .map(|(t, _)| t.clone())
             .collect();
         for task in over {
-            self.drop_held(&task);
+            self.release_task(&task);
         }
         // Neither rented nor shown to be alive: a copy of a report, or a machine
         // whose lease is past by now.
-        let (lease_s, entered) = (self.timing.lease_s, self.entered);
+        let (lease_s, entered) = (self.timing.lease_s, self.epoch_started_at);
         self.machines.retain(|_, m| {
             m.registered
                 || m.session.last_heartbeat_at.is_some()
                 || now - m.known_since.max(entered) < lease_s
         });
-        let held = &self.held;
-        self.seen
+        let held = &self.assigned;
+        self.highest_assignments
             .retain(|t, _| held.contains(t) || cache.jobs.get(&t.job).is_none_or(|j| j.live()));
     }
 
@@ -540,12 +570,12 @@
             machine: machine.clone(),
             session,
             phase: TaskPhase::Running,
-            start_token: token,
-            sent: true,
+            start_token: Some(token),
+            start_sent: true,
             confirmed: true,
             stop: None,
             stop_sent: false,
-            since: now,
+            phase_since: now,
         }
     }
 }
--- a/src/shard/placement.rs
+++ b/src/shard/placement.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 impl Shard {
-    pub(super) fn machine_free(
+    pub(super) fn free_resources(
         &self,
         id: &MachineId,
         m: &Machine,
@@ -36,7 +36,7 @@
                 }
             }
         }
-        for (task, h) in self.held.on(id) {
+        for (task, h) in self.assigned.on(id) {
             if m.contents
                 .tasks
                 .get(task)
@@ -50,7 +50,7 @@
         free
     }
 
-    pub(super) fn open(&self, m: &Machine, now: Seconds) -> bool {
+    pub(super) fn is_schedulable(&self, m: &Machine, now: Seconds) -> bool {
         m.used
             && m.registered
             && m.is_reconciled()
@@ -64,14 +64,19 @@
 
     /// Places what is queued, the highest priority first, until `more` says that
     /// the round's time is over; the next round goes on with the rest.
-    pub fn place(&mut self, cache: &StoreCache, when: Moment, mut more: impl FnMut() -> bool) {
+    pub fn place_queued(
+        &mut self,
+        cache: &StoreCache,
+        when: Moment,
+        mut more: impl FnMut() -> bool,
+    ) {
         let now = when.now;
         let mut queue: Vec<(Priority, Seconds, Task)> = self
-            .held
+            .assigned
             .queued()
             .filter_map(|(t, h)| {
                 let spec = cache.jobs.get(&t.job)?.record.spec.as_ref()?;
-                Some((spec.priority, h.since, t.clone()))
+                Some((spec.priority, h.assigned_at, t.clone()))
             })
             .collect();
         if queue.is_empty() {
@@ -81,13 +86,13 @@
         let mut free: BTreeMap<MachineId, Resources> = self
             .machines
             .iter()
-            .filter(|(id, m)| self.open(m, now) && !self.transfers.is_fenced(id))
-            .map(|(id, m)| (id.clone(), self.machine_free(id, m, cache)))
+            .filter(|(id, m)| self.is_schedulable(m, now) && !self.transfers.is_fenced(id))
+            .map(|(id, m)| (id.clone(), self.free_resources(id, m, cache)))
             .collect();
         let mut kept = ReservedRoom::default();
         for (_, _, task) in queue {
             if !more() {
-                self.dirty = true;
+                self.report_due = true;
                 return;
             }
             let Some(spec) = cache
@@ -99,10 +104,10 @@
             };
             let latency_sensitive = bin_packing::is_latency_sensitive(
                 &spec,
-                &self.start_aims,
+                &self.start_objectives,
                 cache.catalog.as_deref(),
             );
-            let chosen = self.choose(&task, &spec, latency_sensitive, &free, &kept);
+            let chosen = self.choose_machine(&task, &spec, latency_sensitive, &free, &kept);
             let cold = |id: &MachineId| {
                 !self
                     .machines
@@ -111,7 +116,7 @@
             };
             // Making room where the image is takes less time than fetching it.
             let warmer = latency_sensitive && chosen.as_ref().is_none_or(cold);
-            if warmer && self.make_room(&task, &spec, &free, &mut kept, true, cache, when) {
+            if warmer && self.preempt_for(&task, &spec, &free, &mut kept, true, cache, when) {
                 continue;
             }
             match chosen {
@@ -119,18 +124,18 @@
                     if let Some(f) = free.get_mut(&id) {
                         f.subtract(&spec.task_resources());
                     }
-                    self.put_on(&task, &spec, &id, cache, now);
+                    self.place_on(&task, &spec, &id, cache, now);
                 }
                 None => {
-                    if !self.make_room(&task, &spec, &free, &mut kept, false, cache, when) {
-                        self.leave(&task, RemovalReason::Passed);
+                    if !self.preempt_for(&task, &spec, &free, &mut kept, false, cache, when) {
+                        self.remove_task(&task, RemovalReason::Passed);
                     }
                 }
             }
         }
     }
 
-    pub(super) fn choose(
+    pub(super) fn choose_machine(
         &self,
         task: &Task,
         spec: &JobSpec,
@@ -138,8 +143,8 @@
         free: &BTreeMap<MachineId, Resources>,
         kept: &ReservedRoom,
     ) -> Option<MachineId> {
-        let held = self.held.get(task)?;
-        let bounds = self.bounds.get(&task.job);
+        let held = self.assigned.get(task)?;
+        let bounds = self.zone_capacities.get(&task.job);
         let (mut zones, mut machines): (HashMap<&str, u32>, HashMap<&str, u32>) =
             Default::default();
         if spec.has_coupled_tasks() {
@@ -151,10 +156,11 @@
                 job: task.job.clone(),
                 index: u32::MAX,
             };
-            for (_, h) in self.held.range(from..=to) {
-                if let Some(m) =
-                    h.at.as_ref()
-                        .and_then(|p| Some((p, self.machines.get(&p.machine)?)))
+            for (_, h) in self.assigned.range(from..=to) {
+                if let Some(m) = h
+                    .placement
+                    .as_ref()
+                    .and_then(|p| Some((p, self.machines.get(&p.machine)?)))
                 {
                     *zones.entry(&m.1.identity.zone).or_default() += 1;
                     *machines.entry(&m.0.machine).or_default() += 1;
@@ -170,7 +176,7 @@
                 return None;
             }
             if let Some(b) = bounds {
-                if b.room.get(&m.identity.zone).copied().unwrap_or(0) == 0 {
+                if b.remaining.get(&m.identity.zone).copied().unwrap_or(0) == 0 {
                     return None;
                 }
             } else if spec.one_zone || spec.scatter {
@@ -190,7 +196,7 @@
         bin_packing::pick(spec, latency_sensitive, candidates).map(|c| c.id.into())
     }
 
-    pub(super) fn put_on(
+    pub(super) fn place_on(
         &mut self,
         task: &Task,
         spec: &JobSpec,
@@ -219,28 +225,28 @@
         m.contents.idle_since = now;
         let zone = m.identity.zone.clone();
         let session = m.session.id;
-        if let Some(b) = self.bounds.get_mut(&task.job) {
+        if let Some(b) = self.zone_capacities.get_mut(&task.job) {
             if spec.one_zone {
-                b.room.retain(|z, _| *z == zone);
+                b.remaining.retain(|z, _| *z == zone);
             }
-            if let Some(n) = b.room.get_mut(&zone) {
+            if let Some(n) = b.remaining.get_mut(&zone) {
                 *n = n.saturating_sub(1);
             }
         }
-        if let Some(attempt) = self.held.get(task).map(|h| h.attempt) {
+        if let Some(attempt) = self.assigned.get(task).map(|h| h.attempt) {
             let at = Placement {
                 machine: id.clone(),
                 session,
                 phase: TaskPhase::Starting,
-                start_token: u64::MAX,
-                sent: false,
+                start_token: None,
+                start_sent: false,
                 confirmed: false,
                 stop: None,
                 stop_sent: false,
-                since: now,
+                phase_since: now,
             };
-            self.held.place(task, attempt, at);
-            self.dirty = true;
+            self.assigned.place(task, attempt, at);
+            self.report_due = true;
         }
     }
 
@@ -248,7 +254,7 @@
     /// array below it. All other work stops low arrays only, of teams that use more
     /// than they are guaranteed, and none that has only just started: the largest
     /// of them would else be stopped each time before its start counts for users.
-    pub(super) fn yields(
+    pub(super) fn is_preemptible(
         &self,
         spec: &JobSpec,
         place: &Placement,
@@ -262,15 +268,15 @@
             return false;
         }
         let stays = place.phase != TaskPhase::Running || place.stop.is_some();
-        let counts = !stays && now - place.since >= START_COUNTS_S;
-        let borrows = spec.priority == Priority::Low && self.borrowing.contains(&spec.team);
+        let counts = !stays && now - place.phase_since >= START_COUNTS_S;
+        let borrows = spec.priority == Priority::Low && self.borrowing_teams.contains(&spec.team);
         priority == Priority::Prod || counts && borrows
     }
 
     /// Makes room by stopping lower work, on machines that have the image if
     /// `warm`. False if there is nothing to stop, or it has taken too long.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn make_room(
+    pub(super) fn preempt_for(
         &mut self,
         task: &Task,
         spec: &JobSpec,
@@ -280,20 +286,20 @@
         cache: &StoreCache,
         when: Moment,
     ) -> bool {
-        let Some(held) = self.held.get(task) else {
+        let Some(held) = self.assigned.get(task) else {
             return false;
         };
-        if when.now - held.since >= self.timing.report_s + spec.save_s {
+        if when.now - held.assigned_at >= self.timing.report_s + spec.save_s {
             return false;
         }
-        let bounds = self.bounds.get(&task.job);
+        let bounds = self.zone_capacities.get(&task.job);
         let mut best: Option<((u32, f64), MachineId, Vec<Attempt>)> = None;
         for (id, f) in free {
             let Some(m) = self.machines.get(id) else {
                 continue;
             };
-            let zone_full =
-                bounds.is_some_and(|b| b.room.get(&m.identity.zone).copied().unwrap_or(0) == 0);
+            let zone_full = bounds
+                .is_some_and(|b| b.remaining.get(&m.identity.zone).copied().unwrap_or(0) == 0);
             if held.avoid.contains(id)
                 || zone_full
                 || warm && !m.has_image(&spec.image)
@@ -303,7 +309,9 @@
                 continue;
             }
             let promised = kept.0.get(id).copied().unwrap_or_default();
-            if let Some((victims, lost)) = self.victims(id, *f, promised, spec, cache, when) {
+            if let Some((victims, lost)) =
+                self.preemption_victims(id, *f, promised, spec, cache, when)
+            {
                 if best.as_ref().is_none_or(|b| lost < b.0) {
                     best = Some((lost, id.clone(), victims));
                 }
@@ -313,7 +321,7 @@
             return false;
         };
         for (t, attempt) in victims {
-            self.recall(&t, attempt, Stop::Preempted);
+            self.stop_task(&t, attempt, Stop::Preempted);
         }
         kept.0.entry(id).or_default().add(&spec.task_resources());
         true
@@ -323,7 +331,7 @@
     /// users yet. Guard: the youngest being stopped first, a job that had waited for
     /// minutes lost its only task each time before it had begun.
     fn is_first_start(&self, task: &Task, place: &Placement, now: Seconds) -> bool {
-        let young = place.phase != TaskPhase::Running || now - place.since < START_COUNTS_S;
+        let young = place.phase != TaskPhase::Running || now - place.phase_since < START_COUNTS_S;
         let from = Task {
             job: task.job.clone(),
             index: 0,
@@ -332,14 +340,14 @@
             job: task.job.clone(),
             index: u32::MAX,
         };
-        young && self.held.range(from..=to).nth(1).is_none()
+        young && self.assigned.range(from..=to).nth(1).is_none()
     }
 
     /// Lower tasks on a machine whose end makes room: last those with which a job
     /// begins, first those that a new start doesn't make late, then the youngest.
     /// Also how many jobs it harms so all the same, and the work lost. Room that is
     /// being made already counts.
-    pub(super) fn victims(
+    pub(super) fn preemption_victims(
         &self,
         id: &MachineId,
         free: Resources,
@@ -352,8 +360,8 @@
         let mut room = free;
         room.subtract(&promised);
         let mut able: Vec<(Priority, bool, bool, Seconds, &Task, u64, Resources)> = Vec::new();
-        for (t, h) in self.held.on(id) {
-            let Some(p) = h.at.as_ref().filter(|p| p.phase != TaskPhase::Done) else {
+        for (t, h) in self.assigned.on(id) {
+            let Some(p) = h.placement.as_ref().filter(|p| p.phase != TaskPhase::Done) else {
                 continue;
             };
             let Some(s) = cache.jobs.get(&t.job).and_then(|j| j.record.spec.as_ref()) else {
@@ -361,16 +369,16 @@
             };
             if p.stop.is_some() {
                 room.add(&s.task_resources());
-            } else if self.yields(s, p, spec.priority, when.now) {
+            } else if self.is_preemptible(s, p, spec.priority, when.now) {
                 let job = &cache.jobs[&t.job].record;
                 let age = when.wall_clock_ms.saturating_sub(job.accepted_at_ms) as f64 / 1000.0;
-                let ran = when.now - p.since;
+                let ran = when.now - p.phase_since;
                 let first = self.is_first_start(t, p, when.now);
                 able.push((
                     s.priority,
                     first,
                     made_late(s, age, ran),
-                    p.since,
+                    p.phase_since,
                     t,
                     h.attempt,
                     s.task_resources(),
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -25,9 +25,9 @@
 impl Shard {
     /// What this shard holds of a task that a machine shows under an attempt.
     pub(super) fn holding(&self, id: &MachineId, task: &Task, attempt: u64) -> Holding {
-        match self.held.get(task) {
+        match self.assigned.get(task) {
             None => Holding::Nothing,
-            Some(held) => match &held.at {
+            Some(held) => match &held.placement {
                 None => Holding::Planned,
                 Some(place) if held.attempt == attempt && place.machine == *id => Holding::Same,
                 Some(_) => Holding::Elsewhere,
@@ -57,18 +57,18 @@
             if verdict != Verdict::Known {
                 judged.insert(task.clone(), (attempt, verdict));
                 if judged_before.get(task) != Some(&(attempt, verdict)) {
-                    self.note_verdict(id, session, task, attempt, verdict, first_sight, now);
+                    self.record_verdict(id, session, task, attempt, verdict, first_sight, now);
                 }
             }
             if attempt_counts(attempt, self.epoch) {
-                let seen = self.seen.entry(task.clone()).or_insert(0);
+                let seen = self.highest_assignments.entry(task.clone()).or_insert(0);
                 *seen = (*seen).max(attempt);
             }
             let adopted = Placement::adopted(id, session, seen_token, now);
-            self.carry_out(verdict, task, attempt, adopted, now);
-            self.take_in_line(verdict, task, observed, now);
+            self.apply_verdict(verdict, task, attempt, adopted, now);
+            self.apply_observed_state(verdict, task, observed, now);
         }
-        self.take_in_absent(id, &lines, seen_token);
+        self.reconcile_absent(id, &lines, seen_token);
         if let Some(m) = self.machines.get_mut(id) {
             m.contents.tasks = lines;
             m.contents.verdicts = judged;
@@ -76,7 +76,7 @@
     }
 
     /// Holds a task as the verdict says.
-    fn carry_out(
+    fn apply_verdict(
         &mut self,
         verdict: Verdict,
         task: &Task,
@@ -87,10 +87,10 @@
         match verdict {
             Verdict::Known | Verdict::Reap(_) | Verdict::Conflict(_) => {}
             Verdict::Adopt(AdoptReason::FoundWhilePlanned) => {
-                let stale = self.held.get(task).map(|held| held.attempt);
+                let stale = self.assigned.get(task).map(|held| held.attempt);
                 tracing::warn!(%task, stale, attempt, "assigned task found on a machine");
-                self.held.place(task, attempt, place);
-                self.dirty = true;
+                self.assigned.place(task, attempt, place);
+                self.report_due = true;
             }
             // One that is to stop is held until it has: so long it takes its team's
             // room. One that nothing is known of is held as well, and left alone.
@@ -101,19 +101,19 @@
                 let held = AssignedTask {
                     attempt,
                     assignment: attempt,
-                    at: Some(place),
-                    since: now,
+                    placement: Some(place),
+                    assigned_at: now,
                     avoid: Vec::new(),
-                    told: None,
+                    last_reported: None,
                 };
-                self.held.insert(task.clone(), held);
-                self.dirty = true;
+                self.assigned.insert(task.clone(), held);
+                self.report_due = true;
             }
         }
     }
 
     /// Takes in what a held task does now.
-    fn take_in_line(
+    fn apply_observed_state(
         &mut self,
         verdict: Verdict,
         task: &Task,
@@ -123,14 +123,14 @@
         match verdict {
             Verdict::Reap(_) | Verdict::Conflict(_) => {}
             Verdict::Stop(_) => {
-                self.progress(task, observed, now);
-                self.recall(task, observed.attempt, Stop::Cancelled);
+                self.update_phase(task, observed, now);
+                self.stop_task(task, observed.attempt, Stop::Cancelled);
             }
             Verdict::Known
             | Verdict::Adopt(_)
             | Verdict::RecordFinished
             | Verdict::LeaveInDoubt(_) => {
-                self.progress(task, observed, now);
+                self.update_phase(task, observed, now);
             }
         }
     }
@@ -138,7 +138,7 @@
     /// Keeps a verdict for the record: all on what a machine shows first, later only
     /// what is out of the ordinary.
     #[allow(clippy::too_many_arguments)]
-    fn note_verdict(
+    fn record_verdict(
         &mut self,
         id: &MachineId,
         session: u64,
@@ -154,8 +154,8 @@
         } else if !first_sight {
             return;
         }
-        self.record.note(DecisionEntry {
-            at_s: self.record.age_s(now),
+        self.restart_record.note(DecisionEntry {
+            at_s: self.restart_record.age_s(now),
             task: task.to_string(),
             attempt,
             machine: id.clone(),
@@ -165,9 +165,9 @@
     }
 
     /// What this shard holds on a machine and the newest report doesn't list.
-    fn take_in_absent(&mut self, id: &MachineId, lines: &ObservedTasks, seen_token: u64) {
+    fn reconcile_absent(&mut self, id: &MachineId, lines: &ObservedTasks, seen_token: u64) {
         let absent: Vec<Absent> = self
-            .held
+            .assigned
             .on(id)
             .filter(|(task, held)| {
                 lines
@@ -175,10 +175,10 @@
                     .is_none_or(|line| line.attempt != held.attempt)
             })
             .filter_map(|(task, held)| {
-                let place = held.at.as_ref()?;
+                let place = held.placement.as_ref()?;
                 Some(Absent {
                     task: task.clone(),
-                    proven: seen_token > place.start_token,
+                    proven: place.start_token.is_some_and(|token| seen_token > token),
                     confirmed: place.confirmed,
                     stopping: place.stop.is_some(),
                 })
@@ -192,7 +192,7 @@
         } in absent
         {
             if proven && (confirmed || stopping) {
-                self.leave(
+                self.remove_task(
                     &task,
                     if stopping {
                         RemovalReason::Stopped
@@ -202,9 +202,9 @@
                 );
             } else if proven {
                 // Not there and can't come any more: start it anew.
-                if let Some(place) = self.held.place_mut(&task) {
-                    place.sent = false;
-                    place.start_token = u64::MAX;
+                if let Some(place) = self.assigned.place_mut(&task) {
+                    place.start_sent = false;
+                    place.start_token = None;
                 }
             } else if confirmed || stopping {
                 if let Some(m) = self.machines.get_mut(id) {
@@ -216,8 +216,8 @@
     }
 
     /// The leader held something back because of what is in doubt.
-    pub fn note_hold(&mut self, action: Action, reason: HoldReason) {
-        self.record.note_hold(action, reason);
+    pub fn record_hold_off(&mut self, action: Action, reason: HoldReason) {
+        self.restart_record.note_hold(action, reason);
     }
 
     /// What was found and decided since this shard last knew nothing.
@@ -227,20 +227,20 @@
             .values()
             .filter(|m| !m.is_reconciled())
             .count();
-        self.record.note_doubt(in_doubt, now);
-        self.record
+        self.restart_record.note_doubt(in_doubt, now);
+        self.restart_record
             .view(self.machines.values().map(|m| m.state), now)
     }
 
-    pub(super) fn progress(&mut self, task: &Task, observed: &ObservedTask, now: Seconds) {
-        let Some(since) = self.held.get(task).map(|h| h.since) else {
+    pub(super) fn update_phase(&mut self, task: &Task, observed: &ObservedTask, now: Seconds) {
+        let Some(since) = self.assigned.get(task).map(|h| h.assigned_at) else {
             return;
         };
-        let Some(p) = self.held.place_mut(task) else {
+        let Some(p) = self.assigned.place_mut(task) else {
             return;
         };
         p.confirmed = true;
-        p.sent = true;
+        p.start_sent = true;
         let phase = match observed.state {
             // A gang that gathers does not run yet.
             TaskState::Fetching | TaskState::Gathering => TaskPhase::Fetching,
@@ -248,28 +248,28 @@
             TaskState::Saving => TaskPhase::Saving,
             TaskState::Ended => match observed.cause.as_deref() {
                 Some(cause::DONE) => TaskPhase::Done,
-                Some(cause::STOPPED) => return self.leave(task, RemovalReason::Stopped),
+                Some(cause::STOPPED) => return self.remove_task(task, RemovalReason::Stopped),
                 Some(cause::ERROR) => {
                     let machine = p.machine.clone();
                     if let Some(m) = self.machines.get_mut(&machine) {
                         m.contents.failed_jobs.insert(task.job.clone());
                     }
-                    return self.leave(task, RemovalReason::Error);
+                    return self.remove_task(task, RemovalReason::Error);
                 }
                 // Refused: it can't have had its image under this assignment.
                 Some(cause::NO_ROOM | cause::BUSY | cause::UNKNOWN) | None => {
-                    return self.leave(task, RemovalReason::Passed)
+                    return self.remove_task(task, RemovalReason::Passed)
                 }
                 // The attempt of its gang is over, or something this version
                 // doesn't know: neither is the fault of the machine or the job.
-                Some(_) => return self.leave(task, RemovalReason::Lost),
+                Some(_) => return self.remove_task(task, RemovalReason::Lost),
             },
         };
         if p.phase != phase {
             tracing::debug!(%task, ?phase, after = now - since, "now");
             p.phase = phase;
-            p.since = now;
-            self.dirty = true;
+            p.phase_since = now;
+            self.report_due = true;
         }
     }
 }
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -23,6 +23,9 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The token on the wire of a task whose start can't be under way.
+const NO_START_TOKEN: u64 = u64::MAX;
+
 /// A share to whose machines no orders are given.
 #[derive(Debug, Clone)]
 struct Fence {
@@ -121,12 +124,12 @@
                 } => {
                     if cache.shard_map.generation >= *generation && self.transfers.taken.insert(*id)
                     {
-                        self.take_share(range, machines, cache, now);
+                        self.take_over_range(range, machines, cache, now);
                     }
                 }
             }
         }
-        self.dirty |= self.transfers.report() != before;
+        self.report_due |= self.transfers.report() != before;
     }
 
     /// Stops giving orders to the machines of a range, and notes what is known of them.
@@ -142,7 +145,7 @@
             .cloned()
             .collect();
         for id in &machines {
-            self.give_back_unsent(id);
+            self.return_unstarted(id);
             if let Some(m) = self.machines.get_mut(id).filter(|m| m.commands.in_flight) {
                 // It may be executed yet: dead once its worker has seen a higher token.
                 m.token.counter += 1;
@@ -150,7 +153,7 @@
         }
         let knowledge = machines
             .iter()
-            .filter_map(|id| self.knowledge(id, now))
+            .filter_map(|id| self.transfer_state(id, now))
             .collect();
         tracing::debug!(transfer = id, %range, machines = machines.len(), "fenced");
         let fence = Fence {
@@ -163,11 +166,14 @@
 
     /// Tasks that were to be started on a machine, and certainly were not, are the leader's
     /// again. Guard: given back later, they would be in the target's hands as well.
-    fn give_back_unsent(&mut self, id: &MachineId) {
-        for task in self.held.names_on(id) {
-            let place = self.held.get(&task).and_then(|held| held.at.as_ref());
-            if place.is_some_and(|place| !place.confirmed && place.start_token == u64::MAX) {
-                self.leave(&task, RemovalReason::Passed);
+    fn return_unstarted(&mut self, id: &MachineId) {
+        for task in self.assigned.names_on(id) {
+            let place = self
+                .assigned
+                .get(&task)
+                .and_then(|held| held.placement.as_ref());
+            if place.is_some_and(|place| !place.confirmed && place.start_token.is_none()) {
+                self.remove_task(&task, RemovalReason::Passed);
             }
         }
     }
@@ -224,7 +230,7 @@
 
     /// The table of shares has changed: what is no longer this shard's goes, and what is
     /// new waits for its source's knowledge.
-    pub fn shares_changed(
+    pub fn apply_shard_map(
         &mut self,
         cache: &StoreCache,
         now: Seconds,
@@ -238,7 +244,7 @@
             .cloned()
             .collect();
         for id in &gone {
-            self.let_go(id);
+            self.release_machine(id);
         }
         let (node, table) = (&self.node, &cache.shard_map);
         for fence in self.transfers.fences.values_mut() {
@@ -250,22 +256,23 @@
             .keys()
             .filter(|id| owns(id) && !machines.contains_key(*id));
         self.transfers.awaited = gained.cloned().collect();
-        self.dirty = true;
+        self.report_due = true;
     }
 
     /// A machine is another shard's, with all that is on it.
-    fn let_go(&mut self, id: &MachineId) {
-        for task in self.held.names_on(id) {
-            self.drop_held(&task);
+    fn release_machine(&mut self, id: &MachineId) {
+        for task in self.assigned.names_on(id) {
+            self.release_task(&task);
         }
         self.machines.remove(id);
-        self.told.remove(id);
-        self.unlisted.push((id.clone(), self.seq + 1));
+        self.last_reported.remove(id);
+        self.unregistered_machines
+            .push((id.clone(), self.report_seq + 1));
     }
 
     /// Goes on with a share from what its source knew. A machine of it that the source did
     /// not know is asked like any other.
-    fn take_share(
+    fn take_over_range(
         &mut self,
         range: &HashRange,
         known: &[MachineTransferState],
@@ -285,7 +292,7 @@
         }
         for id in &mine {
             if let Some((record, _)) = cache.registry.get(id) {
-                self.list(id, &record.clone(), now);
+                self.register_machine(id, &record.clone(), now);
             }
             let until = self.source_renews_until();
             if let Some(m) = self.machines.get_mut(id) {
@@ -305,10 +312,10 @@
     }
 
     /// What is known of a machine, for its target.
-    fn knowledge(&self, id: &MachineId, now: Seconds) -> Option<MachineTransferState> {
+    fn transfer_state(&self, id: &MachineId, now: Seconds) -> Option<MachineTransferState> {
         let m = self.machines.get(id)?;
         let held = self
-            .held
+            .assigned
             .on(id)
             .filter_map(|(task, held)| task_knowledge(task, held, now));
         let lines = m
@@ -399,7 +406,7 @@
         cache: &StoreCache,
         now: Seconds,
     ) {
-        if self.held.contains(&known.task) {
+        if self.assigned.contains(&known.task) {
             tracing::warn!(task = %known.task, %machine, "a task that comes with a share is held already");
             return;
         }
@@ -412,33 +419,36 @@
             machine: machine.clone(),
             session: known.session,
             phase,
-            start_token: known.start_token,
-            sent: known.sent,
+            start_token: (known.start_token != NO_START_TOKEN).then_some(known.start_token),
+            start_sent: known.sent,
             confirmed: known.confirmed,
             stop: known.stopping.then_some(Stop::Recalled),
             stop_sent: false,
-            since: now - known.for_s,
+            phase_since: now - known.for_s,
         };
         let held = AssignedTask {
             attempt: known.attempt,
             assignment: known.assignment,
-            at: Some(place),
-            since: now,
+            placement: Some(place),
+            assigned_at: now,
             avoid: Vec::new(),
-            told: None,
+            last_reported: None,
         };
         // It was here before, and is again: that it had gone need not be told any more.
-        self.dropped
-            .retain(|(task, attempt, _)| *task != known.task || *attempt != known.attempt);
-        let seen = self.seen.entry(known.task.clone()).or_insert(0);
+        self.released_tasks
+            .retain(|released| released.task != known.task || released.attempt != known.attempt);
+        let seen = self
+            .highest_assignments
+            .entry(known.task.clone())
+            .or_insert(0);
         *seen = (*seen).max(known.assignment);
-        self.held.insert(known.task.clone(), held);
+        self.assigned.insert(known.task.clone(), held);
         if cache
             .jobs
             .get(&known.task.job)
             .is_some_and(|job| job.record.cancelled)
         {
-            self.recall(&known.task, known.attempt, Stop::Cancelled);
+            self.stop_task(&known.task, known.attempt, Stop::Cancelled);
         }
     }
 }
@@ -454,17 +464,17 @@
 }
 
 fn task_knowledge(task: &Task, held: &AssignedTask, now: Seconds) -> Option<AssignedTaskState> {
-    let place = held.at.as_ref()?;
+    let place = held.placement.as_ref()?;
     Some(AssignedTaskState {
         task: task.clone(),
         attempt: held.attempt,
         assignment: held.assignment,
         session: place.session,
-        start_token: place.start_token,
-        sent: place.sent,
+        start_token: place.start_token.unwrap_or(NO_START_TOKEN),
+        sent: place.start_sent,
         confirmed: place.confirmed,
         done: place.phase == TaskPhase::Done,
         stopping: place.stop.is_some(),
-        for_s: now - place.since,
+        for_s: now - place.phase_since,
     })
 }
--- a/tests/cold_restart_cores.rs
+++ b/tests/cold_restart_cores.rs
@@ -26,8 +26,8 @@
 /// A shard and a leader that have just come back, and know nothing.
 fn back(cache: &StoreCache) -> (Leader, Shard) {
     let mut p = Shard::new("a", TIMING, Default::default());
-    p.keep_record(100);
-    p.enter(EPOCH, 7, cache, 0.0, |_| true);
+    p.set_record_limit(100);
+    p.start_epoch(EPOCH, 7, cache, 0.0, |_| true);
     (leader(cache), p)
 }
 
@@ -41,7 +41,8 @@
     now: f64,
 ) -> Vec<Command> {
     let old = token(EPOCH - 1, 3);
-    let (asked, calls) = answered(p.report(&report(machine, 1, 5, old, tasks), false, cache, now));
+    let (asked, calls) =
+        answered(p.apply_heartbeat(&report(machine, 1, 5, old, tasks), false, cache, now));
     assert!(
         token_epoch(asked) == EPOCH,
         "it is told the new owner's token"
@@ -50,7 +51,7 @@
         !calls.iter().any(|c| matches!(c, Command::Start { .. })),
         "nothing starts on an old word"
     );
-    answered(p.report(
+    answered(p.apply_heartbeat(
         &report(machine, 1, 6, asked, tasks),
         false,
         cache,
@@ -192,7 +193,7 @@
     m.put("fw/f/wk-1/0", json!("1"), 300);
     p.job_changed(&"wk-1".into(), &m);
     let again = report(1, 1, 9, token(EPOCH, 1 << 10), &done);
-    let (_, calls) = answered(p.report(&again, false, &m, 1.0));
+    let (_, calls) = answered(p.apply_heartbeat(&again, false, &m, 1.0));
     assert!(calls.contains(&Command::Forget {
         task: "wk-1/0".into(),
         attempt: BEFORE
@@ -213,7 +214,7 @@
         token(EPOCH - 1, 3),
         &[("wk-1/0", BEFORE, RUNNING, None)],
     );
-    answered(p.report(&spoke, false, &m, 0.2));
+    answered(p.apply_heartbeat(&spoke, false, &m, 0.2));
     for now in [9.0, 18.0, 27.0] {
         shows_again(&mut p, &m, 1, now);
     }
@@ -234,12 +235,12 @@
         &[("wk-1/0", BEFORE, RUNNING, None)],
     );
     assert_eq!(
-        p.report(&late, false, &m, 29.3),
+        p.apply_heartbeat(&late, false, &m, 29.3),
         HeartbeatReply::Refuse,
         "its session is over"
     );
-    let (t, _) = answered(p.report(&report(2, 2, 1, 0, &[]), false, &m, 29.4));
-    let (_, calls) = answered(p.report(&report(2, 2, 2, t, &[]), false, &m, 29.5));
+    let (t, _) = answered(p.apply_heartbeat(&report(2, 2, 1, 0, &[]), false, &m, 29.4));
+    let (_, calls) = answered(p.apply_heartbeat(&report(2, 2, 2, t, &[]), false, &m, 29.5));
     assert_eq!(calls, []);
 }
 
@@ -257,7 +258,7 @@
         token(EPOCH - 1, 3),
         &[("wk-1/0", BEFORE, RUNNING, None)],
     );
-    let (_, calls) = answered(p.report(&copy, false, &m, 29.1));
+    let (_, calls) = answered(p.apply_heartbeat(&copy, false, &m, 29.1));
     assert_eq!((calls, verdicts(&mut p)), (Vec::new(), Vec::new()));
     assert!(
         assigned(&mut l, &mut p, &m, 29.2).is_empty(),
@@ -269,7 +270,7 @@
 /// An empty machine reports, and shows that it heeds what it is told.
 fn shows_again(p: &mut Shard, m: &StoreCache, machine: usize, now: f64) {
     let t = token(EPOCH, (1 << 10) + 2 * now as u64);
-    answered(p.report(&report(machine, 1, 10 + now as u64, t, &[]), false, m, now));
+    answered(p.apply_heartbeat(&report(machine, 1, 10 + now as u64, t, &[]), false, m, now));
 }
 
 #[test]
@@ -299,15 +300,15 @@
         token(EPOCH - 1, 3),
         &[("wk-1/0", BEFORE, RUNNING, None)],
     );
-    answered(p.report(&old, false, &m, 0.1));
+    answered(p.apply_heartbeat(&old, false, &m, 0.1));
     assert!(verdicts(&mut p).is_empty());
     assert!(assigned(&mut l, &mut p, &m, 0.2).is_empty());
-    let (t, _) = answered(p.report(&report(1, 2, 1, 0, &[]), false, &m, 0.3));
+    let (t, _) = answered(p.apply_heartbeat(&report(1, 2, 1, 0, &[]), false, &m, 0.3));
     assert!(
         assigned(&mut l, &mut p, &m, 0.4).is_empty(),
         "a start under way could still arrive"
     );
-    answered(p.report(&report(1, 2, 2, t, &[]), false, &m, 0.5));
+    answered(p.apply_heartbeat(&report(1, 2, 2, t, &[]), false, &m, 0.5));
     assert_eq!(assigned(&mut l, &mut p, &m, 0.6), [("wk-1".into(), 0)]);
 }
 
@@ -360,10 +361,10 @@
         token(EPOCH, 1 << 10),
         &[("wk-1/0", absurd, ENDED, Some("error"))],
     );
-    answered(p.report(&gone, false, &m, 1.0));
+    answered(p.apply_heartbeat(&gone, false, &m, 1.0));
     assert_eq!(assigned(&mut l, &mut p, &m, 1.1), [("wk-1".into(), 0)]);
     let orders = l.orders("a").expect("orders");
-    p.orders(&orders, &m, 1.2);
+    p.apply_orders(&orders, &m, 1.2);
     assert_eq!(p.snapshot(&m, 1.3).assigned.len(), 1, "it is held again");
 }
 
@@ -399,7 +400,7 @@
     // Nor does a notice that lies in the past close the machine.
     let mut odd = report(1, 1, 9, token(EPOCH, 1 << 10), &lines);
     odd.notice_s = Some(-5.0);
-    answered(p.report(&odd, false, &m, 1.0));
+    answered(p.apply_heartbeat(&odd, false, &m, 1.0));
     assert!(!p.snapshot(&m, 1.0).machines.iter().any(|m| m.spot_notice));
 }
 
@@ -423,7 +424,7 @@
     };
     assert!(!l.start_epoch(&e, 7, &m), "it knew nothing before");
     let mut p = Shard::new("a", TIMING, Default::default());
-    p.enter(EPOCH, 7, &m, 0.0, |_| true);
+    p.start_epoch(EPOCH, 7, &m, 0.0, |_| true);
     shows(&mut p, &m, 1, &[], 0.1);
     assert!(
         assigned(&mut l, &mut p, &m, 0.3).is_empty(),
@@ -480,7 +481,7 @@
         ),
         []
     );
-    answered(p.report(
+    answered(p.apply_heartbeat(
         &report(1, 1, 60, token(EPOCH, 1 << 11), &[]),
         false,
         &hidden,
--- a/tests/common/cores.rs
+++ b/tests/common/cores.rs
@@ -105,14 +105,14 @@
 /// A shard that owns everything in the epoch, and has entered it at 0.
 pub fn shard(cache: &StoreCache) -> Shard {
     let mut p = Shard::new("a", TIMING, HashMap::new());
-    p.enter(EPOCH, 7, cache, 0.0, |_| true);
+    p.start_epoch(EPOCH, 7, cache, 0.0, |_| true);
     p
 }
 
 /// Reports until the shard is certain of a machine; returns the token.
 pub fn met(p: &mut Shard, cache: &StoreCache, machine: usize, now: f64) -> u64 {
-    let (t, _) = answered(p.report(&report(machine, 1, 1, 0, &[]), false, cache, now));
-    answered(p.report(&report(machine, 1, 2, t, &[]), false, cache, now)).0
+    let (t, _) = answered(p.apply_heartbeat(&report(machine, 1, 1, 0, &[]), false, cache, now));
+    answered(p.apply_heartbeat(&report(machine, 1, 2, t, &[]), false, cache, now)).0
 }
 
 pub fn answered(reply: HeartbeatReply) -> (u64, Vec<Command>) {
@@ -148,7 +148,7 @@
 }
 
 pub fn place(p: &mut Shard, cache: &StoreCache, now: f64) {
-    p.place(
+    p.place_queued(
         cache,
         Moment {
             now,
@@ -194,7 +194,7 @@
     l.reconcile(cache, &|_| false);
     l.assign_tasks(cache, now, || true);
     let o = l.orders("a").expect("orders");
-    p.orders(&o, cache, now);
+    p.apply_orders(&o, cache, now);
     place(p, cache, now);
     l.apply_shard_report(p.snapshot(cache, now), cache, now);
 }
--- a/tests/common/simulated_cluster/checks.rs
+++ b/tests/common/simulated_cluster/checks.rs
@@ -170,7 +170,7 @@
                 .iter()
                 .zip(&self.controllers)
                 .filter(|(_, controller)| {
-                    let listed = controller.shard.listed_machines();
+                    let listed = controller.shard.registered_machines();
                     listed.iter().any(|id| **id == *worker.id)
                 })
                 .map(|(name, _)| *name)
--- a/tests/common/simulated_cluster/controllers.rs
+++ b/tests/common/simulated_cluster/controllers.rs
@@ -134,7 +134,7 @@
             membership::owner_by_shard_map(&epoch, &shard_map, machine) == Some(name)
         };
         self.shard
-            .enter(epoch.number, self.incarnation, &self.cache, now, owns);
+            .start_epoch(epoch.number, self.incarnation, &self.cache, now, owns);
         self.transfers.new_epoch(now);
         self.shard_map_refused_at = None;
         if epoch.leader == self.name {
@@ -145,7 +145,7 @@
 
     fn registry_changed(&mut self, id: &Arc<str>, now: f64) {
         let Some((record, _)) = self.cache.registry.get(id) else {
-            self.shard.unlist(id);
+            self.shard.unregister_machine(id);
             return;
         };
         let shard_map = &self.cache.shard_map;
@@ -155,7 +155,7 @@
             .as_ref()
             .and_then(|epoch| membership::owner_by_shard_map(epoch, shard_map, id));
         if owner == Some(self.name) {
-            self.shard.list(id, &record.clone(), now);
+            self.shard.register_machine(id, &record.clone(), now);
         }
     }
 
@@ -168,7 +168,7 @@
             return;
         };
         let shard_map = self.cache.shard_map.clone();
-        self.shard.shares_changed(&self.cache, now, |machine| {
+        self.shard.apply_shard_map(&self.cache, now, |machine| {
             membership::owner_by_shard_map(&epoch, &shard_map, machine) == Some(name)
         });
     }
@@ -180,8 +180,8 @@
             wall_clock_ms: 0,
         };
         self.shard.expire_leases(now);
-        self.shard.place(&self.cache, moment, || true);
-        self.shard.forget_what_is_over(&self.cache, now);
+        self.shard.place_queued(&self.cache, moment, || true);
+        self.shard.forget_finished(&self.cache, now);
         let commands = self.shard.due_commands(&self.cache, now);
         (commands, self.shard.snapshot(&self.cache, now))
     }
--- a/tests/common/simulated_cluster/network.rs
+++ b/tests/common/simulated_cluster/network.rs
@@ -165,9 +165,10 @@
         if owner.expect("an owner") != CONTROLLERS[to] {
             return;
         }
-        let reply = controller
-            .shard
-            .report(&heartbeat, false, &controller.cache, self.now);
+        let reply =
+            controller
+                .shard
+                .apply_heartbeat(&heartbeat, false, &controller.cache, self.now);
         if let HeartbeatReply::Accepted { token, commands } = reply {
             self.send(Packet::HeartbeatAnswer(HeartbeatAnswer {
                 worker,
@@ -279,7 +280,9 @@
     fn deliver_orders(&mut self, to: usize, orders: &Orders) {
         let controller = &mut self.controllers[to];
         if self.now >= controller.partitioned_until && controller.alive {
-            controller.shard.orders(orders, &controller.cache, self.now);
+            controller
+                .shard
+                .apply_orders(orders, &controller.cache, self.now);
         }
     }
 
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -36,7 +36,7 @@
         &report(1, 4, 2, token(EPOCH, 0), &[]),
         25.1,
     );
-    p.orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 25.2);
+    p.apply_orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 25.2);
     place(&mut p, &m, 25.2);
     let start = p.due_commands(&m, 25.2);
     assert!(matches!(
@@ -97,7 +97,7 @@
     let found = found.expect("never found out");
     assert!(found < TIMING.lease_s, "only after its lease: {found}");
     // It reports again: nothing is wrong with it.
-    p.report(&report(1, 1, seq + 1, t, &[]), false, &m, 31.0);
+    p.apply_heartbeat(&report(1, 1, seq + 1, t, &[]), false, &m, 31.0);
     let told = p.snapshot(&m, 31.0);
     assert!(told
         .machines
@@ -134,7 +134,7 @@
     assert!(!obeys(&mut p, 65.0), "nothing was sent to it for a minute");
     let mute = (0..24).any(|i| {
         // Its reports come, and are refused.
-        p.note_contact(&"m-1".into());
+        p.record_contact(&"m-1".into());
         obeys(&mut p, 66.0 + f64::from(i))
     });
     assert!(!mute);
@@ -149,7 +149,7 @@
     let mut m = cache(1, &[&s]);
     let (mut l, mut p, tokens) = pair(&m, 1);
     round(&mut l, &mut p, &m, 0.5);
-    let (t, calls) = answered(p.report(&report(1, 1, 3, tokens[0], &[]), false, &m, 0.6));
+    let (t, calls) = answered(p.apply_heartbeat(&report(1, 1, 3, tokens[0], &[]), false, &m, 0.6));
     let Command::Start { attempt, .. } = calls[0] else {
         panic!("{calls:?}")
     };
@@ -157,7 +157,7 @@
     m.put("fw/j/wk-1", record(&s, true), 200);
     l.job_changed(&"wk-1".into(), &m);
     let ended = [("wk-1/0", attempt, TaskState::Ended, Some("done"))];
-    p.report(&report(1, 1, 4, t, &ended), false, &behind, 0.7);
+    p.apply_heartbeat(&report(1, 1, 4, t, &ended), false, &behind, 0.7);
     let told = p.snapshot(&behind, 0.8);
     assert!(
         told.assigned.iter().any(|h| h.phase == TaskPhase::Done),
@@ -178,17 +178,17 @@
     let mut m = cache(1, &[&s]);
     let mut p = shard(&m);
     let t = met(&mut p, &m, 1, 0.2);
-    p.orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 0.3);
+    p.apply_orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 0.3);
     place(&mut p, &m, 0.3);
-    answered(p.report(&report(1, 1, 3, t, &[]), false, &m, 0.4));
-    p.report(
+    answered(p.apply_heartbeat(&report(1, 1, 3, t, &[]), false, &m, 0.4));
+    p.apply_heartbeat(
         &report(1, 1, 4, t, &[("wk-1/0", 50, TaskState::Running, None)]),
         false,
         &m,
         0.5,
     );
     let task = finchwood::wire::Task::parse("wk-1/0").expect("a task");
-    p.orders(
+    p.apply_orders(
         &Orders {
             recall: vec![(task, 50)],
             ..orders(2, Vec::new())
@@ -197,7 +197,7 @@
         40.0,
     );
     let saving = [("wk-1/0", 50, TaskState::Saving, None)];
-    let (_, calls) = answered(p.report(&report(1, 1, 5, t, &saving), false, &m, 40.1));
+    let (_, calls) = answered(p.apply_heartbeat(&report(1, 1, 5, t, &saving), false, &m, 40.1));
     assert!(calls.is_empty(), "it saves: {calls:?}");
     m.put("fw/j/wk-1", record(&s, true), 200);
     p.job_changed(&"wk-1".into(), &m);
@@ -223,7 +223,7 @@
         ("wk-2/0", 51, TaskState::Running, None),
     ];
     let (_, calls) =
-        answered(p.report(&report(1, 1, 9, token(EPOCH - 1, 4), &runs), false, &m, 0.2));
+        answered(p.apply_heartbeat(&report(1, 1, 9, token(EPOCH - 1, 4), &runs), false, &m, 0.2));
     assert_eq!(
         calls,
         [Command::Stop {
@@ -250,7 +250,7 @@
         // Slow to report, within the quarter that intervals vary by.
         if step % 37 == 0 {
             seq += 1;
-            t = answered(p.report(&report(1, 1, seq, t, &[]), false, &m, now)).0;
+            t = answered(p.apply_heartbeat(&report(1, 1, seq, t, &[]), false, &m, now)).0;
         }
         for d in p.due_commands(&m, now) {
             p.command_completed(&d.machine, &d.body, None, &m, now + 0.05);
@@ -269,11 +269,11 @@
     let mut p = shard(&m);
     let top = token(EPOCH, MAX_COUNTER);
     assert!(top < token(EPOCH + 1, 0), "epochs don't overlap");
-    p.report(&report(1, 1, 1, top, &[]), false, &m, 0.2);
-    p.report(&report(1, 1, 2, top, &[]), false, &m, 0.3);
-    p.orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 0.4);
+    p.apply_heartbeat(&report(1, 1, 1, top, &[]), false, &m, 0.2);
+    p.apply_heartbeat(&report(1, 1, 2, top, &[]), false, &m, 0.3);
+    p.apply_orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 0.4);
     place(&mut p, &m, 0.4);
-    let (t, calls) = answered(p.report(&report(1, 1, 3, top, &[]), false, &m, 0.5));
+    let (t, calls) = answered(p.apply_heartbeat(&report(1, 1, 3, top, &[]), false, &m, 0.5));
     assert_eq!((t, calls), (top, Vec::new()));
     assert!(p
         .due_commands(&m, 0.6)
@@ -354,7 +354,7 @@
     let (mut l, mut p, tokens) = pair(&m, 2);
     round(&mut l, &mut p, &m, 0.5);
     for (i, t) in tokens.iter().enumerate() {
-        answered(p.report(&report(i + 1, 1, 3, *t, &[]), false, &m, 0.6));
+        answered(p.apply_heartbeat(&report(i + 1, 1, 3, *t, &[]), false, &m, 0.6));
     }
     let after = settings(&[]).expect("settings").evict_after_s();
     m.put("fw/j/wk-1", record(&s, true), 200);
@@ -380,7 +380,7 @@
         .into_iter()
         .next()
         .expect("a machine");
-    p.unlist(&gone);
+    p.unregister_machine(&gone);
     assert!(l.apply_shard_report(p.snapshot(&m, 2.0), &m, 2.0));
     assert!(l
         .machines_with_cancelled_tasks(&m, later(after + 1.0), after)
@@ -473,7 +473,7 @@
     for (n, (name, incarnation)) in [("a", 7), ("b", 8)].into_iter().enumerate() {
         let mut p = Shard::new(name, TIMING, HashMap::new());
         let owns = |id: &str| id[2..].parse::<usize>().is_ok_and(|i| (i - 1) / 2 % 2 == n);
-        p.enter(EPOCH, incarnation, cache, 0.0, owns);
+        p.start_epoch(EPOCH, incarnation, cache, 0.0, owns);
         for i in (1..=machines).filter(|i| owns(&format!("m-{i}"))) {
             met(&mut p, cache, i, 0.2);
         }
@@ -536,7 +536,7 @@
                         .map(|(t, a)| (t.as_str(), *a, TaskState::Running, None))
                         .collect();
                     let r = report(i, 1, seq + again, tokens[i - 1], &runs);
-                    let (t, calls) = answered(p.report(&r, false, m, now));
+                    let (t, calls) = answered(p.apply_heartbeat(&r, false, m, now));
                     tokens[i - 1] = t;
                     for c in calls {
                         match c {
@@ -560,7 +560,7 @@
         key: format!("fw/r/{id}"),
         revision: 300,
     });
-    p.unlist(&id.as_str().into());
+    p.unregister_machine(&id.as_str().into());
     for i in 1..200 {
         let now = 1.0 + f64::from(i) * 0.5;
         round(&mut l, &mut p, &m, now);
@@ -602,14 +602,15 @@
         seq += 1;
         for i in 1..=3 {
             tokens[i - 1] =
-                answered(p.report(&report(i, 1, seq, tokens[i - 1], &[]), false, m, now)).0;
+                answered(p.apply_heartbeat(&report(i, 1, seq, tokens[i - 1], &[]), false, m, now))
+                    .0;
         }
         p.expire_leases(now);
         assert!(l.apply_shard_report(p.snapshot(m, now), m, now));
         l.reconcile(m, &|_| false);
         l.assign_tasks(m, now, || true);
         let o = l.orders("a").expect("orders");
-        p.orders(
+        p.apply_orders(
             &Orders {
                 assignments: Vec::new(),
                 ..o.clone()
@@ -659,16 +660,18 @@
         !shard.snapshot(&cache, 0.3).machines[0].schedulable,
         "it reports, and takes nothing yet"
     );
-    shard.orders(&orders(1, deal("wk-1", &[(0, 50)])), &cache, 0.4);
+    shard.apply_orders(&orders(1, deal("wk-1", &[(0, 50)])), &cache, 0.4);
     place(&mut shard, &cache, 0.5);
-    let (token, calls) = answered(shard.report(&report(1, 1, 3, token, &[]), false, &cache, 0.6));
+    let (token, calls) =
+        answered(shard.apply_heartbeat(&report(1, 1, 3, token, &[]), false, &cache, 0.6));
     assert_eq!(calls, []);
     record.in_use = true;
     cache.put("fw/r/m-1", json!(record.clone()), 201);
-    shard.list(&"m-1".into(), &record, 0.7);
-    shard.orders(&orders(2, deal("wk-1", &[(0, 51)])), &cache, 0.8);
+    shard.register_machine(&"m-1".into(), &record, 0.7);
+    shard.apply_orders(&orders(2, deal("wk-1", &[(0, 51)])), &cache, 0.8);
     place(&mut shard, &cache, 0.9);
-    let (_, calls) = answered(shard.report(&report(1, 1, 4, token, &[]), false, &cache, 1.0));
+    let (_, calls) =
+        answered(shard.apply_heartbeat(&report(1, 1, 4, token, &[]), false, &cache, 1.0));
     assert!(
         matches!(calls[..], [Command::Start { attempt: 51, .. }]),
         "{calls:?}"
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -77,7 +77,8 @@
                 .map(|(task, s)| (task.as_str(), s.0, state(s.1), s.1))
                 .collect();
             let r = report(machine + 1, 1, self.seq, self.tokens[machine], &lines);
-            let (token, calls) = answered(self.shard.report(&r, false, &self.cache, self.now));
+            let (token, calls) =
+                answered(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
             self.tokens[machine] = token;
             calls.iter().for_each(|call| self.obey(machine, call));
         }
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -223,7 +223,7 @@
         let members = self.epoch.members.clone();
         for (name, shard) in NODES.iter().zip(&mut self.shards) {
             let owns = |id: &str| owner(&members, id) == Some(*name);
-            shard.enter(self.epoch.number, members[*name], &self.cache, now, owns);
+            shard.start_epoch(self.epoch.number, members[*name], &self.cache, now, owns);
         }
         let _ = self
             .leader
@@ -266,8 +266,8 @@
         self.leader.assign_tasks(&self.cache, now, || true);
         for (name, shard) in NODES.iter().zip(&mut self.shards) {
             let orders: Orders = self.leader.orders(name).expect("orders");
-            shard.orders(&orders, &self.cache, now);
-            shard.place(
+            shard.apply_orders(&orders, &self.cache, now);
+            shard.place_queued(
                 &self.cache,
                 Moment {
                     now,
@@ -316,7 +316,7 @@
             let shard = &mut self.shards[NODES.iter().position(|n| *n == name).expect("a node")];
             let report = worker.report(id);
             if let HeartbeatReply::Accepted { token, commands } =
-                shard.report(&report, false, &self.cache, now)
+                shard.apply_heartbeat(&report, false, &self.cache, now)
             {
                 worker.obey(token, &commands, &mut given);
             }
@@ -421,7 +421,7 @@
 fn the_whole_of_a_large_part_is_within_what_a_controller_takes() {
     let mut fleet = Fleet::new();
     let mut shard = Shard::new("a", TIMING, HashMap::new());
-    shard.enter(1, 100, &fleet.cache, 0.0, |_| true);
+    shard.start_epoch(1, 100, &fleet.cache, 0.0, |_| true);
     let token = 1 << 24;
     for (n, (id, worker)) in fleet.workers.iter_mut().enumerate() {
         // Machines of 64 CPUs hold as many tasks of two.
@@ -436,7 +436,7 @@
         worker.token = token;
         let report = worker.report(id);
         assert!(matches!(
-            shard.report(&report, false, &fleet.cache, 0.1),
+            shard.apply_heartbeat(&report, false, &fleet.cache, 0.1),
             HeartbeatReply::Accepted { .. }
         ));
     }
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -70,7 +70,8 @@
                 .map(|(t, s)| (t.as_str(), s.0, s.1, s.2))
                 .collect();
             let r = report(i + 1, 1, self.seq, self.tokens[i], &lines);
-            let (token, calls) = answered(self.shard.report(&r, false, &self.cache, self.now));
+            let (token, calls) =
+                answered(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
             self.tokens[i] = token;
             for call in calls {
                 self.obey(i, &call);
@@ -106,7 +107,7 @@
         self.seq += 1;
         let mut r = report(machine + 1, 1, self.seq, self.tokens[machine], &lines);
         r.notice_s = Some(8.0);
-        let (token, calls) = answered(self.shard.report(&r, false, &self.cache, self.now));
+        let (token, calls) = answered(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
         self.tokens[machine] = token;
         calls
     }
@@ -122,7 +123,7 @@
             uses_shard_map: false,
         };
         self.shard
-            .enter(epoch.number, incarnation, &self.cache, self.now, |_| true);
+            .start_epoch(epoch.number, incarnation, &self.cache, self.now, |_| true);
         self.leader = Leader::new(&settings(&[]).expect("settings"));
         self.leader.start_epoch(&epoch, incarnation, &self.cache);
     }
@@ -521,7 +522,7 @@
         met(&mut p, &m, machine, 0.2);
     }
     let deals = deal("wk-1", &[(0, 50), (1, 50)]);
-    p.orders(&Orders { ..orders(1, deals) }, &m, 0.4);
+    p.apply_orders(&Orders { ..orders(1, deals) }, &m, 0.4);
     place(&mut p, &m, 0.5);
     let held = p.snapshot(&m, 0.6).assigned;
     assert_eq!(
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -212,7 +212,7 @@
             member_life_s: 8.0,
         };
         let mut shard = Shard::new("a", timing, HashMap::new());
-        shard.enter(EPOCH, 7, &cache, 0.0, |_| true);
+        shard.start_epoch(EPOCH, 7, &cache, 0.0, |_| true);
         let tokens = vec![finchwood::cluster::membership::token(EPOCH, 0); MACHINES];
         Scene {
             cache,
@@ -248,7 +248,7 @@
             notice_s: None,
             tasks: tasks.iter().map(line).collect(),
         };
-        match self.shard.report(&r, false, &self.cache, now) {
+        match self.shard.apply_heartbeat(&r, false, &self.cache, now) {
             HeartbeatReply::Accepted { token, .. } => self.tokens[i] = token,
             HeartbeatReply::Refuse => panic!("refused"),
         }
@@ -315,7 +315,7 @@
                     l.apply_shard_report(told, &s.cache, now);
                     if rng.gen_bool(0.8) {
                         if let Some(o) = l.orders("a") {
-                            s.shard.orders(&o, &s.cache, now);
+                            s.shard.apply_orders(&o, &s.cache, now);
                         }
                     }
                 }
@@ -347,7 +347,7 @@
             borrowing: Vec::new(),
             transfers: Vec::new(),
         };
-        s.shard.orders(&o, &s.cache, 20.0);
+        s.shard.apply_orders(&o, &s.cache, 20.0);
         let whole = s.shard.snapshot(&s.cache, 20.0);
         assert_eq!(whole.since, 0);
         let mut fresh = leader(&s.cache);
@@ -472,7 +472,7 @@
         let mut members = vec![("a", a)];
         members.extend(others);
         l.start_epoch(&epoch(EPOCH + 1, &members), 9, &s.cache);
-        s.shard.enter(EPOCH + 1, a, &s.cache, 2.1, |_| true);
+        s.shard.start_epoch(EPOCH + 1, a, &s.cache, 2.1, |_| true);
         let told = s.shard.snapshot(&s.cache, 2.2);
         assert!(told.since == 0 && told.assigned.is_empty());
         assert!(l.apply_shard_report(
--- a/tests/many_small_jobs.rs
+++ b/tests/many_small_jobs.rs
@@ -113,7 +113,7 @@
         for machine in 0..MACHINES {
             self.report(machine, now);
         }
-        self.shard.forget_what_is_over(&self.cache, now);
+        self.shard.forget_finished(&self.cache, now);
     }
 
     fn report(&mut self, machine: usize, now: f64) {
@@ -144,7 +144,7 @@
             self.tokens[machine],
             &lines,
         );
-        let (token, calls) = answered(self.shard.report(&report, false, &self.cache, now));
+        let (token, calls) = answered(self.shard.apply_heartbeat(&report, false, &self.cache, now));
         self.tokens[machine] = token;
         for call in calls {
             match call {
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -102,8 +102,8 @@
         );
         self.leader.assign_tasks(&self.cache, self.now, || true);
         let orders = self.leader.orders("a").expect("orders");
-        self.shard.orders(&orders, &self.cache, self.now);
-        self.shard.place(
+        self.shard.apply_orders(&orders, &self.cache, self.now);
+        self.shard.place_queued(
             &self.cache,
             Moment {
                 now: self.now,
@@ -124,7 +124,11 @@
             .map(|(task, attempt)| (task.as_str(), *attempt, TaskState::Running, None))
             .collect();
         let report = report(machine + 1, 1, self.seq, self.tokens[machine], &lines);
-        let (token, calls) = answered(self.shard.report(&report, false, &self.cache, self.now));
+        let (token, calls) =
+            answered(
+                self.shard
+                    .apply_heartbeat(&report, false, &self.cache, self.now),
+            );
         self.tokens[machine] = token;
         for call in calls {
             match call {
--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -119,8 +119,8 @@
 /// A shard in epoch 3 that is certain of its one empty machine.
 fn shard(cache: &StoreCache) -> (Shard, u64) {
     let mut p = Shard::new("a", TIMING, HashMap::new());
-    p.enter(3, 7, cache, 0.0, |_| true);
-    let first = p.report(&report(1, 1, 0, &[]), false, cache, 0.1);
+    p.start_epoch(3, 7, cache, 0.0, |_| true);
+    let first = p.apply_heartbeat(&report(1, 1, 0, &[]), false, cache, 0.1);
     let HeartbeatReply::Accepted { token: t, commands } = first else {
         panic!("refused")
     };
@@ -129,7 +129,7 @@
         "no commands before the content is certain"
     );
     assert_eq!(t, token(3, 0));
-    p.report(&report(1, 2, t, &[]), false, cache, 0.2);
+    p.apply_heartbeat(&report(1, 2, t, &[]), false, cache, 0.2);
     (p, t)
 }
 
@@ -153,7 +153,7 @@
         borrowing: Vec::new(),
         transfers: Vec::new(),
     };
-    p.orders(&o, cache, 0.3);
+    p.apply_orders(&o, cache, 0.3);
 }
 
 fn recall(p: &mut Shard, cache: &StoreCache, task: &str, attempt: u64, seq: u64) {
@@ -170,7 +170,7 @@
         borrowing: Vec::new(),
         transfers: Vec::new(),
     };
-    p.orders(&o, cache, 0.6);
+    p.apply_orders(&o, cache, 0.6);
 }
 
 fn snapshot(p: &mut Shard, cache: &StoreCache) -> ShardReport {
@@ -182,7 +182,7 @@
     let m = cache(&[("wk-1", Priority::Low, false)]);
     let (mut p, t) = shard(&m);
     deal(&mut p, &m, "wk-1", &[(0, 50)], 1);
-    p.place(
+    p.place_queued(
         &m,
         Moment {
             now: 0.4,
@@ -195,14 +195,14 @@
     p.command_completed(&"m-1".into(), &directs[0].body, None, &m, 0.5);
     recall(&mut p, &m, "wk-1/0", 50, 2);
     // A report under the start's own token doesn't list it: it may yet come.
-    let reply = p.report(&report(1, 3, t, &[]), false, &m, 0.7);
+    let reply = p.apply_heartbeat(&report(1, 3, t, &[]), false, &m, 0.7);
     let HeartbeatReply::Accepted { token: raised, .. } = reply else {
         panic!("refused")
     };
     assert!(raised > directs[0].body.token, "the late start must die");
     assert!(snapshot(&mut p, &m).removed.is_empty());
     // A report under the raised token is proof.
-    p.report(&report(1, 4, raised, &[]), false, &m, 0.8);
+    p.apply_heartbeat(&report(1, 4, raised, &[]), false, &m, 0.8);
     let s = snapshot(&mut p, &m);
     assert_eq!((s.removed.len(), s.assigned.len()), (1, 0));
 }
@@ -223,7 +223,7 @@
     let m = cache(&[("wk-1", Priority::Low, false)]);
     let (mut p, t) = shard(&m);
     deal(&mut p, &m, "wk-1", &[(0, 50)], 1);
-    p.place(
+    p.place_queued(
         &m,
         Moment {
             now: 0.4,
@@ -243,7 +243,7 @@
     let HeartbeatReply::Accepted {
         token: at_reap,
         commands,
-    } = p.report(&ended, false, &m, 0.6)
+    } = p.apply_heartbeat(&ended, false, &m, 0.6)
     else {
         panic!("refused")
     };
@@ -256,14 +256,16 @@
     let mut m = cache(&[("wk-1", Priority::Low, false)]);
     let (mut p, t) = shard(&m);
     let done = |seq| report(1, seq, t, &[("wk-1/2", 40, TaskState::Ended, Some("done"))]);
-    let HeartbeatReply::Accepted { commands, .. } = p.report(&done(3), false, &m, 0.5) else {
+    let HeartbeatReply::Accepted { commands, .. } = p.apply_heartbeat(&done(3), false, &m, 0.5)
+    else {
         panic!("refused")
     };
     assert!(commands.is_empty(), "not committed, not reaped");
     assert_eq!(snapshot(&mut p, &m).assigned[0].phase, TaskPhase::Done);
     m.put("fw/f/wk-1/0", "4".into(), 99);
     p.job_changed(&"wk-1".into(), &m);
-    let HeartbeatReply::Accepted { commands, .. } = p.report(&done(4), false, &m, 0.9) else {
+    let HeartbeatReply::Accepted { commands, .. } = p.apply_heartbeat(&done(4), false, &m, 0.9)
+    else {
         panic!("refused")
     };
     assert!(matches!(commands[0], Command::Forget { .. }));
@@ -275,7 +277,7 @@
     let m = cache(&[("wk-1", Priority::Low, true)]);
     let (mut p, t) = shard(&m);
     let runs = report(1, 3, t, &[("wk-1/0", 40, TaskState::Running, None)]);
-    let HeartbeatReply::Accepted { commands, .. } = p.report(&runs, false, &m, 0.5) else {
+    let HeartbeatReply::Accepted { commands, .. } = p.apply_heartbeat(&runs, false, &m, 0.5) else {
         panic!("refused")
     };
     assert!(matches!(commands[0], Command::Stop { .. }));
@@ -290,26 +292,29 @@
 fn a_worker_answered_a_moment_ago_has_its_lease() {
     let m = cache(&[("wk-1", Priority::Low, false)]);
     let mut p = Shard::new("a", TIMING, HashMap::new());
-    p.enter(3, 7, &m, 0.0, |_| true);
+    p.start_epoch(3, 7, &m, 0.0, |_| true);
     // Heard once, under an old token, just before the epoch is a lease old.
-    p.report(&report(1, 1, token(2, 5), &[]), false, &m, 27.0);
+    p.apply_heartbeat(&report(1, 1, token(2, 5), &[]), false, &m, 27.0);
     p.expire_leases(29.0);
     assert!(!p.snapshot(&m, 29.0).machines[0].reconciled);
     p.expire_leases(27.0 + 21.0);
     assert!(p.snapshot(&m, 48.0).machines[0].reconciled);
     // Its session is over for good, whatever arrives late.
     assert_eq!(
-        p.report(&report(1, 2, token(2, 5), &[]), false, &m, 49.0),
+        p.apply_heartbeat(&report(1, 2, token(2, 5), &[]), false, &m, 49.0),
         HeartbeatReply::Refuse
     );
-    assert!(p.report(&report(2, 1, token(2, 5), &[]), false, &m, 49.0) != HeartbeatReply::Refuse);
+    assert!(
+        p.apply_heartbeat(&report(2, 1, token(2, 5), &[]), false, &m, 49.0)
+            != HeartbeatReply::Refuse
+    );
 }
 
 #[test]
 fn relayed_reports_do_not_show_that_the_zone_is_reached() {
     let m = cache(&[]);
     let (mut p, t) = shard(&m);
-    p.report(&report(1, 3, t, &[]), true, &m, 9.0);
+    p.apply_heartbeat(&report(1, 3, t, &[]), true, &m, 9.0);
     let told = p.snapshot(&m, 9.0);
     assert!(told.silent_machines.is_empty(), "it is alive");
     assert!(
@@ -326,7 +331,7 @@
     ]);
     let (mut p, t) = shard(&m);
     deal(&mut p, &m, "wk-1", &[(0, 50), (1, 51)], 1);
-    p.place(
+    p.place_queued(
         &m,
         Moment {
             now: 0.4,
@@ -344,7 +349,7 @@
     };
     p.command_completed(&"m-1".into(), &start.body, Some(&run(3)), &m, 0.5);
     deal(&mut p, &m, "wk-2", &[(0, 60)], 2);
-    p.place(
+    p.place_queued(
         &m,
         Moment {
             now: 0.6,
@@ -418,7 +423,7 @@
     }
     let (mut p, t) = shard(&m);
     deal(&mut p, &m, "wk-4", &[(0, 50)], 1);
-    p.place(
+    p.place_queued(
         &m,
         Moment {
             now: 0.4,
@@ -427,7 +432,7 @@
         || true,
     );
     deal(&mut p, &m, "wk-3", &[(0, 51)], 2);
-    p.place(
+    p.place_queued(
         &m,
         Moment {
             now: 0.5,
@@ -439,10 +444,10 @@
         ("wk-4/0", 50, TaskState::Running, None),
         ("wk-3/0", 51, TaskState::Running, None),
     ];
-    p.report(&report(1, 3, t, &both), false, &m, 0.6);
+    p.apply_heartbeat(&report(1, 3, t, &both), false, &m, 0.6);
     deal(&mut p, &m, "wk-2", &[(0, 60)], 3);
     // Eight seconds in, the youngest would miss its time if started anew.
-    p.place(
+    p.place_queued(
         &m,
         Moment {
             now: 1.0,
@@ -473,7 +478,7 @@
     let m = cache(&[("wk-1", Priority::Prod, false)]);
     let (mut p, t) = shard(&m);
     deal(&mut p, &m, "wk-1", &[(0, 50)], 1);
-    p.place(
+    p.place_queued(
         &m,
         Moment {
             now: 0.4,
@@ -507,13 +512,13 @@
         borrowing: Vec::new(),
         transfers: Vec::new(),
     };
-    p.report(
+    p.apply_heartbeat(
         &report(1, 4, t, &[("wk-1/0", 50, TaskState::Running, None)]),
         false,
         &m,
         31.0,
     );
-    p.orders(&orders, &m, 31.0);
+    p.apply_orders(&orders, &m, 31.0);
     assert!(matches!(
         p.due_commands(&m, 31.1)[0].body.commands[0],
         Command::Stop { .. }
@@ -573,7 +578,7 @@
 fn a_late_copy_is_no_sign_of_life_and_brings_no_machine_back() {
     let m = cache(&[("wk-1", Priority::Low, false)]);
     let mut p = Shard::new("a", TIMING, HashMap::new());
-    p.enter(3, 7, &m, 0.0, |_| true);
+    p.start_epoch(3, 7, &m, 0.0, |_| true);
     // On the machine registry and used before: under an older epoch's token it may be
     // from any time. It is asked, and stays silent.
     let old = report(
@@ -582,7 +587,7 @@
         token(2, 5),
         &[("wk-1/0", 40, TaskState::Running, None)],
     );
-    let HeartbeatReply::Accepted { commands, .. } = p.report(&old, false, &m, 12.0) else {
+    let HeartbeatReply::Accepted { commands, .. } = p.apply_heartbeat(&old, false, &m, 12.0) else {
         panic!("refused")
     };
     assert!(commands.is_empty());
@@ -594,20 +599,20 @@
     );
     assert!(told.silent_machines[0].silent_s > 12.0 && told.zone_contacts.is_empty());
     // Off the machine registry: nothing comes back, however many copies come.
-    p.unlist(&"m-1".into());
+    p.unregister_machine(&"m-1".into());
     let mut gone = cache(&[("wk-1", Priority::Low, false)]);
     gone.apply(finchwood::store::KeyChange::Delete {
         key: "fw/r/m-1".into(),
         revision: 99,
     });
-    p.report(&report(1, 91, token(2, 5), &[]), false, &gone, 14.0);
-    p.report(&report(1, 92, token(2, 5), &[]), false, &gone, 15.0);
+    p.apply_heartbeat(&report(1, 91, token(2, 5), &[]), false, &gone, 14.0);
+    p.apply_heartbeat(&report(1, 92, token(2, 5), &[]), false, &gone, 15.0);
     assert!(!p
         .snapshot(&gone, 15.0)
         .machines
         .iter()
         .any(|v| v.has_reported || v.registered || v.schedulable));
-    p.forget_what_is_over(&gone, 14.0 + 21.0);
+    p.forget_finished(&gone, 14.0 + 21.0);
     assert_eq!(p.machine_count(), 0);
 }
 
@@ -617,13 +622,16 @@
     let m = cache(&[("wk-1", Priority::Low, false)]);
     let (mut p, t) = shard(&m);
     let running = report(1, 3, t, &[("wk-1/0", 40, TaskState::Running, None)]);
-    p.report(&running, false, &m, 1.0);
+    p.apply_heartbeat(&running, false, &m, 1.0);
     // Sent before the task came; it must not count as seen without it.
     assert_eq!(
-        p.report(&report(1, 2, t + 9, &[]), false, &m, 9.0),
+        p.apply_heartbeat(&report(1, 2, t + 9, &[]), false, &m, 9.0),
+        HeartbeatReply::Refuse
+    );
+    assert_eq!(
+        p.apply_heartbeat(&running, false, &m, 9.0),
         HeartbeatReply::Refuse
     );
-    assert_eq!(p.report(&running, false, &m, 9.0), HeartbeatReply::Refuse);
     let told = p.snapshot(&m, 9.0);
     assert_eq!(told.assigned.len(), 1);
     assert!(told.silent_machines[0].silent_s > 7.9, "no sign of life");
@@ -640,12 +648,12 @@
     let (mut p, t) = shard(&m);
     let ended = [("wk-1/0", 40, TaskState::Ended, Some("stopped"))];
     // The first answer reaps, under a higher token, which it never shows.
-    let raised = token_of(p.report(&report(1, 3, t, &ended), false, &m, 1.0));
+    let raised = token_of(p.apply_heartbeat(&report(1, 3, t, &ended), false, &m, 1.0));
     assert!(raised > t);
     for i in 0..4 {
         let now = 3.0 + 3.0 * f64::from(i);
         // Through other controllers too: relays do not hide it.
-        p.report(&report(1, 4 + i as u64, t, &ended), i % 2 == 1, &m, now);
+        p.apply_heartbeat(&report(1, 4 + i as u64, t, &ended), i % 2 == 1, &m, now);
         let v = p.snapshot(&m, now).machines.pop();
         if i == 1 {
             assert!(
@@ -667,13 +675,13 @@
             borrowing: Vec::new(),
             transfers: Vec::new(),
         };
-        p.orders(&o, &m, now);
+        p.apply_orders(&o, &m, now);
         p.snapshot(&m, now).machines.remove(0)
     };
     assert!(whole(&mut p, 13.0).ignores_commands);
     // Whoever shows the token has heard, and is trusted again.
-    let shown = token_of(p.report(&report(1, 20, t, &ended), false, &m, 13.5));
-    p.report(&report(1, 21, shown, &[]), false, &m, 14.0);
+    let shown = token_of(p.apply_heartbeat(&report(1, 20, t, &ended), false, &m, 13.5));
+    p.apply_heartbeat(&report(1, 21, shown, &[]), false, &m, 14.0);
     let v = whole(&mut p, 14.0);
     assert!(!v.ignores_commands && v.schedulable);
 }
@@ -685,18 +693,18 @@
     let m = cache(&[]);
     let (mut p, t) = shard(&m);
     assert_eq!(
-        token_of(p.report(&report(1, 3, t, &[]), false, &m, 3.0)),
+        token_of(p.apply_heartbeat(&report(1, 3, t, &[]), false, &m, 3.0)),
         t,
         "no doubt, no test"
     );
-    let tested = token_of(p.report(&report(1, 4, t, &[]), true, &m, 6.0));
+    let tested = token_of(p.apply_heartbeat(&report(1, 4, t, &[]), true, &m, 6.0));
     assert!(tested > t);
     assert_eq!(
-        token_of(p.report(&report(1, 5, tested, &[]), true, &m, 9.0)),
+        token_of(p.apply_heartbeat(&report(1, 5, tested, &[]), true, &m, 9.0)),
         tested,
         "not all the time"
     );
-    assert!(token_of(p.report(&report(2, 1, tested, &[]), false, &m, 10.0)) > tested);
+    assert!(token_of(p.apply_heartbeat(&report(2, 1, tested, &[]), false, &m, 10.0)) > tested);
 }
 
 /// A hundred machines that hang filled the pool of direct commands, and what
@@ -718,8 +726,8 @@
     let (mut p, t) = shard(&m);
     deal(&mut p, &m, "wk-1", &[(0, 50)], 1);
     // Eight seconds on, one machine reports; the other seven never have.
-    p.report(&report(1, 3, t, &[]), false, &m, 8.0);
-    p.place(
+    p.apply_heartbeat(&report(1, 3, t, &[]), false, &m, 8.0);
+    p.place_queued(
         &m,
         Moment {
             now: 8.1,
--- a/tests/shard_transfers.rs
+++ b/tests/shard_transfers.rs
@@ -121,7 +121,7 @@
         let table = self.cache.shard_map.clone();
         for (name, shard) in &mut self.shards {
             let owns = |id: &str| owner_by_shard_map(&epoch, &table, id) == Some(name.as_str());
-            shard.enter(
+            shard.start_epoch(
                 epoch.number,
                 epoch.members[name],
                 &self.cache,
@@ -188,14 +188,14 @@
                 self.shards
                     .get_mut(name)
                     .expect("a part")
-                    .orders(&orders, &self.cache, now);
+                    .apply_orders(&orders, &self.cache, now);
             }
         }
         self.write_table();
         for name in &names {
             let shard = self.shards.get_mut(name).expect("a part");
             shard.expire_leases(now);
-            shard.place(
+            shard.place_queued(
                 &self.cache,
                 Moment {
                     now,
@@ -241,7 +241,7 @@
             return false;
         };
         let HeartbeatReply::Accepted { token, commands } =
-            shard.report(&report, false, &self.cache, self.now)
+            shard.apply_heartbeat(&report, false, &self.cache, self.now)
         else {
             return false;
         };
@@ -268,7 +268,7 @@
         let (epoch, table) = (self.epoch.clone(), self.cache.shard_map.clone());
         for (name, shard) in &mut self.shards {
             let owns = |id: &str| owner_by_shard_map(&epoch, &table, id) == Some(name.as_str());
-            shard.shares_changed(&self.cache, self.now, owns);
+            shard.apply_shard_map(&self.cache, self.now, owns);
         }
         self.transfers.table_is(&self.cache.shard_map, self.now);
     }
@@ -322,7 +322,7 @@
             "{when}: jobs, tasks held, tasks in doubt"
         );
         for id in self.workers.keys() {
-            let lists = |shard: &&Shard| shard.listed_machines().contains(id);
+            let lists = |shard: &&Shard| shard.registered_machines().contains(id);
             assert_eq!(
                 self.shards.values().filter(lists).count(),
                 1,
@@ -579,7 +579,7 @@
     two.shards
         .get_mut("b")
         .expect("a part")
-        .orders(&orders, &two.cache, now);
+        .apply_orders(&orders, &two.cache, now);
     let report = two
         .shards
         .get_mut("b")
@@ -609,7 +609,7 @@
     let record = two.cache.registry[id.as_str()].0.clone();
     let now = two.now;
     let shard = two.shards.get_mut("a").expect("a part");
-    shard.list(&id.as_str().into(), &record, now);
+    shard.register_machine(&id.as_str().into(), &record, now);
     assert!(shard.fenced_machines().iter().any(|fenced| **fenced == *id));
     assert!(!shard
         .due_commands(&two.cache, now + 9.0)
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -363,7 +363,7 @@
         let read = in_production(PeerMessage::ShardReport(ShardReport {
             assigned: held,
             removed: gone,
-            completed: dropped,
+            released: dropped,
             ..before
         }));
         let production::Message::Part(read) = read else {
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -204,7 +204,7 @@
             .into_iter()
             .map(|how| gone(how, Some("m-1"), 72))
             .collect(),
-        completed: vec![(task(2), 73, 5)],
+        released: vec![(task(2), 73, 5)],
         silent_machines: vec![
             SilentMachine {
                 id: "m-1".into(),
@@ -246,7 +246,7 @@
         unregistered: Vec::new(),
         assigned: vec![held(TaskPhase::Queued, None, 0)],
         removed: vec![gone(RemovalReason::Lost, None, 0)],
-        completed: Vec::new(),
+        released: Vec::new(),
         silent_machines: Vec::new(),
         zone_contacts: Vec::new(),
         seen_elsewhere: Vec::new(),
