--- a/crates/reconciliation/src/hold_off.rs
+++ b/crates/reconciliation/src/hold_off.rs
@@ -33,7 +33,8 @@
     #[serde(rename = "parts-unheard")]
     ShardsUnheard,
     /// Machines that may have the room, or the work, have not answered yet.
-    MachinesInDoubt,
+    #[serde(rename = "machines-in-doubt")]
+    MachinesUnreconciled,
     /// Its silence may only be that nobody was there to be told anything.
     OwnAbsence,
 }
@@ -63,7 +64,7 @@
     /// The present.
     pub now: Seconds,
     /// Every controller has told what it holds.
-    pub all_joined: bool,
+    pub all_shards_reported: bool,
     /// Machines whose content is not known.
     pub unreconciled: &'a UnreconciledMachines,
 }
@@ -88,13 +89,13 @@
     }
 
     /// Whether anything may be held back at all.
-    pub fn is_on(&self, now: Seconds) -> bool {
+    pub fn is_active(&self, now: Seconds) -> bool {
         self.since
             .is_some_and(|since| now - since < self.limits.lease_s)
     }
 
     /// Whether an action is held back, for `spec` if it is for a job, and why.
-    pub fn hold(
+    pub fn hold_reason(
         &self,
         action: Action,
         spec: Option<&JobSpec>,
@@ -114,21 +115,21 @@
     }
 
     fn hold_consolidation(&self, age_s: Seconds, at: Situation) -> Option<HoldReason> {
-        if !at.all_joined {
+        if !at.all_shards_reported {
             return Some(HoldReason::ShardsUnheard);
         }
         let settling = age_s < self.limits.answer_s;
-        (settling || !at.unreconciled.is_empty()).then_some(HoldReason::MachinesInDoubt)
+        (settling || !at.unreconciled.is_empty()).then_some(HoldReason::MachinesUnreconciled)
     }
 }
 
 /// Room is looked for elsewhere only if no machine in doubt may have it.
 fn hold_for_room(spec: Option<&JobSpec>, at: Situation) -> Option<HoldReason> {
-    if !at.all_joined {
+    if !at.all_shards_reported {
         return Some(HoldReason::ShardsUnheard);
     }
     let may_have_room = spec.map_or(!at.unreconciled.is_empty(), |spec| {
         at.unreconciled.may_hold(spec)
     });
-    may_have_room.then_some(HoldReason::MachinesInDoubt)
+    may_have_room.then_some(HoldReason::MachinesUnreconciled)
 }
--- a/crates/reconciliation/src/machine_state.rs
+++ b/crates/reconciliation/src/machine_state.rs
@@ -78,11 +78,11 @@
                 first_contact,
                 used,
                 shows_token,
-            } => self.after_report(first_contact, used, shows_token),
+            } => self.after_heartbeat(first_contact, used, shows_token),
         }
     }
 
-    fn after_report(self, first_contact: bool, used: bool, shows_token: bool) -> Transition {
+    fn after_heartbeat(self, first_contact: bool, used: bool, shows_token: bool) -> Transition {
         if shows_token {
             return Transition {
                 state: MachineState::Proven,
--- a/crates/reconciliation/src/restart_record.rs
+++ b/crates/reconciliation/src/restart_record.rs
@@ -17,13 +17,16 @@
 /// What a controller brought with it into the epoch in which the record begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Arrival {
+pub enum PriorKnowledge {
     /// No epoch has been entered yet.
-    NotYet,
+    #[serde(rename = "not-yet")]
+    NotEntered,
     /// Nothing: the process, or its incarnation, is new.
-    Fresh,
+    #[serde(rename = "fresh")]
+    Empty,
     /// All that it knew in the epoch before; the record goes on.
-    Kept,
+    #[serde(rename = "kept")]
+    Retained,
 }
 
 /// One decision.
@@ -87,13 +90,14 @@
     /// Its machine will be taken away.
     Notice,
     /// Its owner holds another start of it, or none.
-    NotHeld,
+    #[serde(rename = "not-held")]
+    NotAssigned,
 }
 
 impl From<StopReason> for StopCause {
     fn from(reason: StopReason) -> StopCause {
         match reason {
-            StopReason::HeldElsewhere => StopCause::NotHeld,
+            StopReason::AssignedElsewhere => StopCause::NotAssigned,
             StopReason::JobCancelled | StopReason::JobDone | StopReason::TaskFinished => {
                 StopCause::Over
             }
@@ -117,16 +121,16 @@
 /// The record as it grows.
 #[derive(Debug, Clone)]
 pub struct RestartRecord {
-    most_entries: usize,
-    arrival: Arrival,
+    max_entries: usize,
+    prior_knowledge: PriorKnowledge,
     epoch: u64,
     began: Seconds,
     /// When no machine was in doubt for the first time.
-    certain_at: Option<Seconds>,
+    reconciled_at: Option<Seconds>,
     verdicts: BTreeMap<Verdict, u64>,
     holds: BTreeMap<(Action, HoldReason), u64>,
     entries: QueueSync<DecisionEntry>,
-    left_out: u64,
+    dropped_entries: u64,
     /// Commands given since the record began.
     pub orders: OrderCounts,
 }
@@ -135,13 +139,15 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct RecordView {
     /// What the controller brought with it.
-    pub arrival: Arrival,
+    #[serde(rename = "arrival")]
+    pub prior_knowledge: PriorKnowledge,
     /// The present epoch; 0 before the first.
     pub epoch: u64,
     /// How long ago the record began, in seconds.
     pub age_s: f64,
     /// After how many seconds no machine was in doubt; none while some are.
-    pub certain_after_s: Option<f64>,
+    #[serde(rename = "certain_after_s")]
+    pub reconciled_after_s: Option<f64>,
     /// The machines by what is known of them.
     pub machines: Vec<MachineCount>,
     /// Verdicts on what machines showed first.
@@ -158,17 +164,17 @@
 
 impl RestartRecord {
     /// An empty record that keeps the latest `most_entries` decisions.
-    pub fn new(most_entries: usize) -> RestartRecord {
+    pub fn new(max_entries: usize) -> RestartRecord {
         RestartRecord {
-            most_entries,
-            arrival: Arrival::NotYet,
+            max_entries,
+            prior_knowledge: PriorKnowledge::NotEntered,
             epoch: 0,
             began: 0.0,
-            certain_at: None,
+            reconciled_at: None,
             verdicts: BTreeMap::new(),
             holds: BTreeMap::new(),
             entries: QueueSync::new_sync(),
-            left_out: 0,
+            dropped_entries: 0,
             orders: OrderCounts::default(),
         }
     }
@@ -176,24 +182,28 @@
     /// An epoch is entered, with all knowledge of the one before or with none.
     pub fn enter(&mut self, epoch: u64, kept: bool, now: Seconds) {
         if !kept {
-            *self = RestartRecord::new(self.most_entries);
+            *self = RestartRecord::new(self.max_entries);
             self.began = now;
         }
-        self.arrival = if kept { Arrival::Kept } else { Arrival::Fresh };
+        self.prior_knowledge = if kept {
+            PriorKnowledge::Retained
+        } else {
+            PriorKnowledge::Empty
+        };
         self.epoch = epoch;
     }
 
     /// A task was judged for the first time on its machine, or contradicts what is
     /// known.
-    pub fn note(&mut self, entry: DecisionEntry) {
+    pub fn record_decision(&mut self, entry: DecisionEntry) {
         *self.verdicts.entry(entry.verdict).or_default() += 1;
-        if self.most_entries == 0 {
-            self.left_out += 1;
+        if self.max_entries == 0 {
+            self.dropped_entries += 1;
             return;
         }
-        if self.entries.len() >= self.most_entries {
+        if self.entries.len() >= self.max_entries {
             self.entries.dequeue_mut();
-            self.left_out += 1;
+            self.dropped_entries += 1;
         }
         self.entries.enqueue_mut(entry);
     }
@@ -204,14 +214,14 @@
     }
 
     /// An action was held back.
-    pub fn note_hold(&mut self, action: Action, reason: HoldReason) {
+    pub fn record_hold(&mut self, action: Action, reason: HoldReason) {
         *self.holds.entry((action, reason)).or_default() += 1;
     }
 
     /// How many machines are in doubt now.
-    pub fn note_doubt(&mut self, in_doubt: usize, now: Seconds) {
-        if in_doubt == 0 && self.arrival != Arrival::NotYet {
-            self.certain_at.get_or_insert(now);
+    pub fn record_unreconciled(&mut self, in_doubt: usize, now: Seconds) {
+        if in_doubt == 0 && self.prior_knowledge != PriorKnowledge::NotEntered {
+            self.reconciled_at.get_or_insert(now);
         }
     }
 
@@ -239,10 +249,10 @@
                 count,
             });
         RecordView {
-            arrival: self.arrival,
+            prior_knowledge: self.prior_knowledge,
             epoch: self.epoch,
             age_s: self.age_s(now),
-            certain_after_s: self.certain_at.map(|at| at - self.began),
+            reconciled_after_s: self.reconciled_at.map(|at| at - self.began),
             machines: by_state
                 .into_iter()
                 .map(|(state, count)| MachineCount { state, count })
@@ -251,7 +261,7 @@
             holds: holds.collect(),
             orders: self.orders.clone(),
             entries: self.entries.clone(),
-            entries_left_out: self.left_out,
+            entries_left_out: self.dropped_entries,
         }
     }
 }
--- a/crates/reconciliation/src/stored_jobs.rs
+++ b/crates/reconciliation/src/stored_jobs.rs
@@ -32,5 +32,5 @@
 /// Whoever can tell what is stored.
 pub trait StoredJobs {
     /// What is stored of a task.
-    fn stored(&self, task: &Task) -> StoredTask;
+    fn stored_task(&self, task: &Task) -> StoredTask;
 }
--- a/crates/reconciliation/src/verdict.rs
+++ b/crates/reconciliation/src/verdict.rs
@@ -11,14 +11,14 @@
     /// The attempt that it runs or ran under.
     pub attempt: u64,
     /// Whether and how it has ended; none while it is on its machine.
-    pub ended: Option<Ending>,
+    pub ended: Option<TaskEnd>,
 }
 
 /// How a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum TaskEnd {
     /// Completed: the worker keeps the result.
-    Done,
+    Completed,
     /// Stopped, failed, refused, or something that this version doesn't know.
     Other,
 }
@@ -27,8 +27,8 @@
     /// Reads a line's state and cause.
     pub fn new(attempt: u64, state: TaskState, why: Option<&str>) -> ReportedTask {
         let ended = match (state, why) {
-            (TaskState::Ended, Some(cause::DONE)) => Some(Ending::Done),
-            (TaskState::Ended, _) => Some(Ending::Other),
+            (TaskState::Ended, Some(cause::DONE)) => Some(TaskEnd::Completed),
+            (TaskState::Ended, _) => Some(TaskEnd::Other),
             _ => None,
         };
         ReportedTask { attempt, ended }
@@ -37,13 +37,13 @@
 
 /// What the machine's owner holds of the same task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holding {
+pub enum KnownAssignment {
     /// Nothing.
-    Nothing,
+    Unassigned,
     /// This attempt, on this machine.
     Same,
     /// It was assigned and has no machine yet.
-    Planned,
+    Unplaced,
     /// It is on another machine, or under another attempt on this one.
     Elsewhere,
 }
@@ -61,9 +61,11 @@
     /// It is held until it has stopped, and told to stop.
     Stop(StopReason),
     /// Its worker may forget it.
-    Reap(ReapReason),
+    #[serde(rename = "reap")]
+    Forget(ForgetReason),
     /// It is left alone: nothing says what should become of it.
-    LeaveInDoubt(DoubtReason),
+    #[serde(rename = "leave-in-doubt")]
+    LeaveUnreconciled(UnreconciledReason),
     /// It contradicts what its owner holds.
     Conflict(ConflictReason),
 }
@@ -91,13 +93,14 @@
     /// It is committed as finished.
     TaskFinished,
     /// Its owner holds another start of it.
-    HeldElsewhere,
+    #[serde(rename = "held-elsewhere")]
+    AssignedElsewhere,
 }
 
 /// Why a worker may forget a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ReapReason {
+pub enum ForgetReason {
     /// Its end is committed, or nobody needs it.
     EndCommitted,
     /// It ended without a result.
@@ -107,7 +110,7 @@
 /// Why a task is left alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum DoubtReason {
+pub enum UnreconciledReason {
     /// No record of its job is known.
     UnknownJob,
     /// Its job has fewer tasks.
@@ -126,30 +129,37 @@
 
 /// Judges a reported task by what its owner holds and what is stored of it;
 /// `epoch` is the owner's.
-pub fn judge(reported: ReportedTask, holding: Holding, stored: StoredTask, epoch: u64) -> Verdict {
+pub fn decide(
+    reported: ReportedTask,
+    holding: KnownAssignment,
+    stored: StoredTask,
+    epoch: u64,
+) -> Verdict {
     match (holding, reported.ended) {
-        (Holding::Same, _) => Verdict::Known,
-        (Holding::Planned, None | Some(Ending::Done)) => {
+        (KnownAssignment::Same, _) => Verdict::Known,
+        (KnownAssignment::Unplaced, None | Some(TaskEnd::Completed)) => {
             Verdict::Adopt(AdoptReason::FoundWhilePlanned)
         }
-        (Holding::Elsewhere, None) => Verdict::Conflict(ConflictReason::RunsTwice),
-        (Holding::Elsewhere, Some(Ending::Done)) if !stored.needs_no_run() => {
+        (KnownAssignment::Elsewhere, None) => Verdict::Conflict(ConflictReason::RunsTwice),
+        (KnownAssignment::Elsewhere, Some(TaskEnd::Completed)) if !stored.needs_no_run() => {
             Verdict::Conflict(ConflictReason::CompletedElsewhere)
         }
-        (Holding::Nothing, None) => judge_running(reported.attempt, stored, epoch),
-        (Holding::Nothing, Some(Ending::Done)) if !stored.needs_no_run() => judge_completed(stored),
-        (_, Some(ending)) => Verdict::Reap(reap_reason(ending)),
+        (KnownAssignment::Unassigned, None) => decide_running(reported.attempt, stored, epoch),
+        (KnownAssignment::Unassigned, Some(TaskEnd::Completed)) if !stored.needs_no_run() => {
+            decide_completed(stored)
+        }
+        (_, Some(ending)) => Verdict::Forget(forget_reason(ending)),
     }
 }
 
 /// A task that runs and that nobody holds.
-fn judge_running(attempt: u64, stored: StoredTask, epoch: u64) -> Verdict {
+fn decide_running(attempt: u64, stored: StoredTask, epoch: u64) -> Verdict {
     match stored {
         StoredTask::JobCancelled => Verdict::Stop(StopReason::JobCancelled),
         StoredTask::JobDone => Verdict::Stop(StopReason::JobDone),
         StoredTask::Finished => Verdict::Stop(StopReason::TaskFinished),
-        StoredTask::UnknownJob => Verdict::LeaveInDoubt(DoubtReason::UnknownJob),
-        StoredTask::NoSuchTask => Verdict::LeaveInDoubt(DoubtReason::NoSuchTask),
+        StoredTask::UnknownJob => Verdict::LeaveUnreconciled(UnreconciledReason::UnknownJob),
+        StoredTask::NoSuchTask => Verdict::LeaveUnreconciled(UnreconciledReason::NoSuchTask),
         StoredTask::Unfinished if attempt_epoch(attempt) > epoch => {
             Verdict::Adopt(AdoptReason::AttemptOfLaterEpoch)
         }
@@ -158,39 +168,39 @@
 }
 
 /// A task that has completed, that nobody holds and whose end is not committed.
-fn judge_completed(stored: StoredTask) -> Verdict {
+fn decide_completed(stored: StoredTask) -> Verdict {
     match stored {
-        StoredTask::UnknownJob => Verdict::LeaveInDoubt(DoubtReason::UnknownJob),
-        StoredTask::NoSuchTask => Verdict::LeaveInDoubt(DoubtReason::NoSuchTask),
+        StoredTask::UnknownJob => Verdict::LeaveUnreconciled(UnreconciledReason::UnknownJob),
+        StoredTask::NoSuchTask => Verdict::LeaveUnreconciled(UnreconciledReason::NoSuchTask),
         _ => Verdict::RecordFinished,
     }
 }
 
-fn reap_reason(ending: Ending) -> ReapReason {
+fn forget_reason(ending: TaskEnd) -> ForgetReason {
     match ending {
-        Ending::Done => ReapReason::EndCommitted,
-        Ending::Other => ReapReason::NothingToKeep,
+        TaskEnd::Completed => ForgetReason::EndCommitted,
+        TaskEnd::Other => ForgetReason::NothingToKeep,
     }
 }
 
 /// Whether a worker may forget a task now. A result is kept until it is committed,
 /// whoever holds what; the rest until its owner has let go of it.
-pub fn may_reap(
+pub fn may_forget(
     reported: ReportedTask,
-    holding: Holding,
+    holding: KnownAssignment,
     stored: StoredTask,
-) -> Option<ReapReason> {
+) -> Option<ForgetReason> {
     match reported.ended? {
-        Ending::Done if stored.needs_no_run() => Some(ReapReason::EndCommitted),
-        Ending::Other if holding != Holding::Same => Some(ReapReason::NothingToKeep),
-        Ending::Done | Ending::Other => None,
+        TaskEnd::Completed if stored.needs_no_run() => Some(ForgetReason::EndCommitted),
+        TaskEnd::Other if holding != KnownAssignment::Same => Some(ForgetReason::NothingToKeep),
+        TaskEnd::Completed | TaskEnd::Other => None,
     }
 }
 
 /// Whether a task has to be stopped because its owner does not hold it here.
-pub fn must_stop(reported: ReportedTask, holding: Holding) -> Option<StopReason> {
+pub fn must_stop(reported: ReportedTask, holding: KnownAssignment) -> Option<StopReason> {
     let here = reported.ended.is_none();
-    (here && holding != Holding::Same).then_some(StopReason::HeldElsewhere)
+    (here && holding != KnownAssignment::Same).then_some(StopReason::AssignedElsewhere)
 }
 
 /// Whether an attempt counts as the highest seen of its task, so that a late copy of an
--- a/crates/reconciliation/tests/model.rs
+++ b/crates/reconciliation/tests/model.rs
@@ -14,7 +14,7 @@
     MachineClass, ReconciliationPhase, UnreconciledMachines,
 };
 use finchwood_reconciliation::verdict::{
-    judge, may_reap, must_stop, Holding, ReportedTask, Verdict,
+    decide, may_forget, must_stop, KnownAssignment, ReportedTask, Verdict,
 };
 use finchwood_types::token::{attempt, token};
 use finchwood_types::wire::{JobSpec, TaskState};
@@ -106,11 +106,11 @@
         in_doubt.map(|(machine, _)| class(machine.zone)).collect()
     }
 
-    fn holding(&self, machine: usize, task: TaskId, attempt: u64) -> Holding {
+    fn holding(&self, machine: usize, task: TaskId, attempt: u64) -> KnownAssignment {
         match self.owner.held.get(&task) {
-            None => Holding::Nothing,
-            Some(held) if *held == (machine, attempt) => Holding::Same,
-            Some(_) => Holding::Elsewhere,
+            None => KnownAssignment::Unassigned,
+            Some(held) if *held == (machine, attempt) => KnownAssignment::Same,
+            Some(_) => KnownAssignment::Elsewhere,
         }
     }
 
@@ -136,27 +136,27 @@
             let reported = reported(attempt, runs);
             let holding = self.holding(id, task, attempt);
             let stored = self.tasks[task].stored;
-            match judge(reported, holding, stored, EPOCH) {
-                Verdict::Known | Verdict::Reap(_) | Verdict::Conflict(_) => {}
+            match decide(reported, holding, stored, EPOCH) {
+                Verdict::Known | Verdict::Forget(_) | Verdict::Conflict(_) => {}
                 Verdict::RecordFinished => {
                     self.owner.held.insert(task, (id, attempt));
                     self.owner.results.insert(task);
                 }
-                Verdict::Adopt(_) | Verdict::LeaveInDoubt(_) | Verdict::Stop(_) => {
+                Verdict::Adopt(_) | Verdict::LeaveUnreconciled(_) | Verdict::Stop(_) => {
                     self.owner.held.insert(task, (id, attempt));
                 }
             }
             let holding = self.holding(id, task, attempt);
-            if holding == Holding::Same && !runs && stored == StoredTask::Unfinished {
+            if holding == KnownAssignment::Same && !runs && stored == StoredTask::Unfinished {
                 self.owner.results.insert(task);
             }
             let stops = must_stop(reported, holding).is_some()
-                || runs && holding == Holding::Same && stored.needs_no_run();
+                || runs && holding == KnownAssignment::Same && stored.needs_no_run();
             assert!(
                 !stops || stored != StoredTask::Unfinished,
                 "task {task} is healthy and was stopped"
             );
-            let reaps = may_reap(reported, holding, stored).is_some();
+            let reaps = may_forget(reported, holding, stored).is_some();
             assert!(
                 !reaps || runs || stored.needs_no_run(),
                 "the result of task {task} was forgotten"
@@ -375,25 +375,25 @@
         age_s in 0.0..60.0f64,
         zones in prop::collection::vec(0..2usize, 0..4),
         wanted in 0..3usize,
-        all_joined in any::<bool>(),
+        all_shards_reported in any::<bool>(),
     ) {
         let limits = HoldOffLimits { answer_s: 6.0, lease_s: 30.0 };
         let mut caution = HoldOff::new(limits);
         let class = |z: &usize| MachineClass { machine_type: "k".into(), zone: ZONES[*z].into(), spot: false };
         let unreconciled: UnreconciledMachines = zones.iter().map(class).collect();
-        let at = Situation { now: 100.0 + age_s, all_joined, unreconciled: &unreconciled };
+        let at = Situation { now: 100.0 + age_s, all_shards_reported, unreconciled: &unreconciled };
         let pending_demand = spec((wanted < 2).then(|| ZONES[wanted]));
         let actions = [Action::Rent, Action::Preempt, Action::Consolidate, Action::EvictUnasked];
         for action in actions {
-            prop_assert_eq!(caution.hold(action, Some(&pending_demand), at), None, "not begun");
+            prop_assert_eq!(caution.hold_reason(action, Some(&pending_demand), at), None, "not begun");
         }
         caution.begin(100.0);
         let may_have_room = wanted == 2 && !zones.is_empty() || zones.contains(&wanted);
-        let held = caution.hold(Action::Rent, Some(&pending_demand), at).is_some();
-        prop_assert_eq!(held, age_s < 6.0 && (!all_joined || may_have_room));
-        prop_assert_eq!(caution.hold(Action::EvictUnasked, None, at).is_some(), age_s < 30.0);
-        if age_s >= 30.0 || age_s >= 6.0 && all_joined && zones.is_empty() {
-            prop_assert_eq!(caution.hold(Action::Consolidate, None, at), None);
+        let held = caution.hold_reason(Action::Rent, Some(&pending_demand), at).is_some();
+        prop_assert_eq!(held, age_s < 6.0 && (!all_shards_reported || may_have_room));
+        prop_assert_eq!(caution.hold_reason(Action::EvictUnasked, None, at).is_some(), age_s < 30.0);
+        if age_s >= 30.0 || age_s >= 6.0 && all_shards_reported && zones.is_empty() {
+            prop_assert_eq!(caution.hold_reason(Action::Consolidate, None, at), None);
         }
     }
 }
--- a/crates/sharding/src/planner.rs
+++ b/crates/sharding/src/planner.rs
@@ -5,7 +5,7 @@
 use crate::hash_position::HashPosition;
 use crate::plan::{Plan, PlannedMove};
 use crate::shard_map::{HashRange, ShardMap};
-use crate::transfer::{MoveReason, Transfers, WantedMove};
+use crate::transfer::{MoveReason, RangeMove, Transfers};
 use finchwood_types::clock::Seconds;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,9 +30,9 @@
     /// A controller that owns more than the mean by this share gives machines away.
     pub imbalance: f64,
     /// The most shares that the table may hold.
-    pub most_shares: usize,
+    pub max_ranges: usize,
     /// Machines that have moved stay for so long, unless somebody asks, in seconds.
-    pub rest_s: Seconds,
+    pub cooldown_s: Seconds,
 }
 
 /// What is known of the fleet at the moment of planning.
@@ -42,14 +42,14 @@
     pub members: &'a BTreeSet<String>,
     /// All machines.
     pub machines: &'a [OwnedMachine],
-    /// The table of shares.
-    pub table: &'a ShardMap,
+    /// Who owns which hash range.
+    pub shard_map: &'a ShardMap,
 }
 
 /// A move that could be made.
 #[derive(Debug)]
 struct Choice {
-    wanted: WantedMove,
+    range_move: RangeMove,
     /// How many machines move.
     machines: usize,
     /// Which of the planned moves it carries out.
@@ -95,44 +95,43 @@
 
     /// The next move, if one is wanted and the budget allows it. Where the table is too
     /// full for it, a home takes back the smallest share instead.
-    pub fn next(
-        &mut self,
-        fleet: Fleet,
-        transfers: &Transfers,
-        now: Seconds,
-    ) -> Option<WantedMove> {
+    pub fn next(&mut self, fleet: Fleet, transfers: &Transfers, now: Seconds) -> Option<RangeMove> {
         self.refill(now);
         if self.budget < 1.0 {
             return None;
         }
         let choices = [
-            self.planned(fleet, transfers),
-            self.drained(fleet, transfers),
+            self.choose_planned(fleet, transfers),
+            self.choose_drain(fleet, transfers),
         ];
         let choices = choices
             .into_iter()
             .flatten()
-            .chain(self.balanced(fleet, transfers));
+            .chain(self.choose_balancing(fleet, transfers));
         let choices: Vec<Choice> = choices.collect();
         if choices.is_empty() {
             return None;
         }
         let fits = |choice: &Choice| {
-            let wanted = &choice.wanted;
-            fleet.table.moved(&wanted.range, &wanted.target).len() <= self.limits.most_shares
+            let range_move = &choice.range_move;
+            fleet
+                .shard_map
+                .with_owner(&range_move.range, &range_move.target)
+                .len()
+                <= self.limits.max_ranges
         };
         let choice = choices
             .into_iter()
             .find(fits)
-            .or_else(|| self.tidied(fleet, transfers))?;
+            .or_else(|| self.choose_compaction(fleet, transfers))?;
         self.budget -= 1.0;
-        self.moved.push((choice.wanted.range.clone(), now));
+        self.moved.push((choice.range_move.range.clone(), now));
         if let Some(planned) = choice.planned {
-            let wanted = &mut self.plan.moves[planned];
-            wanted.machines = wanted.machines.saturating_sub(choice.machines);
-            self.placed.push(choice.wanted.range.clone());
+            let range_move = &mut self.plan.moves[planned];
+            range_move.machines = range_move.machines.saturating_sub(choice.machines);
+            self.placed.push(choice.range_move.range.clone());
         }
-        Some(choice.wanted)
+        Some(choice.range_move)
     }
 
     fn refill(&mut self, now: Seconds) {
@@ -140,15 +139,17 @@
         let gained = (now - self.refilled_at) * limits.moves_per_minute / 60.0;
         self.budget = (self.budget + gained).min(limits.moves_per_minute.max(1.0));
         self.refilled_at = now;
-        self.moved.retain(|(_, at)| now - *at < limits.rest_s);
+        self.moved.retain(|(_, at)| now - *at < limits.cooldown_s);
     }
 
     /// The first planned move that can be made.
-    fn planned(&mut self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
+    fn choose_planned(&mut self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
         // Whoever has nothing left has given all that it can.
         let owns = |name: &String| fleet.machines.iter().any(|machine| machine.owner == *name);
-        let possible = |wanted: &PlannedMove| {
-            wanted.machines > 0 && fleet.members.contains(&wanted.to) && owns(&wanted.from)
+        let possible = |range_move: &PlannedMove| {
+            range_move.machines > 0
+                && fleet.members.contains(&range_move.to)
+                && owns(&range_move.from)
         };
         self.plan.moves.retain(possible);
         let most = self.limits.machines_per_move;
@@ -156,18 +157,19 @@
             .moves
             .iter()
             .enumerate()
-            .find_map(|(planned, wanted)| {
-                let most = wanted.machines.min(most);
-                let (range, machines) = run_of(&wanted.from, most, fleet, transfers, &[])?;
-                let (source, target) = (wanted.from.clone(), wanted.to.clone());
-                let wanted = WantedMove {
+            .find_map(|(planned, range_move)| {
+                let most = range_move.machines.min(most);
+                let (range, machines) =
+                    longest_owned_run(&range_move.from, most, fleet, transfers, &[])?;
+                let (source, target) = (range_move.from.clone(), range_move.to.clone());
+                let range_move = RangeMove {
                     range,
                     source,
                     target,
                     reason: MoveReason::Plan,
                 };
                 Some(Choice {
-                    wanted,
+                    range_move,
                     machines,
                     planned: Some(planned),
                 })
@@ -176,45 +178,46 @@
 
     /// A share of a controller that is to be emptied goes to whoever owns least, or to
     /// another whose share it makes larger, if the table has no room for one more.
-    fn drained(&self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
-        let counts = counts(fleet, transfers);
-        let least = self.least(&counts)?;
+    fn choose_drain(&self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
+        let counts = machine_counts(fleet, transfers);
+        let least = self.least_loaded(&counts)?;
         let (source, (range, machines)) = self.plan.drain.iter().find_map(|source| {
             Some((
                 source,
-                run_of(source, self.limits.machines_per_move, fleet, transfers, &[])?,
+                longest_owned_run(source, self.limits.machines_per_move, fleet, transfers, &[])?,
             ))
         })?;
         let others = counts.keys().filter(|name| !self.plan.drain.contains(name));
-        let fits =
-            |target: &&String| fleet.table.moved(&range, target).len() <= self.limits.most_shares;
+        let fits = |target: &&String| {
+            fleet.shard_map.with_owner(&range, target).len() <= self.limits.max_ranges
+        };
         let target = Some(&least)
             .filter(fits)
             .or_else(|| others.clone().find(fits))
             .unwrap_or(&least);
         let (source, target) = (source.clone(), target.clone());
-        let wanted = WantedMove {
+        let range_move = RangeMove {
             range,
             source,
             target,
             reason: MoveReason::Drain,
         };
         Some(Choice {
-            wanted,
+            range_move,
             machines,
             planned: None,
         })
     }
 
     /// The share with the fewest machines goes back to its home.
-    fn tidied(&self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
+    fn choose_compaction(&self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
         let live = |name: &str| fleet.members.contains(name);
-        let can_go = fleet.table.shares().filter(|(range, owner)| {
+        let can_go = fleet.shard_map.ranges().filter(|(range, owner)| {
             let hash_owner = &range.hash_owner;
             live(hash_owner)
                 && live(owner)
                 && !self.plan.drain.contains(hash_owner)
-                && !transfers.moves(range)
+                && !transfers.is_moving(range)
         });
         let machines_in = |range: &HashRange| {
             fleet
@@ -228,14 +231,14 @@
             .min()?;
         let (machines, range, owner) = smallest;
         let (source, target) = (owner.to_string(), range.hash_owner.clone());
-        let wanted = WantedMove {
+        let range_move = RangeMove {
             range: range.clone(),
             source,
             target,
-            reason: MoveReason::Tidy,
+            reason: MoveReason::Compact,
         };
         Some(Choice {
-            wanted,
+            range_move,
             machines,
             planned: None,
         })
@@ -243,9 +246,9 @@
 
     /// A share of the controller that owns most goes to the one that owns least, if the
     /// difference is large.
-    fn balanced(&self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
-        let counts = counts(fleet, transfers);
-        let target = self.least(&counts)?;
+    fn choose_balancing(&self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
+        let counts = machine_counts(fleet, transfers);
+        let target = self.least_loaded(&counts)?;
         let (source, most) = counts
             .iter()
             .max_by_key(|(name, count)| (**count, (*name).clone()))?;
@@ -258,22 +261,22 @@
         let machines = (difference / 2).min(self.limits.machines_per_move);
         let recent = self.moved.iter().map(|(range, _)| range);
         let resting: Vec<HashRange> = recent.chain(&self.placed).cloned().collect();
-        let (range, machines) = run_of(source, machines, fleet, transfers, &resting)?;
-        let wanted = WantedMove {
+        let (range, machines) = longest_owned_run(source, machines, fleet, transfers, &resting)?;
+        let range_move = RangeMove {
             range,
             source: source.clone(),
             target,
             reason: MoveReason::Balance,
         };
         Some(Choice {
-            wanted,
+            range_move,
             machines,
             planned: None,
         })
     }
 
     /// Who owns least, of those that are not to be emptied.
-    fn least(&self, counts: &BTreeMap<String, usize>) -> Option<String> {
+    fn least_loaded(&self, counts: &BTreeMap<String, usize>) -> Option<String> {
         let stays = counts
             .iter()
             .filter(|(name, _)| !self.plan.drain.contains(name));
@@ -284,16 +287,16 @@
 }
 
 /// How many machines each controller owns, or will once all transfers have ended.
-fn counts(fleet: Fleet, transfers: &Transfers) -> BTreeMap<String, usize> {
+fn machine_counts(fleet: Fleet, transfers: &Transfers) -> BTreeMap<String, usize> {
     let mut counts: BTreeMap<String, usize> =
         fleet.members.iter().map(|name| (name.clone(), 0)).collect();
     for machine in fleet.machines {
         let moving = transfers.under_way().find(|h| {
-            h.wanted
+            h.range_move
                 .range
                 .contains(&machine.hash_owner, machine.position)
         });
-        let owner = moving.map_or(&machine.owner, |h| &h.wanted.target);
+        let owner = moving.map_or(&machine.owner, |h| &h.range_move.target);
         if let Some(count) = counts.get_mut(owner) {
             *count += 1;
         }
@@ -303,7 +306,7 @@
 
 /// A range of one home with up to `most` machines, all owned by `source` and none of them
 /// moving or in `resting`; also how many there are in it.
-fn run_of(
+fn longest_owned_run(
     source: &str,
     most: usize,
     fleet: Fleet,
@@ -319,7 +322,7 @@
             last: machine.position,
         };
         machine.owner != source
-            || transfers.moves(&at)
+            || transfers.is_moving(&at)
             || resting.iter().any(|range| range.overlaps(&at))
     };
     let mut best: Option<(HashRange, usize)> = None;
@@ -330,14 +333,14 @@
             .is_some_and(|(range, count)| range.hash_owner == machine.hash_owner && *count < most);
         let (first, count) = match &run {
             Some((range, count)) if extends => (range.first, *count + 1),
-            _ => (first_of(&sorted, at), 1),
+            _ => (range_start(&sorted, at), 1),
         };
         let range = HashRange {
             hash_owner: machine.hash_owner.clone(),
             first,
             last: machine.position,
         };
-        let whole = !stays(machine) && fleet.table.sole_owner(&range) == Some(source);
+        let whole = !stays(machine) && fleet.shard_map.sole_owner(&range) == Some(source);
         run = whole.then_some((range, count));
         if let Some((range, count)) = &run {
             if best.as_ref().is_none_or(|(_, most)| count > most) {
@@ -350,7 +353,7 @@
 
 /// Where a range begins that begins with a machine: right behind the machine before it, so
 /// that ranges meet and neighbours with one owner become one share.
-fn first_of(sorted: &[&OwnedMachine], at: usize) -> HashPosition {
+fn range_start(sorted: &[&OwnedMachine], at: usize) -> HashPosition {
     let before = at.checked_sub(1).map(|before| sorted[before]);
     match before.filter(|before| before.hash_owner == sorted[at].hash_owner) {
         Some(before) => before.position + 1,
--- a/crates/sharding/src/shard_map.rs
+++ b/crates/sharding/src/shard_map.rs
@@ -72,7 +72,7 @@
     #[serde(rename = "g")]
     generation: u64,
     #[serde(rename = "s")]
-    shares: Vec<StoredRange>,
+    ranges: Vec<StoredRange>,
 }
 
 /// What is owned otherwise than the hash says.
@@ -81,7 +81,7 @@
     /// Counts the changes of the table.
     pub generation: u64,
     /// Owner of each range; no two overlap.
-    shares: BTreeMap<HashRange, String>,
+    ranges: BTreeMap<HashRange, String>,
 }
 
 impl ShardMap {
@@ -98,7 +98,7 @@
             first: position,
             last: HashPosition::MAX,
         };
-        let (range, owner) = self.shares.range(from..=to).next_back()?;
+        let (range, owner) = self.ranges.range(from..=to).next_back()?;
         range.contains(hash_owner, position).then_some(owner)
     }
 
@@ -106,12 +106,14 @@
     /// says nothing.
     pub fn sole_owner<'a>(&'a self, range: &'a HashRange) -> Option<&'a str> {
         let mut within = self
-            .shares
+            .ranges
             .iter()
-            .filter(|(share, _)| share.overlaps(range));
+            .filter(|(stored_range, _)| stored_range.overlaps(range));
         match within.next() {
             None => Some(&range.hash_owner),
-            Some((share, owner)) if share.first <= range.first && share.last >= range.last => {
+            Some((stored_range, owner))
+                if stored_range.first <= range.first && stored_range.last >= range.last =>
+            {
                 Some(owner)
             }
             Some(_) => None,
@@ -119,36 +121,36 @@
     }
 
     /// All shares, by home and position.
-    pub fn shares(&self) -> impl Iterator<Item = (&HashRange, &str)> {
-        self.shares
+    pub fn ranges(&self) -> impl Iterator<Item = (&HashRange, &str)> {
+        self.ranges
             .iter()
             .map(|(range, owner)| (range, owner.as_str()))
     }
 
     /// How many there are.
     pub fn len(&self) -> usize {
-        self.shares.len()
+        self.ranges.len()
     }
 
     /// Whether the hash decides everywhere.
     pub fn is_empty(&self) -> bool {
-        self.shares.is_empty()
+        self.ranges.is_empty()
     }
 
     /// The next table, in which `owner` owns a range. A home that owns a range of its own
     /// needs no share for it; neighbours with the same owner become one.
-    pub fn moved(&self, range: &HashRange, owner: &str) -> ShardMap {
+    pub fn with_owner(&self, range: &HashRange, owner: &str) -> ShardMap {
         let mut next = ShardMap {
             generation: self.generation + 1,
-            shares: BTreeMap::new(),
+            ranges: BTreeMap::new(),
         };
-        for (share, other) in &self.shares {
-            for rest in without(share, range) {
-                next.shares.insert(rest, other.clone());
+        for (stored_range, other) in &self.ranges {
+            for rest in without(stored_range, range) {
+                next.ranges.insert(rest, other.clone());
             }
         }
         if owner != range.hash_owner {
-            next.shares.insert(range.clone(), owner.into());
+            next.ranges.insert(range.clone(), owner.into());
         }
         next.merge_neighbours();
         next
@@ -156,7 +158,7 @@
 
     fn merge_neighbours(&mut self) {
         let mut merged: Vec<(HashRange, String)> = Vec::new();
-        for (range, owner) in std::mem::take(&mut self.shares) {
+        for (range, owner) in std::mem::take(&mut self.ranges) {
             match merged.last_mut() {
                 Some((before, same))
                     if *same == owner
@@ -168,12 +170,12 @@
                 _ => merged.push((range, owner)),
             }
         }
-        self.shares = merged.into_iter().collect();
+        self.ranges = merged.into_iter().collect();
     }
 
     /// The table as it is stored.
-    pub fn stored(&self) -> StoredShardMap {
-        let share = |(range, owner): (&HashRange, &String)| {
+    pub fn to_stored(&self) -> StoredShardMap {
+        let stored_range = |(range, owner): (&HashRange, &String)| {
             let hex = |position: HashPosition| format!("{position:x}");
             (
                 range.hash_owner.clone(),
@@ -184,7 +186,7 @@
         };
         StoredShardMap {
             generation: self.generation,
-            shares: self.shares.iter().map(share).collect(),
+            ranges: self.ranges.iter().map(stored_range).collect(),
         }
     }
 
@@ -192,7 +194,7 @@
     /// hash decides.
     pub fn read(stored: &StoredShardMap) -> (ShardMap, Vec<ShardMapError>) {
         let (mut good, mut errors) = (Vec::new(), Vec::new());
-        for (n, (hash_owner, first, last, owner)) in stored.shares.iter().enumerate() {
+        for (n, (hash_owner, first, last, owner)) in stored.ranges.iter().enumerate() {
             let ends = HashPosition::from_str_radix(first, 16)
                 .ok()
                 .zip(HashPosition::from_str_radix(last, 16).ok());
@@ -212,7 +214,7 @@
         }
         let mut table = ShardMap {
             generation: stored.generation,
-            shares: BTreeMap::new(),
+            ranges: BTreeMap::new(),
         };
         for (n, (range, owner)) in good.iter().enumerate() {
             let others = good.iter().enumerate().filter(|(m, _)| *m != n);
@@ -222,7 +224,7 @@
             {
                 Some(other) => errors.push(ShardMapError::Overlap(range.clone(), other.clone())),
                 None => {
-                    table.shares.insert(range.clone(), owner.clone());
+                    table.ranges.insert(range.clone(), owner.clone());
                 }
             }
         }
@@ -231,21 +233,21 @@
 }
 
 /// What is left of a share outside a range.
-fn without(share: &HashRange, range: &HashRange) -> Vec<HashRange> {
-    if !share.overlaps(range) {
-        return vec![share.clone()];
+fn without(stored_range: &HashRange, range: &HashRange) -> Vec<HashRange> {
+    if !stored_range.overlaps(range) {
+        return vec![stored_range.clone()];
     }
     let mut rest = Vec::new();
-    if share.first < range.first {
+    if stored_range.first < range.first {
         rest.push(HashRange {
             last: range.first - 1,
-            ..share.clone()
+            ..stored_range.clone()
         });
     }
-    if share.last > range.last {
+    if stored_range.last > range.last {
         rest.push(HashRange {
             first: range.last + 1,
-            ..share.clone()
+            ..stored_range.clone()
         });
     }
     rest
--- a/crates/sharding/src/transfer.rs
+++ b/crates/sharding/src/transfer.rs
@@ -33,12 +33,13 @@
     /// Its owner has far more machines than others.
     Balance,
     /// The table is full: its home takes the smallest share back.
-    Tidy,
+    #[serde(rename = "tidy")]
+    Compact,
 }
 
 /// A move that is wanted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WantedMove {
+pub struct RangeMove {
     /// What moves; a single controller owns all of it.
     pub range: HashRange,
     /// Its owner.
@@ -70,9 +71,10 @@
 /// How a transfer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum TransferEnd {
+pub enum TransferOutcome {
     /// The target goes on from what the source knew.
-    Owned,
+    #[serde(rename = "owned")]
+    Completed,
     /// A side did not answer in time.
     TimedOut,
     /// The table was changed by somebody else.
@@ -89,7 +91,8 @@
     /// To the source: no more orders to these machines. It ends when it is no longer told.
     Fence { id: TransferId, range: HashRange },
     /// To the target: go on from this, once the table of that generation is seen.
-    Take {
+    #[serde(rename = "Take")]
+    TakeOver {
         id: TransferId,
         range: HashRange,
         generation: u64,
@@ -103,7 +106,7 @@
         match self {
             TransferOrder::Offer { id }
             | TransferOrder::Fence { id, .. }
-            | TransferOrder::Take { id, .. } => *id,
+            | TransferOrder::TakeOver { id, .. } => *id,
         }
     }
 }
@@ -122,7 +125,8 @@
     pub released: Vec<TransferId>,
     /// Shares with which it goes on.
     #[serde(default)]
-    pub taken: Vec<TransferId>,
+    #[serde(rename = "taken")]
+    pub taken_over: Vec<TransferId>,
 }
 
 impl TransferReport {
@@ -131,7 +135,7 @@
         self.accepted.is_empty()
             && self.fenced.is_empty()
             && self.released.is_empty()
-            && self.taken.is_empty()
+            && self.taken_over.is_empty()
     }
 }
 
@@ -140,7 +144,7 @@
 pub struct Transfer {
     /// What moves, from whom to whom, and why.
     #[serde(flatten)]
-    pub wanted: WantedMove,
+    pub range_move: RangeMove,
     /// How far it is.
     pub state: TransferState,
     /// Since when, on the leader's clock.
@@ -158,14 +162,14 @@
     #[serde(skip)]
     released: bool,
     #[serde(skip)]
-    taken: bool,
+    taken_over: bool,
 }
 
 /// A change of the table that is to be written.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TableWrite {
+pub struct ShardMapWrite {
     /// The table from then on.
-    pub table: ShardMap,
+    pub shard_map: ShardMap,
 }
 
 /// All transfers of the leader.
@@ -176,7 +180,7 @@
     /// The table that is being written.
     writing: Option<ShardMap>,
     /// How many ended in each way.
-    pub ended: BTreeMap<TransferEnd, u64>,
+    pub ended: BTreeMap<TransferOutcome, u64>,
     /// Machines that changed hands.
     pub machines_moved: u64,
     /// The longest time from the beginning to the end of one that moved, in seconds.
@@ -198,28 +202,28 @@
     }
 
     /// Whether a range takes shard in a transfer.
-    pub fn moves(&self, range: &HashRange) -> bool {
+    pub fn is_moving(&self, range: &HashRange) -> bool {
         self.under_way
             .values()
-            .any(|transfer| transfer.wanted.range.overlaps(range))
+            .any(|transfer| transfer.range_move.range.overlaps(range))
     }
 
     /// Begins a transfer; false if part of the range is moving already.
-    pub fn begin(&mut self, wanted: WantedMove, now: Seconds) -> bool {
-        if self.moves(&wanted.range) || wanted.source == wanted.target {
+    pub fn begin(&mut self, range_move: RangeMove, now: Seconds) -> bool {
+        if self.is_moving(&range_move.range) || range_move.source == range_move.target {
             return false;
         }
         self.numbers += 1;
         let state = TransferState::Offered;
         let transfer = Transfer {
-            wanted,
+            range_move,
             state,
             since: now,
             began: now,
             knowledge: Vec::new(),
             committed: 0,
             released: false,
-            taken: false,
+            taken_over: false,
         };
         self.under_way.insert(self.numbers, transfer);
         true
@@ -229,15 +233,15 @@
     pub fn orders_for(&self, node: &str) -> Vec<TransferOrder> {
         let mut orders = Vec::new();
         for (&id, transfer) in &self.under_way {
-            let wanted = &transfer.wanted;
+            let range_move = &transfer.range_move;
             match transfer.state {
-                TransferState::Offered if wanted.target == node => {
+                TransferState::Offered if range_move.target == node => {
                     orders.push(TransferOrder::Offer { id })
                 }
-                TransferState::Committed if wanted.target == node => {
-                    orders.push(TransferOrder::Take {
+                TransferState::Committed if range_move.target == node => {
+                    orders.push(TransferOrder::TakeOver {
                         id,
-                        range: wanted.range.clone(),
+                        range: range_move.range.clone(),
                         generation: transfer.committed,
                         machines: transfer.knowledge.clone(),
                     })
@@ -246,11 +250,11 @@
                 | TransferState::Fenced
                 | TransferState::Committing
                 | TransferState::Committed
-                    if wanted.source == node =>
+                    if range_move.source == node =>
                 {
                     orders.push(TransferOrder::Fence {
                         id,
-                        range: wanted.range.clone(),
+                        range: range_move.range.clone(),
                     });
                 }
                 _ => {}
@@ -260,7 +264,7 @@
     }
 
     /// Takes in what a controller says of its transfers.
-    pub fn take_in(&mut self, node: &str, report: TransferReport, now: Seconds) {
+    pub fn apply_report(&mut self, node: &str, report: TransferReport, now: Seconds) {
         for id in report.accepted {
             self.advance(
                 id,
@@ -286,20 +290,20 @@
         let committed = |h: &&mut Transfer| h.state == TransferState::Committed;
         for id in &report.released {
             if let Some(transfer) = self.under_way.get_mut(id).filter(committed) {
-                transfer.released |= transfer.wanted.source == node;
+                transfer.released |= transfer.range_move.source == node;
             }
         }
-        for id in &report.taken {
+        for id in &report.taken_over {
             if let Some(transfer) = self.under_way.get_mut(id).filter(committed) {
-                transfer.taken |= transfer.wanted.target == node;
+                transfer.taken_over |= transfer.range_move.target == node;
             }
         }
         // Guard: a source that has not seen the table yet must go on being told to give no
         // orders.
-        let over = |(id, h): (&TransferId, &Transfer)| (h.released && h.taken).then_some(*id);
+        let over = |(id, h): (&TransferId, &Transfer)| (h.released && h.taken_over).then_some(*id);
         let ids: Vec<TransferId> = self.under_way.iter().filter_map(over).collect();
         for id in ids {
-            self.end(id, TransferEnd::Owned, now);
+            self.end(id, TransferOutcome::Completed, now);
         }
     }
 
@@ -316,9 +320,9 @@
             return false;
         };
         let side = if to == TransferState::Fenced {
-            &transfer.wanted.source
+            &transfer.range_move.source
         } else {
-            &transfer.wanted.target
+            &transfer.range_move.target
         };
         if transfer.state != from || side != node {
             return false;
@@ -328,12 +332,12 @@
         true
     }
 
-    fn end(&mut self, id: TransferId, how: TransferEnd, now: Seconds) {
+    fn end(&mut self, id: TransferId, how: TransferOutcome, now: Seconds) {
         let Some(transfer) = self.under_way.remove(&id) else {
             return;
         };
         *self.ended.entry(how).or_default() += 1;
-        if how == TransferEnd::Owned {
+        if how == TransferOutcome::Completed {
             self.machines_moved += transfer.knowledge.len() as u64;
             self.longest_s = self.longest_s.max(now - transfer.began);
         }
@@ -341,7 +345,7 @@
 
     /// Withdraws what nobody answers. Guard: not what is being written, which may be
     /// carried out late.
-    pub fn withdraw_stale(&mut self, patience: Seconds, now: Seconds) {
+    pub fn time_out_stale(&mut self, patience: Seconds, now: Seconds) {
         let stale = |h: &Transfer| {
             matches!(h.state, TransferState::Offered | TransferState::Accepted)
                 && now - h.since > patience
@@ -353,16 +357,16 @@
             .map(|(id, _)| *id)
             .collect();
         for id in ids {
-            self.end(id, TransferEnd::TimedOut, now);
+            self.end(id, TransferOutcome::TimedOut, now);
         }
     }
 
     /// The change of the table that is to be written, on the condition that `present` is
     /// the table still. The same one is given again until its outcome is known.
-    pub fn to_write(&mut self, present: &ShardMap, now: Seconds) -> Option<TableWrite> {
+    pub fn pending_write(&mut self, present: &ShardMap, now: Seconds) -> Option<ShardMapWrite> {
         if let Some(table) = &self.writing {
-            return Some(TableWrite {
-                table: table.clone(),
+            return Some(ShardMapWrite {
+                shard_map: table.clone(),
             });
         }
         let mut table = present.clone();
@@ -374,18 +378,18 @@
             let Some(transfer) = self.under_way.get_mut(&id) else {
                 continue;
             };
-            table = table.moved(&transfer.wanted.range, &transfer.wanted.target);
+            table = table.with_owner(&transfer.range_move.range, &transfer.range_move.target);
             transfer.state = TransferState::Committing;
             transfer.since = now;
         }
         // Several moves are one change.
         table.generation = present.generation + 1;
         self.writing = Some(table.clone());
-        Some(TableWrite { table })
+        Some(ShardMapWrite { shard_map: table })
     }
 
     /// The table as it is known now. What was being written is committed if it is there.
-    pub fn table_is(&mut self, present: &ShardMap, now: Seconds) {
+    pub fn observe_shard_map(&mut self, present: &ShardMap, now: Seconds) {
         if self.writing.as_ref() != Some(present) {
             return;
         }
@@ -402,19 +406,19 @@
     }
 
     /// What was being written was refused for certain: the table, or the epoch, is another.
-    pub fn refused(&mut self, now: Seconds) {
+    pub fn write_refused(&mut self, now: Seconds) {
         self.writing = None;
         for id in self.in_state(TransferState::Committing) {
-            self.end(id, TransferEnd::Refused, now);
+            self.end(id, TransferOutcome::Refused, now);
         }
     }
 
     /// A new epoch has begun, or this node no longer leads.
-    pub fn new_epoch(&mut self, now: Seconds) {
+    pub fn abort_all(&mut self, now: Seconds) {
         self.writing = None;
         let ids: Vec<TransferId> = self.under_way.keys().copied().collect();
         for id in ids {
-            self.end(id, TransferEnd::NewEpoch, now);
+            self.end(id, TransferOutcome::NewEpoch, now);
         }
     }
 }
--- a/crates/sharding/src/transfer_state.rs
+++ b/crates/sharding/src/transfer_state.rs
@@ -22,7 +22,8 @@
     #[serde(rename = "addr")]
     pub address: Option<Arc<str>>,
     /// On the machine registry.
-    pub listed: bool,
+    #[serde(rename = "listed")]
+    pub registered: bool,
     /// Marked there as used.
     pub up: bool,
     /// What is known of its content.
@@ -32,19 +33,24 @@
     /// The number of the newest report taken in.
     pub seq: u64,
     /// The counter of the highest token that any command to it carries.
-    pub counter: u64,
+    #[serde(rename = "counter")]
+    pub token_counter: u64,
     /// Sessions up to this one are over.
-    pub over: u64,
+    #[serde(rename = "over")]
+    pub ended_session: u64,
     /// How long ago it was last heard; none if never in this epoch.
-    pub heard_ago_s: Option<f64>,
+    #[serde(rename = "heard_ago_s")]
+    pub last_heartbeat_ago_s: Option<f64>,
     /// How long ago its present session was first seen.
     pub session_seen_ago_s: f64,
     /// In how many seconds it will be taken away, if that is known.
     pub notice_in_s: Option<f64>,
     /// The tasks that it last showed.
-    pub lines: Vec<ReportedTaskState>,
+    #[serde(rename = "lines")]
+    pub reported_tasks: Vec<ReportedTaskState>,
     /// The tasks that its owner holds there.
-    pub held: Vec<AssignedTaskState>,
+    #[serde(rename = "held")]
+    pub assigned_tasks: Vec<AssignedTaskState>,
     /// Images that are likely there, and their sizes.
     pub images: Vec<(Arc<str>, f64)>,
 }
@@ -76,13 +82,16 @@
     /// The token of its last start; the highest number while none can be under way.
     pub start_token: u64,
     /// A start of it has been sent.
-    pub sent: bool,
+    #[serde(rename = "sent")]
+    pub start_sent: bool,
     /// It was seen there.
     pub confirmed: bool,
     /// It has completed.
-    pub done: bool,
+    #[serde(rename = "done")]
+    pub completed: bool,
     /// It is to be stopped.
     pub stopping: bool,
     /// How long it has been doing what it does.
-    pub for_s: f64,
+    #[serde(rename = "for_s")]
+    pub in_phase_s: f64,
 }
--- a/crates/sharding/tests/shard_map.rs
+++ b/crates/sharding/tests/shard_map.rs
@@ -44,7 +44,7 @@
         let mut plain: BTreeMap<&str, &str> = machines.iter().map(|(id, hash_owner)| (id.as_str(), hash_owner.as_str())).collect();
         for (n, (hash_owner, a, b, owner)) in moves.iter().enumerate() {
             let range = range(NODES[*hash_owner], *a.min(b), *a.max(b));
-            table = table.moved(&range, NODES[*owner]);
+            table = table.with_owner(&range, NODES[*owner]);
             for (id, hash_owner) in machines.iter().filter(|(id, hash_owner)| range.contains(hash_owner, position(id))) {
                 plain.insert(id, if hash_owner == NODES[*owner] { hash_owner } else { NODES[*owner] });
             }
@@ -55,11 +55,11 @@
                 prop_assert_eq!(owner, plain[id.as_str()], "{}", id);
             }
         }
-        let shares: Vec<&HashRange> = table.shares().map(|(range, _)| range).collect();
+        let shares: Vec<&HashRange> = table.ranges().map(|(range, _)| range).collect();
         for (n, share) in shares.iter().enumerate() {
             prop_assert!(!shares[n + 1..].iter().any(|other| other.overlaps(share)));
         }
-        let text = serde_json::to_string(&table.stored()).expect("text");
+        let text = serde_json::to_string(&table.to_stored()).expect("text");
         let stored: StoredShardMap = serde_json::from_str(&text).expect("a table");
         prop_assert_eq!(ShardMap::read(&stored), (table, Vec::new()));
     }
@@ -71,12 +71,12 @@
         fleet_size in 1..50usize,
         drained in prop::option::of(0..3usize),
         moved in prop::collection::vec((0..3usize, 0..3usize, 1..20usize), 0..3),
-        most_shares in 4..9usize,
+        max_ranges in 4..9usize,
     ) {
         let members: BTreeSet<String> = NODES.iter().map(ToString::to_string).collect();
         let machines = machines(fleet_size);
         let limits = PlannerLimits {
-            machines_per_move: 5, moves_per_minute: 60.0, imbalance: 0.3, most_shares, rest_s: 60.0,
+            machines_per_move: 5, moves_per_minute: 60.0, imbalance: 0.3, max_ranges, cooldown_s: 60.0,
         };
         let plan = Plan {
             drain: drained.iter().map(|n| NODES[*n].to_string()).collect(),
@@ -93,13 +93,13 @@
             let owned: Vec<OwnedMachine> = machines.iter().map(|(id, hash_owner)| OwnedMachine {
                 hash_owner: hash_owner.clone(), position: position(id), owner: table.owner(hash_owner, id).unwrap_or(hash_owner).into(),
             }).collect();
-            let fleet = Fleet { members: &members, machines: &owned, table: &table };
+            let fleet = Fleet { members: &members, machines: &owned, shard_map: &table };
             match planner.next(fleet, &Transfers::default(), f64::from(turn)) {
                 Some(wanted) => {
                     prop_assert_eq!(table.sole_owner(&wanted.range), Some(wanted.source.as_str()));
                     prop_assert!(!drains.contains(&wanted.target) || wanted.reason == MoveReason::Plan);
-                    table = table.moved(&wanted.range, &wanted.target);
-                    prop_assert!(table.len() <= most_shares, "{} shares", table.len());
+                    table = table.with_owner(&wanted.range, &wanted.target);
+                    prop_assert!(table.len() <= max_ranges, "{} shares", table.len());
                     quiet = 0;
                 }
                 None => quiet += 1,
@@ -120,7 +120,7 @@
     let (table, errors) = ShardMap::read(&serde_json::from_str(text).expect("a table"));
     assert_eq!(table.generation, 7);
     assert_eq!(
-        table.shares().collect::<Vec<_>>(),
+        table.ranges().collect::<Vec<_>>(),
         [(&HashRange::whole("c"), "a")]
     );
     let (first, second) = (range("a", 0, 0xff), range("a", 0x80, 0x1ff));
@@ -185,7 +185,7 @@
 /// Foreign, late and repeated messages move no transfer.
 #[test]
 fn only_the_side_that_is_asked_takes_a_step() {
-    let wanted = finchwood_sharding::transfer::WantedMove {
+    let wanted = finchwood_sharding::transfer::RangeMove {
         range: range("a", 0, 99),
         source: "a".into(),
         target: "b".into(),
@@ -194,34 +194,34 @@
     let mut all = Transfers::default();
     assert!(all.begin(wanted.clone(), 0.0));
     assert!(!all.begin(wanted.clone(), 0.0), "it is moving already");
-    let report = |accepted: &[u64], fenced: &[u64], taken: &[u64]| TransferReport {
+    let report = |accepted: &[u64], fenced: &[u64], taken_over: &[u64]| TransferReport {
         accepted: accepted.to_vec(),
         fenced: fenced.iter().map(|id| (*id, Vec::new())).collect(),
         released: Vec::new(),
-        taken: taken.to_vec(),
+        taken_over: taken_over.to_vec(),
     };
     let state = |all: &Transfers| all.under_way().next().map(|h| format!("{:?}", h.state));
-    all.take_in("b", report(&[], &[1], &[1]), 1.0);
-    all.take_in("a", report(&[1], &[1], &[1]), 1.0);
-    all.take_in("c", report(&[1], &[1], &[1]), 1.0);
+    all.apply_report("b", report(&[], &[1], &[1]), 1.0);
+    all.apply_report("a", report(&[1], &[1], &[1]), 1.0);
+    all.apply_report("c", report(&[1], &[1], &[1]), 1.0);
     assert_eq!(state(&all).as_deref(), Some("Offered"));
-    all.take_in("b", report(&[1, 9], &[], &[]), 1.0);
-    all.take_in("b", report(&[1], &[1], &[1]), 1.0);
+    all.apply_report("b", report(&[1, 9], &[], &[]), 1.0);
+    all.apply_report("b", report(&[1], &[1], &[1]), 1.0);
     assert_eq!(state(&all).as_deref(), Some("Accepted"));
-    all.take_in("a", report(&[], &[1], &[]), 2.0);
+    all.apply_report("a", report(&[], &[1], &[]), 2.0);
     assert_eq!(state(&all).as_deref(), Some("Fenced"));
     // Written, with an answer that is lost: nothing withdraws it, and it is written again.
     let table = ShardMap::default();
-    let write = all.to_write(&table, 3.0).expect("a write");
-    all.withdraw_stale(1.0, 100.0);
-    assert_eq!(all.to_write(&table, 100.0), Some(write.clone()));
-    all.table_is(&table, 101.0);
+    let write = all.pending_write(&table, 3.0).expect("a write");
+    all.time_out_stale(1.0, 100.0);
+    assert_eq!(all.pending_write(&table, 100.0), Some(write.clone()));
+    all.observe_shard_map(&table, 101.0);
     assert_eq!(state(&all).as_deref(), Some("Committing"));
-    all.table_is(&write.table, 102.0);
+    all.observe_shard_map(&write.shard_map, 102.0);
     assert_eq!(state(&all).as_deref(), Some("Committed"));
-    all.take_in("a", report(&[], &[], &[1]), 103.0);
+    all.apply_report("a", report(&[], &[], &[1]), 103.0);
     assert_eq!(state(&all).as_deref(), Some("Committed"));
-    all.take_in("b", report(&[], &[], &[1]), 103.0);
+    all.apply_report("b", report(&[], &[], &[1]), 103.0);
     assert_eq!(
         state(&all).as_deref(),
         Some("Committed"),
@@ -231,20 +231,20 @@
         released: vec![1],
         ..TransferReport::default()
     };
-    all.take_in("b", released.clone(), 104.0);
+    all.apply_report("b", released.clone(), 104.0);
     assert!(state(&all).is_some());
-    all.take_in("a", released, 104.0);
+    all.apply_report("a", released, 104.0);
     assert_eq!(state(&all), None);
     // One that nobody answers is withdrawn, and one that is refused for certain.
     assert!(all.begin(wanted.clone(), 200.0));
-    all.withdraw_stale(5.0, 204.0);
+    all.time_out_stale(5.0, 204.0);
     assert!(state(&all).is_some());
-    all.withdraw_stale(5.0, 206.0);
+    all.time_out_stale(5.0, 206.0);
     assert_eq!(state(&all), None);
     assert!(all.begin(wanted, 300.0));
-    all.take_in("b", report(&[3], &[], &[]), 301.0);
-    all.take_in("a", report(&[], &[3], &[]), 301.0);
-    all.to_write(&write.table, 302.0);
-    all.refused(303.0);
+    all.apply_report("b", report(&[3], &[], &[]), 301.0);
+    all.apply_report("a", report(&[], &[3], &[]), 301.0);
+    all.pending_write(&write.shard_map, 302.0);
+    all.write_refused(303.0);
     assert_eq!(state(&all), None);
 }
--- a/src/api/shard_map_report.rs
+++ b/src/api/shard_map_report.rs
@@ -4,7 +4,7 @@
 use crate::wire::MachineId;
 use finchwood_sharding::plan::Plan;
 use finchwood_sharding::shard_map::HashRange;
-use finchwood_sharding::transfer::{Transfer, TransferEnd};
+use finchwood_sharding::transfer::{Transfer, TransferOutcome};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -45,7 +45,7 @@
     /// The transfers under way.
     pub under_way: Vec<Transfer>,
     /// The number of transfers that ended, by how they ended.
-    pub ended: BTreeMap<TransferEnd, u64>,
+    pub ended: BTreeMap<TransferOutcome, u64>,
     /// The number of machines that changed their owner.
     pub machines_moved: u64,
     /// The duration of the longest transfer that moved a hash range, in seconds.
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -63,7 +63,7 @@
             self.leader
                 .unreconciled_machines(&self.cache, &|id| deleted.contains_key(id))
         };
-        restart.hold_off.is_on(now).then(unreconciled)
+        restart.hold_off.is_active(now).then(unreconciled)
     }
 
     /// Whether an action is held back while machines are in doubt; counted, if so.
@@ -79,10 +79,10 @@
         };
         let situation = Situation {
             now,
-            all_joined: self.leader.all_joined(),
+            all_shards_reported: self.leader.all_joined(),
             unreconciled,
         };
-        match restart.hold_off.hold(action, spec, situation) {
+        match restart.hold_off.hold_reason(action, spec, situation) {
             Some(reason) => {
                 self.shard.record_hold_off(action, reason);
                 true
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -57,8 +57,8 @@
             machines_per_move: with.machines_per_move,
             moves_per_minute: with.moves_per_minute,
             imbalance: with.imbalance,
-            most_shares: settings.params.state.lowest_value_bytes() / SHARE_BYTES,
-            rest_s: settings.params.workers.lease_s * with.rest_leases,
+            max_ranges: settings.params.state.lowest_value_bytes() / SHARE_BYTES,
+            cooldown_s: settings.params.workers.lease_s * with.rest_leases,
         };
         Shares {
             transfers: Transfers::default(),
@@ -100,7 +100,7 @@
     /// A new epoch has begun: whatever transfers had reached stays as it is.
     pub(super) fn forget_transfers(&mut self, now: Seconds) {
         if let Some(shares) = &mut self.shares {
-            shares.transfers.new_epoch(now);
+            shares.transfers.abort_all(now);
             shares.refused_at = None;
         }
     }
@@ -124,7 +124,7 @@
             return;
         };
         let before: Vec<_> = shares.transfers.under_way().map(|h| h.state).collect();
-        shares.transfers.take_in(from, report, now);
+        shares.transfers.apply_report(from, report, now);
         let after: Vec<_> = shares.transfers.under_way().map(|h| h.state).collect();
         if before != after {
             self.tell_sides(from);
@@ -143,7 +143,7 @@
         let moves = shares
             .transfers
             .under_way()
-            .any(|h| h.wanted.range.contains(hash_owner, at));
+            .any(|h| h.range_move.range.contains(hash_owner, at));
         moves || !self.leader.has_one_owner(machine)
     }
 
@@ -153,7 +153,7 @@
         let sides: BTreeSet<String> = shares
             .transfers
             .under_way()
-            .flat_map(|h| [h.wanted.source.clone(), h.wanted.target.clone()])
+            .flat_map(|h| [h.range_move.source.clone(), h.range_move.target.clone()])
             .filter(|side| side != but)
             .collect();
         for side in sides {
@@ -169,14 +169,16 @@
         let Some(shares) = self.shares.as_mut().filter(|_| in_use) else {
             return;
         };
-        shares.transfers.table_is(&self.cache.shard_map, now);
+        shares
+            .transfers
+            .observe_shard_map(&self.cache.shard_map, now);
         // Refused for certain, and what has been read since does not hold it either.
         let read_since = |at: &Seconds| self.last_synced_at.is_some_and(|fresh| fresh > *at);
         if shares.refused_at.as_ref().is_some_and(read_since) {
-            shares.transfers.refused(now);
+            shares.transfers.write_refused(now);
             shares.refused_at = None;
         }
-        shares.transfers.withdraw_stale(patience, now);
+        shares.transfers.time_out_stale(patience, now);
         self.write_table(now);
         self.begin_transfer(now);
     }
@@ -189,7 +191,7 @@
         else {
             return;
         };
-        let Some(change) = shares.transfers.to_write(&self.cache.shard_map, now) else {
+        let Some(change) = shares.transfers.pending_write(&self.cache.shard_map, now) else {
             return;
         };
         let write = ConditionalWrite {
@@ -200,7 +202,7 @@
             ],
             ops: vec![WriteOp::Put {
                 key: SHARD_MAP_KEY.into(),
-                value: serde_json::to_value(change.table.stored()).unwrap_or_default(),
+                value: serde_json::to_value(change.shard_map.to_stored()).unwrap_or_default(),
                 lease: None,
             }],
             deadline: now + TABLE_WRITE_S,
@@ -218,14 +220,17 @@
         shares.writing = false;
         match outcome {
             CommitOutcome::Committed(revision) => {
-                let Some(change) = shares.transfers.to_write(&self.cache.shard_map, now) else {
+                let Some(change) = shares.transfers.pending_write(&self.cache.shard_map, now)
+                else {
                     return;
                 };
-                let value = serde_json::to_value(change.table.stored()).unwrap_or_default();
+                let value = serde_json::to_value(change.shard_map.to_stored()).unwrap_or_default();
                 let change = self.cache.put(SHARD_MAP_KEY, value, revision);
                 self.changed(change, now);
                 if let Some(shares) = &mut self.shares {
-                    shares.transfers.table_is(&self.cache.shard_map, now);
+                    shares
+                        .transfers
+                        .observe_shard_map(&self.cache.shard_map, now);
                 }
                 self.tell_sides("");
             }
@@ -255,13 +260,13 @@
         let fleet = Fleet {
             members: &members,
             machines: &machines,
-            table: &self.cache.shard_map,
+            shard_map: &self.cache.shard_map,
         };
-        let Some(wanted) = shares.planner.next(fleet, &shares.transfers, now) else {
+        let Some(range_move) = shares.planner.next(fleet, &shares.transfers, now) else {
             return;
         };
-        tracing::info!(range = %wanted.range, source = wanted.source, target = wanted.target, reason = ?wanted.reason, "a share is to move");
-        if shares.transfers.begin(wanted, now) {
+        tracing::info!(range = %range_move.range, source = range_move.source, target = range_move.target, reason = ?range_move.reason, "a share is to move");
+        if shares.transfers.begin(range_move, now) {
             self.tell_sides("");
         }
     }
@@ -331,7 +336,7 @@
             epoch: self.shard.epoch(),
             in_use: self.my_epoch().is_some_and(|epoch| epoch.uses_shard_map),
             generation: table.generation,
-            shares: table.shares().map(share).collect(),
+            shares: table.ranges().map(share).collect(),
             machines: self.shard.registered_machines(),
             fenced: self.shard.fenced_machines(),
             leader: self
--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -9,7 +9,7 @@
 use crate::wire::{Command, CommandBatch, Heartbeat, MachineId, Task};
 use finchwood_reconciliation::restart_record::StopCause;
 use finchwood_reconciliation::stored_jobs::StoredJobs;
-use finchwood_reconciliation::verdict::{may_reap, must_stop};
+use finchwood_reconciliation::verdict::{may_forget, must_stop};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -98,7 +98,7 @@
         let token = token(epoch, m.token.counter);
         let counts = &mut self.restart_record.orders;
         counts.reaps += reaps.len() as u64;
-        *counts.stops.entry(StopCause::NotHeld).or_default() += stops.len() as u64;
+        *counts.stops.entry(StopCause::NotAssigned).or_default() += stops.len() as u64;
         let mut commands = reaps;
         commands.extend(stops);
         for task in self.assigned.names_on(id) {
@@ -157,7 +157,7 @@
         };
         let due = m.contents.tasks.iter().filter(|(task, observed)| {
             let holding = self.holding(id, task, observed.attempt);
-            may_reap(observed.reported(), holding, cache.stored(task)).is_some()
+            may_forget(observed.reported(), holding, cache.stored_task(task)).is_some()
         });
         due.map(|(task, line)| Command::Forget {
             task: task.to_string(),
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -561,7 +561,7 @@
 
 /// Whether a task needs no more runs, by what is committed.
 fn finished(cache: &StoreCache, task: &Task) -> bool {
-    cache.stored(task).needs_no_run()
+    cache.stored_task(task).needs_no_run()
 }
 
 impl Placement {
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -10,7 +10,9 @@
 use finchwood_reconciliation::hold_off::{Action, HoldReason};
 use finchwood_reconciliation::restart_record::{DecisionEntry, RecordView};
 use finchwood_reconciliation::stored_jobs::StoredJobs;
-use finchwood_reconciliation::verdict::{attempt_counts, judge, AdoptReason, Holding, Verdict};
+use finchwood_reconciliation::verdict::{
+    attempt_counts, decide, AdoptReason, KnownAssignment, Verdict,
+};
 use std::collections::BTreeMap;
 
 /// A task that is held and not listed.
@@ -24,13 +26,15 @@
 
 impl Shard {
     /// What this shard holds of a task that a machine shows under an attempt.
-    pub(super) fn holding(&self, id: &MachineId, task: &Task, attempt: u64) -> Holding {
+    pub(super) fn holding(&self, id: &MachineId, task: &Task, attempt: u64) -> KnownAssignment {
         match self.assigned.get(task) {
-            None => Holding::Nothing,
+            None => KnownAssignment::Unassigned,
             Some(held) => match &held.placement {
-                None => Holding::Planned,
-                Some(place) if held.attempt == attempt && place.machine == *id => Holding::Same,
-                Some(_) => Holding::Elsewhere,
+                None => KnownAssignment::Unplaced,
+                Some(place) if held.attempt == attempt && place.machine == *id => {
+                    KnownAssignment::Same
+                }
+                Some(_) => KnownAssignment::Elsewhere,
             },
         }
     }
@@ -53,7 +57,12 @@
         for (task, observed) in &lines {
             let attempt = observed.attempt;
             let holding = self.holding(id, task, attempt);
-            let verdict = judge(observed.reported(), holding, cache.stored(task), self.epoch);
+            let verdict = decide(
+                observed.reported(),
+                holding,
+                cache.stored_task(task),
+                self.epoch,
+            );
             if verdict != Verdict::Known {
                 judged.insert(task.clone(), (attempt, verdict));
                 if judged_before.get(task) != Some(&(attempt, verdict)) {
@@ -85,7 +94,7 @@
         now: Seconds,
     ) {
         match verdict {
-            Verdict::Known | Verdict::Reap(_) | Verdict::Conflict(_) => {}
+            Verdict::Known | Verdict::Forget(_) | Verdict::Conflict(_) => {}
             Verdict::Adopt(AdoptReason::FoundWhilePlanned) => {
                 let stale = self.assigned.get(task).map(|held| held.attempt);
                 tracing::warn!(%task, stale, attempt, "assigned task found on a machine");
@@ -97,7 +106,7 @@
             Verdict::Adopt(_)
             | Verdict::RecordFinished
             | Verdict::Stop(_)
-            | Verdict::LeaveInDoubt(_) => {
+            | Verdict::LeaveUnreconciled(_) => {
                 let held = AssignedTask {
                     attempt,
                     assignment: attempt,
@@ -121,7 +130,7 @@
         now: Seconds,
     ) {
         match verdict {
-            Verdict::Reap(_) | Verdict::Conflict(_) => {}
+            Verdict::Forget(_) | Verdict::Conflict(_) => {}
             Verdict::Stop(_) => {
                 self.update_phase(task, observed, now);
                 self.stop_task(task, observed.attempt, Stop::Cancelled);
@@ -129,7 +138,7 @@
             Verdict::Known
             | Verdict::Adopt(_)
             | Verdict::RecordFinished
-            | Verdict::LeaveInDoubt(_) => {
+            | Verdict::LeaveUnreconciled(_) => {
                 self.update_phase(task, observed, now);
             }
         }
@@ -148,13 +157,16 @@
         first_sight: bool,
         now: Seconds,
     ) {
-        let odd = matches!(verdict, Verdict::LeaveInDoubt(_) | Verdict::Conflict(_));
+        let odd = matches!(
+            verdict,
+            Verdict::LeaveUnreconciled(_) | Verdict::Conflict(_)
+        );
         if odd {
             tracing::warn!(%task, attempt, machine = %id, ?verdict, "a reported task is left alone");
         } else if !first_sight {
             return;
         }
-        self.restart_record.note(DecisionEntry {
+        self.restart_record.record_decision(DecisionEntry {
             at_s: self.restart_record.age_s(now),
             task: task.to_string(),
             attempt,
@@ -217,7 +229,7 @@
 
     /// The leader held something back because of what is in doubt.
     pub fn record_hold_off(&mut self, action: Action, reason: HoldReason) {
-        self.restart_record.note_hold(action, reason);
+        self.restart_record.record_hold(action, reason);
     }
 
     /// What was found and decided since this shard last knew nothing.
@@ -227,7 +239,7 @@
             .values()
             .filter(|m| !m.is_reconciled())
             .count();
-        self.restart_record.note_doubt(in_doubt, now);
+        self.restart_record.record_unreconciled(in_doubt, now);
         self.restart_record
             .view(self.machines.values().map(|m| m.state), now)
     }
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -40,7 +40,7 @@
 pub(super) struct TransferParticipant {
     fences: BTreeMap<TransferId, Fence>,
     accepted: BTreeSet<TransferId>,
-    taken: BTreeSet<TransferId>,
+    taken_over: BTreeSet<TransferId>,
     /// Machines that the table has given to this shard, and of which it knows nothing yet.
     awaited: BTreeSet<MachineId>,
     /// When the table last changed.
@@ -91,7 +91,7 @@
                 .map(|(id, fence)| (*id, fence.knowledge.clone()))
                 .collect(),
             released: released.map(|(id, _)| *id).collect(),
-            taken: self.taken.iter().copied().collect(),
+            taken_over: self.taken_over.iter().copied().collect(),
         }
     }
 }
@@ -108,7 +108,7 @@
         let before = self.transfers.report();
         let told: BTreeSet<TransferId> = orders.iter().map(TransferOrder::id).collect();
         self.transfers.fences.retain(|id, _| told.contains(id));
-        self.transfers.taken.retain(|id| told.contains(id));
+        self.transfers.taken_over.retain(|id| told.contains(id));
         self.transfers.accepted.clear();
         for order in orders {
             match order {
@@ -116,13 +116,14 @@
                     self.transfers.accepted.insert(*id);
                 }
                 TransferOrder::Fence { id, range } => self.fence(*id, range, now),
-                TransferOrder::Take {
+                TransferOrder::TakeOver {
                     id,
                     range,
                     generation,
                     machines,
                 } => {
-                    if cache.shard_map.generation >= *generation && self.transfers.taken.insert(*id)
+                    if cache.shard_map.generation >= *generation
+                        && self.transfers.taken_over.insert(*id)
                     {
                         self.take_over_range(range, machines, cache, now);
                     }
@@ -334,19 +335,19 @@
             zone: m.identity.zone.clone(),
             spot: m.identity.spot,
             address: m.identity.address.clone(),
-            listed: m.registered,
+            registered: m.registered,
             up: m.used,
             state: m.state,
             session: m.session.id,
             seq: m.session.sequence,
-            counter: m.token.counter,
-            over: m.session.ended_up_to,
-            heard_ago_s: m.session.last_heartbeat_at.map(|at| now - at),
+            token_counter: m.token.counter,
+            ended_session: m.session.ended_up_to,
+            last_heartbeat_ago_s: m.session.last_heartbeat_at.map(|at| now - at),
             // On the wire, a session that was never seen began with the clock.
             session_seen_ago_s: now - m.session.first_seen_at.unwrap_or(0.0),
             notice_in_s: m.reclaimed_at.map(|until| until - now),
-            lines: lines.collect(),
-            held: held.collect(),
+            reported_tasks: lines.collect(),
+            assigned_tasks: held.collect(),
             images: m.contents.images.iter().cloned().collect(),
         })
     }
@@ -355,7 +356,7 @@
     /// source used.
     fn adopt_machine(&mut self, known: &MachineTransferState, cache: &StoreCache, now: Seconds) {
         let lines = known
-            .lines
+            .reported_tasks
             .iter()
             .map(|l| (l.task.clone(), ObservedTask::from(l)));
         let identity = MachineIdentity {
@@ -365,19 +366,19 @@
             address: known.address.clone(),
         };
         let machine = Machine {
-            registered: known.listed,
+            registered: known.registered,
             used: known.up,
             state: known.state,
             session: WorkerSession {
                 id: known.session,
                 sequence: known.seq,
                 first_seen_at: Some(now - known.session_seen_ago_s),
-                ended_up_to: known.over,
-                last_heartbeat_at: known.heard_ago_s.map(|ago| now - ago),
+                ended_up_to: known.ended_session,
+                last_heartbeat_at: known.last_heartbeat_ago_s.map(|ago| now - ago),
                 last_answered_at: None,
             },
             token: TokenAcknowledgement {
-                counter: known.counter + 1,
+                counter: known.token_counter + 1,
                 ..TokenAcknowledgement::default()
             },
             commands: CommandChannel {
@@ -394,7 +395,7 @@
             ..Machine::new(identity, now)
         };
         self.machines.insert(known.id.clone(), machine);
-        for task in &known.held {
+        for task in &known.assigned_tasks {
             self.adopt_task(&known.id, task, cache, now);
         }
     }
@@ -410,7 +411,7 @@
             tracing::warn!(task = %known.task, %machine, "a task that comes with a share is held already");
             return;
         }
-        let phase = match (known.done, known.confirmed) {
+        let phase = match (known.completed, known.confirmed) {
             (true, _) => TaskPhase::Done,
             (false, true) => TaskPhase::Running,
             (false, false) => TaskPhase::Starting,
@@ -420,11 +421,11 @@
             session: known.session,
             phase,
             start_token: (known.start_token != NO_START_TOKEN).then_some(known.start_token),
-            start_sent: known.sent,
+            start_sent: known.start_sent,
             confirmed: known.confirmed,
             stop: known.stopping.then_some(Stop::Recalled),
             stop_sent: false,
-            phase_since: now - known.for_s,
+            phase_since: now - known.in_phase_s,
         };
         let held = AssignedTask {
             attempt: known.attempt,
@@ -471,10 +472,10 @@
         assignment: held.assignment,
         session: place.session,
         start_token: place.start_token.unwrap_or(NO_START_TOKEN),
-        sent: place.start_sent,
+        start_sent: place.start_sent,
         confirmed: place.confirmed,
-        done: place.phase == TaskPhase::Done,
+        completed: place.phase == TaskPhase::Done,
         stopping: place.stop.is_some(),
-        for_s: now - place.phase_since,
+        in_phase_s: now - place.phase_since,
     })
 }
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -233,7 +233,7 @@
 }
 
 impl StoredJobs for StoreCache {
-    fn stored(&self, task: &Task) -> StoredTask {
+    fn stored_task(&self, task: &Task) -> StoredTask {
         match self.jobs.get(&task.job) {
             None => StoredTask::UnknownJob,
             Some(job) if job.record.done => StoredTask::JobDone,
--- a/tests/cold_restart_cores.rs
+++ b/tests/cold_restart_cores.rs
@@ -12,7 +12,7 @@
 use finchwood::store::cache::{Epoch, StoreCache};
 use finchwood::wire::{Command, JobSpec, TaskState};
 use finchwood_reconciliation::verdict::{
-    AdoptReason, ConflictReason, DoubtReason, StopReason, Verdict,
+    AdoptReason, ConflictReason, StopReason, UnreconciledReason, Verdict,
 };
 use finchwood_types::token::attempt;
 use serde_json::{json, Value};
@@ -133,7 +133,7 @@
         ),
         (0, 0, 0)
     );
-    assert!(record.certain_after_s.is_some());
+    assert!(record.reconciled_after_s.is_some());
 }
 
 #[test]
@@ -380,12 +380,12 @@
     ];
     assert_eq!(shows(&mut p, &m, 1, &lines, 0.1), []);
     let left = [
-        ("wk-1/7", DoubtReason::NoSuchTask),
-        ("wk-9/0", DoubtReason::UnknownJob),
+        ("wk-1/7", UnreconciledReason::NoSuchTask),
+        ("wk-9/0", UnreconciledReason::UnknownJob),
     ];
     for (task, why) in left {
         assert!(
-            verdicts(&mut p).contains(&(task.into(), Verdict::LeaveInDoubt(why))),
+            verdicts(&mut p).contains(&(task.into(), Verdict::LeaveUnreconciled(why))),
             "{task}"
         );
     }
--- a/tests/common/simulated_cluster/controllers.rs
+++ b/tests/common/simulated_cluster/controllers.rs
@@ -135,7 +135,7 @@
         };
         self.shard
             .start_epoch(epoch.number, self.incarnation, &self.cache, now, owns);
-        self.transfers.new_epoch(now);
+        self.transfers.abort_all(now);
         self.shard_map_refused_at = None;
         if epoch.leader == self.name {
             self.leader
--- a/tests/common/simulated_cluster/network.rs
+++ b/tests/common/simulated_cluster/network.rs
@@ -264,7 +264,7 @@
         {
             return;
         }
-        controller.transfers.take_in(&from, transfers, now);
+        controller.transfers.apply_report(&from, transfers, now);
         if let Some(mut orders) = controller.leader.orders(&from) {
             orders.transfers = controller.transfers.orders_for(&from);
             self.send_orders(orders);
--- a/tests/common/simulated_cluster/shard_transfers.rs
+++ b/tests/common/simulated_cluster/shard_transfers.rs
@@ -6,7 +6,7 @@
 use finchwood::cluster::membership;
 use finchwood_sharding::hash_position::position;
 use finchwood_sharding::shard_map::HashRange;
-use finchwood_sharding::transfer::{MoveReason, TransferEnd, WantedMove};
+use finchwood_sharding::transfer::{MoveReason, RangeMove, TransferOutcome};
 use rand::Rng;
 
 /// How old a transfer that makes no progress may become.
@@ -22,17 +22,17 @@
             return;
         }
         let transfers = &mut controller.transfers;
-        transfers.table_is(&controller.cache.shard_map, now);
+        transfers.observe_shard_map(&controller.cache.shard_map, now);
         let last_synced_at = controller.last_synced_at;
         if controller
             .shard_map_refused_at
             .is_some_and(|refused_at| last_synced_at > refused_at)
         {
-            transfers.refused(now);
+            transfers.write_refused(now);
             controller.shard_map_refused_at = None;
         }
-        transfers.withdraw_stale(STALE_AFTER_S, now);
-        let moved = transfers.ended.remove(&TransferEnd::Owned);
+        transfers.time_out_stale(STALE_AFTER_S, now);
+        let moved = transfers.ended.remove(&TransferOutcome::Completed);
         self.statistics.moved_ranges += moved.unwrap_or(0);
         if reaches_store {
             self.write_shard_map(index);
@@ -49,13 +49,13 @@
             return;
         }
         let present = &controller.cache.shard_map;
-        let Some(write) = controller.transfers.to_write(present, now) else {
+        let Some(write) = controller.transfers.pending_write(present, now) else {
             return;
         };
         let write = DelayedShardMap {
             expected_revision: controller.cache.shard_map_revision,
             expected_epoch: controller.shard.epoch(),
-            shard_map: write.table,
+            shard_map: write.shard_map,
         };
         if self.rng.gen_bool(0.2) {
             let due_at = now + self.rng.gen_range(0.5..12.0);
@@ -87,7 +87,7 @@
             return;
         };
         if epoch.members.contains_key(source) && epoch.members.contains_key(target) {
-            let wanted = WantedMove {
+            let wanted = RangeMove {
                 source: source.into(),
                 range,
                 target: target.into(),
--- a/tests/common/simulated_cluster/state_store.rs
+++ b/tests/common/simulated_cluster/state_store.rs
@@ -100,7 +100,7 @@
         {
             return false;
         }
-        let stored = serde_json::to_value(write.shard_map.stored()).expect("JSON");
+        let stored = serde_json::to_value(write.shard_map.to_stored()).expect("JSON");
         self.put("fw/s", stored);
         self.shard_map_revision = self.revision;
         self.shard_map = write.shard_map.clone();
--- a/tests/shard_transfers.rs
+++ b/tests/shard_transfers.rs
@@ -14,7 +14,9 @@
 use finchwood::store::cache::{Epoch, StoreCache, SHARD_MAP_KEY};
 use finchwood::wire::{Command, Heartbeat, MachineId, TaskReport, TaskState};
 use finchwood_sharding::shard_map::HashRange;
-use finchwood_sharding::transfer::{MoveReason, TransferEnd, TransferState, Transfers, WantedMove};
+use finchwood_sharding::transfer::{
+    MoveReason, RangeMove, TransferOutcome, TransferState, Transfers,
+};
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap};
 
@@ -134,7 +136,7 @@
         }
         self.leader
             .start_epoch(&epoch, epoch.members[leader], &self.cache);
-        self.transfers.new_epoch(self.now);
+        self.transfers.abort_all(self.now);
     }
 
     fn owner(&self, id: &str) -> String {
@@ -177,7 +179,7 @@
             self.bytes += size(PeerMessage::ShardReport(report.clone()));
             let transfers = report.transfers.clone();
             if self.leader.apply_shard_report(report, &self.cache, now) {
-                self.transfers.take_in(name, transfers, now);
+                self.transfers.apply_report(name, transfers, now);
             }
             self.leader.reconcile(&self.cache, &|_| false);
             self.leader.allow_gangs(true);
@@ -258,25 +260,29 @@
         if self.table_waits {
             return;
         }
-        let Some(write) = self.transfers.to_write(&self.cache.shard_map, self.now) else {
+        let Some(write) = self
+            .transfers
+            .pending_write(&self.cache.shard_map, self.now)
+        else {
             return;
         };
         if self.state_away {
             return;
         }
-        self.put(SHARD_MAP_KEY, json!(write.table.stored()));
+        self.put(SHARD_MAP_KEY, json!(write.shard_map.to_stored()));
         let (epoch, table) = (self.epoch.clone(), self.cache.shard_map.clone());
         for (name, shard) in &mut self.shards {
             let owns = |id: &str| owner_by_shard_map(&epoch, &table, id) == Some(name.as_str());
             shard.apply_shard_map(&self.cache, self.now, owns);
         }
-        self.transfers.table_is(&self.cache.shard_map, self.now);
+        self.transfers
+            .observe_shard_map(&self.cache.shard_map, self.now);
     }
 
     /// All machines whose home is `a` are to go to `b`.
     fn begin(&mut self) {
         let range = HashRange::whole("a");
-        let wanted = WantedMove {
+        let wanted = RangeMove {
             range,
             source: "a".into(),
             target: "b".into(),
@@ -415,7 +421,10 @@
         "one question for each machine, none that waits for its answer"
     );
     assert!(moved.iter().all(|id| two.owner(id) == "b"));
-    assert_eq!(two.transfers.ended.get(&TransferEnd::Owned), Some(&1));
+    assert_eq!(
+        two.transfers.ended.get(&TransferOutcome::Completed),
+        Some(&1)
+    );
     two.settles("moved");
     // The same by a takeover, for comparison.
     two.questions = 0;
@@ -528,9 +537,9 @@
             TransferState::Accepted
         });
         if refused {
-            two.transfers.refused(two.now);
+            two.transfers.write_refused(two.now);
         } else {
-            two.transfers.withdraw_stale(5.0, two.now + 6.0);
+            two.transfers.time_out_stale(5.0, two.now + 6.0);
         }
         assert_eq!(two.state(), None);
         two.settles("withdrawn");
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -502,8 +502,8 @@
     assert_eq!(read.inc, 9);
     // Whatever the table says, with production among the members the hash decides.
     let table = ShardMap::default()
-        .moved(&HashRange::whole("a"), "b")
-        .moved(&HashRange::whole("b"), "a");
+        .with_owner(&HashRange::whole("a"), "b")
+        .with_owner(&HashRange::whole("b"), "a");
     for id in (0..20).map(|i| format!("m-{i}")) {
         let hash_owner = owner(&all.members, &id).expect("a home");
         assert_eq!(owner_by_shard_map(&mixed, &table, &id), Some(hash_owner));
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -18,12 +18,12 @@
 };
 use finchwood_reconciliation::unreconciled::ReconciliationPhase;
 use finchwood_reconciliation::verdict::{
-    AdoptReason, ConflictReason, DoubtReason, ReapReason, StopReason, Verdict,
+    AdoptReason, ConflictReason, ForgetReason, StopReason, UnreconciledReason, Verdict,
 };
 use finchwood_sharding::plan::{Plan, PlannedMove};
 use finchwood_sharding::shard_map::{HashRange, ShardMap};
 use finchwood_sharding::transfer::{
-    MoveReason, TransferEnd, TransferReport, Transfers, WantedMove,
+    MoveReason, RangeMove, TransferOutcome, TransferReport, Transfers,
 };
 use fixtures::Fixtures;
 use std::process::Command;
@@ -46,11 +46,11 @@
         Verdict::Stop(StopReason::JobCancelled),
         Verdict::Stop(StopReason::JobDone),
         Verdict::Stop(StopReason::TaskFinished),
-        Verdict::Stop(StopReason::HeldElsewhere),
-        Verdict::Reap(ReapReason::EndCommitted),
-        Verdict::Reap(ReapReason::NothingToKeep),
-        Verdict::LeaveInDoubt(DoubtReason::UnknownJob),
-        Verdict::LeaveInDoubt(DoubtReason::NoSuchTask),
+        Verdict::Stop(StopReason::AssignedElsewhere),
+        Verdict::Forget(ForgetReason::EndCommitted),
+        Verdict::Forget(ForgetReason::NothingToKeep),
+        Verdict::LeaveUnreconciled(UnreconciledReason::UnknownJob),
+        Verdict::LeaveUnreconciled(UnreconciledReason::NoSuchTask),
         Verdict::Conflict(ConflictReason::RunsTwice),
         Verdict::Conflict(ConflictReason::CompletedElsewhere),
     ]
@@ -59,7 +59,7 @@
 /// Every action and every reason to hold one back.
 const HOLDS: [(Action, HoldReason); 4] = [
     (Action::Rent, HoldReason::ShardsUnheard),
-    (Action::Preempt, HoldReason::MachinesInDoubt),
+    (Action::Preempt, HoldReason::MachinesUnreconciled),
     (Action::Consolidate, HoldReason::OwnAbsence),
     (Action::EvictUnasked, HoldReason::OwnAbsence),
 ];
@@ -90,7 +90,7 @@
         (StopCause::Recalled, 2),
         (StopCause::Preempted, 3),
         (StopCause::Notice, 4),
-        (StopCause::NotHeld, 5),
+        (StopCause::NotAssigned, 5),
     ];
     OrderCounts {
         questions: 6,
@@ -106,12 +106,12 @@
     let mut record = RestartRecord::new(all.len());
     record.enter(4, false, 10.0);
     for verdict in [Verdict::Known].into_iter().chain(all) {
-        record.note(entry(verdict));
+        record.record_decision(entry(verdict));
     }
     for (action, reason) in HOLDS {
-        record.note_hold(action, reason);
+        record.record_hold(action, reason);
     }
-    record.note_doubt(0, 12.5);
+    record.record_unreconciled(0, 12.5);
     record.orders = orders();
     record
 }
@@ -171,7 +171,10 @@
     fixtures.written("restart.bare", &bare);
     let mut kept = full_record();
     kept.enter(5, true, 21.0);
-    fixtures.written("restart.kept", &kept.view([].into_iter(), 22.0).arrival);
+    fixtures.written(
+        "restart.kept",
+        &kept.view([].into_iter(), 22.0).prior_knowledge,
+    );
     fixtures.all_used();
 }
 
@@ -184,7 +187,7 @@
 }
 
 fn begin(transfers: &mut Transfers, hash_owner: &str, reason: MoveReason) {
-    let wanted = WantedMove {
+    let wanted = RangeMove {
         range: range(hash_owner),
         source: "a".into(),
         target: "b".into(),
@@ -194,7 +197,7 @@
 }
 
 fn accept(transfers: &mut Transfers, id: u64) {
-    transfers.take_in(
+    transfers.apply_report(
         "b",
         TransferReport {
             accepted: vec![id],
@@ -206,7 +209,7 @@
 
 fn fence(transfers: &mut Transfers, id: u64) {
     accept(transfers, id);
-    transfers.take_in(
+    transfers.apply_report(
         "a",
         TransferReport {
             fenced: vec![(id, Vec::new())],
@@ -222,16 +225,16 @@
     begin(&mut transfers, "a", MoveReason::Plan);
     fence(&mut transfers, 1);
     let table = transfers
-        .to_write(&ShardMap::default(), 4.0)
+        .pending_write(&ShardMap::default(), 4.0)
         .expect("a write")
-        .table;
-    transfers.table_is(&table, 5.0);
+        .shard_map;
+    transfers.observe_shard_map(&table, 5.0);
     begin(&mut transfers, "b", MoveReason::Drain);
     fence(&mut transfers, 2);
-    transfers.to_write(&table, 6.0).expect("a write");
+    transfers.pending_write(&table, 6.0).expect("a write");
     begin(&mut transfers, "c", MoveReason::Balance);
     fence(&mut transfers, 3);
-    begin(&mut transfers, "d", MoveReason::Tidy);
+    begin(&mut transfers, "d", MoveReason::Compact);
     accept(&mut transfers, 4);
     begin(&mut transfers, "e", MoveReason::Plan);
     transfers
@@ -253,10 +256,10 @@
 fn reports_of_shares_and_plans_keep_their_bytes() {
     let fixtures = Fixtures::new(SHARES);
     let ends = [
-        TransferEnd::Owned,
-        TransferEnd::TimedOut,
-        TransferEnd::Refused,
-        TransferEnd::NewEpoch,
+        TransferOutcome::Completed,
+        TransferOutcome::TimedOut,
+        TransferOutcome::Refused,
+        TransferOutcome::NewEpoch,
     ];
     let leader = TransfersReport {
         under_way: transfers().under_way().cloned().collect(),
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -116,11 +116,11 @@
         assignment: 71,
         session: 2,
         start_token: 72,
-        sent: true,
+        start_sent: true,
         confirmed: true,
-        done: true,
+        completed: true,
         stopping: true,
-        for_s: 5.5,
+        in_phase_s: 5.5,
     }
 }
 
@@ -143,18 +143,18 @@
         zone: "e".into(),
         spot: true,
         address: Some("10.0.0.1:9000".into()),
-        listed: true,
+        registered: true,
         up: true,
         state: MachineState::Proven,
         session: 2,
         seq: 88,
-        counter: 9,
-        over: 1,
-        heard_ago_s: Some(1.5),
+        token_counter: 9,
+        ended_session: 1,
+        last_heartbeat_ago_s: Some(1.5),
         session_seen_ago_s: 100.25,
         notice_in_s: Some(30.0),
-        lines: lines.chain([known_line(Ended, Some("done"))]).collect(),
-        held: vec![known_task()],
+        reported_tasks: lines.chain([known_line(Ended, Some("done"))]).collect(),
+        assigned_tasks: vec![known_task()],
         images: vec![("img-1".into(), 6.2)],
     }
 }
@@ -164,13 +164,13 @@
         id: "m-2".into(),
         spot: false,
         address: None,
-        listed: false,
+        registered: false,
         up: false,
         state,
-        heard_ago_s: None,
+        last_heartbeat_ago_s: None,
         notice_in_s: None,
-        lines: Vec::new(),
-        held: Vec::new(),
+        reported_tasks: Vec::new(),
+        assigned_tasks: Vec::new(),
         images: Vec::new(),
         ..known_machine()
     }
@@ -229,7 +229,7 @@
             accepted: vec![1],
             fenced: vec![(2, machines())],
             released: vec![3],
-            taken: vec![4],
+            taken_over: vec![4],
         },
     }
 }
@@ -283,7 +283,7 @@
                 id: 2,
                 range: range.clone(),
             },
-            TransferOrder::Take {
+            TransferOrder::TakeOver {
                 id: 3,
                 range,
                 generation: 6,
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -125,7 +125,7 @@
         first: 16,
         last: u64::MAX,
     };
-    ShardMap::default().moved(&range, "b")
+    ShardMap::default().with_owner(&range, "b")
 }
 
 #[test]
@@ -185,8 +185,8 @@
         }
     );
     fixtures.stored_both_ways("catalog", &catalog());
-    fixtures.stored_both_ways("shares", &table().stored());
-    fixtures.stored_both_ways("shares.empty", &ShardMap::default().stored());
+    fixtures.stored_both_ways("shares", &table().to_stored());
+    fixtures.stored_both_ways("shares.empty", &ShardMap::default().to_stored());
     assert_eq!(
         ShardMap::read(&fixtures.read::<StoredShardMap>("shares")).0,
         table()
