--- a/crates/types/src/finished.rs
+++ b/crates/types/src/finished.rs
@@ -1,6 +1,6 @@
 //! The finished tasks of a job: a set of task indices, and the chunks in which it is stored.
 
-use crate::wire::MAX_TASKS;
+use crate::job::MAX_TASKS;
 use std::collections::BTreeSet;
 use std::fmt;
 
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,8 +1,12 @@
-//! What all packages of finchwood share: the types that go over the wire, steady
-//! time and its margins, the tokens of leaders and owners, and sets of finished
-//! tasks. Nothing here decides anything.
+//! The types that finchwood's packages share: messages, clocks, fencing tokens, and sets of
+//! finished tasks. They hold no policy.
 
 pub mod clock;
+pub mod cloud;
 pub mod finished;
+pub mod job;
+pub mod resources;
+pub mod task;
 pub mod token;
 pub mod wire;
+pub mod worker;
--- /dev/null
+++ b/crates/types/src/worker.rs
@@ -0,0 +1,111 @@
+//! The messages between workers and controllers: heartbeats and commands.
+
+use crate::cloud::MachineId;
+use crate::task::TaskReport;
+use serde::{Deserialize, Serialize};
+use std::sync::Arc;
+
+/// A heartbeat: the periodic report of a worker.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct Heartbeat {
+    /// The machine's id.
+    #[serde(rename = "perch")]
+    pub machine: MachineId,
+    /// The address at which the worker accepts commands.
+    pub address: String,
+    /// The name of the machine's type.
+    #[serde(rename = "breed")]
+    pub machine_type: Arc<str>,
+    /// The machine's zone.
+    #[serde(rename = "grove")]
+    pub zone: Arc<str>,
+    /// Whether it is a spot machine.
+    #[serde(rename = "windfall")]
+    pub spot: bool,
+    /// The worker's session; it increases each time the worker's lease expires.
+    #[serde(rename = "flight")]
+    pub session: u64,
+    /// The number of the message in its session: of heartbeats and of responses to commands.
+    #[serde(rename = "chirp")]
+    pub seq: u64,
+    /// The highest fencing token that the worker has seen.
+    #[serde(rename = "crest")]
+    pub token: u64,
+    /// The seconds until the cloud takes the machine back, once it has said so.
+    #[serde(rename = "warning_s", default)]
+    pub notice_s: Option<f64>,
+    /// All tasks on the machine.
+    #[serde(rename = "chicks", default)]
+    pub tasks: Vec<TaskReport>,
+}
+
+/// A command to a worker.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[serde(tag = "call", rename_all = "lowercase")]
+pub enum Command {
+    /// Starts a task.
+    Start {
+        /// The task's id, as [`Task`](crate::task::Task) displays it.
+        #[serde(rename = "chick")]
+        task: String,
+        /// The attempt.
+        #[serde(rename = "hatch")]
+        attempt: u64,
+    },
+    /// Stops a task.
+    #[serde(rename = "halt")]
+    Stop {
+        /// The task's id, as [`Task`](crate::task::Task) displays it.
+        #[serde(rename = "chick")]
+        task: String,
+        /// The attempt.
+        #[serde(rename = "hatch")]
+        attempt: u64,
+        /// The time that the task has to save a checkpoint, in seconds.
+        #[serde(rename = "settle_s")]
+        grace_s: f64,
+    },
+    /// Removes an ended task from the heartbeats.
+    #[serde(rename = "reap")]
+    Forget {
+        /// The task's id, as [`Task`](crate::task::Task) displays it.
+        #[serde(rename = "chick")]
+        task: String,
+        /// The attempt.
+        #[serde(rename = "hatch")]
+        attempt: u64,
+    },
+}
+
+/// The response to a heartbeat.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct HeartbeatResponse {
+    /// The fencing token of the commands.
+    #[serde(rename = "crest")]
+    pub token: u64,
+    /// The commands, in order.
+    #[serde(rename = "calls")]
+    pub commands: Vec<Command>,
+}
+
+/// Commands that a controller sends to a worker without waiting for its heartbeat.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct CommandBatch {
+    /// The fencing token of the commands.
+    #[serde(rename = "crest")]
+    pub token: u64,
+    /// The worker's session for which they are meant.
+    #[serde(rename = "flight")]
+    pub session: u64,
+    /// The commands, in order.
+    #[serde(rename = "calls")]
+    pub commands: Vec<Command>,
+}
+
+/// The response to a heartbeat by a controller that does not own the machine.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub struct Redirect {
+    /// The address of the controller that owns the machine, if known.
+    #[serde(rename = "sings_to", skip_serializing_if = "Option::is_none")]
+    pub report_to: Option<String>,
+}
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -4,7 +4,7 @@
 use crate::api::http_request::HttpRequest;
 use crate::api::status;
 use crate::cluster::peer::Envelope;
-use crate::wire::{valid_job_id, Heartbeat, JobSpec};
+use crate::wire::{valid_job_id, Heartbeat, JobSpec, JobSpecError};
 use finchwood_sharding::plan::Plan;
 use thiserror::Error;
 
@@ -58,9 +58,9 @@
     /// The body is no plan of transfers.
     #[error("plan: {0}")]
     MalformedPlan(#[source] serde_json::Error),
-    /// The body is no valid job; the text says why.
-    #[error("{0}")]
-    InvalidJob(String),
+    /// The body is no valid job.
+    #[error(transparent)]
+    InvalidJob(#[from] JobSpecError),
     /// The body is no heartbeat.
     #[error("{0}")]
     MalformedHeartbeat(#[source] serde_json::Error),
@@ -114,7 +114,7 @@
 }
 
 fn parse_job(body: &[u8]) -> Result<Request, RouteError> {
-    let spec = JobSpec::parse(body).map_err(RouteError::InvalidJob)?;
+    let spec = JobSpec::parse(body)?;
     Ok(Request::Submit(Box::new(spec)))
 }
 
--- a/tests/refusals.rs
+++ b/tests/refusals.rs
@@ -3,7 +3,7 @@
 
 use finchwood::config::policy::Policy;
 use finchwood::config::settings::Settings;
-use finchwood::wire::{Heartbeat, JobSpec};
+use finchwood::wire::{Heartbeat, JobSpec, JobSpecError};
 
 const GOOD: &str = r#"
 node_name = "n0"
@@ -64,7 +64,7 @@
     }
 }
 
-fn job(change: impl Fn(&mut serde_json::Value)) -> Result<JobSpec, String> {
+fn job(change: impl Fn(&mut serde_json::Value)) -> Result<JobSpec, JobSpecError> {
     let mut v = serde_json::json!({
         "id": "wk-000412", "flock": "train", "nest": "vision", "shape": "array", "rank": "urgent",
         "chicks": 16, "cpus": 8.0, "accelerators": 1.0, "mem_gb": 64.0, "egg": "img-07", "size_gb": 6.2,
--- a/tests/wire_format.rs
+++ b/tests/wire_format.rs
@@ -79,11 +79,8 @@
     let fixtures = Fixtures::new(USERS);
     for (name, spec) in submissions() {
         fixtures.both_ways(name, &spec);
-        assert_eq!(
-            JobSpec::parse(fixtures.payload(name).as_bytes()),
-            Ok(spec),
-            "{name}"
-        );
+        let parsed = JobSpec::parse(fixtures.payload(name).as_bytes());
+        assert_eq!(parsed.expect(name), spec, "{name}");
     }
     let nulls =
         JobSpec::parse(fixtures.payload("submission.with-nulls").as_bytes()).expect("taken");
@@ -110,7 +107,10 @@
         .filter_map(|(name, _)| name.strip_suffix(".refused-body"))
     {
         let error = JobSpec::parse(fixtures.text(&format!("{refused}.refused-body")).as_bytes());
-        fixtures.same(&format!("{refused}.why"), &error.expect_err(refused));
+        fixtures.same(
+            &format!("{refused}.why"),
+            &error.expect_err(refused).to_string(),
+        );
     }
     fixtures.all_used();
 }
