--- a/tests/cold_restart_cores.rs
+++ b/tests/control_plane/cold_restart.rs
@@ -2,10 +2,7 @@
 //! before: one small case for each way in which stored records and reports can
 //! disagree. The real cores, driven by hand.
 
-#[path = "common/cores.rs"]
-mod cores;
-
-use cores::*;
+use crate::cores::*;
 use finchwood::cluster::membership::{token, token_epoch};
 use finchwood::scheduler::Leader;
 use finchwood::shard::{HeartbeatReply, Shard};
--- a/tests/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -1,10 +1,7 @@
 //! Two faults at once, one small case for each pair that broke a rule or could
 //! have: the real cores, driven by hand. `docs/concurrent-faults.md` lists them.
 
-#[path = "common/cores.rs"]
-mod cores;
-
-use cores::*;
+use crate::cores::*;
 use finchwood::autoscaler::{plan_scale_out, PendingDemand, ScalingPolicy};
 use finchwood::cluster::membership::{renewed_epoch, token, MAX_COUNTER};
 use finchwood::scheduler::Leader;
--- a/tests/failures.rs
+++ b/tests/control_plane/failing_tasks.rs
@@ -1,10 +1,7 @@
 //! Tasks that fail: whether the job or the machine is at fault, and what becomes
 //! of either. The real leader and shard, driven by hand.
 
-#[path = "common/cores.rs"]
-mod cores;
-
-use cores::*;
+use crate::cores::*;
 use finchwood::scheduler::{Leader, MachineFault};
 use finchwood::shard::Shard;
 use finchwood::store::cache::StoreCache;
--- a/tests/gangs.rs
+++ b/tests/control_plane/gangs.rs
@@ -1,10 +1,7 @@
 //! Gangs: all tasks start together or none, all under one attempt. The real
 //! leader and shard, driven by hand.
 
-#[path = "common/cores.rs"]
-mod cores;
-
-use cores::*;
+use crate::cores::*;
 use finchwood::scheduler::Leader;
 use finchwood::shard::{Orders, Shard, TaskPhase};
 use finchwood::store::cache::StoreCache;
--- /dev/null
+++ b/tests/control_plane/main.rs
@@ -0,0 +1,18 @@
+//! The real leaders and shards driven directly, without threads or a network: each module
+//! shows one part of what they decide.
+
+mod cold_restart;
+mod concurrent_faults;
+#[path = "../common/cores.rs"]
+mod cores;
+mod epochs;
+mod failing_tasks;
+mod gangs;
+mod many_small_jobs;
+mod one_machine;
+mod preemption;
+mod preemption_on_a_shard;
+mod proof_of_removal;
+mod shard_transfers;
+mod stale_heartbeats;
+mod unresponsive_machines;
--- a/tests/many_small_jobs.rs
+++ b/tests/control_plane/many_small_jobs.rs
@@ -2,10 +2,7 @@
 //! cancelled does not start and is gone, the rest runs once and ends, nothing is kept of
 //! either. The real leader and shard, driven by hand.
 
-#[path = "common/cores.rs"]
-mod cores;
-
-use cores::*;
+use crate::cores::*;
 use finchwood::scheduler::Leader;
 use finchwood::shard::Shard;
 use finchwood::store::cache::StoreCache;
--- a/tests/preemption.rs
+++ b/tests/control_plane/preemption.rs
@@ -1,10 +1,7 @@
 //! Which work is stopped for other work, and which machines are rented for work that
 //! may wait. The real leader and shard, driven by hand.
 
-#[path = "common/cores.rs"]
-mod cores;
-
-use cores::*;
+use crate::cores::*;
 use finchwood::clock::{wall_clock_ms, Moment};
 use finchwood::scheduler::Leader;
 use finchwood::shard::Shard;
--- /dev/null
+++ b/tests/control_plane/proof_of_removal.rs
@@ -0,0 +1,155 @@
+//! What counts as proof that a task is on no machine: only that frees its room and lets
+//! it start elsewhere.
+
+use crate::cores::{place, TIMING};
+use crate::one_machine::{assign, cache_with, heartbeat, recall, reconciled_shard};
+use finchwood::cluster::membership::token;
+use finchwood::shard::{HeartbeatReply, Shard, TaskPhase};
+use finchwood::wire::{Command, Priority, TaskState};
+use std::collections::HashMap;
+
+#[test]
+fn a_heartbeat_without_a_raised_token_is_no_proof_that_an_unanswered_start_is_dead() {
+    let cache = cache_with(&[("wk-1", Priority::Low, false)]);
+    let (mut shard, fencing_token) = reconciled_shard(&cache);
+    assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
+    place(&mut shard, &cache, 0.4);
+    let commands = shard.due_commands(&cache, 0.4);
+    assert!(matches!(
+        commands[0].body.commands[0],
+        Command::Start { .. }
+    ));
+    shard.command_completed(&"m-1".into(), &commands[0].body, None, &cache, 0.5);
+    recall(&mut shard, &cache, "wk-1/0", 50, 2);
+    // A report under the start's own token doesn't list it: it may yet come.
+    let reply = shard.apply_heartbeat(&heartbeat(1, 3, fencing_token, &[]), false, &cache, 0.7);
+    let HeartbeatReply::Accepted { token: raised, .. } = reply else {
+        panic!("refused")
+    };
+    assert!(raised > commands[0].body.token, "the late start must die");
+    assert!(shard.snapshot(&cache, 1.0).removed.is_empty());
+    // A report under the raised token is proof.
+    shard.apply_heartbeat(&heartbeat(1, 4, raised, &[]), false, &cache, 0.8);
+    let report = shard.snapshot(&cache, 1.0);
+    assert_eq!((report.removed.len(), report.assigned.len()), (1, 0));
+}
+
+#[test]
+fn a_late_copy_of_an_assignment_does_nothing() {
+    let cache = cache_with(&[("wk-1", Priority::Low, false)]);
+    let (mut shard, _) = reconciled_shard(&cache);
+    assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
+    recall(&mut shard, &cache, "wk-1/0", 50, 2);
+    assert_eq!(shard.snapshot(&cache, 1.0).removed.len(), 1);
+    assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
+    assert!(shard.snapshot(&cache, 1.0).assigned.is_empty());
+}
+
+#[test]
+fn commands_to_forget_carry_a_fencing_token_above_every_start() {
+    let cache = cache_with(&[("wk-1", Priority::Low, false)]);
+    let (mut shard, fencing_token) = reconciled_shard(&cache);
+    assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
+    place(&mut shard, &cache, 0.4);
+    let start = shard.due_commands(&cache, 0.4).remove(0);
+    let ran = heartbeat(
+        1,
+        3,
+        fencing_token,
+        &[("wk-1/0", 50, TaskState::Running, None)],
+    );
+    shard.command_completed(&"m-1".into(), &start.body, Some(&ran), &cache, 0.5);
+    let ended = heartbeat(
+        1,
+        4,
+        fencing_token,
+        &[("wk-1/0", 50, TaskState::Ended, Some("stopped"))],
+    );
+    let HeartbeatReply::Accepted {
+        token: token_to_forget,
+        commands,
+    } = shard.apply_heartbeat(&ended, false, &cache, 0.6)
+    else {
+        panic!("refused")
+    };
+    assert!(matches!(commands[0], Command::Forget { .. }));
+    assert!(token_to_forget > start.body.token);
+}
+
+#[test]
+fn a_completed_task_is_kept_until_it_is_committed() {
+    let mut cache = cache_with(&[("wk-1", Priority::Low, false)]);
+    let (mut shard, fencing_token) = reconciled_shard(&cache);
+    let done = |seq| {
+        heartbeat(
+            1,
+            seq,
+            fencing_token,
+            &[("wk-1/2", 40, TaskState::Ended, Some("done"))],
+        )
+    };
+    let HeartbeatReply::Accepted { commands, .. } =
+        shard.apply_heartbeat(&done(3), false, &cache, 0.5)
+    else {
+        panic!("refused")
+    };
+    assert!(commands.is_empty(), "not committed, not forgotten");
+    assert_eq!(
+        shard.snapshot(&cache, 1.0).assigned[0].phase,
+        TaskPhase::Done
+    );
+    cache.put("fw/f/wk-1/0", "4".into(), 99);
+    shard.job_changed(&"wk-1".into(), &cache);
+    let HeartbeatReply::Accepted { commands, .. } =
+        shard.apply_heartbeat(&done(4), false, &cache, 0.9)
+    else {
+        panic!("refused")
+    };
+    assert!(matches!(commands[0], Command::Forget { .. }));
+    assert!(shard.snapshot(&cache, 1.0).assigned.is_empty());
+}
+
+#[test]
+fn running_tasks_of_a_cancelled_job_are_counted_until_they_stop() {
+    let cache = cache_with(&[("wk-1", Priority::Low, true)]);
+    let (mut shard, fencing_token) = reconciled_shard(&cache);
+    let runs = heartbeat(
+        1,
+        3,
+        fencing_token,
+        &[("wk-1/0", 40, TaskState::Running, None)],
+    );
+    let HeartbeatReply::Accepted { commands, .. } =
+        shard.apply_heartbeat(&runs, false, &cache, 0.5)
+    else {
+        panic!("refused")
+    };
+    assert!(matches!(commands[0], Command::Stop { .. }));
+    assert_eq!(
+        shard.snapshot(&cache, 1.0).assigned.len(),
+        1,
+        "the team's room is still taken"
+    );
+}
+
+#[test]
+fn a_worker_answered_just_now_has_its_whole_lease() {
+    let cache = cache_with(&[("wk-1", Priority::Low, false)]);
+    let mut shard = Shard::new("a", TIMING, HashMap::new());
+    shard.start_epoch(3, 7, &cache, 0.0, |_| true);
+    // Heard once, under an old token, just before the epoch is a lease old.
+    shard.apply_heartbeat(&heartbeat(1, 1, token(2, 5), &[]), false, &cache, 27.0);
+    shard.expire_leases(29.0);
+    assert!(!shard.snapshot(&cache, 29.0).machines[0].reconciled);
+    shard.expire_leases(27.0 + 21.0);
+    assert!(shard.snapshot(&cache, 48.0).machines[0].reconciled);
+    // Its session is over for good, whatever arrives late.
+    assert_eq!(
+        shard.apply_heartbeat(&heartbeat(1, 2, token(2, 5), &[]), false, &cache, 49.0),
+        HeartbeatReply::Refuse
+    );
+    assert!(
+        shard.apply_heartbeat(&heartbeat(2, 1, token(2, 5), &[]), false, &cache, 49.0)
+            != HeartbeatReply::Refuse
+    );
+}
--- a/tests/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -2,10 +2,7 @@
 //! cores: what its machines are told in every state, and what becomes of it when the
 //! source, the target, the leader or the key-value store ends in any of them.
 
-#[path = "common/cores.rs"]
-mod cores;
-
-use cores::{job_in as job, settings, SETTINGS_ALL, TIMING};
+use crate::cores::{job_in as job, settings, SETTINGS_ALL, TIMING};
 use finchwood::clock::Moment;
 use finchwood::cluster::membership::owner_by_shard_map;
 use finchwood::cluster::peer::{Envelope, PeerMessage};
@@ -65,7 +62,7 @@
             job("wk-2", "array", 6),
             job("wk-3", "ensemble", 2),
         ];
-        let cache = cores::cache(8, &specs.iter().collect::<Vec<_>>());
+        let cache = crate::cores::cache(8, &specs.iter().collect::<Vec<_>>());
         let workers = (1..=8)
             .map(|i| (format!("m-{i}").into(), Worker::default()))
             .collect();
@@ -508,7 +505,7 @@
             );
         }
         let spec = job("wk-1", "standing", 4);
-        two.put("fw/j/wk-1", cores::record(&spec, true));
+        two.put("fw/j/wk-1", crate::cores::record(&spec, true));
         let cache = &two.cache;
         two.shards
             .values_mut()
@@ -547,8 +544,8 @@
         two.settles("withdrawn");
         // New work starts on its machines as ever.
         let spec = job("wk-9", "array", 16);
-        two.put("fw/j/wk-9", cores::record(&spec, false));
-        let mut record = cores::record(&spec, false);
+        two.put("fw/j/wk-9", crate::cores::record(&spec, false));
+        let mut record = crate::cores::record(&spec, false);
         record["e"] = json!(two.epoch.number);
         two.put("fw/j/wk-9", record);
         two.leader.job_changed(&"wk-9".into(), &two.cache);
