--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -48,15 +48,15 @@
             return;
         }
         self.pace.logged_state = now;
-        let (jobs, assigned, unknown) = self.leader.counts();
+        let counts = self.leader.counts();
         let mut waiting: BTreeMap<Priority, u32> = BTreeMap::new();
         for demand in &self.leader.pending_demand {
             *waiting.entry(demand.spec.priority).or_default() += demand.count;
         }
         tracing::info!(
-            jobs,
-            dealt = assigned,
-            unknown,
+            jobs = counts.jobs,
+            assigned = counts.assigned_tasks,
+            unreconciled = counts.unreconciled_tasks,
             ?waiting,
             draining = self.leader.draining.len(),
             "state"
--- a/src/scheduler/capacity.rs
+++ b/src/scheduler/capacity.rs
@@ -6,7 +6,7 @@
 use crate::scheduler::bin_packing;
 use crate::shard::MachineStatus;
 use crate::wire::{JobSpec, MachineId, Resources};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// Numbers for the names of types, zones, shards and images.
@@ -97,6 +97,25 @@
     }
 }
 
+/// How many more tasks of a job a zone may take.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ZoneAllowance {
+    /// The interned name of the zone.
+    pub zone: u32,
+    /// Tasks that it may still take.
+    pub tasks: u32,
+}
+
+impl ZoneAllowance {
+    /// A zone that may take any number of tasks.
+    pub fn unlimited(zone: u32) -> ZoneAllowance {
+        ZoneAllowance {
+            zone,
+            tasks: u32::MAX,
+        }
+    }
+}
+
 /// What a zone has room for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ZoneCount {
@@ -272,13 +291,16 @@
         &self,
         request: &PlacementRequest,
         shard: Option<u32>,
-        zones: Option<&[(u32, u32)]>,
+        zones: Option<&[ZoneAllowance]>,
     ) -> Option<usize> {
         let mut best: Option<(PlacementRank, usize)> = None;
         let at_reserve = self.shards_at_reserve(request);
         for (i, slot) in self.slots.iter().enumerate() {
             if shard.is_some_and(|capacity| capacity != slot.shard)
-                || zones.is_some_and(|z| !z.iter().any(|(name, n)| *name == slot.zone && *n > 0))
+                || zones.is_some_and(|z| {
+                    !z.iter()
+                        .any(|allowance| allowance.zone == slot.zone && allowance.tasks > 0)
+                })
                 || !request.allows(slot)
                 || !slot.spot && at_reserve.contains(&slot.shard)
             {
@@ -336,12 +358,12 @@
     pub fn take_in_zones(
         &mut self,
         request: &PlacementRequest,
-        zones: &[(u32, u32)],
+        zones: &[ZoneAllowance],
         mut count: u32,
     ) {
         for at in 0..self.slots.len() {
             let slot = &self.slots[at];
-            if !zones.iter().any(|(zone, _)| *zone == slot.zone) || !request.allows(slot) {
+            if !zones.iter().any(|allowance| allowance.zone == slot.zone) || !request.allows(slot) {
                 continue;
             }
             let tasks = slot.count(request).min(count);
@@ -400,8 +422,21 @@
         self.shards.iter().map(|capacity| capacity.shard).collect()
     }
 
-    /// What a shard's machines have free.
-    pub fn total(&self, shard: u32) -> f64 {
+    /// The zones that have open machines, by number.
+    pub fn zones(&self) -> BTreeSet<u32> {
+        self.slots.iter().map(|slot| slot.zone).collect()
+    }
+
+    /// The same, each allowed to take any number of tasks.
+    pub fn unlimited_zones(&self) -> Vec<ZoneAllowance> {
+        self.zones()
+            .into_iter()
+            .map(ZoneAllowance::unlimited)
+            .collect()
+    }
+
+    /// CPUs that are free on a shard's machines.
+    pub fn free_cpus(&self, shard: u32) -> f64 {
         self.shards
             .iter()
             .find(|capacity| capacity.shard == shard)
@@ -430,7 +465,7 @@
         request: &PlacementRequest,
         n: usize,
         shard: Option<u32>,
-        room: &[(u32, u32)],
+        room: &[ZoneAllowance],
         one_zone: bool,
     ) -> Vec<usize> {
         if !one_zone {
@@ -448,7 +483,7 @@
         request: &PlacementRequest,
         n: usize,
         shard: Option<u32>,
-        mut room: Vec<(u32, u32)>,
+        mut room: Vec<ZoneAllowance>,
     ) -> Vec<usize> {
         let mut chosen = Vec::new();
         for _ in 0..n {
@@ -457,8 +492,8 @@
             };
             self.take(slot, &request.ask);
             let zone = self.slots[slot].zone;
-            if let Some(left) = room.iter_mut().find(|z| z.0 == zone) {
-                left.1 -= 1;
+            if let Some(left) = room.iter_mut().find(|allowance| allowance.zone == zone) {
+                left.tasks -= 1;
             }
             chosen.push(slot);
         }
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -80,7 +80,7 @@
         if let Some(entry) = self.jobs.get_mut(job) {
             entry.commit_in_flight = false;
             entry.commit_retry_at = retry;
-            entry.next_commit_at = now + self.report_s;
+            entry.next_commit_at = now + self.policy.report_s;
         }
     }
 }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -6,9 +6,10 @@
 //! one task ends the attempt: all others are stopped, and the next attempt
 //! begins when every task of this one is proven to be nowhere.
 
-use super::{Assignment, JobEntry, Leader, ZoneRoom};
+use super::placement::FreeTasks;
+use super::{JobEntry, Leader, ShardAssignment};
 use crate::clock::Seconds;
-use crate::scheduler::capacity::{FreeCapacity, PlacementRequest, ZoneCount};
+use crate::scheduler::capacity::{FreeCapacity, ZoneAllowance, ZoneCount};
 use crate::shard::TaskPhase;
 use crate::store::cache::StoreCache;
 use crate::wire::{JobId, JobKind, MachineId};
@@ -95,7 +96,7 @@
             let number = self
                 .assigned
                 .values()
-                .map(|assignment| assignment.attempt)
+                .map(|assignment| assignment.numbers.attempt)
                 .max();
             self.attempt = number.map(|number| Attempt {
                 unreconciled: true,
@@ -123,7 +124,7 @@
         let mixed = self
             .assigned
             .values()
-            .any(|assignment| assignment.attempt != attempt.number);
+            .any(|assignment| assignment.numbers.attempt != attempt.number);
         let waits_too_long = now - attempt.since > gang_wait_s * INCOMPLETE_SHARE;
         let over = attempt.started || attempt.unreconciled || waits_too_long;
         if attempt.broken || mixed || over && !complete {
@@ -141,7 +142,7 @@
     pub(super) fn update_gangs(&mut self, cache: &StoreCache, now: Seconds) -> BTreeSet<String> {
         let mut shards_with_new_orders = BTreeSet::new();
         let to_be_taken = self.gangs_to_be_taken(now);
-        let gang_wait_s = self.gang_wait_s;
+        let gang_wait_s = self.policy.gang_wait_s;
         let gangs = self
             .jobs
             .iter_mut()
@@ -164,7 +165,7 @@
             }
             let step = entry.next_step(gang_wait_s, now);
             if step == Step::Withdraw || to_be_taken.contains(id) {
-                tracing::info!(%id, attempt = ?entry.attempt, held = entry.assigned.len(), "a gang's attempt is withdrawn");
+                tracing::info!(job = %id, attempt = ?entry.attempt, assigned = entry.assigned.len(), "gang attempt withdrawn");
                 entry.withdrawing = true;
                 shards_with_new_orders.extend(
                     entry
@@ -189,7 +190,7 @@
         if noticed.is_empty() {
             return BTreeSet::new();
         }
-        let silent = self.report_s * REACHED_REPORTS;
+        let silent = self.policy.report_s * REACHED_REPORTS;
         let reached: BTreeSet<&MachineId> = self
             .machines_at(now)
             .filter(|machine| machine.reconciled && machine.silent_s < silent)
@@ -227,37 +228,36 @@
     /// taken by smaller ones as it comes free, it would never be enough.
     pub(super) fn assign_gang(
         &mut self,
-        id: &JobId,
-        request: &PlacementRequest,
-        free: &[u32],
+        tasks: FreeTasks,
         capacity: &mut FreeCapacity,
         cache: &StoreCache,
         keeps_room: bool,
-    ) -> Assignment {
-        let Some(entry) = self.jobs.get(id) else {
+    ) -> Vec<ShardAssignment> {
+        let Some(entry) = self.jobs.get(tasks.job) else {
             return Vec::new();
         };
-        let spec = entry.spec.clone();
-        let Some(caps) = self.zone_room(entry, capacity, cache) else {
+        let one_zone = entry.spec.one_zone;
+        let Some(allowances) = self.zone_allowances(entry, capacity, cache) else {
             return Vec::new();
         };
-        let counts = capacity.count_by_zone(request);
-        let Some(caps) = zones_for(free.len() as u32, &caps, &counts, spec.one_zone) else {
-            let zones = if spec.one_zone {
-                roomiest(&caps, &counts)
+        let count = tasks.indexes.len();
+        let room = capacity.count_by_zone(tasks.request);
+        let Some(zones) = zones_for(count as u32, &allowances, &room, one_zone) else {
+            let zones = if one_zone {
+                roomiest(&allowances, &room)
             } else {
-                caps
+                allowances
             };
             if keeps_room {
-                capacity.take_in_zones(request, &zones, free.len() as u32);
+                capacity.take_in_zones(tasks.request, &zones, count as u32);
             }
             return Vec::new();
         };
-        let chosen = capacity.try_place(request, free.len(), None, &caps, false);
-        if chosen.len() < free.len() {
+        let slots = capacity.try_place(tasks.request, count, None, &zones, false);
+        if slots.len() < count {
             return Vec::new();
         }
-        self.spread_over_shards(id, request, &chosen, free, capacity)
+        self.spread_over_shards(tasks, &slots, capacity)
     }
 
     /// Whether gangs are assigned: not while a controller of a version without
@@ -275,29 +275,43 @@
 /// every round, and hold up all else.
 fn zones_for(
     count: u32,
-    caps: &ZoneRoom,
-    counts: &BTreeMap<u32, ZoneCount>,
+    allowances: &[ZoneAllowance],
+    room: &BTreeMap<u32, ZoneCount>,
     one_zone: bool,
-) -> Option<ZoneRoom> {
-    let room = |cap: &(u32, u32)| counts.get(&cap.0).map_or(0, |zone| zone.tasks.min(cap.1));
+) -> Option<Vec<ZoneAllowance>> {
     if !one_zone {
-        let total = caps.iter().map(room).fold(0, u32::saturating_add);
-        return (total >= count).then(|| caps.clone());
+        let total = allowances
+            .iter()
+            .map(|allowance| tasks_in(allowance, room))
+            .fold(0, u32::saturating_add);
+        return (total >= count).then(|| allowances.to_vec());
     }
-    let fitting = caps.iter().filter(|cap| room(cap) >= count);
-    let best = fitting.max_by_key(|cap| {
-        let zone = counts.get(&cap.0).copied().unwrap_or_default();
+    let fitting = allowances
+        .iter()
+        .filter(|allowance| tasks_in(allowance, room) >= count);
+    let best = fitting.max_by_key(|allowance| {
+        let zone = room.get(&allowance.zone).copied().unwrap_or_default();
         (
             zone.with_image.min(count),
             Reverse(zone.tasks),
-            Reverse(cap.0),
+            Reverse(allowance.zone),
         )
     });
-    best.map(|cap| vec![*cap])
+    best.map(|allowance| vec![*allowance])
 }
 
 /// The zone that has room for the most tasks.
-fn roomiest(caps: &ZoneRoom, counts: &BTreeMap<u32, ZoneCount>) -> ZoneRoom {
-    let room = |cap: &&(u32, u32)| counts.get(&cap.0).map_or(0, |zone| zone.tasks.min(cap.1));
-    caps.iter().max_by_key(room).copied().into_iter().collect()
+fn roomiest(allowances: &[ZoneAllowance], room: &BTreeMap<u32, ZoneCount>) -> Vec<ZoneAllowance> {
+    allowances
+        .iter()
+        .max_by_key(|allowance| tasks_in(allowance, room))
+        .copied()
+        .into_iter()
+        .collect()
+}
+
+/// How many tasks a zone has room for and may take.
+fn tasks_in(allowance: &ZoneAllowance, room: &BTreeMap<u32, ZoneCount>) -> u32 {
+    room.get(&allowance.zone)
+        .map_or(0, |zone| zone.tasks.min(allowance.tasks))
 }
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -4,9 +4,11 @@
 use crate::clock::Seconds;
 use crate::cluster::failure_detection::ZoneContact;
 use crate::scheduler::capacity::MachineSlot;
+use crate::shard::TaskPhase;
 use crate::shard::{MachineStatus, SilentMachine};
+use crate::store::cache::StoreCache;
 use crate::wire::MachineId;
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
 /// A machine as the leader last heard of it.
@@ -144,4 +146,29 @@
             .get(node)
             .map(|shard| now - shard.last_report_at)
     }
+
+    /// Machines that may still run tasks of jobs cancelled more than `after_s` ago:
+    /// stops were sent there, and none is proven to have been carried out.
+    pub fn machines_with_cancelled_tasks(
+        &self,
+        cache: &StoreCache,
+        wall_clock_ms: u64,
+        after_s: Seconds,
+    ) -> BTreeSet<MachineId> {
+        let mut machines = BTreeSet::new();
+        for (id, entry) in &self.jobs {
+            let Some(job) = cache.jobs.get(id).filter(|job| job.record.cancelled) else {
+                continue;
+            };
+            let cancelled_at_ms = job.record.cancelled_at_ms.unwrap_or(wall_clock_ms);
+            if wall_clock_ms.saturating_sub(cancelled_at_ms) as f64 / 1000.0 > after_s {
+                let unfinished = entry
+                    .assigned
+                    .values()
+                    .filter(|assigned| assigned.phase != TaskPhase::Done);
+                machines.extend(unfinished.filter_map(|assigned| assigned.machine.clone()));
+            }
+        }
+        machines
+    }
 }
--- a/src/scheduler/orders.rs
+++ b/src/scheduler/orders.rs
@@ -1,115 +1,119 @@
-//! What the leader tells each shard, again and again until the shard shows it.
+//! What the leader sends to each shard, repeated until the shard reports it.
 
-use super::{JobEntry, Leader, TaskAssignment};
+use super::{JobEntry, Leader};
 use crate::shard::{JobAssignment, Orders, TaskPhase};
-use crate::wire::{JobKind, Task};
+use crate::wire::{JobId, JobKind, Task};
+
+/// Running tasks of all jobs, which are for display only, come with every so many
+/// orders.
+const RUNNING_COUNTS_EVERY: u64 = 8;
 
 impl Leader {
-    /// The orders for a shard: everything it hasn't listed yet, again and again.
+    /// The next orders for a shard, with every assignment that it has not listed in a
+    /// report yet; none if it has not reported in this epoch.
     pub fn orders(&mut self, node: &str) -> Option<Orders> {
         let view = self.shards.get_mut(node)?;
         view.orders_seq += 1;
-        let (seq, ack) = (view.orders_seq, view.seq);
-        let mut assignments = Vec::new();
-        for (id, entry) in self
-            .jobs
+        let (seq, acknowledged_seq) = (view.orders_seq, view.seq);
+        Some(Orders {
+            epoch: self.epoch.number,
+            node: node.into(),
+            seq,
+            acknowledged_seq,
+            assignments: self.unacknowledged_assignments(node),
+            recall: self.recalled_tasks(node),
+            drain: self.draining.union(&self.faulty).cloned().collect(),
+            running: (seq % RUNNING_COUNTS_EVERY == 1).then(|| self.running_counts()),
+            borrowing: self.borrowing.clone(),
+            transfers: Vec::new(),
+        })
+    }
+
+    fn unacknowledged_assignments(&self, shard: &str) -> Vec<JobAssignment> {
+        self.jobs
             .iter()
             .filter(|(_, entry)| !entry.unacknowledged.is_empty())
-        {
-            let assigned = entry
-                .unacknowledged
-                .iter()
-                .filter_map(|i| Some((*i, entry.assigned.get(i)?)));
-            let tasks: Vec<(u32, u64)> = assigned
-                .filter(|(_, assignment)| &*assignment.shard == node)
-                .map(|(i, assignment)| (i, assignment.attempt))
-                .collect();
-            if !tasks.is_empty() {
-                assignments.push(JobAssignment {
-                    job: id.clone(),
-                    tasks,
-                    zone_room: entry
-                        .zone_allowances
-                        .get(node)
-                        .cloned()
-                        .filter(|_| entry.spec.one_zone || entry.spec.scatter),
-                    avoid: entry.failures.avoided().to_vec(),
-                    assignments: entry.assignments(node),
-                });
-            }
-        }
-        // Counts for display need not be of this moment.
-        let running = (seq % 8 == 1).then(|| {
-            let running = |entry: &JobEntry| {
-                entry
-                    .assigned
-                    .values()
-                    .filter(|assignment| {
-                        matches!(assignment.phase, TaskPhase::Running | TaskPhase::Saving)
-                    })
-                    .count() as u32
-            };
-            self.jobs
-                .iter()
-                .map(|(id, entry)| (id.clone(), running(entry)))
-                .filter(|(_, n)| *n > 0)
-                .collect()
-        });
-        let mut recall = Vec::new();
+            .filter_map(|(id, entry)| entry.unacknowledged_assignment(id, shard))
+            .collect()
+    }
+
+    /// Running tasks of each job that has any, for display.
+    fn running_counts(&self) -> Vec<(JobId, u32)> {
+        let running = |entry: &JobEntry| {
+            entry
+                .assigned
+                .values()
+                .filter(|assigned| matches!(assigned.phase, TaskPhase::Running | TaskPhase::Saving))
+                .count() as u32
+        };
+        self.jobs
+            .iter()
+            .map(|(id, entry)| (id.clone(), running(entry)))
+            .filter(|(_, count)| *count > 0)
+            .collect()
+    }
+
+    /// Tasks that a shard is to give back, with their attempts: those of jobs that are
+    /// withdrawn, and replicas on machines that are being consolidated.
+    fn recalled_tasks(&self, shard: &str) -> Vec<(Task, u64)> {
+        let mut recalled = Vec::new();
         for (id, entry) in self.jobs.iter().filter(|(_, entry)| entry.withdrawing) {
             let theirs = entry
                 .assigned
                 .iter()
-                .filter(|(_, assignment)| &*assignment.shard == node);
-            recall.extend(theirs.map(|(i, assignment)| {
-                (
-                    Task {
-                        job: id.clone(),
-                        index: *i,
-                    },
-                    assignment.attempt,
-                )
-            }));
+                .filter(|(_, assigned)| &*assigned.shard == shard);
+            recalled.extend(
+                theirs.map(|(index, assigned)| (task(id, *index), assigned.numbers.attempt)),
+            );
         }
-        if !self.consolidating.is_empty() {
-            for (id, entry) in self
-                .jobs
-                .iter()
-                .filter(|(_, entry)| entry.spec.job_kind == JobKind::Service)
-            {
-                let there = |assignment: &TaskAssignment| {
-                    assignment
-                        .machine
-                        .as_ref()
-                        .is_some_and(|machine| self.consolidating.contains(machine))
-                };
-                let on = entry.assigned.iter().filter(|(_, assignment)| {
-                    &*assignment.shard == node && assignment.phase == TaskPhase::Running
-                });
-                recall.extend(on.filter(|(_, assignment)| there(assignment)).map(
-                    |(i, assignment)| {
-                        (
-                            Task {
-                                job: id.clone(),
-                                index: *i,
-                            },
-                            assignment.attempt,
-                        )
-                    },
-                ));
-            }
+        if self.consolidating.is_empty() {
+            return recalled;
         }
-        Some(Orders {
-            epoch: self.epoch,
-            node: node.into(),
-            seq,
-            acknowledged_seq: ack,
-            assignments,
-            recall,
-            drain: self.draining.union(&self.faulty).cloned().collect(),
-            running,
-            borrowing: self.borrowing.clone(),
-            transfers: Vec::new(),
+        let is_service = |entry: &JobEntry| entry.spec.job_kind == JobKind::Service;
+        for (id, entry) in self.jobs.iter().filter(|(_, entry)| is_service(entry)) {
+            let theirs = entry.assigned.iter().filter(|(_, assigned)| {
+                &*assigned.shard == shard && assigned.phase == TaskPhase::Running
+            });
+            let moved = theirs.filter(|(_, assigned)| {
+                let machine = assigned.machine.as_ref();
+                machine.is_some_and(|machine| self.consolidating.contains(machine))
+            });
+            recalled.extend(
+                moved.map(|(index, assigned)| (task(id, *index), assigned.numbers.attempt)),
+            );
+        }
+        recalled
+    }
+}
+
+fn task(job: &JobId, index: u32) -> Task {
+    Task {
+        job: job.clone(),
+        index,
+    }
+}
+
+impl JobEntry {
+    /// What a shard is told of the job's unacknowledged tasks, if it has any.
+    fn unacknowledged_assignment(&self, id: &JobId, shard: &str) -> Option<JobAssignment> {
+        let tasks: Vec<(u32, u64)> = self
+            .unacknowledged_in(shard)
+            .map(|(index, assigned)| (index, assigned.numbers.attempt))
+            .collect();
+        if tasks.is_empty() {
+            return None;
+        }
+        let zone_bound = self.spec.one_zone || self.spec.scatter;
+        Some(JobAssignment {
+            job: id.clone(),
+            tasks,
+            zone_room: self
+                .zone_allowances
+                .get(shard)
+                .cloned()
+                .filter(|_| zone_bound),
+            avoid: self.failures.avoided().to_vec(),
+            assignments: self.assignments_unlike_attempts(shard),
         })
     }
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,127 +1,128 @@
-//! Which shards the free tasks of one job go to, by its shape and its zones.
+//! Which shards the free tasks of one job go to, by its kind and its zones.
 
-use super::{Assignment, JobEntry, Leader, ZoneRoom};
+use super::{JobEntry, Leader, ShardAssignment};
 use crate::clock::Seconds;
-use crate::scheduler::capacity::{FreeCapacity, NameInterner, PlacementRequest};
+use crate::scheduler::capacity::{FreeCapacity, NameInterner, PlacementRequest, ZoneAllowance};
 use crate::store::cache::StoreCache;
 use crate::wire::{JobId, BEGIN_WITHIN_S};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// After how many seconds without room in its zone a service moves to another one:
+/// as long as several boots take.
+const ZONE_CHANGE_AFTER_S: Seconds = BEGIN_WITHIN_S / 6.0;
+
+/// The free tasks of one job, with what each of them requires.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct FreeTasks<'a> {
+    pub(super) job: &'a JobId,
+    pub(super) request: &'a PlacementRequest,
+    pub(super) indexes: &'a [u32],
+}
+
+impl FreeTasks<'_> {
+    fn len(&self) -> usize {
+        self.indexes.len()
+    }
+}
+
 impl Leader {
-    /// Jobs whose tasks depend on each other. The leader counts the zones, so
+    /// Assigns tasks whose zones depend on each other. The leader counts the zones, so
     /// nothing is assigned while any task's zone isn't known, and what is assigned
-    /// goes whole to one shard with what each zone may still take.
+    /// goes whole to one shard with what each zone may still take, unless several
+    /// shards together fit it better.
     pub(super) fn assign_zone_bound(
         &mut self,
-        id: &JobId,
-        request: &PlacementRequest,
-        free: &[u32],
+        tasks: FreeTasks,
         capacity: &mut FreeCapacity,
         cache: &StoreCache,
-    ) -> Assignment {
-        let Some(entry) = self.jobs.get(id) else {
+    ) -> Vec<ShardAssignment> {
+        let Some(entry) = self.jobs.get(tasks.job) else {
             return Vec::new();
         };
-        let spec = entry.spec.clone();
         if !entry.unreconciled.is_empty() || entry.withdrawing {
             return Vec::new();
         }
-        let Some(room) = self.zone_room(entry, capacity, cache) else {
+        let Some(allowances) = self.zone_allowances(entry, capacity, cache) else {
             return Vec::new();
         };
-        // The roomiest shard that can take them all; else the one that takes
-        // the most.
-        let Some((shard, chosen)) = roomiest_for(
-            request,
-            free.len(),
-            capacity,
-            &room,
-            spec.one_zone,
-            &self.names,
-        ) else {
+        let one_zone = entry.spec.one_zone;
+        let Some(fit) = best_shard(tasks, capacity, &allowances, one_zone, &self.names) else {
             return Vec::new();
         };
-        // No shard has room where the image is for all of a job latency-sensitive:
-        // several shards share it, each told how many a zone may take of it.
-        if request.latency_sensitive
-            && capacity.with_cached_image(request, &chosen) < free.len()
-            && !spec.one_zone
-        {
-            let spread = capacity.try_place(request, free.len(), None, &room, false);
-            if spread.len() >= chosen.len()
-                && capacity.with_cached_image(request, &spread)
-                    > capacity.with_cached_image(request, &chosen)
-            {
-                return self.spread_over_shards(id, request, &spread, free, capacity);
-            }
+        if let Some(slots) = better_spread(entry, tasks, &fit.slots, capacity, &allowances) {
+            return self.spread_over_shards(tasks, &slots, capacity);
         }
-        // One shard's machines of one zone may be too few for a job that the
-        // zone has room for: then several shards share it.
-        if spec.one_zone && chosen.len() < free.len() {
-            let spread = capacity.try_place(request, free.len(), None, &room, true);
-            if spread.len() > chosen.len()
-                && (spread.len() == free.len() || !entry.assigned.is_empty())
-            {
-                return self.spread_over_shards(id, request, &spread, free, capacity);
-            }
-        }
-        if spec.one_zone && chosen.len() < free.len() && entry.assigned.is_empty() {
+        if one_zone && fit.slots.len() < tasks.len() && entry.assigned.is_empty() {
             return Vec::new();
         }
-        for &slot in &chosen {
-            capacity.take(slot, &request.ask);
+        self.assign_to_shard(tasks, &fit, capacity, &allowances, one_zone)
+    }
+
+    /// Assigns as many tasks as fit to one shard, and records what it is told of the
+    /// zones.
+    fn assign_to_shard(
+        &mut self,
+        tasks: FreeTasks,
+        fit: &ShardFit,
+        capacity: &mut FreeCapacity,
+        allowances: &[ZoneAllowance],
+        one_zone: bool,
+    ) -> Vec<ShardAssignment> {
+        for &slot in &fit.slots {
+            capacity.take(slot, &tasks.request.ask);
         }
-        let tasks = free[..chosen.len()].to_vec();
-        let shard = self.names.name(shard).clone();
-        // Guard: a job for one zone is told which. Left to choose, the shard began
-        // it where only some of its tasks had room.
-        let into: BTreeSet<u32> = chosen
+        // A job for one zone is told which. Left to choose, the shard started it
+        // where only some of its tasks had room.
+        let chosen_zones: BTreeSet<u32> = fit
+            .slots
             .iter()
             .map(|&slot| capacity.slots[slot].zone)
             .collect();
-        let told = room
+        let told = allowances
             .iter()
-            .filter(|(z, _)| !spec.one_zone || into.contains(z));
-        let told = told
-            .map(|(z, n)| (self.names.name(*z).clone(), *n))
+            .filter(|allowance| !one_zone || chosen_zones.contains(&allowance.zone))
+            .map(|allowance| (self.names.name(allowance.zone).clone(), allowance.tasks))
             .collect();
-        if let Some(entry) = self.jobs.get_mut(id) {
+        let shard = self.names.name(fit.shard).clone();
+        if let Some(entry) = self.jobs.get_mut(tasks.job) {
             entry.zone_allowances = [(shard.clone(), told)].into_iter().collect();
         }
-        vec![(shard, tasks)]
+        vec![ShardAssignment {
+            shard,
+            tasks: tasks.indexes[..fit.slots.len()].to_vec(),
+        }]
     }
 
-    /// How many more tasks of a job each zone may take, by where the others are;
+    /// How many more tasks of a job each zone may take, by where its other tasks are;
     /// none while that isn't known of all.
-    pub(super) fn zone_room(
+    pub(super) fn zone_allowances(
         &self,
         entry: &JobEntry,
         capacity: &FreeCapacity,
         cache: &StoreCache,
-    ) -> Option<ZoneRoom> {
+    ) -> Option<Vec<ZoneAllowance>> {
         let mut counts: BTreeMap<u32, u32> = BTreeMap::new();
         for assignment in entry.assigned.values() {
             let record = &cache.registry.get(assignment.machine.as_ref()?)?.record;
             *counts.entry(self.names.lookup(&record.zone)?).or_default() += 1;
         }
-        let zones: BTreeSet<u32> = capacity.slots.iter().map(|slot| slot.zone).collect();
-        let allowed = |z: &u32| !entry.spec.one_zone || counts.is_empty() || counts.contains_key(z);
-        let left = |z: u32| {
-            (
-                z,
-                entry
-                    .spec
-                    .zone_cap()
-                    .saturating_sub(counts.get(&z).copied().unwrap_or(0)),
-            )
+        let allowed =
+            |zone: &u32| !entry.spec.one_zone || counts.is_empty() || counts.contains_key(zone);
+        let allowance = |zone: u32| ZoneAllowance {
+            zone,
+            tasks: entry
+                .spec
+                .zone_cap()
+                .saturating_sub(counts.get(&zone).copied().unwrap_or(0)),
         };
-        Some(zones.into_iter().filter(allowed).map(left).collect())
+        let zones = capacity.zones().into_iter();
+        Some(zones.filter(allowed).map(allowance).collect())
     }
 
-    /// Where a job's tasks are, as far as that is known, if it matters for the
-    /// rest of them.
-    pub(super) fn zones_of(&self, id: &JobId, cache: &StoreCache) -> BTreeMap<Arc<str>, u32> {
+    /// How many of a job's tasks are in each zone, as far as that is known and
+    /// matters for the rest of them.
+    pub(super) fn tasks_by_zone(&self, id: &JobId, cache: &StoreCache) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
         let bound =
             |entry: &&JobEntry| (entry.spec.one_zone || entry.spec.scatter) && !entry.withdrawing;
@@ -129,157 +130,214 @@
             return zones;
         };
         for assignment in entry.assigned.values() {
-            let record = assignment
-                .machine
-                .as_ref()
-                .and_then(|m| cache.registry.get(m));
-            if let Some(registered) = record {
-                *zones.entry(registered.record.zone.clone()).or_default() += 1;
+            let machine = assignment.machine.as_ref();
+            if let Some(machine) = machine.and_then(|id| cache.registry.get(id)) {
+                *zones.entry(machine.record.zone.clone()).or_default() += 1;
             }
         }
         zones
     }
 
-    /// A service whose zone has had no room for the rest of it for as long as
-    /// several boots take moves as a whole, if another zone has room for it:
-    /// its tasks are stopped, and assigned anew once all are proven gone.
+    /// Moves a service as a whole whose zone has had no room for the rest of it for
+    /// [`ZONE_CHANGE_AFTER_S`], if another zone has room for all of it: its tasks are
+    /// stopped, and assigned anew once all are proven to be nowhere.
     pub(super) fn consider_zone_change(
         &mut self,
-        id: &JobId,
-        request: &PlacementRequest,
-        stuck: bool,
+        tasks: FreeTasks,
+        has_room: bool,
         capacity: &mut FreeCapacity,
         now: Seconds,
     ) {
-        let patience = BEGIN_WITHIN_S / 6.0;
-        let Some(entry) = self.jobs.get_mut(id) else {
+        let Some(entry) = self.jobs.get_mut(tasks.job) else {
             return;
         };
-        if !stuck || entry.assigned.is_empty() {
+        if has_room || entry.assigned.is_empty() {
             entry.no_room_since = None;
             entry.withdrawing = false;
             return;
         }
         let since = *entry.no_room_since.get_or_insert(now);
-        let known = entry.unreconciled.is_empty()
+        let all_placed = entry.unreconciled.is_empty()
             && entry
                 .assigned
                 .values()
                 .all(|assignment| assignment.machine.is_some());
-        if entry.withdrawing || !known || now - since < patience {
+        if entry.withdrawing || !all_placed || now - since < ZONE_CHANGE_AFTER_S {
             return;
         }
-        let n = entry.spec.task_count as usize;
-        let all: BTreeSet<u32> = capacity.slots.iter().map(|slot| slot.zone).collect();
-        let all: Vec<(u32, u32)> = all.into_iter().map(|z| (z, u32::MAX)).collect();
-        if capacity.try_place(request, n, None, &all, true).len() == n {
-            tracing::info!(%id, "no room for the rest of it in its zone: it moves");
-            if let Some(entry) = self.jobs.get_mut(id) {
-                entry.withdrawing = true;
-            }
+        let task_count = entry.spec.task_count as usize;
+        let zones = capacity.unlimited_zones();
+        let slots = capacity.try_place(tasks.request, task_count, None, &zones, true);
+        if slots.len() == task_count {
+            tracing::info!(job = %tasks.job, "service changes its zone: no room for all its replicas");
+            entry.withdrawing = true;
         }
     }
 
-    /// Deals tasks to the parts of the chosen machines, and tells each shard
-    /// how many of them a zone may take there.
+    /// Assigns tasks to the shards of the chosen machines, and records how many of
+    /// them each shard may place in a zone.
     pub(super) fn spread_over_shards(
         &mut self,
-        id: &JobId,
-        request: &PlacementRequest,
-        chosen: &[usize],
-        free: &[u32],
+        tasks: FreeTasks,
+        slots: &[usize],
         capacity: &mut FreeCapacity,
-    ) -> Assignment {
-        let Some(entry) = self.jobs.get_mut(id) else {
+    ) -> Vec<ShardAssignment> {
+        let Some(entry) = self.jobs.get_mut(tasks.job) else {
             return Vec::new();
         };
-        let mut out: BTreeMap<Arc<str>, Vec<u32>> = BTreeMap::new();
+        let mut by_shard: BTreeMap<Arc<str>, Vec<u32>> = BTreeMap::new();
         entry.zone_allowances.clear();
-        for (&slot, &index) in chosen.iter().zip(free) {
+        for (&slot, &index) in slots.iter().zip(tasks.indexes) {
             let shard = self.names.name(capacity.slots[slot].shard).clone();
             let zone = self.names.name(capacity.slots[slot].zone);
             let told = entry.zone_allowances.entry(shard.clone()).or_default();
-            match told.iter_mut().find(|(z, _)| z == zone) {
-                Some((_, n)) => *n += 1,
+            match told.iter_mut().find(|(name, _)| name == zone) {
+                Some((_, count)) => *count += 1,
                 None => told.push((zone.clone(), 1)),
             }
-            capacity.take(slot, &request.ask);
-            out.entry(shard).or_default().push(index);
+            capacity.take(slot, &tasks.request.ask);
+            by_shard.entry(shard).or_default().push(index);
         }
-        out.into_iter().collect()
+        shard_assignments(by_shard)
     }
 }
 
-/// The shard that takes the most of `n` tasks; of several, the one with more
-/// machines that have the image of a job latency-sensitive, then the roomiest.
-fn roomiest_for(
-    request: &PlacementRequest,
-    n: usize,
+fn shard_assignments(by_shard: BTreeMap<Arc<str>, Vec<u32>>) -> Vec<ShardAssignment> {
+    by_shard
+        .into_iter()
+        .map(|(shard, tasks)| ShardAssignment { shard, tasks })
+        .collect()
+}
+
+/// The machines of several shards, if together they fit zone-bound tasks better than
+/// `slots`, which are those of the best single shard.
+fn better_spread(
+    entry: &JobEntry,
+    tasks: FreeTasks,
+    slots: &[usize],
+    capacity: &mut FreeCapacity,
+    allowances: &[ZoneAllowance],
+) -> Option<Vec<usize>> {
+    let request = tasks.request;
+    if entry.spec.one_zone {
+        // One shard's machines of one zone may be too few for a job that the zone
+        // has room for.
+        if slots.len() >= tasks.len() {
+            return None;
+        }
+        let spread = capacity.try_place(request, tasks.len(), None, allowances, true);
+        let worthwhile = spread.len() == tasks.len() || !entry.assigned.is_empty();
+        return (spread.len() > slots.len() && worthwhile).then_some(spread);
+    }
+    // No shard has room where the image is cached for all tasks of a latency-sensitive
+    // job: several shards share it, each told how many a zone may take of it.
+    if !request.latency_sensitive || capacity.with_cached_image(request, slots) >= tasks.len() {
+        return None;
+    }
+    let spread = capacity.try_place(request, tasks.len(), None, allowances, false);
+    let more_cached = || {
+        capacity.with_cached_image(request, &spread) > capacity.with_cached_image(request, slots)
+    };
+    (spread.len() >= slots.len() && more_cached()).then_some(spread)
+}
+
+/// What one shard offers to the tasks of a job.
+#[derive(Debug)]
+struct ShardFit {
+    rank: ShardRank,
+    /// The interned name of the shard.
+    shard: u32,
+    /// A machine for each task that fits.
+    slots: Vec<usize>,
+}
+
+/// What decides between shards, the highest first.
+#[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
+struct ShardRank {
+    /// Tasks that fit.
+    tasks: usize,
+    /// Of these, on machines that have the image of a latency-sensitive job.
+    cached: usize,
+    /// Free CPUs of the whole shard.
+    free_cpus: f64,
+}
+
+/// The shard that takes the most of the tasks; of several, the one with more machines
+/// that have the image of a latency-sensitive job, then the one with the most room
+/// (design, "Division": other jobs than arrays go to the roomiest shard).
+fn best_shard(
+    tasks: FreeTasks,
     capacity: &mut FreeCapacity,
-    room: &[(u32, u32)],
+    allowances: &[ZoneAllowance],
     one_zone: bool,
     names: &NameInterner,
-) -> Option<(u32, Vec<usize>)> {
-    let mut best: Option<(usize, usize, f64, u32, Vec<usize>)> = None;
+) -> Option<ShardFit> {
+    let mut best: Option<ShardFit> = None;
     let mut shards = capacity.shards();
     shards.sort_by(|a, b| names.name(*a).cmp(names.name(*b)));
     for shard in shards {
-        let chosen = capacity.try_place(request, n, Some(shard), room, one_zone);
-        let key = (
-            chosen.len(),
-            capacity.with_cached_image(request, &chosen),
-            capacity.total(shard),
+        let slots = capacity.try_place(
+            tasks.request,
+            tasks.len(),
+            Some(shard),
+            allowances,
+            one_zone,
         );
-        if !chosen.is_empty() && best.as_ref().is_none_or(|b| key > (b.0, b.1, b.2)) {
-            best = Some((key.0, key.1, key.2, shard, chosen));
+        let rank = ShardRank {
+            tasks: slots.len(),
+            cached: capacity.with_cached_image(tasks.request, &slots),
+            free_cpus: capacity.free_cpus(shard),
+        };
+        if !slots.is_empty() && best.as_ref().is_none_or(|best| rank > best.rank) {
+            best = Some(ShardFit { rank, shard, slots });
         }
     }
-    best.map(|b| (b.3, b.4))
+    best
 }
 
+/// Assigns as many tasks as fit to the one shard that takes the most of them.
 pub(super) fn assign_whole(
-    request: &PlacementRequest,
-    free: &[u32],
+    tasks: FreeTasks,
     capacity: &mut FreeCapacity,
     names: &NameInterner,
-) -> Assignment {
-    let zones: BTreeSet<u32> = capacity.slots.iter().map(|slot| slot.zone).collect();
-    let all: Vec<(u32, u32)> = zones.into_iter().map(|z| (z, u32::MAX)).collect();
-    let Some((shard, chosen)) = roomiest_for(request, free.len(), capacity, &all, false, names)
-    else {
+) -> Vec<ShardAssignment> {
+    let zones = capacity.unlimited_zones();
+    let Some(fit) = best_shard(tasks, capacity, &zones, false, names) else {
         return Vec::new();
     };
-    for &slot in &chosen {
-        capacity.take(slot, &request.ask);
+    for &slot in &fit.slots {
+        capacity.take(slot, &tasks.request.ask);
     }
-    vec![(names.name(shard).clone(), free[..chosen.len()].to_vec())]
+    vec![ShardAssignment {
+        shard: names.name(fit.shard).clone(),
+        tasks: tasks.indexes[..fit.slots.len()].to_vec(),
+    }]
 }
 
-/// An array's tasks go one by one to the shard with the most room left.
+/// Assigns an array's tasks one by one, each to the shard with the most room left
+/// (design, "Division": an array's tasks are divided by free room).
 pub(super) fn assign_array(
-    request: &PlacementRequest,
-    free: &[u32],
+    tasks: FreeTasks,
     capacity: &mut FreeCapacity,
     names: &NameInterner,
-) -> Assignment {
-    let mut out: BTreeMap<Arc<str>, Vec<u32>> = BTreeMap::new();
+) -> Vec<ShardAssignment> {
+    let mut by_shard: BTreeMap<Arc<str>, Vec<u32>> = BTreeMap::new();
     let mut full: Vec<u32> = Vec::new();
-    let mut left = free.iter();
-    let mut next = left.next();
+    let mut remaining = tasks.indexes.iter();
+    let mut next = remaining.next();
     while let Some(&index) = next {
         let Some(shard) = capacity.roomiest(&full, names) else {
             break;
         };
-        match capacity.best(request, Some(shard), None) {
+        match capacity.best(tasks.request, Some(shard), None) {
             Some(slot) => {
-                capacity.take(slot, &request.ask);
-                out.entry(names.name(shard).clone())
-                    .or_default()
-                    .push(index);
-                next = left.next();
+                capacity.take(slot, &tasks.request.ask);
+                let of_shard = by_shard.entry(names.name(shard).clone()).or_default();
+                of_shard.push(index);
+                next = remaining.next();
             }
             None => full.push(shard),
         }
     }
-    out.into_iter().collect()
+    shard_assignments(by_shard)
 }
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -1,8 +1,9 @@
 //! One round of assignment: which jobs come first, and what each may take.
 
-use super::placement::{assign_array, assign_whole};
-use super::urgency::urgency;
-use super::{Assignment, JobEntry, Leader, TaskAssignment};
+use super::placement::{assign_array, assign_whole, FreeTasks};
+use super::urgency::{urgency, Urgency};
+use super::usage::add_tasks;
+use super::{AssignmentNumbers, JobEntry, Leader, ShardAssignment, TaskAssignment};
 use crate::autoscaler::PendingDemand;
 use crate::clock::{self, Seconds};
 use crate::scheduler::bin_packing;
@@ -11,21 +12,10 @@
 use crate::store::cache::{CachedJob, StoreCache};
 use crate::wire::{JobId, JobKind, Priority, Resources, BEGIN_WITHIN_S};
 use finchwood_types::token;
-use std::collections::{BTreeSet, HashMap, HashSet};
+use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 impl Leader {
-    pub(super) fn used(&self) -> HashMap<Arc<str>, Resources> {
-        let mut used: HashMap<Arc<str>, Resources> = HashMap::new();
-        for entry in self.jobs.values() {
-            let n = f64::from(entry.assigned.len() as u32 + entry.unreconciled.len());
-            let u = used.entry(entry.spec.team.clone()).or_default();
-            u.cpus += n * entry.spec.cpus;
-            u.gpus += n * entry.spec.gpus;
-        }
-        used
-    }
-
     /// Free room of every open machine, less what is assigned and not placed.
     pub(super) fn capacity(&self, wall_clock_ms: u64) -> FreeCapacity {
         let open = self
@@ -65,49 +55,20 @@
         capacity
     }
 
-    /// Jobs that fit their team's guarantee together with the team's earlier
-    /// unfinished jobs: they need not wait for what others borrow.
-    pub(super) fn guaranteed(&self, cache: &StoreCache) -> HashSet<JobId> {
-        let mut by_age: Vec<(u64, &JobId, &JobEntry)> = self
-            .jobs
-            .iter()
-            .map(|(id, entry)| (entry.accepted_at_ms, id, entry))
-            .collect();
-        by_age.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
-        let mut used: HashMap<&str, Resources> = HashMap::new();
-        let mut out = HashSet::new();
-        for (_, id, entry) in by_age {
-            let Some(team) = self.teams.get(&entry.spec.team) else {
-                continue;
-            };
-            let Some(job) = cache.jobs.get(id).filter(|j| j.live()) else {
-                continue;
-            };
-            let left = f64::from(entry.spec.task_count.saturating_sub(job.finished.len()));
-            let u = used.entry(&entry.spec.team).or_default();
-            u.cpus += left * entry.spec.cpus;
-            u.gpus += left * entry.spec.gpus;
-            if u.cpus <= team.cpus && u.gpus <= team.gpus {
-                out.insert(id.clone());
-            }
-        }
-        out
-    }
-
     /// One round of assignment: as many free tasks as fit, in order of priority and
-    /// age, until `more` says that the time is over; the next round goes on
+    /// age, until `has_time` says that the time is over; the next round goes on
     /// from there. Returns the shards that have new orders.
     pub fn assign_tasks(
         &mut self,
         cache: &StoreCache,
         now: Seconds,
-        mut more: impl FnMut() -> bool,
+        mut has_time: impl FnMut() -> bool,
     ) -> BTreeSet<String> {
         let shards_with_new_orders = self.update_gangs(cache, now);
         if self.shards.is_empty() {
             return shards_with_new_orders;
         }
-        let (wall_clock_ms, used) = (clock::wall_clock_ms(), self.used());
+        let (wall_clock_ms, used) = (clock::wall_clock_ms(), self.used_by_team());
         self.borrowing = self.borrowing_teams(&used);
         let mut round = Round {
             cache,
@@ -120,18 +81,18 @@
             shards_with_new_orders,
         };
         for id in self.jobs_in_order(&round) {
-            if !more() {
+            if !has_time() {
                 self.resume_from = Some(id);
                 break;
             }
             self.assign_job(&id, &mut round);
         }
-        for w in round
+        for demand in round
             .pending_demand
             .iter()
-            .filter(|w| w.spec.priority == Priority::Prod)
+            .filter(|demand| demand.spec.priority == Priority::Prod)
         {
-            tracing::debug!(job = %w.spec.id, count = w.count, "no room");
+            tracing::debug!(job = %demand.spec.id, tasks = demand.count, "no room");
         }
         self.pending_demand = round.pending_demand;
         round.shards_with_new_orders
@@ -140,40 +101,40 @@
     /// Jobs that may have free tasks, the most pressing first; from where the last
     /// round stopped, if its time was over.
     fn jobs_in_order(&mut self, round: &Round) -> Vec<JobId> {
-        let guaranteed = self.guaranteed(round.cache);
+        let guaranteed = self.guaranteed_jobs(round.cache);
         let live = |id: &JobId| round.cache.jobs.get(id).is_some_and(|j| j.live());
         let may_have_free = |entry: &JobEntry| {
-            !entry.failures.waits(round.now)
-                && (entry.assigned.len() as u32 + entry.unreconciled.len()) < entry.spec.task_count
+            !entry.failures.waits(round.now) && entry.occupied_tasks() < entry.spec.task_count
         };
         let waiting = self
             .jobs
             .iter()
             .filter(|(id, entry)| live(id) && may_have_free(entry));
-        let mut order: Vec<(Stage, Priority, u8, i64, JobId)> = waiting
-            .map(|(id, entry)| {
-                let (tier, due) = urgency(
+        let mut order: Vec<RankedJob> = waiting
+            .map(|(id, entry)| RankedJob {
+                stage: stage(id, entry, guaranteed.contains(id), round),
+                priority: entry.spec.priority,
+                urgency: urgency(
                     &entry.spec,
                     entry.accepted_at_ms,
                     round.wall_clock_ms,
-                    &self.objectives,
-                );
-                let stage = stage(id, entry, guaranteed.contains(id), round);
-                (stage, entry.spec.priority, tier, due, id.clone())
+                    &self.policy.objectives,
+                ),
+                id: id.clone(),
             })
             .collect();
         order.sort();
-        if let Some(at) = self.resume_from.take() {
-            if let Some(position) = order.iter().position(|o| o.4 == at) {
+        if let Some(id) = self.resume_from.take() {
+            if let Some(position) = order.iter().position(|job| job.id == id) {
                 order.rotate_left(position);
             }
         }
-        order.into_iter().map(|o| o.4).collect()
+        order.into_iter().map(|job| job.id).collect()
     }
 
     /// The free tasks of a job, as many as its team's limit allows.
     fn free_tasks(&self, entry: &JobEntry, job: &CachedJob, used: &Resources) -> Vec<u32> {
-        let team = self.teams.get(&entry.spec.team);
+        let team = self.policy.teams.get(&entry.spec.team);
         let left = Resources {
             cpus: team.map_or(0.0, |team| team.cpu_cap()) - used.cpus,
             gpus: team.map_or(0.0, |team| team.gpu_cap()) - used.gpus,
@@ -207,14 +168,19 @@
         let gang_may_not = spec.job_kind == JobKind::Gang
             && !(self.gangs_allowed && entry.gang_may_start(free.len()));
         // Guard: a number beyond the limit would be one of a later epoch.
-        let numbers_left = self.attempts_used + free.len() as u64 <= self.attempt_limit;
+        let numbers_left = self.epoch.attempts_used + free.len() as u64 <= self.attempt_limit;
         if free.is_empty() || gang_may_not || !numbers_left {
             return;
         }
         let age_s = round.age_s(entry);
         let request = self.request(entry, round);
-        let chosen = self.choose_shards(id, &request, &free, round);
-        let placed: usize = chosen.iter().map(|(_, tasks)| tasks.len()).sum();
+        let tasks = FreeTasks {
+            job: id,
+            request: &request,
+            indexes: &free,
+        };
+        let chosen = self.choose_shards(tasks, round);
+        let placed: usize = chosen.iter().map(|assigned| assigned.tasks.len()).sum();
         if placed == 0 && round.capacity.best(&request, None, None).is_none() {
             round.capacity.record_no_fit(&request);
         }
@@ -223,9 +189,8 @@
             round.pending_demand.extend(demand);
         }
         let used = round.used.entry(spec.team.clone()).or_default();
-        used.cpus += placed as f64 * spec.cpus;
-        used.gpus += placed as f64 * spec.gpus;
-        for (shard, tasks) in chosen {
+        add_tasks(used, &spec, placed as f64);
+        for ShardAssignment { shard, tasks } in chosen {
             round.shards_with_new_orders.insert(shard.to_string());
             for index in tasks {
                 self.assign_task(id, index, &shard, round.now);
@@ -233,22 +198,6 @@
         }
     }
 
-    /// Teams that use more than they are guaranteed.
-    fn borrowing_teams(&self, used: &HashMap<Arc<str>, Resources>) -> Vec<Arc<str>> {
-        let borrows = |name: &Arc<str>, used: &Resources| {
-            self.teams
-                .get(name)
-                .is_none_or(|team| used.cpus > team.cpus || used.gpus > team.gpus)
-        };
-        let mut teams: Vec<Arc<str>> = used
-            .iter()
-            .filter(|(name, used)| borrows(name, used))
-            .map(|(name, _)| name.clone())
-            .collect();
-        teams.sort();
-        teams
-    }
-
     /// What is stopped for the tasks of a job that have no room. Guard: without it,
     /// guests' low arrays that run for minutes held the machines which a team's own
     /// work then waited for.
@@ -259,7 +208,7 @@
             Priority::Prod => Preempts::AllLowerWork,
             Priority::Urgent | Priority::Standard
                 if !entry.spec.has_coupled_tasks()
-                    && waited_s > self.report_s * PREEMPTS_AFTER_REPORTS =>
+                    && waited_s > self.policy.report_s * PREEMPTS_AFTER_REPORTS =>
             {
                 Preempts::BorrowingLowWork
             }
@@ -282,11 +231,11 @@
         let spec = &entry.spec;
         let idle_work = spec.spot
             && spec.priority == Priority::Low
-            && !self.classes_with_objectives.contains(&spec.class)
+            && !self.policy.classes_with_objectives.contains(&spec.class)
             && self.borrowing.contains(&spec.team);
         let is_late = stage(id, entry, false, round) == Stage::Unbegun;
         Some(PendingDemand {
-            tasks_in_zone: self.zones_of(id, round.cache),
+            tasks_in_zone: self.tasks_by_zone(id, round.cache),
             task_resources: spec.task_resources(),
             count: if idle_work && is_late { 1 } else { count },
             spec: spec.clone(),
@@ -295,77 +244,62 @@
         })
     }
 
+    /// What the tasks of a job require of a machine in this round.
     fn request(&self, entry: &JobEntry, round: &Round) -> PlacementRequest {
         let spec = &entry.spec;
         let latency_sensitive = bin_packing::is_latency_sensitive(
             spec,
-            &self.start_objectives_s,
+            &self.policy.start_objectives_s,
             round.cache.catalog.as_deref(),
         );
         let avoid = entry.failures.avoided().to_vec();
         let preempts = self.preempts(entry, round.wall_clock_ms);
         let request = PlacementRequest::new(spec, &self.names, avoid, latency_sensitive, preempts);
         // The start of a gang with an aim needs room at once in a single zone.
-        if spec.job_kind == JobKind::Gang && self.start_objectives_s.contains_key(&spec.class) {
+        if spec.job_kind == JobKind::Gang
+            && self.policy.start_objectives_s.contains_key(&spec.class)
+        {
             request.with_reserve()
         } else {
             request
         }
     }
 
-    /// The shards that take tasks of a job, by its shape.
-    fn choose_shards(
-        &mut self,
-        id: &JobId,
-        request: &PlacementRequest,
-        free: &[u32],
-        round: &mut Round,
-    ) -> Assignment {
+    /// The shards that take free tasks of a job, by its kind.
+    fn choose_shards(&mut self, tasks: FreeTasks, round: &mut Round) -> Vec<ShardAssignment> {
         let Some(entry) = self
             .jobs
-            .get(id)
-            .filter(|_| !round.capacity.known_not_to_fit(request))
+            .get(tasks.job)
+            .filter(|_| !round.capacity.known_not_to_fit(tasks.request))
         else {
             return Vec::new();
         };
-        let spec = entry.spec.clone();
+        let spec = &entry.spec;
         if spec.job_kind == JobKind::Gang {
             // The first of those that wait; for the others its room comes later.
-            let keeps_room = !round.gang_waits && round.age_s(entry) < BEGIN_WITHIN_S * 2.0;
-            let chosen = self.assign_gang(
-                id,
-                request,
-                free,
-                &mut round.capacity,
-                round.cache,
-                keeps_room,
-            );
+            let keeps_room = !round.gang_waits && round.age_s(entry) < KEEPS_ROOM_FOR_S;
+            let chosen = self.assign_gang(tasks, &mut round.capacity, round.cache, keeps_room);
             round.gang_waits |= chosen.is_empty() && keeps_room;
             chosen
         } else if spec.one_zone || spec.scatter {
-            let chosen =
-                self.assign_zone_bound(id, request, free, &mut round.capacity, round.cache);
-            if spec.one_zone && spec.job_kind == JobKind::Service {
-                self.consider_zone_change(
-                    id,
-                    request,
-                    chosen.is_empty(),
-                    &mut round.capacity,
-                    round.now,
-                );
+            let moves = spec.one_zone && spec.job_kind == JobKind::Service;
+            let chosen = self.assign_zone_bound(tasks, &mut round.capacity, round.cache);
+            if moves {
+                let has_room = !chosen.is_empty();
+                self.consider_zone_change(tasks, has_room, &mut round.capacity, round.now);
             }
             chosen
         } else if spec.has_coupled_tasks() {
-            assign_whole(request, free, &mut round.capacity, &self.names)
+            assign_whole(tasks, &mut round.capacity, &self.names)
         } else {
-            assign_array(request, free, &mut round.capacity, &self.names)
+            assign_array(tasks, &mut round.capacity, &self.names)
         }
     }
 
     /// Gives a task to a shard, under an attempt of its own or that of its gang.
     fn assign_task(&mut self, id: &JobId, index: u32, shard: &Arc<str>, now: Seconds) {
-        self.attempts_used += 1;
-        let assignment = token::attempt(self.epoch, self.attempts_used);
+        self.epoch.attempts_used += 1;
+        let assignment = token::attempt(self.epoch.number, self.epoch.attempts_used);
         let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
@@ -375,8 +309,10 @@
         };
         let assigned = TaskAssignment {
             shard: shard.clone(),
-            attempt,
-            assignment,
+            numbers: AssignmentNumbers {
+                attempt,
+                assignment,
+            },
             acknowledged: false,
             phase: TaskPhase::Queued,
             machine: None,
@@ -389,6 +325,13 @@
 /// for it: often some comes free by itself.
 const PREEMPTS_AFTER_REPORTS: f64 = 2.0;
 
+/// For how many seconds from its acceptance room is kept for a gang that waits.
+const KEEPS_ROOM_FOR_S: Seconds = BEGIN_WITHIN_S * 2.0;
+
+/// After how many seconds a job that has not begun comes before those whose teams are
+/// within their guarantee.
+const UNBEGUN_AFTER_S: Seconds = BEGIN_WITHIN_S / 3.0;
+
 /// What one round of assignment works with.
 struct Round<'a> {
     cache: &'a StoreCache,
@@ -410,6 +353,15 @@
     }
 }
 
+/// A job in the order in which jobs are assigned.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RankedJob {
+    stage: Stage,
+    priority: Priority,
+    urgency: Urgency,
+    id: JobId,
+}
+
 /// What comes before priority in the order of jobs, the most pressing first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
@@ -431,7 +383,7 @@
             .is_some_and(|j| !j.finished.is_empty());
     match entry.spec.priority {
         Priority::Prod => Stage::HighestPriority,
-        _ if !begun && round.age_s(entry) > BEGIN_WITHIN_S / 3.0 => Stage::Unbegun,
+        _ if !begun && round.age_s(entry) > UNBEGUN_AFTER_S => Stage::Unbegun,
         _ if guaranteed => Stage::Guaranteed,
         _ => Stage::Borrowed,
     }
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -1,7 +1,7 @@
 //! Shards' reports, and what they prove about where tasks are.
 
 use super::completions::needs_commit;
-use super::{Leader, ShardView, TaskAssignment, TrackedMachine};
+use super::{AssignmentNumbers, Leader, ShardView, TaskAssignment, TrackedMachine};
 use crate::clock::Seconds;
 use crate::finished::TaskSet;
 use crate::scheduler::capacity::MachineSlot;
@@ -30,10 +30,10 @@
         if !self.is_next_report(&report, now) {
             return false;
         }
-        self.has_new_evidence = true;
-        self.last_report_at = now;
-        self.first_report_at.get_or_insert(now);
-        self.reported_shards.insert(report.node.clone());
+        self.epoch.has_new_evidence = true;
+        self.epoch.last_report_at = now;
+        self.epoch.first_report_at.get_or_insert(now);
+        self.epoch.reported_shards.insert(report.node.clone());
         let shard: Arc<str> = report.node.as_str().into();
         let whole = report.since == 0;
         self.apply_machines(&shard, whole, &report.unregistered, report.machines, now);
@@ -82,7 +82,8 @@
     /// Whether a report is of this epoch and builds on what was taken in; notes
     /// that it came, if so.
     fn is_next_report(&mut self, report: &ShardReport, now: Seconds) -> bool {
-        if report.epoch != self.epoch || self.members.get(&report.node) != Some(&report.incarnation)
+        if report.epoch != self.epoch.number
+            || self.epoch.members.get(&report.node) != Some(&report.incarnation)
         {
             return false;
         }
@@ -170,8 +171,10 @@
         entry.unreconciled.remove(index);
         let assigned = TaskAssignment {
             shard: shard.clone(),
-            attempt: held.attempt,
-            assignment: held.assignment,
+            numbers: AssignmentNumbers {
+                attempt: held.attempt,
+                assignment: held.assignment,
+            },
             acknowledged: true,
             phase: held.phase,
             machine: held.machine,
@@ -179,22 +182,25 @@
         match entry.assigned.get(&index) {
             // Two shards list it (a machine changed hands): the newer word
             // of the later attempt stands, until one of them is gone.
-            Some(old) if old.shard != assigned.shard && old.order() > assigned.order() => {}
+            Some(old) if old.shard != assigned.shard && old.numbers > assigned.numbers => {}
             _ => entry.assign(index, assigned),
         }
     }
 
     /// A task is certainly nowhere in a shard any more.
     fn apply_removed_task(&mut self, shard: &Arc<str>, gone: RemovedTask, now: Seconds) {
-        let report_s = self.report_s;
+        let report_s = self.policy.report_s;
         let Some(entry) = self.jobs.get_mut(&gone.task.job) else {
             return;
         };
         // Guard: a shard says again and again that a task is gone, also after
         // it was assigned there anew under the same attempt.
-        let same = |d: &TaskAssignment| gone.assignment == 0 || d.assignment == gone.assignment;
+        let same =
+            |d: &TaskAssignment| gone.assignment == 0 || d.numbers.assignment == gone.assignment;
         let assigned = entry.assigned.get(&gone.task.index);
-        if !assigned.is_some_and(|d| d.shard == *shard && d.attempt == gone.attempt && same(d)) {
+        if !assigned
+            .is_some_and(|d| d.shard == *shard && d.numbers.attempt == gone.attempt && same(d))
+        {
             return;
         }
         entry.unassign(gone.task.index);
@@ -263,7 +269,8 @@
             .jobs
             .get(&task.job)
             .and_then(|entry| entry.assigned.get(&task.index));
-        assigned.is_some_and(|d| d.shard == *shard && d.acknowledged && d.attempt == attempt)
+        assigned
+            .is_some_and(|d| d.shard == *shard && d.acknowledged && d.numbers.attempt == attempt)
     }
 
     /// A task is somewhere we don't know, unless it needs no more runs.
@@ -280,7 +287,7 @@
         if let Some(attempt) = entry.attempt.as_mut() {
             attempt.mark_unreconciled();
         }
-        self.reconciled = false;
+        self.epoch.reconciled = false;
     }
 
     fn remove_ended_jobs(&mut self, cache: &StoreCache) {
@@ -346,18 +353,19 @@
     /// Whether machines that no readable page of the machine registry names may hold tasks. Such
     /// a machine reports to its owner within its worker's lease, or that is past.
     fn may_be_on_unlisted_machines(&self, cache: &StoreCache) -> bool {
-        let Some(first_report_at) = self.first_report_at else {
+        let Some(first_report_at) = self.epoch.first_report_at else {
             return true;
         };
         cache.unreadable.any_registry_page()
-            && self.last_report_at - first_report_at < self.takeover_s
+            && self.epoch.last_report_at - first_report_at < self.policy.takeover_s
     }
 
     /// Whether every member has sent its holdings in this epoch.
     pub fn all_joined(&self) -> bool {
-        self.members
+        self.epoch
+            .members
             .keys()
-            .all(|machine| self.reported_shards.contains(machine))
+            .all(|machine| self.epoch.reported_shards.contains(machine))
     }
 
     /// Frees unknown tasks once they are proven to be nowhere: every shard has
@@ -372,15 +380,15 @@
     /// `gone` knows whose deletion was answered: that is proof long before the
     /// machine registry shows it, which may be written late when there is much to write.
     pub fn reconcile(&mut self, cache: &StoreCache, gone: &dyn Fn(&MachineId) -> bool) {
-        if self.reconciled || !self.has_new_evidence || !self.all_joined() {
+        if self.epoch.reconciled || !self.epoch.has_new_evidence || !self.all_joined() {
             return;
         }
-        self.has_new_evidence = false;
+        self.epoch.has_new_evidence = false;
         if self.may_be_on_unlisted_machines(cache) {
             return;
         }
         let unreconciled = self.unreconciled_machines(cache, gone);
-        self.reconciled = unreconciled.is_empty();
+        self.epoch.reconciled = unreconciled.is_empty();
         for entry in self
             .jobs
             .values_mut()
@@ -395,6 +403,6 @@
 
     /// Whether nothing is in doubt any more.
     pub fn is_reconciled(&self) -> bool {
-        self.reconciled
+        self.epoch.reconciled
     }
 }
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -293,10 +293,14 @@
     let (mut l, mut p, _) = pair(&m, 2);
     l.attempt_limit = 2;
     round(&mut l, &mut p, &m, 1.0);
-    assert_eq!(l.counts().1, 0, "none of three, as two numbers are left");
+    assert_eq!(
+        l.counts().assigned_tasks,
+        0,
+        "none of three, as two numbers are left"
+    );
     l.attempt_limit = 5;
     round(&mut l, &mut p, &m, 2.0);
-    assert_eq!(l.counts().1, 3);
+    assert_eq!(l.counts().assigned_tasks, 3);
     assert!(l.needs_new_epoch());
     let present = Epoch {
         number: EPOCH,
--- a/tests/control_plane/many_small_jobs.rs
+++ b/tests/control_plane/many_small_jobs.rs
@@ -202,5 +202,12 @@
         fleet.ended.iter().all(BTreeMap::is_empty),
         "workers need keep no result"
     );
-    assert_eq!(fleet.leader.counts(), (0, 0, 0));
+    assert_eq!(
+        fleet.leader.counts(),
+        finchwood::scheduler::TableCounts {
+            jobs: 0,
+            assigned_tasks: 0,
+            unreconciled_tasks: 0
+        }
+    );
 }
--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -323,7 +323,11 @@
         assert_eq!(self.given, [], "{when}");
         assert_eq!(
             self.leader.counts(),
-            (3, 12, 0),
+            finchwood::scheduler::TableCounts {
+                jobs: 3,
+                assigned_tasks: 12,
+                unreconciled_tasks: 0
+            },
             "{when}: jobs, tasks held, tasks in doubt"
         );
         for id in self.workers.keys() {
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -340,7 +340,7 @@
             all.starts += given.starts;
             all.stops += given.stops;
             all.reaps += given.reaps;
-            if self.leader.is_reconciled() && self.leader.counts().2 == 0 {
+            if self.leader.is_reconciled() && self.leader.counts().unreconciled_tasks == 0 {
                 return (all, turn);
             }
         }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -356,7 +356,10 @@
         assert_eq!(belief(&l), belief(&fresh));
         let held: usize = on.iter().map(BTreeSet::len).sum();
         assert!(held > 50, "something is left to compare");
-        assert_eq!((l.counts().1, fresh.counts().1), (held, held));
+        assert_eq!(
+            (l.counts().assigned_tasks, fresh.counts().assigned_tasks),
+            (held, held)
+        );
     }
 }
 
@@ -376,7 +379,7 @@
         !l.apply_shard_report(gap, &s.cache, 1.1),
         "nothing to build on"
     );
-    assert_eq!(l.counts().1, 0);
+    assert_eq!(l.counts().assigned_tasks, 0);
     assert!(!l.apply_shard_report(
         ShardReport {
             epoch: EPOCH - 1,
@@ -394,7 +397,7 @@
         1.2
     ));
     assert!(l.apply_shard_report(first.clone(), &s.cache, 1.3));
-    assert_eq!(l.counts().1, 1);
+    assert_eq!(l.counts().assigned_tasks, 1);
     assert_eq!(first.assigned[0].phase, TaskPhase::Running);
     assert!(
         !l.apply_shard_report(first, &s.cache, 1.4),
@@ -467,7 +470,10 @@
         l.start_epoch(&epoch(EPOCH, &[("a", 7), ("b", 8)]), 9, &s.cache);
         s.report(0, 1.0, &[(1, false)]);
         assert!(l.apply_shard_report(s.shard.snapshot(&s.cache, 1.0), &s.cache, 1.0));
-        assert_eq!((l.counts().1, l.counts().2), (1, 999));
+        assert_eq!(
+            (l.counts().assigned_tasks, l.counts().unreconciled_tasks),
+            (1, 999)
+        );
         // It ends, and before the leader hears of it another epoch begins.
         s.report(0, 2.0, &[(1, true)]);
         let mut members = vec![("a", a)];
@@ -484,7 +490,7 @@
             &s.cache,
             2.2
         ));
-        l.counts().2
+        l.counts().unreconciled_tasks
     };
     assert_eq!(
         unknown_after(7, &[("b", 10)], true),
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -2,7 +2,7 @@
 
 use finchwood::scheduler::bin_packing::{pick, Candidate};
 use finchwood::scheduler::capacity::{
-    FreeCapacity, MachineSlot, NameInterner, PlacementRequest, Preempts,
+    FreeCapacity, MachineSlot, NameInterner, PlacementRequest, Preempts, ZoneAllowance,
 };
 use finchwood::shard::MachineStatus;
 use finchwood::wire::{JobKind, JobSpec, Priority, Resources};
@@ -346,14 +346,20 @@
         let counts = capacity.count_by_zone(&request);
         for zone in ZONES.iter().filter_map(|z| names.lookup(z)) {
             let counted = counts.get(&zone).copied().unwrap_or_default();
-            let placed = capacity.try_place(&request, 10_000, None, &[(zone, u32::MAX)], false);
+            let placed = capacity.try_place(
+                &request,
+                10_000,
+                None,
+                &[ZoneAllowance::unlimited(zone)],
+                false,
+            );
             prop_assert_eq!(counted.tasks as usize, placed.len());
             prop_assert_eq!(
                 counted.with_image as usize,
                 capacity.with_cached_image(&request, &placed)
             );
             let keep = counted.tasks / 2;
-            capacity.take_in_zones(&request, &[(zone, u32::MAX)], keep);
+            capacity.take_in_zones(&request, &[ZoneAllowance::unlimited(zone)], keep);
             let left = capacity
                 .count_by_zone(&request)
                 .get(&zone)
