--- a/src/api/relay_pool.rs
+++ b/src/api/relay_pool.rs
@@ -39,7 +39,7 @@
     for index in 0..threads {
         let (inbox, agent) = (inbox.clone(), agent.clone());
         spawn_detached(&format!("relay-{index}"), move || {
-            relay_all(&inbox, &agent, owner)
+            relay_all(&inbox, &agent, owner);
         });
     }
     queue
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -80,6 +80,10 @@
 }
 
 /// Routes a request of a user or worker.
+///
+/// # Errors
+///
+/// If the route is unknown or the body malformed.
 pub fn parse_public(request: HttpRequest) -> Result<Request, RouteError> {
     match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/up") => Ok(Request::HealthCheck),
@@ -90,9 +94,13 @@
 }
 
 /// Routes a request of another controller or an operator.
+///
+/// # Errors
+///
+/// If the route is unknown or the body malformed.
 pub fn parse_internal(request: HttpRequest) -> Result<Request, RouteError> {
     match (request.method.as_str(), request.path.as_str()) {
-        // Controllers may use any method here.
+        // Accepted with any method.
         (_, "/peer") => parse_envelope(&request.body),
         (_, "/relay") => parse_heartbeat(request.body, true),
         ("GET", "/restart") => Ok(Request::RestartReport),
