--- a/src/cluster/membership.rs
+++ b/src/cluster/membership.rs
@@ -122,7 +122,7 @@
 {
     let store = StoreClient::new(settings);
     let key = member_key(&settings.node_name);
-    let life = settings.member_life_s();
+    let life = settings.member_lease_s();
     spawn_detached("lease", move || loop {
         let pause = life / 24.0;
         let Some((lease, sent)) = join(&store, &budget, &key, life, shares) else {
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -316,7 +316,7 @@
 
     /// The classes that have an objective for how soon their tasks start, and that
     /// time in seconds.
-    pub fn start_aims(&self) -> HashMap<Arc<str>, f64> {
+    pub fn start_objectives(&self) -> HashMap<Arc<str>, f64> {
         self.params
             .objectives
             .iter()
@@ -326,7 +326,7 @@
     }
 
     /// The classes that have an objective of any kind.
-    pub fn classes_with_aims(&self) -> HashSet<Arc<str>> {
+    pub fn classes_with_objectives(&self) -> HashSet<Arc<str>> {
         self.params
             .objectives
             .iter()
--- a/src/controller/member.rs
+++ b/src/controller/member.rs
@@ -24,7 +24,9 @@
     /// of the epoch.
     pub(super) fn entitled_until(&self) -> Seconds {
         match (self.my_epoch(), self.last_synced_at) {
-            (Some(_), Some(fresh)) => self.lease_until.min(fresh + self.settings.knowledge_s()),
+            (Some(_), Some(fresh)) => self
+                .lease_until
+                .min(fresh + self.settings.max_knowledge_age_s()),
             _ => 0.0,
         }
     }
@@ -38,7 +40,7 @@
     /// nobody else is known to reach it either. One that hears no other
     /// controller can't know that, and is itself what is cut off.
     pub(super) fn healthy_now(&self, now: Seconds) -> bool {
-        let life = self.settings.member_life_s();
+        let life = self.settings.member_lease_s();
         let reached = self.last_synced_at.is_some_and(|f| now - f < life / 4.0);
         let others = self.healthy.values().any(|&t| now - t < life / 4.0);
         let alone = !self.hears.values().any(|(t, _)| now - t < life / 2.0);
@@ -127,7 +129,7 @@
                 value: serde_json::to_value(&next).unwrap_or_default(),
                 lease: None,
             }],
-            deadline: now + self.settings.member_life_s() / 4.0,
+            deadline: now + self.settings.member_lease_s() / 4.0,
             purpose: WritePurpose::Epoch,
         };
         if self.writer.send(WriteClass::Urgent, write).is_err() {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -215,14 +215,14 @@
         let timing = Timing {
             report_s,
             lease_s: settings.params.workers.lease_s,
-            member_life_s: settings.member_life_s(),
+            member_lease_s: settings.member_lease_s(),
         };
         let others = settings
             .members
             .iter()
             .map(|m| (m.node_name.clone(), m.zone.clone()))
             .collect();
-        let mut shard = Shard::new(&settings.node_name, timing, settings.start_aims());
+        let mut shard = Shard::new(&settings.node_name, timing, settings.start_objectives());
         let restart = features
             .cold_restart
             .as_ref()
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -67,13 +67,13 @@
                 .iter()
                 .map(|team| (team.name.as_str().into(), team.clone()))
                 .collect(),
-            start_objectives_s: settings.start_aims(),
-            classes_with_objectives: settings.classes_with_aims(),
+            start_objectives_s: settings.start_objectives(),
+            classes_with_objectives: settings.classes_with_objectives(),
             objectives: ServiceObjectives::new(settings),
             report_s: workers.report_s,
             gang_wait_s: workers.gang_wait_s,
             takeover_s: clock::with_drift_margin(workers.lease_s)
-                + clock::with_drift_margin(settings.member_life_s()),
+                + clock::with_drift_margin(settings.member_lease_s()),
         }
     }
 }
--- a/src/shard/leases.rs
+++ b/src/shard/leases.rs
@@ -16,7 +16,7 @@
         let limit = clock::with_drift_margin(self.timing.lease_s);
         // An earlier owner may have been left out of the epoch while it was
         // alive, and answers until it reads so or its own lease's time is up.
-        let entered = self.epoch_started_at + clock::with_drift_margin(self.timing.member_life_s);
+        let entered = self.epoch_started_at + clock::with_drift_margin(self.timing.member_lease_s);
         let silent: Vec<MachineId> = self
             .machines
             .iter()
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -109,7 +109,7 @@
     pub report_s: Seconds,
     pub lease_s: Seconds,
     /// The longest that a member left out of an epoch may not know of it.
-    pub member_life_s: Seconds,
+    pub member_lease_s: Seconds,
 }
 
 /// A part of the fleet.
@@ -154,11 +154,11 @@
 
 impl Shard {
     /// An empty shard, a member of no epoch.
-    pub fn new(node: &str, timing: Timing, start_aims: HashMap<Arc<str>, f64>) -> Shard {
+    pub fn new(node: &str, timing: Timing, start_objectives: HashMap<Arc<str>, f64>) -> Shard {
         Shard {
             node: node.into(),
             timing,
-            start_objectives: start_aims,
+            start_objectives,
             epoch: 0,
             epoch_started_at: 0.0,
             incarnation: 0,
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -306,7 +306,7 @@
     /// Until when the source of a machine that has just come may renew its worker's lease:
     /// one that has not read the changed table answers until its knowledge is too old.
     pub(super) fn source_renews_until(&self) -> Option<Seconds> {
-        let margin = clock::with_drift_margin(self.timing.member_life_s);
+        let margin = clock::with_drift_margin(self.timing.member_lease_s);
         self.transfers
             .table_changed_at
             .map(|changed| changed + margin)
--- a/tests/cancel_bound.rs
+++ b/tests/cancel_bound.rs
@@ -160,12 +160,12 @@
         let lease_s = report_s * leases;
         let cancel_s = clock::with_drift_margin(lease_s) + report_s * 1.01 + more;
         let s = settings(report_s, lease_s, cancel_s);
-        assert!(s.outlives_cancel_s() < cancel_s);
+        assert!(s.cancellation_bound_s() < cancel_s);
         Figures {
             report_s,
             lease_s,
             cancel_s,
-            knowledge_s: s.knowledge_s(),
+            knowledge_s: s.max_knowledge_age_s(),
         }
     })
 }
@@ -188,7 +188,7 @@
 #[test]
 fn no_task_outlives_its_cancellation_for_longer_than_the_settings_say() {
     let check = |(f, s): (Figures, Scenario)| {
-        let bound = settings(f.report_s, f.lease_s, f.cancel_s).outlives_cancel_s();
+        let bound = settings(f.report_s, f.lease_s, f.cancel_s).cancellation_bound_s();
         let took = outlives(&f, &s);
         prop_assert!(took <= bound + SLACK, "{} of {} s", took, bound);
         prop_assert!(took <= f.cancel_s, "{} of {} s", took, f.cancel_s);
--- a/tests/common/cores.rs
+++ b/tests/common/cores.rs
@@ -21,7 +21,7 @@
 pub const TIMING: Timing = Timing {
     report_s: 3.0,
     lease_s: 20.0,
-    member_life_s: 8.0,
+    member_lease_s: 8.0,
 };
 pub const EPOCH: u64 = 3;
 
--- a/tests/common/simulated_cluster/checks.rs
+++ b/tests/common/simulated_cluster/checks.rs
@@ -98,7 +98,7 @@
     /// Long after a confirmed cancellation no task of the job is on a machine, whatever
     /// became of the stops. A machine that hangs can't kill it.
     pub(super) fn check_cancelled(&self) {
-        let bound = self.settings.outlives_cancel_s() + CANCELLATION_SLACK_S;
+        let bound = self.settings.cancellation_bound_s() + CANCELLATION_SLACK_S;
         let awake = self
             .workers
             .iter()
--- a/tests/common/simulated_cluster/controllers.rs
+++ b/tests/common/simulated_cluster/controllers.rs
@@ -59,7 +59,7 @@
         let timing = Timing {
             report_s: REPORT_S,
             lease_s: WORKER_LEASE_S,
-            member_life_s: MEMBER_LEASE_S,
+            member_lease_s: MEMBER_LEASE_S,
         };
         Controller {
             name: CONTROLLERS[index],
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -405,11 +405,11 @@
         );
         let s = settings(&[("lease_s = 20.0", &l), ("cancel_s = 40.0", &c)]).expect(&c);
         assert!(
-            s.outlives_cancel_s() < cancel,
+            s.cancellation_bound_s() < cancel,
             "{} of {cancel}",
-            s.outlives_cancel_s()
+            s.cancellation_bound_s()
         );
-        assert!(s.knowledge_s() > 0.0 && s.member_life_s() <= lease * 0.4);
+        assert!(s.max_knowledge_age_s() > 0.0 && s.member_lease_s() <= lease * 0.4);
         assert!(s.evict_after_s() < cancel);
     }
     for cancel in ["cancel_s = 10.0", "cancel_s = 20.0", "cancel_s = 23.0"] {
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -25,7 +25,7 @@
 const TIMING: Timing = Timing {
     report_s: 3.0,
     lease_s: 20.0,
-    member_life_s: 8.0,
+    member_lease_s: 8.0,
 };
 /// Jobs, and tasks of each: one task of four CPUs for each machine of 16, and more.
 const JOBS: u32 = 100;
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -210,7 +210,7 @@
         let timing = Timing {
             report_s: 3.0,
             lease_s: 20.0,
-            member_life_s: 8.0,
+            member_lease_s: 8.0,
         };
         let mut shard = Shard::new("a", timing, HashMap::new());
         shard.start_epoch(EPOCH, 7, &cache, 0.0, |_| true);
