--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -1,8 +1,8 @@
-//! The leader's review of the whole fleet: which machines are rented, emptied,
-//! returned or replaced.
+//! The leader's review of the whole fleet: gathers what the autoscaler decides by, and
+//! sends what it decides to the cloud client.
 
 use super::Controller;
-use crate::autoscaler::cloud;
+use crate::autoscaler::cloud::CloudRequest;
 use crate::autoscaler::{
     self, BootProgress, BootingMachine, MachineOffer, MachineUsage, PendingDemand, MINIMUM_CHARGE_S,
 };
@@ -10,398 +10,266 @@
 use crate::cluster::failure_detection::{FailureDetector, MachineHealth, Verdict};
 use crate::config::settings::Workers;
 use crate::scheduler::{MachineFault, MachineSnapshot};
-use crate::wire::{Catalog, JobKind, MachineId, RentalRequest};
+use crate::store::records::MachineRecord;
+use crate::wire::{Catalog, JobKind, MachineId};
 use finchwood_reconciliation::hold_off::Action;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// The most machines that one request may name.
-const MAX_RENTED: u32 = 50;
+/// How often a deletion without an answer is requested again, in report intervals.
+const DELETION_RETRY_REPORTS: f64 = 2.0;
 
-/// The most machines that one deletion may name.
-const MAX_DELETED: usize = 100;
+/// For how many report intervals a contact of another shard with a machine counts.
+const SEEN_ELSEWHERE_REPORTS: f64 = 4.0;
 
-/// The share of all replicas that may be moved in a second.
-const MOVED_PER_S: f64 = 1.0 / 750.0;
-
-/// A rental without a certain answer yet.
-#[derive(Debug)]
-struct OpenRental {
-    request: RentalRequest,
-    /// When to ask again.
-    retry_at: Seconds,
-    /// The cloud has been asked and has not answered.
-    pending: bool,
-}
-
-/// An offer of which the cloud had too few machines.
-#[derive(Debug, Clone, Copy, Default)]
-struct NoCapacity {
-    /// It is not asked for before.
-    until: Seconds,
-    /// How often in a row.
-    refusals: u32,
-}
-
-/// The leader's dealings with the cloud.
-#[derive(Debug, Default)]
-pub(crate) struct Autoscaler {
-    counter: u64,
-    open: HashMap<String, OpenRental>,
-    no_capacity: HashMap<MachineOffer, NoCapacity>,
-    /// Deletions under way, and when to ask again.
-    deleting: HashMap<MachineId, Seconds>,
-    /// Machines that are certainly gone, and since when that is known.
-    pub(super) deleted: HashMap<MachineId, Seconds>,
-    pub(super) list: super::cloud_responses::ListState,
-    catalog_due: Seconds,
-    pub(super) catalog_pending: bool,
-    rented_at: Seconds,
-    emptied_at: Seconds,
-    move_after: Seconds,
-    /// When the present epoch began to be led.
-    led_since: Seconds,
-}
-
-impl Autoscaler {
-    /// This node leads from now on.
-    pub(super) fn lead(&mut self, now: Seconds) {
-        self.led_since = now;
-        self.list.lead();
-    }
-
-    /// A machine is off the machine registry.
-    pub(super) fn forget(&mut self, id: &MachineId) {
-        self.deleting.remove(id);
-        self.list.forget(id);
-    }
-
-    /// The catalog's write was answered.
-    pub(super) fn catalog_written(&mut self) {
-        self.catalog_pending = false;
-    }
-
-    /// The catalog is asked for again by `at`.
-    pub(super) fn catalog_due_by(&mut self, at: Seconds) {
-        self.catalog_due = self.catalog_due.min(at);
-    }
-
-    /// A rental has got its final answer.
-    pub(super) fn rental_closed(&mut self, request: &RentalRequest) {
-        self.open.remove(&request.request);
-    }
-
-    /// A rental has got no certain answer: the same is asked again.
-    pub(super) fn rental_unknown(&mut self, request: RentalRequest, retry_at: Seconds) {
-        if let Some(open) = self.open.get_mut(&request.request) {
-            *open = OpenRental {
-                request,
-                retry_at,
-                pending: false,
-            };
-        }
-    }
-
-    /// An offer was rented in full.
-    pub(super) fn has_capacity(&mut self, offer: &MachineOffer) {
-        self.no_capacity.remove(offer);
-    }
-
-    /// The cloud has too few machines of an offer. Capacity comes back as machines
-    /// are returned: it is asked again after a while, and less often the longer
-    /// there is none.
-    pub(super) fn lacks_capacity(&mut self, offer: MachineOffer, report_s: Seconds, now: Seconds) {
-        const MAX_REFUSALS: u32 = 4;
-        let refused = self.no_capacity.entry(offer).or_default();
-        refused.refusals = (refused.refusals + 1).min(MAX_REFUSALS);
-        refused.until = now + report_s * f64::from(refused.refusals) * 2.0;
-    }
-
-    /// Machines are certainly gone.
-    pub(super) fn note_deleted(&mut self, machines: Vec<MachineId>, now: Seconds) {
-        for id in machines {
-            self.deleting.remove(&id);
-            self.deleted.insert(id, now);
-        }
-    }
-
-    /// A deletion has failed, or nobody knows: the same is asked again.
-    pub(super) fn deletion_failed(&mut self, machines: Vec<MachineId>, retry_at: Seconds) {
-        self.deleting
-            .extend(machines.into_iter().map(|id| (id, retry_at)));
-    }
-
-    /// Machines to come of rentals that have not been answered.
-    fn unanswered(&self) -> impl Iterator<Item = BootingMachine> + '_ {
-        self.open.values().flat_map(|OpenRental { request, .. }| {
-            let offer = MachineOffer::from(request);
-            let booting = BootingMachine {
-                id: "".into(),
-                offer,
-                age_s: 0.0,
-            };
-            std::iter::repeat_n(booting, request.count as usize)
-        })
-    }
-}
-
-/// Machines on the machine registry that have not reported yet.
+/// Registered machines that have not sent a heartbeat yet.
 #[derive(Default)]
-struct NotUp {
+struct BootingMachines {
+    /// Those that may still come up.
     booting: Vec<BootingMachine>,
-    /// They should have long been up.
-    never: Vec<MachineId>,
-    /// Ordinary machines of each zone, up or not.
-    ordinary_in_zone: BTreeMap<Arc<str>, u32>,
+    /// Those past their boot timeout: to be deleted.
+    timed_out: Vec<MachineId>,
+    /// On-demand machines of each zone, up or not.
+    on_demand_in_zone: BTreeMap<Arc<str>, u32>,
 }
 
-/// Machines that have reported.
+/// Machines that have sent heartbeats.
 #[derive(Default)]
-struct Up {
+struct RunningMachines {
     in_use: Vec<MachineUsage>,
     /// To be deleted: dead.
-    delete: Vec<MachineId>,
-    /// To be deleted: faulty or emptied.
-    emptied: Vec<MachineId>,
-    /// CPUs on ordinary machines that are free for services, or soon will be.
-    free_ordinary: f64,
+    dead: Vec<MachineId>,
+    /// To be deleted: faulty or drained, with no task left.
+    drained: Vec<MachineId>,
+    /// CPUs on on-demand machines that are free for services, or soon will be.
+    free_on_demand_cpus: f64,
 }
 
 impl Controller {
-    /// Looks over the fleet and has machines deleted, emptied and rented.
+    /// Reviews the whole fleet, and has machines deleted, drained and rented.
     pub(super) fn autoscale(&mut self, now: Seconds) {
-        self.ask_cloud(now);
+        self.send_due_requests(now);
         let Some(catalog) = self.cache.catalog.clone() else {
             return;
         };
         let Workers {
             report_s, lease_s, ..
         } = self.settings.params.workers;
-        let signs = self.signs(now);
-        let detector = FailureDetector::new(report_s, lease_s, signs.values());
-        let not_up = self.machines_not_up(&catalog, &detector, now);
-        let doubt = self.doubt(now);
-        self.leader.preemption_held = self.holds(Action::Preempt, None, doubt.as_ref(), now);
-        let consolidates = !self.holds(Action::Consolidate, None, doubt.as_ref(), now);
-        let evicts_unasked = !self.holds(Action::EvictUnasked, None, doubt.as_ref(), now);
-        let mut up = self.machines_up(&catalog, &detector, &signs, evicts_unasked, now);
+        let health = self.machine_health(now);
+        let detector = FailureDetector::new(report_s, lease_s, health.values());
+        let mut booting = self.review_booting(&catalog, &detector, now);
+        let unreconciled = self.doubt(now);
+        let unreconciled = unreconciled.as_ref();
+        self.leader.preemption_held = self.holds(Action::Preempt, None, unreconciled, now);
+        let consolidates = !self.holds(Action::Consolidate, None, unreconciled, now);
+        let evicts_unasked = !self.holds(Action::EvictUnasked, None, unreconciled, now);
+        let mut running = self.review_running(&catalog, &detector, &health, evicts_unasked, now);
         if !consolidates {
-            up.emptied.clear();
+            running.drained.clear();
         }
-        let mut delete = not_up.never;
-        delete.extend(up.delete);
-        delete.extend(up.emptied);
-        delete.extend(self.machines_not_rid_of_cancelled_tasks());
-        self.delete(delete, now);
-        let spare = self.leader.service_cpus() * self.policy.scaling.service_headroom_share;
-        self.leader.reserved_cpus = spare;
+        let mut to_delete = std::mem::take(&mut booting.timed_out);
+        to_delete.extend(running.dead);
+        to_delete.extend(running.drained);
+        to_delete.extend(self.machines_with_cancelled_tasks());
+        self.delete_machines(to_delete, now);
+        let headroom_cpus = self.leader.service_cpus() * self.policy.scaling.service_headroom_share;
+        self.leader.reserved_cpus = headroom_cpus;
         if consolidates {
-            self.empty_machines(&up.in_use, &catalog, spare, now);
+            self.scale_in(&running.in_use, &catalog, headroom_cpus, now);
         }
-        let early = now - self.autoscaler.rented_at < report_s / 3.0;
-        if early || self.cloud_is_behind() || !self.leader.all_joined() {
+        if !self.may_scale_out(now) {
             return;
         }
-        let mut pending_demand = self.wants(spare - up.free_ordinary);
-        pending_demand
-            .retain(|demand| !self.holds(Action::Rent, Some(&demand.spec), doubt.as_ref(), now));
-        if pending_demand.is_empty() {
-            return;
+        let missing_cpus = headroom_cpus - running.free_on_demand_cpus;
+        let mut demand = self.total_demand(missing_cpus);
+        demand.retain(|demand| !self.holds(Action::Rent, Some(&demand.spec), unreconciled, now));
+        if !demand.is_empty() {
+            self.scale_out(&demand, &booting, &catalog, &detector, now);
         }
-        self.autoscaler.rented_at = now;
-        let lacking = |offer: &MachineOffer| {
-            self.autoscaler
-                .no_capacity
-                .get(offer)
-                .is_some_and(|n| now < n.until)
-        };
-        let blocked =
-            |offer: &MachineOffer| detector.zone_unreachable(&offer.zone) || lacking(offer);
-        let zones = &not_up.ordinary_in_zone;
-        let orders = autoscaler::plan_scale_out(
-            &pending_demand,
-            &not_up.booting,
-            zones,
-            &catalog,
-            &self.policy.scaling,
-            &blocked,
-        );
-        self.rent(orders, now);
     }
 
-    fn cloud_is_behind(&self) -> bool {
-        let pending = self
-            .autoscaler
-            .open
-            .values()
-            .filter(|rental| rental.pending)
-            .count();
-        autoscaler::rental_backlog_is_full(pending, self.settings.params.cloud.rps)
+    /// Whether machines may be rented now.
+    fn may_scale_out(&self, now: Seconds) -> bool {
+        let report_s = self.settings.params.workers.report_s;
+        let unanswered = self.autoscaler.rentals.awaiting_answer();
+        self.autoscaler.may_scale_out(report_s, now)
+            && !autoscaler::rental_backlog_is_full(unanswered, self.settings.params.cloud.rps)
+            && self.leader.all_joined()
     }
 
-    /// Asks the cloud what is due: the catalog, the machine list, rentals that
-    /// have got no certain answer.
-    fn ask_cloud(&mut self, now: Seconds) {
-        if now >= self.autoscaler.catalog_due
-            && self.cloud.try_send(cloud::CloudRequest::Catalog).is_ok()
-        {
-            self.autoscaler.catalog_due = now + MINIMUM_CHARGE_S;
+    /// Sends what is due to the cloud: requests for the catalog and the machine list,
+    /// and rentals that have got no certain answer.
+    fn send_due_requests(&mut self, now: Seconds) {
+        let cloud = &self.cloud;
+        let send = |request| cloud.try_send(request).is_ok();
+        if self.autoscaler.is_catalog_due(now) && send(CloudRequest::Catalog) {
+            self.autoscaler.record_catalog_request(now);
         }
-        if self.autoscaler.list.due(now) && self.cloud.try_send(cloud::CloudRequest::List).is_ok() {
-            self.autoscaler
-                .list
-                .asked(now, self.settings.params.cloud.list_lag_s);
-        }
-        for open in self
-            .autoscaler
-            .open
-            .values_mut()
-            .filter(|o| !o.pending && now >= o.retry_at)
-        {
-            open.pending = self
-                .cloud
-                .try_send(cloud::CloudRequest::Rent(open.request.clone()))
-                .is_ok();
+        if self.autoscaler.machine_list.is_due(now) && send(CloudRequest::List) {
+            let lag_s = self.settings.params.cloud.list_lag_s;
+            self.autoscaler.machine_list.record_request(now, lag_s);
         }
+        self.autoscaler
+            .rentals
+            .resend_due(now, |request| send(CloudRequest::Rent(request)));
     }
 
-    /// What is on the machine registry, or on its way there, and has not reported.
-    fn machines_not_up(
+    /// What is in the machine registry, or on its way there, and has not reported.
+    fn review_booting(
         &self,
         catalog: &Catalog,
         detector: &FailureDetector,
         now: Seconds,
-    ) -> NotUp {
+    ) -> BootingMachines {
         let wall_clock_ms = clock::wall_clock_ms();
         let report_s = self.settings.params.workers.report_s;
+        let has_heard_all = self.autoscaler.has_heard_all(report_s, now);
         let reported: HashSet<&MachineId> = self
             .leader
             .machines()
-            .filter(|m| m.has_reported)
-            .map(|m| &m.id)
+            .filter(|machine| machine.has_reported)
+            .map(|machine| &machine.id)
             .collect();
-        let registered = self
-            .cache
-            .registry
-            .iter()
-            .map(|(id, machine)| (id, &machine.record));
-        let on_the_way = self
-            .registry
-            .fresh
-            .iter()
-            .map(|(id, (_, record))| (id, record));
-        let on_the_way = on_the_way.filter(|(id, _)| !self.cache.registry.contains_key(*id));
-        let mut out = NotUp::default();
-        for (id, record) in registered.chain(on_the_way) {
+        let mut review = BootingMachines::default();
+        for (id, record) in self.registered_machines() {
             if !record.spot {
-                *out.ordinary_in_zone.entry(record.zone.clone()).or_default() += 1;
+                *review
+                    .on_demand_in_zone
+                    .entry(record.zone.clone())
+                    .or_default() += 1;
             }
-            if record.in_use || reported.contains(id) || self.autoscaler.deleted.contains_key(id) {
-                continue;
-            }
-            // Whether it is up can't be seen, and nothing can be run there.
-            if detector.zone_unreachable(&record.zone) {
+            let is_booting =
+                !record.in_use && !reported.contains(id) && !self.autoscaler.deletions.is_gone(id);
+            // Whether one in an unreachable zone is up cannot be seen, and nothing can
+            // be started there.
+            if !is_booting || detector.zone_unreachable(&record.zone) {
                 continue;
             }
             let age_s = wall_clock_ms.saturating_sub(record.rented_at_ms) as f64 / 1000.0;
             let boot_s = catalog
                 .get(&record.machine_type)
-                .map_or(MINIMUM_CHARGE_S, |t| t.boot_s);
-            // That it is up may not have been written before the leader changed.
-            let heard_by_now = now - self.autoscaler.led_since > report_s * 2.5;
+                .map_or(MINIMUM_CHARGE_S, |machine_type| machine_type.boot_s);
             let progress = self.policy.scaling.boot_progress(age_s, boot_s);
-            if progress == BootProgress::TimedOut && heard_by_now {
-                out.never.push(id.clone());
+            if progress == BootProgress::TimedOut && has_heard_all {
+                review.timed_out.push(id.clone());
             } else {
-                let offer = MachineOffer::from(record);
-                out.booting.push(BootingMachine {
+                review.booting.push(BootingMachine {
                     id: id.clone(),
-                    offer,
+                    offer: MachineOffer::from(record),
                     age_s,
                 });
             }
         }
-        out.booting.extend(self.autoscaler.unanswered());
-        out
+        review
+            .booting
+            .extend(self.autoscaler.rentals.machines_to_come());
+        review
+    }
+
+    /// The machines in the machine registry, then those on their way there.
+    fn registered_machines(&self) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
+        let registry = &self.cache.registry;
+        let registered = registry.iter().map(|(id, known)| (id, &known.record));
+        let on_the_way = self
+            .registry
+            .fresh
+            .iter()
+            .map(|(id, (_, record))| (id, record))
+            .filter(|(id, _)| !registry.contains_key(*id));
+        registered.chain(on_the_way)
     }
 
     /// What has reported, by whether it is still of use.
-    fn machines_up(
+    fn review_running(
         &mut self,
         catalog: &Catalog,
         detector: &FailureDetector,
-        signs: &HashMap<MachineId, MachineHealth>,
+        health: &HashMap<MachineId, MachineHealth>,
         evicts_unasked: bool,
         now: Seconds,
-    ) -> Up {
+    ) -> RunningMachines {
         let faults = self.leader.cordon_faulty_machines(&self.cache);
         let wall_clock_ms = clock::wall_clock_ms();
-        let mut out = Up::default();
-        for m in self.leader.machines_at(now) {
-            let Some(sign) = signs
-                .get(&m.id)
-                .filter(|_| !self.autoscaler.deleted.contains_key(&m.id))
-            else {
-                continue;
-            };
-            // Guard: deleted by its source's word, that it is empty, while its target had already
-            // started something there.
-            if self.is_changing_hands(&m.id) {
+        let mut review = RunningMachines::default();
+        for machine in self.leader.machines_at(now) {
+            let id = &machine.id;
+            // While a machine moves to another shard, its source may report it empty
+            // although its target has already started tasks there.
+            if self.autoscaler.deletions.is_gone(id) || self.is_changing_hands(id) {
                 continue;
             }
-            match detector.verdict(sign) {
-                Verdict::Replace if !evicts_unasked && sign.is_only_silent() => continue,
+            let Some(health) = health.get(id) else {
+                continue;
+            };
+            match detector.verdict(health) {
+                Verdict::Replace if !evicts_unasked && health.is_only_silent() => continue,
                 Verdict::Replace => {
-                    tracing::debug!(id = %m.id, ?sign, "replaced");
-                    out.delete.push(m.id.clone());
+                    tracing::debug!(machine = %id, ?health, "replacing machine");
+                    review.dead.push(id.clone());
                     continue;
                 }
-                // Not idle: returned, the whole zone's machines were rented and
-                // booted anew once the cut was over.
+                // Not idle: returned, all machines of the zone would be rented and
+                // booted anew once a partition is over.
                 Verdict::Wait => continue,
                 Verdict::Keep => {}
             }
-            let draining = self.leader.draining.contains(&m.id);
-            let proven_faulty = faults.get(&m.id) == Some(&MachineFault::Proven);
-            // Guard: one that is closed for a while on suspicion is not returned.
-            if m.tasks == 0 && (proven_faulty || m.draining && m.reconciled && draining) {
-                out.emptied.push(m.id.clone());
+            let drains = self.leader.draining.contains(id);
+            let is_proven_faulty = faults.get(id) == Some(&MachineFault::Proven);
+            let is_drained = machine.draining && machine.reconciled && drains;
+            // One that is cordoned for a while on suspicion is not returned.
+            if machine.tasks == 0 && (is_proven_faulty || is_drained) {
+                review.drained.push(id.clone());
             }
-            if !m.spot && m.schedulable {
-                // Of lower work there, half ends while a machine boots.
-                out.free_ordinary += (m.free.cpus + m.preemptible.cpus / 2.0).max(0.0);
+            if !machine.spot && machine.schedulable {
+                // Of the preemptible work there, half ends while a machine boots.
+                review.free_on_demand_cpus +=
+                    (machine.free.cpus + machine.preemptible.cpus / 2.0).max(0.0);
             }
-            let rented_ms = self
-                .cache
-                .registry
-                .get(&m.id)
-                .map_or(wall_clock_ms, |machine| machine.record.rented_at_ms);
-            let yields_cpus = m.free.cpus + m.preemptible.cpus;
-            out.in_use.push(MachineUsage {
-                id: m.id.clone(),
-                offer: MachineOffer {
-                    machine_type: m.machine_type.clone(),
-                    zone: m.zone.clone(),
-                    spot: m.spot,
-                },
-                free: m.free,
-                idle_s: m.idle_s,
-                age_s: wall_clock_ms.saturating_sub(rented_ms) as f64 / 1000.0,
-                tasks: m.tasks,
-                schedulable: m.schedulable && !draining && !faults.contains_key(&m.id),
-                pinned_cpus: catalog
-                    .get(&m.machine_type)
-                    .map_or(0.0, |t| t.cpus - yields_cpus)
-                    .max(0.0),
-            });
+            let schedulable = machine.schedulable && !drains && !faults.contains_key(id);
+            review
+                .in_use
+                .push(self.machine_usage(&machine, schedulable, catalog, wall_clock_ms));
+        }
+        review
+    }
+
+    /// What the planning of scale-in needs to know of a machine.
+    fn machine_usage(
+        &self,
+        machine: &MachineSnapshot,
+        schedulable: bool,
+        catalog: &Catalog,
+        wall_clock_ms: u64,
+    ) -> MachineUsage {
+        let rented_at_ms = self
+            .cache
+            .registry
+            .get(&machine.id)
+            .map_or(wall_clock_ms, |known| known.record.rented_at_ms);
+        let available_cpus = machine.free.cpus + machine.preemptible.cpus;
+        MachineUsage {
+            id: machine.id.clone(),
+            offer: MachineOffer {
+                machine_type: machine.machine_type.clone(),
+                zone: machine.zone.clone(),
+                spot: machine.spot,
+            },
+            free: machine.free,
+            idle_s: machine.idle_s,
+            age_s: wall_clock_ms.saturating_sub(rented_at_ms) as f64 / 1000.0,
+            tasks: machine.tasks,
+            schedulable,
+            pinned_cpus: catalog
+                .get(&machine.machine_type)
+                .map_or(0.0, |machine_type| machine_type.cpus - available_cpus)
+                .max(0.0),
         }
-        out
     }
 
-    /// Machines that may still run tasks cancelled a while ago. Guard: a worker that
-    /// hangs or obeys nothing keeps what its lease would end. Deleted, it is gone
-    /// for certain, in the time that is left.
-    fn machines_not_rid_of_cancelled_tasks(&self) -> Vec<MachineId> {
+    /// Machines that may still run tasks cancelled a while ago. A worker that hangs or
+    /// ignores commands keeps what its lease would end; deleted, the machine is gone for
+    /// certain within the time that is left.
+    fn machines_with_cancelled_tasks(&self) -> Vec<MachineId> {
         let after_s = self.settings.evict_after_s() - self.settings.params.time_bound_ms / 500.0;
         let machines = self.leader.machines_with_cancelled_tasks(
             &self.cache,
@@ -409,58 +277,47 @@
             after_s.max(0.0),
         );
         if !machines.is_empty() {
-            tracing::info!(machines_with_cancelled_tasks = ?machines, "cancelled tasks may still be there");
+            tracing::info!(?machines, "machines may still run cancelled tasks");
         }
         machines.into_iter().collect()
     }
 
-    /// Has machines deleted that are not being deleted already.
-    pub(super) fn delete(&mut self, ids: Vec<MachineId>, now: Seconds) {
-        let autoscaler = &self.autoscaler;
-        let due = |id: &MachineId| {
-            !autoscaler.deleted.contains_key(id)
-                && autoscaler
-                    .deleting
-                    .get(id)
-                    .is_none_or(|&retry| now >= retry)
-        };
-        let ids: Vec<MachineId> = ids.into_iter().filter(due).take(MAX_DELETED).collect();
-        if ids.is_empty() {
+    /// Requests the deletion of those machines that are not being deleted already.
+    pub(super) fn delete_machines(&mut self, machines: Vec<MachineId>, now: Seconds) {
+        let machines = self.autoscaler.deletions.due(machines, now);
+        if machines.is_empty() {
             return;
         }
-        let retry_at = now + self.settings.params.workers.report_s * 2.0;
-        self.autoscaler.deletion_failed(ids.clone(), retry_at);
-        tracing::info!(?ids, "deleting machines");
-        let _ = self.cloud.try_send(cloud::CloudRequest::Delete(ids));
+        let retry_at = now + self.settings.params.workers.report_s * DELETION_RETRY_REPORTS;
+        self.autoscaler.deletions.retry(machines.clone(), retry_at);
+        tracing::info!(?machines, "deleting machines");
+        // A full queue is made up for by the retry.
+        let _ = self.cloud.try_send(CloudRequest::Delete(machines));
     }
 
-    /// Chooses machines that take no more tasks, so that they can be returned; opens
-    /// some of them again if there is work for them after all.
-    fn empty_machines(
+    /// Has idle and expensive machines drained and half-empty ones consolidated, so that
+    /// they can be returned; reopens some of them if there is work for them after all.
+    fn scale_in(
         &mut self,
         in_use: &[MachineUsage],
         catalog: &Catalog,
-        spare: f64,
+        headroom_cpus: f64,
         now: Seconds,
     ) {
-        let report_s = self.settings.params.workers.report_s;
-        self.leader.draining.extend(autoscaler::plan_scale_in(
-            in_use,
-            catalog,
-            spare,
-            &self.policy.scaling,
-        ));
+        let policy = &self.policy.scaling;
+        let idle = autoscaler::plan_scale_in(in_use, catalog, headroom_cpus, policy);
+        self.leader.draining.extend(idle);
         if !self.leader.pending_demand.is_empty() {
             self.reopen_machines(in_use);
         } else {
-            if now - self.autoscaler.emptied_at > report_s {
-                self.autoscaler.emptied_at = now;
-                for id in autoscaler::plan_draining(in_use, catalog, spare, &self.policy.scaling) {
-                    tracing::debug!(%id, "emptying");
+            let report_s = self.settings.params.workers.report_s;
+            if self.autoscaler.begin_draining(report_s, now) {
+                for id in autoscaler::plan_draining(in_use, catalog, headroom_cpus, policy) {
+                    tracing::debug!(machine = %id, "draining machine");
                     self.leader.draining.insert(id);
                 }
             }
-            self.move_replicas(in_use, catalog, spare, now);
+            self.consolidate(in_use, catalog, headroom_cpus, now);
         }
         let registry = &self.cache.registry;
         self.leader.draining.retain(|id| registry.contains_key(id));
@@ -469,133 +326,152 @@
             .retain(|id| registry.contains_key(id));
     }
 
-    /// Opens as many machines that were to be emptied as the waiting work needs.
+    /// Reopens as many draining machines as the pending demand needs.
     fn reopen_machines(&mut self, in_use: &[MachineUsage]) {
-        let mut needed: f64 = self
+        let mut needed_cpus: f64 = self
             .leader
             .pending_demand
             .iter()
             .map(PendingDemand::cpus)
             .sum();
-        for m in in_use.iter().filter(|m| m.tasks > 0) {
-            if needed <= 0.0 || !self.leader.draining.contains(&m.id) {
+        for machine in in_use.iter().filter(|machine| machine.tasks > 0) {
+            if needed_cpus <= 0.0 || !self.leader.draining.contains(&machine.id) {
                 continue;
             }
-            needed -= m.free.cpus.max(0.0);
-            self.leader.draining.remove(&m.id);
-            self.leader.consolidating.remove(&m.id);
+            needed_cpus -= machine.free.cpus.max(0.0);
+            self.leader.draining.remove(&machine.id);
+            self.leader.consolidating.remove(&machine.id);
         }
     }
 
-    /// Moves the replicas of machines that are mostly empty, so that these can be
-    /// returned. Each replica is away for about a second, so that only a small
-    /// share of all is moved in any while.
-    fn move_replicas(
+    /// Moves the replicas of half-empty machines, so that these can be returned. Each
+    /// replica is away for about a second, so that only a small share of all is moved in
+    /// any while.
+    fn consolidate(
         &mut self,
         in_use: &[MachineUsage],
         catalog: &Catalog,
-        spare: f64,
+        headroom_cpus: f64,
         now: Seconds,
     ) {
         if !self.leader.is_reconciled() {
             return;
         }
         let report_s = self.settings.params.workers.report_s;
-        let all = self.leader.service_cpus().max(1.0);
+        let service_cpus = self.leader.service_cpus().max(1.0);
         let mut in_use = in_use.to_vec();
-        let mut moved = 0.0;
-        let after = &mut self.autoscaler.move_after;
-        *after = after.max(now - report_s / 12.0);
-        while now >= *after {
-            let Some(m) = autoscaler::select_for_consolidation(&in_use, catalog, spare + moved)
+        let mut moved_cpus = 0.0;
+        self.autoscaler.begin_consolidation(report_s, now);
+        while self.autoscaler.may_consolidate(now) {
+            let reserved_cpus = headroom_cpus + moved_cpus;
+            let Some(machine) =
+                autoscaler::select_for_consolidation(&in_use, catalog, reserved_cpus)
             else {
                 return;
             };
-            let (id, cpus) = (m.id.clone(), m.pinned_cpus);
-            tracing::debug!(%id, cpus, "moving its replicas");
-            moved += cpus;
-            *after += (cpus / all / MOVED_PER_S).max(report_s / 100.0);
-            in_use.retain(|m| m.id != id);
+            let (id, cpus) = (machine.id.clone(), machine.pinned_cpus);
+            tracing::debug!(machine = %id, cpus, "consolidating machine");
+            moved_cpus += cpus;
+            self.autoscaler
+                .record_consolidation(cpus, service_cpus, report_s);
+            in_use.retain(|machine| machine.id != id);
             self.leader.draining.insert(id.clone());
             self.leader.consolidating.insert(id);
         }
     }
 
-    /// What machines are wanted for: tasks without room, and room for services to
-    /// come, of which `lacking_cpus` are not there.
-    fn wants(&self, lacking_cpus: f64) -> Vec<PendingDemand> {
-        let mut pending_demand = self.leader.pending_demand.clone();
-        let live = self.cache.jobs.values().filter(|job| job.live());
-        let service = live
+    /// All demand: tasks that no machine has room for, and headroom for services, of
+    /// which `missing_cpus` CPUs are not there.
+    fn total_demand(&self, missing_cpus: f64) -> Vec<PendingDemand> {
+        let mut demand = self.leader.pending_demand.clone();
+        let service = self
+            .cache
+            .jobs
+            .values()
+            .filter(|job| job.live())
             .filter_map(|job| job.record.spec.as_ref())
-            .find(|s| s.job_kind == JobKind::Service);
-        pending_demand
-            .extend(service.and_then(|spec| PendingDemand::service_headroom(lacking_cpus, spec)));
-        pending_demand
+            .find(|spec| spec.job_kind == JobKind::Service);
+        demand.extend(service.and_then(|spec| PendingDemand::service_headroom(missing_cpus, spec)));
+        demand
     }
 
-    /// Asks the cloud for machines.
-    fn rent(&mut self, orders: BTreeMap<MachineOffer, u32>, now: Seconds) {
-        for (offer, mut count) in orders {
-            while count > 0 {
-                self.autoscaler.counter += 1;
-                let request = RentalRequest {
-                    request: format!("fw-{}-{}", self.incarnation, self.autoscaler.counter),
-                    machine_type: offer.machine_type.clone(),
-                    zone: offer.zone.clone(),
-                    spot: offer.spot,
-                    count: count.min(MAX_RENTED),
-                };
-                count -= request.count;
-                if self
-                    .cloud
-                    .try_send(cloud::CloudRequest::Rent(request.clone()))
-                    .is_err()
-                {
-                    break;
-                }
-                tracing::info!(?request, "renting");
-                let open = OpenRental {
-                    request: request.clone(),
-                    retry_at: now,
-                    pending: true,
-                };
-                self.autoscaler.open.insert(request.request, open);
+    /// Plans rentals for the demand and sends them.
+    fn scale_out(
+        &mut self,
+        demand: &[PendingDemand],
+        booting: &BootingMachines,
+        catalog: &Catalog,
+        detector: &FailureDetector,
+        now: Seconds,
+    ) {
+        self.autoscaler.record_scale_out(now);
+        let capacity = &self.autoscaler.capacity;
+        let is_blocked = |offer: &MachineOffer| {
+            detector.zone_unreachable(&offer.zone) || capacity.is_blocked(offer, now)
+        };
+        let rentals = autoscaler::plan_scale_out(
+            demand,
+            &booting.booting,
+            &booting.on_demand_in_zone,
+            catalog,
+            &self.policy.scaling,
+            &is_blocked,
+        );
+        for (offer, count) in rentals {
+            self.rent(&offer, count);
+        }
+    }
+
+    /// Sends rentals of `count` machines of an offer, unless the queue is full.
+    fn rent(&mut self, offer: &MachineOffer, mut count: u32) {
+        while count > 0 {
+            let request = self
+                .autoscaler
+                .rentals
+                .next_request(self.incarnation, offer, count);
+            count -= request.count;
+            let message = CloudRequest::Rent(request.clone());
+            if self.cloud.try_send(message).is_err() {
+                return;
             }
+            tracing::info!(?request, "renting machines");
+            self.autoscaler.rentals.record_sent(request);
         }
     }
 
-    /// What every machine that was in use shows of itself. One that was in use
-    /// before this epoch and hasn't been heard in it is silent too: it may have
-    /// died while nobody led.
-    fn signs(&self, now: Seconds) -> HashMap<MachineId, MachineHealth> {
+    /// The signs of life of every machine in use. One that was in use before this epoch
+    /// and has not reported in it counts as silent: it may have died while no controller
+    /// led.
+    fn machine_health(&self, now: Seconds) -> HashMap<MachineId, MachineHealth> {
         let report_s = self.settings.params.workers.report_s;
-        let met = self.leader.seen_by_other_shards(report_s * 4.0);
-        let used = |m: &MachineSnapshot| {
-            m.has_reported
-                || self
-                    .cache
-                    .registry
-                    .get(&m.id)
-                    .is_some_and(|machine| machine.record.in_use)
+        let seen = self
+            .leader
+            .seen_by_other_shards(report_s * SEEN_ELSEWHERE_REPORTS);
+        let registry = &self.cache.registry;
+        let is_in_use = |machine: &MachineSnapshot| {
+            machine.has_reported
+                || registry
+                    .get(&machine.id)
+                    .is_some_and(|known| known.record.in_use)
         };
-        let sign = |m: MachineSnapshot| {
-            let sign = MachineHealth {
-                zone: m.zone.clone(),
-                state_known: m.reconciled,
-                silent_s: m.silent_s,
-                unanswered_s: m.unanswered_s,
-                zone_contact: m.reached,
-                seen_by_other_controller: met.contains(&m.id),
-                ignores_commands: m.ignores_commands,
-                owner_unreachable: m.ignores_commands && self.leader.owner_responds_late(&m.id),
+        let health = |machine: MachineSnapshot| {
+            let health = MachineHealth {
+                zone: machine.zone.clone(),
+                state_known: machine.reconciled,
+                silent_s: machine.silent_s,
+                unanswered_s: machine.unanswered_s,
+                zone_contact: machine.reached,
+                seen_by_other_controller: seen.contains(&machine.id),
+                ignores_commands: machine.ignores_commands,
+                owner_unreachable: machine.ignores_commands
+                    && self.leader.owner_responds_late(&machine.id),
             };
-            (m.id.clone(), sign)
+            (machine.id.clone(), health)
         };
         self.leader
             .machines_at(now)
-            .filter(used)
-            .map(sign)
+            .filter(is_in_use)
+            .map(health)
             .collect()
     }
 }
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -17,9 +17,9 @@
 impl Controller {
     /// One round, whose decisions take no longer than until `end`.
     pub(super) fn lead(&mut self, now: Seconds, end: Seconds) {
-        let deleted = &self.autoscaler.deleted;
+        let deletions = &self.autoscaler.deletions;
         self.leader
-            .reconcile(&self.cache, &|id| deleted.contains_key(id));
+            .reconcile(&self.cache, &|id| deletions.is_gone(id));
         self.leader.allow_gangs(self.cache.all_run_gangs());
         let touched = self
             .leader
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -24,6 +24,7 @@
 use crate::api::routes::Request;
 use crate::api::shard_map_report::ShardMapReport;
 use crate::autoscaler::cloud;
+use crate::autoscaler::Autoscaler;
 use crate::clock::{self, Moment, Seconds};
 use crate::cluster::membership::{self, LeaseEvent};
 use crate::cluster::peer::{CancellationNotice, PeerMessage, PeerTransport};
@@ -37,7 +38,6 @@
 use crate::store::pending_writes::WriteId;
 use crate::store::{self, CommitOutcome, GroupCommitter, RateBudget, WatchEvent};
 use crate::wire::{JobId, MachineId};
-use autoscaling::Autoscaler;
 use completions::PendingFinishes;
 use crossbeam::channel::{bounded, Receiver, RecvTimeoutError, Sender};
 use heartbeats::PassingWorker;
@@ -463,7 +463,7 @@
             WritePurpose::RegistryWriter(write_id) => {
                 self.registry_page_written(write_id, outcome, now)
             }
-            WritePurpose::Catalog => self.autoscaler.catalog_written(),
+            WritePurpose::Catalog => self.autoscaler.set_catalog_write_pending(false),
             WritePurpose::Shares => self.shares_written(outcome, now),
         }
     }
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -80,7 +80,7 @@
         let mut up: Vec<(MachineId, Arc<str>)> = Vec::new();
         let mut found = Vec::new();
         for m in self.leader.machines() {
-            if !m.has_reported || self.autoscaler.deleted.contains_key(&m.id) {
+            if !m.has_reported || self.autoscaler.deletions.is_gone(&m.id) {
                 continue;
             }
             let address = m.address.clone().unwrap_or_else(|| "".into());
@@ -139,8 +139,8 @@
         }
         let gone: BTreeSet<&MachineId> = self
             .autoscaler
-            .deleted
-            .keys()
+            .deletions
+            .gone()
             .filter(|id| self.cache.registry.contains_key(*id))
             .collect();
         if !gone.is_empty() {
@@ -158,8 +158,8 @@
         let forget =
             self.settings.params.cloud.list_lag_s * 4.0 + self.settings.params.workers.lease_s;
         self.autoscaler
-            .deleted
-            .retain(|id, t| now - *t < forget || registry.contains_key(id));
+            .deletions
+            .forget_gone(forget, |id| registry.contains_key(id), now);
     }
 
     /// Writes pages that have no write under way, as many at a time as half a
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -58,10 +58,10 @@
     /// The machines in doubt, if caution may rest on them now.
     pub(super) fn doubt(&self, now: Seconds) -> Option<UnreconciledMachines> {
         let restart = self.restart.as_ref()?;
-        let deleted = &self.autoscaler.deleted;
+        let deletions = &self.autoscaler.deletions;
         let unreconciled = || {
             self.leader
-                .unreconciled_machines(&self.cache, &|id| deleted.contains_key(id))
+                .unreconciled_machines(&self.cache, &|id| deletions.is_gone(id))
         };
         restart.hold_off.is_active(now).then(unreconciled)
     }
@@ -124,10 +124,10 @@
 
     fn restart_report(&mut self, now: Seconds) -> RestartReport {
         let left_alone = self.records_left_alone();
-        let deleted = &self.autoscaler.deleted;
+        let deletions = &self.autoscaler.deletions;
         let progress = || {
             self.leader
-                .reconciliation_progress(&self.cache, &|id| deleted.contains_key(id))
+                .reconciliation_progress(&self.cache, &|id| deletions.is_gone(id))
         };
         RestartReport {
             node: self.settings.node_name.clone(),
--- a/src/controller/watch_events.rs
+++ b/src/controller/watch_events.rs
@@ -89,7 +89,7 @@
             }
             None => {
                 self.shard.unregister_machine(id);
-                self.autoscaler.forget(id);
+                self.autoscaler.forget_machine(id);
             }
         }
     }
@@ -117,7 +117,7 @@
                 .start_epoch(&epoch, self.incarnation, &self.cache);
             self.began_to_lead(kept, now);
             self.forget_transfers(now);
-            self.autoscaler.lead(now);
+            self.autoscaler.start_leading(now);
             self.registry.lead();
         }
         self.told_leader = 0.0;
