--- a/crates/reconciliation/src/hold_off.rs
+++ b/crates/reconciliation/src/hold_off.rs
@@ -1,10 +1,10 @@
-//! What a new leader holds back while machines are in doubt: everything that would
+//! What a new leader holds back while machines are unreconciled: everything that would
 //! be asked for only because their content, and so their room, is not known yet.
 //!
 //! Each hold is bounded by time. A worker that is asked answers within a moment, so
 //! that two report intervals are enough for all that are alive; what is silent then
 //! is treated as it always is. What gives machines back, or moves work, is never
-//! urgent and waits for a worker's lease, after which nothing can be in doubt.
+//! urgent and waits for a worker's lease, after which nothing can be unreconciled.
 
 use crate::unreconciled::UnreconciledMachines;
 use finchwood_types::clock::Seconds;
@@ -42,7 +42,7 @@
 /// How long actions are held back.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HoldOffLimits {
-    /// How long machines in doubt are waited for before others are rented or lower
+    /// How long unreconciled machines are waited for before others are rented or lower
     /// work is stopped, in seconds.
     pub answer_s: Seconds,
     /// How long machines are neither returned, emptied nor deleted unasked, in seconds:
@@ -50,7 +50,7 @@
     pub lease_s: Seconds,
 }
 
-/// Caution after a leader began without knowledge of its own.
+/// Hold-off after a leader began without knowledge of its own.
 #[derive(Debug, Clone)]
 pub struct HoldOff {
     limits: HoldOffLimits,
@@ -70,7 +70,7 @@
 }
 
 impl HoldOff {
-    /// Caution that has not begun.
+    /// Hold-off that has not begun.
     pub fn new(limits: HoldOffLimits) -> HoldOff {
         HoldOff {
             limits,
@@ -123,7 +123,7 @@
     }
 }
 
-/// Room is looked for elsewhere only if no machine in doubt may have it.
+/// Room is looked for elsewhere only if no unreconciled machine may have it.
 fn hold_for_room(spec: Option<&JobSpec>, at: Situation) -> Option<HoldReason> {
     if !at.all_shards_reported {
         return Some(HoldReason::ShardsUnheard);
--- a/crates/reconciliation/src/lib.rs
+++ b/crates/reconciliation/src/lib.rs
@@ -3,11 +3,11 @@
 //!
 //! A cold restart, a change of leader and the takeover of a machine are one path.
 //! Nothing about placements is stored, so that a new owner knows only which
-//! machines there are. For each it waits for proof ([`machine`]), judges each
-//! reported task ([`verdict`]) by what is stored of it ([`stored`]), and the leader
-//! frees a job's missing tasks once no machine that may run them is in doubt
-//! ([`doubt`]). Meanwhile [`caution`] holds back what only that doubt would ask
-//! for, and [`record`] keeps what was decided and why.
+//! machines there are. For each it waits for proof ([`machine_state`]), decides on each
+//! reported task ([`verdict`]) by what is stored of it ([`stored_jobs`]), and the leader
+//! frees a job's missing tasks once no machine that may run them is unreconciled
+//! ([`unreconciled`]). Meanwhile [`hold_off`] holds back what only that uncertainty would ask
+//! for, and [`restart_record`] keeps what was decided and why.
 //!
 //! Everything here is pure: time and evidence come in as arguments, decisions go
 //! out as values.
--- a/crates/reconciliation/src/machine_state.rs
+++ b/crates/reconciliation/src/machine_state.rs
@@ -13,10 +13,10 @@
 pub enum MachineState {
     /// The machine registry says that nobody has started anything there: empty.
     Unused,
-    /// Somebody has used it, and nothing was heard of it yet: in doubt.
+    /// Somebody has used it, and nothing was heard of it yet: unreconciled.
     Unheard,
     /// It has spoken, but not under its owner's token: what it says may be old, or
-    /// may be added to by an earlier owner's command. In doubt, and being asked.
+    /// may be added to by an earlier owner's command. Unreconciled, and being asked.
     Heard,
     /// A report under its owner's token has shown what is there.
     Proven,
--- a/crates/reconciliation/src/restart_record.rs
+++ b/crates/reconciliation/src/restart_record.rs
@@ -125,7 +125,7 @@
     prior_knowledge: PriorKnowledge,
     epoch: u64,
     began: Seconds,
-    /// When no machine was in doubt for the first time.
+    /// When no machine was unreconciled for the first time.
     reconciled_at: Option<Seconds>,
     verdicts: BTreeMap<Verdict, u64>,
     holds: BTreeMap<(Action, HoldReason), u64>,
@@ -145,7 +145,7 @@
     pub epoch: u64,
     /// How long ago the record began, in seconds.
     pub age_s: f64,
-    /// After how many seconds no machine was in doubt; none while some are.
+    /// After how many seconds no machine was unreconciled; none while some are.
     #[serde(rename = "certain_after_s")]
     pub reconciled_after_s: Option<f64>,
     /// The machines by what is known of them.
@@ -218,7 +218,7 @@
         *self.holds.entry((action, reason)).or_default() += 1;
     }
 
-    /// How many machines are in doubt now.
+    /// How many machines are unreconciled now.
     pub fn record_unreconciled(&mut self, in_doubt: usize, now: Seconds) {
         if in_doubt == 0 && self.prior_knowledge != PriorKnowledge::NotEntered {
             self.reconciled_at.get_or_insert(now);
--- a/crates/reconciliation/src/unreconciled.rs
+++ b/crates/reconciliation/src/unreconciled.rs
@@ -1,7 +1,7 @@
-//! Which machines are in doubt, and which jobs wait for that.
+//! Which machines are unreconciled, and which jobs wait for that.
 //!
 //! A machine that stays unheard holds up only the jobs that may be on it: those
-//! allowed on its type, in its zone and on its kind. So doubt is served per job and
+//! allowed on its type, in its zone and on its kind. So waiting is decided per job and
 //! per class of machines, and never for the fleet as a whole.
 
 use finchwood_types::wire::JobSpec;
@@ -21,24 +21,24 @@
     pub spot: bool,
 }
 
-/// The machines in doubt, by class.
+/// The unreconciled machines, by class.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct UnreconciledMachines {
     by_class: BTreeMap<MachineClass, u32>,
 }
 
 impl UnreconciledMachines {
-    /// Whether no machine is in doubt.
+    /// Whether no machine is unreconciled.
     pub fn is_empty(&self) -> bool {
         self.by_class.is_empty()
     }
 
-    /// How many machines are in doubt.
+    /// How many machines are unreconciled.
     pub fn count(&self) -> u32 {
         self.by_class.values().sum()
     }
 
-    /// Whether a task of a job may be on a machine in doubt.
+    /// Whether a task of a job may be on an unreconciled machine.
     pub fn may_hold(&self, spec: &JobSpec) -> bool {
         self.by_class
             .keys()
@@ -62,14 +62,14 @@
 pub enum ReconciliationPhase {
     /// Nothing: it may run anywhere, or nowhere.
     Awaiting,
-    /// Some tasks were found, others are in doubt.
+    /// Some tasks were found, others are unreconciled.
     Partly,
     /// Every task is held by somebody, finished, or proven to be nowhere.
     Certain,
 }
 
 impl ReconciliationPhase {
-    /// The phase of a job with `in_doubt` tasks in doubt and `found` held by somebody.
+    /// The phase of a job with `in_doubt` unreconciled tasks and `found` held by somebody.
     pub fn of(in_doubt: u32, found: usize) -> ReconciliationPhase {
         match (in_doubt, found) {
             (0, _) => ReconciliationPhase::Certain,
--- a/crates/sharding/src/planner.rs
+++ b/crates/sharding/src/planner.rs
@@ -1,4 +1,4 @@
-//! Which share moves next, and why: what operators asked for, controllers that are to be
+//! Which hash range moves next, and why: what operators asked for, controllers that are to be
 //! emptied, and controllers that own far more machines than others; in this order, within
 //! a budget of moves.
 
@@ -9,12 +9,12 @@
 use finchwood_types::clock::Seconds;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine with its home and its owner.
+/// A machine with its hash owner and its owner.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OwnedMachine {
     /// The owner by the hash.
     pub hash_owner: String,
-    /// Where it stands among the machines of its home.
+    /// Where it stands among the machines of its hash owner.
     pub position: HashPosition,
     /// Who owns it.
     pub owner: String,
@@ -23,13 +23,13 @@
 /// How much may move.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannerLimits {
-    /// The most machines of one share that moves.
+    /// The most machines of one range that moves.
     pub machines_per_move: usize,
     /// Moves in a minute; as many may come at once.
     pub moves_per_minute: f64,
-    /// A controller that owns more than the mean by this share gives machines away.
+    /// A controller that owns more than the mean by this fraction gives machines away.
     pub imbalance: f64,
-    /// The most shares that the table may hold.
+    /// The most ranges that the shard map may hold.
     pub max_ranges: usize,
     /// Machines that have moved stay for so long, unless somebody asks, in seconds.
     pub cooldown_s: Seconds,
@@ -48,7 +48,7 @@
 
 /// A move that could be made.
 #[derive(Debug)]
-struct Choice {
+struct Candidate {
     range_move: RangeMove,
     /// How many machines move.
     machines: usize,
@@ -61,12 +61,13 @@
 pub struct Planner {
     limits: PlannerLimits,
     plan: Plan,
+    /// How many moves may be made now.
     budget: f64,
     refilled_at: Seconds,
     /// Ranges that have moved, and when.
-    moved: Vec<(HashRange, Seconds)>,
+    recently_moved: Vec<(HashRange, Seconds)>,
     /// Ranges that operators have placed: no balance takes them back.
-    placed: Vec<HashRange>,
+    pinned: Vec<HashRange>,
 }
 
 impl Planner {
@@ -77,8 +78,8 @@
             plan: Plan::default(),
             budget: limits.moves_per_minute,
             refilled_at: now,
-            moved: Vec::new(),
-            placed: Vec::new(),
+            recently_moved: Vec::new(),
+            pinned: Vec::new(),
         }
     }
 
@@ -90,11 +91,11 @@
     /// Operators ask for something else from now on.
     pub fn set_plan(&mut self, plan: Plan) {
         self.plan = plan;
-        self.placed.clear();
+        self.pinned.clear();
     }
 
-    /// The next move, if one is wanted and the budget allows it. Where the table is too
-    /// full for it, a home takes back the smallest share instead.
+    /// The next move, if one is wanted and the budget allows it. Where the shard map is too
+    /// full for it, a hash owner takes back the smallest range instead.
     pub fn next(&mut self, fleet: Fleet, transfers: &Transfers, now: Seconds) -> Option<RangeMove> {
         self.refill(now);
         if self.budget < 1.0 {
@@ -108,12 +109,12 @@
             .into_iter()
             .flatten()
             .chain(self.choose_balancing(fleet, transfers));
-        let choices: Vec<Choice> = choices.collect();
+        let choices: Vec<Candidate> = choices.collect();
         if choices.is_empty() {
             return None;
         }
-        let fits = |choice: &Choice| {
-            let range_move = &choice.range_move;
+        let fits = |candidate: &Candidate| {
+            let range_move = &candidate.range_move;
             fleet
                 .shard_map
                 .with_owner(&range_move.range, &range_move.target)
@@ -125,11 +126,12 @@
             .find(fits)
             .or_else(|| self.choose_compaction(fleet, transfers))?;
         self.budget -= 1.0;
-        self.moved.push((choice.range_move.range.clone(), now));
+        self.recently_moved
+            .push((choice.range_move.range.clone(), now));
         if let Some(planned) = choice.planned {
             let range_move = &mut self.plan.moves[planned];
             range_move.machines = range_move.machines.saturating_sub(choice.machines);
-            self.placed.push(choice.range_move.range.clone());
+            self.pinned.push(choice.range_move.range.clone());
         }
         Some(choice.range_move)
     }
@@ -139,11 +141,12 @@
         let gained = (now - self.refilled_at) * limits.moves_per_minute / 60.0;
         self.budget = (self.budget + gained).min(limits.moves_per_minute.max(1.0));
         self.refilled_at = now;
-        self.moved.retain(|(_, at)| now - *at < limits.cooldown_s);
+        self.recently_moved
+            .retain(|(_, at)| now - *at < limits.cooldown_s);
     }
 
     /// The first planned move that can be made.
-    fn choose_planned(&mut self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
+    fn choose_planned(&mut self, fleet: Fleet, transfers: &Transfers) -> Option<Candidate> {
         // Whoever has nothing left has given all that it can.
         let owns = |name: &String| fleet.machines.iter().any(|machine| machine.owner == *name);
         let possible = |range_move: &PlannedMove| {
@@ -168,7 +171,7 @@
                     target,
                     reason: MoveReason::Plan,
                 };
-                Some(Choice {
+                Some(Candidate {
                     range_move,
                     machines,
                     planned: Some(planned),
@@ -176,9 +179,9 @@
             })
     }
 
-    /// A share of a controller that is to be emptied goes to whoever owns least, or to
-    /// another whose share it makes larger, if the table has no room for one more.
-    fn choose_drain(&self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
+    /// A hash range of a controller that is to be emptied goes to whoever owns least, or to
+    /// another whose range it makes larger, if the shard map has no room for one more.
+    fn choose_drain(&self, fleet: Fleet, transfers: &Transfers) -> Option<Candidate> {
         let counts = machine_counts(fleet, transfers);
         let least = self.least_loaded(&counts)?;
         let (source, (range, machines)) = self.plan.drain.iter().find_map(|source| {
@@ -202,15 +205,15 @@
             target,
             reason: MoveReason::Drain,
         };
-        Some(Choice {
+        Some(Candidate {
             range_move,
             machines,
             planned: None,
         })
     }
 
-    /// The share with the fewest machines goes back to its home.
-    fn choose_compaction(&self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
+    /// The range with the fewest machines goes back to its hash owner.
+    fn choose_compaction(&self, fleet: Fleet, transfers: &Transfers) -> Option<Candidate> {
         let live = |name: &str| fleet.members.contains(name);
         let can_go = fleet.shard_map.ranges().filter(|(range, owner)| {
             let hash_owner = &range.hash_owner;
@@ -237,16 +240,16 @@
             target,
             reason: MoveReason::Compact,
         };
-        Some(Choice {
+        Some(Candidate {
             range_move,
             machines,
             planned: None,
         })
     }
 
-    /// A share of the controller that owns most goes to the one that owns least, if the
+    /// A hash range of the controller that owns most goes to the one that owns least, if the
     /// difference is large.
-    fn choose_balancing(&self, fleet: Fleet, transfers: &Transfers) -> Option<Choice> {
+    fn choose_balancing(&self, fleet: Fleet, transfers: &Transfers) -> Option<Candidate> {
         let counts = machine_counts(fleet, transfers);
         let target = self.least_loaded(&counts)?;
         let (source, most) = counts
@@ -259,16 +262,16 @@
             return None;
         }
         let machines = (difference / 2).min(self.limits.machines_per_move);
-        let recent = self.moved.iter().map(|(range, _)| range);
-        let resting: Vec<HashRange> = recent.chain(&self.placed).cloned().collect();
-        let (range, machines) = longest_owned_run(source, machines, fleet, transfers, &resting)?;
+        let recent = self.recently_moved.iter().map(|(range, _)| range);
+        let excluded: Vec<HashRange> = recent.chain(&self.pinned).cloned().collect();
+        let (range, machines) = longest_owned_run(source, machines, fleet, transfers, &excluded)?;
         let range_move = RangeMove {
             range,
             source: source.clone(),
             target,
             reason: MoveReason::Balance,
         };
-        Some(Choice {
+        Some(Candidate {
             range_move,
             machines,
             planned: None,
@@ -304,14 +307,14 @@
     counts
 }
 
-/// A range of one home with up to `most` machines, all owned by `source` and none of them
-/// moving or in `resting`; also how many there are in it.
+/// A range of one hash owner with up to `most` machines, all owned by `source` and none of them
+/// moving or in `excluded`; also how many there are in it.
 fn longest_owned_run(
     source: &str,
     most: usize,
     fleet: Fleet,
     transfers: &Transfers,
-    resting: &[HashRange],
+    excluded: &[HashRange],
 ) -> Option<(HashRange, usize)> {
     let mut sorted: Vec<&OwnedMachine> = fleet.machines.iter().collect();
     sorted.sort();
@@ -323,7 +326,7 @@
         };
         machine.owner != source
             || transfers.is_moving(&at)
-            || resting.iter().any(|range| range.overlaps(&at))
+            || excluded.iter().any(|range| range.overlaps(&at))
     };
     let mut best: Option<(HashRange, usize)> = None;
     let mut run: Option<(HashRange, usize)> = None;
@@ -352,7 +355,7 @@
 }
 
 /// Where a range begins that begins with a machine: right behind the machine before it, so
-/// that ranges meet and neighbours with one owner become one share.
+/// that ranges meet and neighbours with one owner become one range.
 fn range_start(sorted: &[&OwnedMachine], at: usize) -> HashPosition {
     let before = at.checked_sub(1).map(|before| sorted[before]);
     match before.filter(|before| before.hash_owner == sorted[at].hash_owner) {
--- a/crates/sharding/src/shard_map.rs
+++ b/crates/sharding/src/shard_map.rs
@@ -1,4 +1,4 @@
-//! The table of shares: which ranges of a home's machines another controller owns.
+//! The shard map: which ranges of a hash owner's machines another controller owns.
 
 use crate::hash_position::{position, HashPosition};
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 use std::fmt;
 use thiserror::Error;
 
-/// A range of the machines of one home, both ends included.
+/// A range of the machines of one hash owner, both ends included.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HashRange {
     /// The controller that the hash names as owner of these machines.
@@ -19,7 +19,7 @@
 }
 
 impl HashRange {
-    /// All machines of a home.
+    /// All machines of a hash owner.
     pub fn whole(hash_owner: &str) -> HashRange {
         HashRange {
             hash_owner: hash_owner.into(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether a machine of home `home` at `position` is in it.
+    /// Whether a machine of hash owner `hash_owner` at `position` is in it.
     pub fn contains(&self, hash_owner: &str, position: HashPosition) -> bool {
         self.hash_owner == hash_owner && (self.first..=self.last).contains(&position)
     }
@@ -49,24 +49,76 @@
     }
 }
 
-/// Why a stored share is not used.
+/// Why a stored range is not used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ShardMapError {
-    /// The value has not the form of a table.
+    /// The value has not the form of a shard map.
     #[error("the table has not the form of one")]
     Malformed,
-    /// A share that ends before it begins, or has no position.
+    /// A hash range that ends before it begins, or has no position.
     #[error("share {0} of the table has no range")]
     NoRange(usize),
-    /// Two shares claim the same positions.
+    /// Two ranges claim the same positions.
     #[error("{0} and {1} overlap")]
     Overlap(HashRange, HashRange),
 }
 
-/// A share as it is stored: home, first and last position in hex, owner.
-type StoredRange = (String, String, String, String);
+/// A range as it is stored: a JSON array of its four fields, in this order.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+#[serde(
+    from = "(String, String, String, String)",
+    into = "(String, String, String, String)"
+)]
+struct StoredRange {
+    hash_owner: String,
+    /// First position, in hex.
+    first: String,
+    /// Last position, in hex.
+    last: String,
+    owner: String,
+}
+
+impl From<(String, String, String, String)> for StoredRange {
+    fn from((hash_owner, first, last, owner): (String, String, String, String)) -> StoredRange {
+        StoredRange {
+            hash_owner,
+            first,
+            last,
+            owner,
+        }
+    }
+}
+
+impl From<StoredRange> for (String, String, String, String) {
+    fn from(range: StoredRange) -> (String, String, String, String) {
+        (range.hash_owner, range.first, range.last, range.owner)
+    }
+}
 
-/// The table as it is stored.
+impl StoredRange {
+    fn new(range: &HashRange, owner: &str) -> StoredRange {
+        StoredRange {
+            hash_owner: range.hash_owner.clone(),
+            first: format!("{:x}", range.first),
+            last: format!("{:x}", range.last),
+            owner: owner.into(),
+        }
+    }
+
+    /// The range, unless it makes no sense.
+    fn parse(&self) -> Option<HashRange> {
+        let first = HashPosition::from_str_radix(&self.first, 16).ok()?;
+        let last = HashPosition::from_str_radix(&self.last, 16).ok()?;
+        let named = !self.hash_owner.is_empty() && !self.owner.is_empty();
+        (first <= last && named).then(|| HashRange {
+            hash_owner: self.hash_owner.clone(),
+            first,
+            last,
+        })
+    }
+}
+
+/// The shard map as it is stored.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredShardMap {
     #[serde(rename = "g")]
@@ -78,14 +130,14 @@
 /// What is owned otherwise than the hash says.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ShardMap {
-    /// Counts the changes of the table.
+    /// Counts the changes of the shard map.
     pub generation: u64,
     /// Owner of each range; no two overlap.
     ranges: BTreeMap<HashRange, String>,
 }
 
 impl ShardMap {
-    /// Who owns a machine of home `home`, if the table says so.
+    /// Who owns a machine of hash owner `hash_owner`, if the shard map says so.
     pub fn owner(&self, hash_owner: &str, machine: &str) -> Option<&str> {
         let position = position(machine);
         let from = HashRange {
@@ -102,25 +154,23 @@
         range.contains(hash_owner, position).then_some(owner)
     }
 
-    /// The owner of a whole range, if a single one owns all of it: `home` where the table
+    /// The owner of a whole range, if a single one owns all of it: the hash owner where the shard map
     /// says nothing.
     pub fn sole_owner<'a>(&'a self, range: &'a HashRange) -> Option<&'a str> {
         let mut within = self
             .ranges
             .iter()
-            .filter(|(stored_range, _)| stored_range.overlaps(range));
+            .filter(|(other, _)| other.overlaps(range));
         match within.next() {
             None => Some(&range.hash_owner),
-            Some((stored_range, owner))
-                if stored_range.first <= range.first && stored_range.last >= range.last =>
-            {
+            Some((other, owner)) if other.first <= range.first && other.last >= range.last => {
                 Some(owner)
             }
             Some(_) => None,
         }
     }
 
-    /// All shares, by home and position.
+    /// All ranges, by hash owner and position.
     pub fn ranges(&self) -> impl Iterator<Item = (&HashRange, &str)> {
         self.ranges
             .iter()
@@ -137,16 +187,16 @@
         self.ranges.is_empty()
     }
 
-    /// The next table, in which `owner` owns a range. A home that owns a range of its own
-    /// needs no share for it; neighbours with the same owner become one.
+    /// The next shard map, in which `owner` owns a range. A hash owner that owns its own range
+    /// needs no entry for it; neighbours with the same owner become one.
     pub fn with_owner(&self, range: &HashRange, owner: &str) -> ShardMap {
         let mut next = ShardMap {
             generation: self.generation + 1,
             ranges: BTreeMap::new(),
         };
-        for (stored_range, other) in &self.ranges {
-            for rest in without(stored_range, range) {
-                next.ranges.insert(rest, other.clone());
+        for (present, present_owner) in &self.ranges {
+            for rest in without(present, range) {
+                next.ranges.insert(rest, present_owner.clone());
             }
         }
         if owner != range.hash_owner {
@@ -173,42 +223,25 @@
         self.ranges = merged.into_iter().collect();
     }
 
-    /// The table as it is stored.
+    /// The shard map as it is stored.
     pub fn to_stored(&self) -> StoredShardMap {
-        let stored_range = |(range, owner): (&HashRange, &String)| {
-            let hex = |position: HashPosition| format!("{position:x}");
-            (
-                range.hash_owner.clone(),
-                hex(range.first),
-                hex(range.last),
-                owner.clone(),
-            )
-        };
         StoredShardMap {
             generation: self.generation,
-            ranges: self.ranges.iter().map(stored_range).collect(),
+            ranges: self
+                .ranges
+                .iter()
+                .map(|(range, owner)| StoredRange::new(range, owner))
+                .collect(),
         }
     }
 
-    /// Reads a stored table. Shares that make no sense, or overlap, are left out: there the
+    /// Reads a stored shard map. Ranges that make no sense, or overlap, are left out: there the
     /// hash decides.
     pub fn read(stored: &StoredShardMap) -> (ShardMap, Vec<ShardMapError>) {
         let (mut good, mut errors) = (Vec::new(), Vec::new());
-        for (n, (hash_owner, first, last, owner)) in stored.ranges.iter().enumerate() {
-            let ends = HashPosition::from_str_radix(first, 16)
-                .ok()
-                .zip(HashPosition::from_str_radix(last, 16).ok());
-            match ends.filter(|(first, last)| {
-                first <= last && !hash_owner.is_empty() && !owner.is_empty()
-            }) {
-                Some((first, last)) => good.push((
-                    HashRange {
-                        hash_owner: hash_owner.clone(),
-                        first,
-                        last,
-                    },
-                    owner.clone(),
-                )),
+        for (n, stored_range) in stored.ranges.iter().enumerate() {
+            match stored_range.parse() {
+                Some(range) => good.push((range, stored_range.owner.clone())),
                 None => errors.push(ShardMapError::NoRange(n)),
             }
         }
@@ -232,22 +265,22 @@
     }
 }
 
-/// What is left of a share outside a range.
-fn without(stored_range: &HashRange, range: &HashRange) -> Vec<HashRange> {
-    if !stored_range.overlaps(range) {
-        return vec![stored_range.clone()];
+/// What is left of a hash range outside a range.
+fn without(whole: &HashRange, range: &HashRange) -> Vec<HashRange> {
+    if !whole.overlaps(range) {
+        return vec![whole.clone()];
     }
     let mut rest = Vec::new();
-    if stored_range.first < range.first {
+    if whole.first < range.first {
         rest.push(HashRange {
             last: range.first - 1,
-            ..stored_range.clone()
+            ..whole.clone()
         });
     }
-    if stored_range.last > range.last {
+    if whole.last > range.last {
         rest.push(HashRange {
             first: range.last + 1,
-            ..stored_range.clone()
+            ..whole.clone()
         });
     }
     rest
--- a/crates/sharding/src/transfer.rs
+++ b/crates/sharding/src/transfer.rs
@@ -1,144 +1,28 @@
-//! Transfers: the steps in which a share moves, as the leader takes them.
+//! Transfers: the steps in which a hash range moves, as the leader takes them.
 //!
 //! | state | what has happened | what ends it early |
 //! | --- | --- | --- |
 //! | offered | the leader asks the target | the target does not answer in time |
 //! | accepted | the target will take it; the source is told to stop giving orders | the source does not answer in time |
 //! | fenced | the source gives no more orders, and has told what it knows | a new epoch |
-//! | committing | the table's change is being written | a refusal that is certain, a new epoch |
-//! | committed | the table names the target, which is told what the source knew | a new epoch |
+//! | committing | the shard map's change is being written | a refusal that is certain, a new epoch |
+//! | committed | the shard map names the target, which is told what the source knew | a new epoch |
 //!
-//! Before the table is written a transfer can be withdrawn, and the source goes on. Once the
-//! write has gone out it may be carried out late: then only the table, a certain refusal or
+//! Before the shard map is written a transfer can be withdrawn, and the source goes on. Once the
+//! write has gone out it may be carried out late: then only the shard map, a certain refusal or
 //! a new epoch decides. In a new epoch every owner asks its machines under a higher token,
 //! so that whatever a transfer has reached by then is left as it is.
 
 use crate::shard_map::{HashRange, ShardMap};
+pub use crate::transfer_messages::{
+    MoveReason, RangeMove, TransferId, TransferOrder, TransferOutcome, TransferReport,
+    TransferState,
+};
 use crate::transfer_state::MachineTransferState;
 use finchwood_types::clock::Seconds;
-use serde::{Deserialize, Serialize};
+use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A transfer's number, unique within its epoch.
-pub type TransferId = u64;
-
-/// Why a share moves.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum MoveReason {
-    /// An operator asked for it.
-    Plan,
-    /// Its owner is to be emptied.
-    Drain,
-    /// Its owner has far more machines than others.
-    Balance,
-    /// The table is full: its home takes the smallest share back.
-    #[serde(rename = "tidy")]
-    Compact,
-}
-
-/// A move that is wanted.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RangeMove {
-    /// What moves; a single controller owns all of it.
-    pub range: HashRange,
-    /// Its owner.
-    #[serde(rename = "giver")]
-    pub source: String,
-    /// Its owner to be.
-    #[serde(rename = "taker")]
-    pub target: String,
-    /// Why.
-    pub reason: MoveReason,
-}
-
-/// How far a transfer is.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum TransferState {
-    /// The target is asked.
-    Offered,
-    /// The source is told to stop giving orders.
-    Accepted,
-    /// The source gives no more orders.
-    Fenced,
-    /// The table's change is being written.
-    Committing,
-    /// The table names the target.
-    Committed,
-}
-
-/// How a transfer ended.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum TransferOutcome {
-    /// The target goes on from what the source knew.
-    #[serde(rename = "owned")]
-    Completed,
-    /// A side did not answer in time.
-    TimedOut,
-    /// The table was changed by somebody else.
-    Refused,
-    /// A new epoch began.
-    NewEpoch,
-}
-
-/// An order to one side of a transfer, repeated until it shows effect.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum TransferOrder {
-    /// To the target: will it take the share?
-    Offer { id: TransferId },
-    /// To the source: no more orders to these machines. It ends when it is no longer told.
-    Fence { id: TransferId, range: HashRange },
-    /// To the target: go on from this, once the table of that generation is seen.
-    #[serde(rename = "Take")]
-    TakeOver {
-        id: TransferId,
-        range: HashRange,
-        generation: u64,
-        machines: Vec<MachineTransferState>,
-    },
-}
-
-impl TransferOrder {
-    /// The transfer that it is about.
-    pub fn id(&self) -> TransferId {
-        match self {
-            TransferOrder::Offer { id }
-            | TransferOrder::Fence { id, .. }
-            | TransferOrder::TakeOver { id, .. } => *id,
-        }
-    }
-}
-
-/// What a controller tells the leader of its transfers.
-#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct TransferReport {
-    /// Offers that it accepts.
-    #[serde(default)]
-    pub accepted: Vec<TransferId>,
-    /// Shares to whose machines it gives no orders, and what it knows of them.
-    #[serde(default)]
-    pub fenced: Vec<(TransferId, Vec<MachineTransferState>)>,
-    /// Shares that it has let go of, as the table names their target.
-    #[serde(default)]
-    pub released: Vec<TransferId>,
-    /// Shares with which it goes on.
-    #[serde(default)]
-    #[serde(rename = "taken")]
-    pub taken_over: Vec<TransferId>,
-}
-
-impl TransferReport {
-    /// Whether there is nothing to tell.
-    pub fn is_empty(&self) -> bool {
-        self.accepted.is_empty()
-            && self.fenced.is_empty()
-            && self.released.is_empty()
-            && self.taken_over.is_empty()
-    }
-}
-
 /// A transfer under way.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Transfer {
@@ -149,35 +33,37 @@
     pub state: TransferState,
     /// Since when, on the leader's clock.
     #[serde(skip)]
-    pub since: Seconds,
+    state_since: Seconds,
     /// When it began.
     #[serde(skip)]
-    pub began: Seconds,
+    started_at: Seconds,
+    /// What the source knows of the machines, once it has fenced them.
     #[serde(skip)]
-    knowledge: Vec<MachineTransferState>,
-    /// The generation of the table that names the target; 0 before.
+    machine_states: Vec<MachineTransferState>,
+    /// The generation of the shard map that names the target; 0 before.
     #[serde(skip)]
-    committed: u64,
-    /// The source has let go, the target goes on.
+    committed_generation: u64,
+    /// The source has let go of the machines.
     #[serde(skip)]
-    released: bool,
+    source_released: bool,
+    /// The target goes on with them.
     #[serde(skip)]
-    taken_over: bool,
+    target_took_over: bool,
 }
 
-/// A change of the table that is to be written.
+/// A change of the shard map that is to be written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardMapWrite {
-    /// The table from then on.
+    /// The shard map from then on.
     pub shard_map: ShardMap,
 }
 
 /// All transfers of the leader.
 #[derive(Debug, Clone, Default)]
 pub struct Transfers {
-    numbers: TransferId,
+    last_id: TransferId,
     under_way: BTreeMap<TransferId, Transfer>,
-    /// The table that is being written.
+    /// The shard map that is being written.
     writing: Option<ShardMap>,
     /// How many ended in each way.
     pub ended: BTreeMap<TransferOutcome, u64>,
@@ -196,12 +82,12 @@
     fn in_state(&self, state: TransferState) -> Vec<TransferId> {
         self.under_way
             .iter()
-            .filter(|(_, h)| h.state == state)
+            .filter(|(_, transfer)| transfer.state == state)
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Whether a range takes shard in a transfer.
+    /// Whether a range takes part in a transfer.
     pub fn is_moving(&self, range: &HashRange) -> bool {
         self.under_way
             .values()
@@ -213,19 +99,19 @@
         if self.is_moving(&range_move.range) || range_move.source == range_move.target {
             return false;
         }
-        self.numbers += 1;
+        self.last_id += 1;
         let state = TransferState::Offered;
         let transfer = Transfer {
             range_move,
             state,
-            since: now,
-            began: now,
-            knowledge: Vec::new(),
-            committed: 0,
-            released: false,
-            taken_over: false,
+            state_since: now,
+            started_at: now,
+            machine_states: Vec::new(),
+            committed_generation: 0,
+            source_released: false,
+            target_took_over: false,
         };
-        self.under_way.insert(self.numbers, transfer);
+        self.under_way.insert(self.last_id, transfer);
         true
     }
 
@@ -242,8 +128,8 @@
                     orders.push(TransferOrder::TakeOver {
                         id,
                         range: range_move.range.clone(),
-                        generation: transfer.committed,
-                        machines: transfer.knowledge.clone(),
+                        generation: transfer.committed_generation,
+                        machines: transfer.machine_states.clone(),
                     })
                 }
                 TransferState::Accepted
@@ -263,7 +149,7 @@
         orders
     }
 
-    /// Takes in what a controller says of its transfers.
+    /// Applies what a controller says of its transfers.
     pub fn apply_report(&mut self, node: &str, report: TransferReport, now: Seconds) {
         for id in report.accepted {
             self.advance(
@@ -274,7 +160,7 @@
                 now,
             );
         }
-        for (id, knowledge) in report.fenced {
+        for (id, machine_states) in report.fenced {
             if self.advance(
                 id,
                 TransferState::Accepted,
@@ -283,24 +169,26 @@
                 now,
             ) {
                 if let Some(transfer) = self.under_way.get_mut(&id) {
-                    transfer.knowledge = knowledge;
+                    transfer.machine_states = machine_states;
                 }
             }
         }
-        let committed = |h: &&mut Transfer| h.state == TransferState::Committed;
+        let committed = |transfer: &&mut Transfer| transfer.state == TransferState::Committed;
         for id in &report.released {
             if let Some(transfer) = self.under_way.get_mut(id).filter(committed) {
-                transfer.released |= transfer.range_move.source == node;
+                transfer.source_released |= transfer.range_move.source == node;
             }
         }
         for id in &report.taken_over {
             if let Some(transfer) = self.under_way.get_mut(id).filter(committed) {
-                transfer.taken_over |= transfer.range_move.target == node;
+                transfer.target_took_over |= transfer.range_move.target == node;
             }
         }
-        // Guard: a source that has not seen the table yet must go on being told to give no
+        // Guard: a source that has not seen the shard map yet must go on being told to give no
         // orders.
-        let over = |(id, h): (&TransferId, &Transfer)| (h.released && h.taken_over).then_some(*id);
+        let over = |(id, transfer): (&TransferId, &Transfer)| {
+            (transfer.source_released && transfer.target_took_over).then_some(*id)
+        };
         let ids: Vec<TransferId> = self.under_way.iter().filter_map(over).collect();
         for id in ids {
             self.end(id, TransferOutcome::Completed, now);
@@ -328,7 +216,7 @@
             return false;
         }
         transfer.state = to;
-        transfer.since = now;
+        transfer.state_since = now;
         true
     }
 
@@ -338,22 +226,24 @@
         };
         *self.ended.entry(how).or_default() += 1;
         if how == TransferOutcome::Completed {
-            self.machines_moved += transfer.knowledge.len() as u64;
-            self.longest_s = self.longest_s.max(now - transfer.began);
+            self.machines_moved += transfer.machine_states.len() as u64;
+            self.longest_s = self.longest_s.max(now - transfer.started_at);
         }
     }
 
     /// Withdraws what nobody answers. Guard: not what is being written, which may be
     /// carried out late.
     pub fn time_out_stale(&mut self, patience: Seconds, now: Seconds) {
-        let stale = |h: &Transfer| {
-            matches!(h.state, TransferState::Offered | TransferState::Accepted)
-                && now - h.since > patience
+        let stale = |transfer: &Transfer| {
+            matches!(
+                transfer.state,
+                TransferState::Offered | TransferState::Accepted
+            ) && now - transfer.state_since > patience
         };
         let ids: Vec<TransferId> = self
             .under_way
             .iter()
-            .filter(|(_, h)| stale(h))
+            .filter(|(_, transfer)| stale(transfer))
             .map(|(id, _)| *id)
             .collect();
         for id in ids {
@@ -361,8 +251,8 @@
         }
     }
 
-    /// The change of the table that is to be written, on the condition that `present` is
-    /// the table still. The same one is given again until its outcome is known.
+    /// The change of the shard map that is to be written, on the condition that `present` is
+    /// the shard map still. The same one is given again until its outcome is known.
     pub fn pending_write(&mut self, present: &ShardMap, now: Seconds) -> Option<ShardMapWrite> {
         if let Some(table) = &self.writing {
             return Some(ShardMapWrite {
@@ -380,7 +270,7 @@
             };
             table = table.with_owner(&transfer.range_move.range, &transfer.range_move.target);
             transfer.state = TransferState::Committing;
-            transfer.since = now;
+            transfer.state_since = now;
         }
         // Several moves are one change.
         table.generation = present.generation + 1;
@@ -388,7 +278,7 @@
         Some(ShardMapWrite { shard_map: table })
     }
 
-    /// The table as it is known now. What was being written is committed if it is there.
+    /// The shard map as it is known now. What was being written is committed if it is there.
     pub fn observe_shard_map(&mut self, present: &ShardMap, now: Seconds) {
         if self.writing.as_ref() != Some(present) {
             return;
@@ -397,15 +287,15 @@
         for transfer in self
             .under_way
             .values_mut()
-            .filter(|h| h.state == TransferState::Committing)
+            .filter(|transfer| transfer.state == TransferState::Committing)
         {
             transfer.state = TransferState::Committed;
-            transfer.since = now;
-            transfer.committed = present.generation;
+            transfer.state_since = now;
+            transfer.committed_generation = present.generation;
         }
     }
 
-    /// What was being written was refused for certain: the table, or the epoch, is another.
+    /// What was being written was refused for certain: the shard map, or the epoch, is another.
     pub fn write_refused(&mut self, now: Seconds) {
         self.writing = None;
         for id in self.in_state(TransferState::Committing) {
