--- a/src/api/listeners.rs
+++ b/src/api/listeners.rs
@@ -69,7 +69,7 @@
 {
     let address = match listener {
         Listener::Public => settings.client_listen,
-        Listener::Internal => settings.back,
+        Listener::Internal => settings.internal_listen,
     };
     server::listen(
         listener.thread_name(),
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -1,7 +1,8 @@
 //! The settings file that the platform hands over (TOML).
 //!
 //! Unknown fields are ignored; a missing or invalid one is named in a single line. The
-//! types have the fields of the file, under the names that operators read there.
+//! types have the fields of the file, under the names that operators read there; only
+//! `back` is called for what it is.
 
 mod timing;
 mod validation;
@@ -49,7 +50,8 @@
     /// Where users, workers and health checks connect.
     pub client_listen: SocketAddr,
     /// Where the other controllers and operators connect.
-    pub back: SocketAddr,
+    #[serde(rename = "back")]
+    pub internal_listen: SocketAddr,
     /// The other controllers of the deployment.
     #[serde(default)]
     pub members: Vec<Member>,
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -405,7 +405,10 @@
     let fixtures = Fixtures::new(SETTINGS);
     let all = Settings::parse(&fixtures.text("all")).expect("taken");
     assert_eq!((&*all.node_name, &*all.zone), ("a", "e"));
-    assert_eq!((all.client_listen.port(), all.back.port()), (8080, 8081));
+    assert_eq!(
+        (all.client_listen.port(), all.internal_listen.port()),
+        (8080, 8081)
+    );
     let other = &all.members[0];
     assert_eq!(
         (&*other.node_name, &*other.zone, other.endpoint.port()),
--- a/tests/wire_format_refusals.rs
+++ b/tests/wire_format_refusals.rs
@@ -24,7 +24,7 @@
 fn start(listener: Listener) -> SocketAddr {
     let address = free_address();
     let mut settings = Settings::parse(settings::SETTINGS).expect("settings");
-    (settings.client_listen, settings.back) = (address, address);
+    (settings.client_listen, settings.internal_listen) = (address, address);
     listen(&settings, listener, answer).expect("it listens");
     address
 }
