--- a/tests/control_plane/cold_restart.rs
+++ b/tests/control_plane/cold_restart.rs
@@ -1,8 +1,8 @@
 //! A new owner and a new leader, who know nothing, meet machines that were used
 //! before: one small case for each way in which stored records and reports can
-//! disagree. The real cores, driven by hand.
+//! disagree. The real leader and shard, driven directly.
 
-use crate::cores::*;
+use crate::builders::*;
 use finchwood::cluster::membership::{token, token_epoch};
 use finchwood::scheduler::Leader;
 use finchwood::shard::{HeartbeatReply, Shard};
@@ -26,7 +26,7 @@
     let mut p = Shard::new("a", TIMING, Default::default());
     p.set_record_limit(100);
     p.start_epoch(EPOCH, 7, cache, 0.0, |_| true);
-    (leader(cache), p)
+    (new_leader(cache), p)
 }
 
 /// A machine shows `tasks` under an old token, is asked, and shows them again under
@@ -35,12 +35,16 @@
     p: &mut Shard,
     cache: &StoreCache,
     machine: usize,
-    tasks: &[Line],
+    tasks: &[ReportedTask],
     now: f64,
 ) -> Vec<Command> {
     let old = token(EPOCH - 1, 3);
-    let (asked, calls) =
-        answered(p.apply_heartbeat(&report(machine, 1, 5, old, tasks), false, cache, now));
+    let (asked, calls) = accepted(p.apply_heartbeat(
+        &heartbeat_from(machine, 1, 5, old, tasks),
+        false,
+        cache,
+        now,
+    ));
     assert!(
         token_epoch(asked) == EPOCH,
         "it is told the new owner's token"
@@ -49,8 +53,8 @@
         !calls.iter().any(|c| matches!(c, Command::Start { .. })),
         "nothing starts on an old word"
     );
-    answered(p.apply_heartbeat(
-        &report(machine, 1, 6, asked, tasks),
+    accepted(p.apply_heartbeat(
+        &heartbeat_from(machine, 1, 6, asked, tasks),
         false,
         cache,
         now + 0.1,
@@ -80,16 +84,16 @@
 }
 
 fn job(id: &str, tasks: u32) -> Arc<JobSpec> {
-    spec(id, tasks, |_| {})
+    job_spec(id, tasks, |_| {})
 }
 
 #[test]
 fn what_runs_is_trusted_and_nothing_is_ordered() {
     let (s, a) = (
-        spec("wk-1", 2, |v| v["shape"] = json!("standing")),
+        job_spec("wk-1", 2, |v| v["shape"] = json!("standing")),
         job("wk-2", 2),
     );
-    let m = cache(2, &[&s, &a]);
+    let m = store_cache(2, &[&s, &a]);
     let (mut l, mut p) = back(&m);
     assert!(
         assigned(&mut l, &mut p, &m, 0.0).is_empty(),
@@ -137,9 +141,9 @@
 #[test]
 fn what_is_over_by_the_record_is_stopped_and_only_that() {
     let (a, c, d) = (job("wk-1", 2), job("wk-2", 1), job("wk-3", 1));
-    let mut m = cache(1, &[&a, &c, &d]);
+    let mut m = store_cache(1, &[&a, &c, &d]);
     m.put("fw/f/wk-1/0", json!("1"), 200);
-    m.put("fw/j/wk-2", record(&c, true), 201);
+    m.put("fw/j/wk-2", job_record(&c, true), 201);
     let over = json!({"e": 1, "t": 0, "n": 1, "d": true});
     m.put("fw/j/wk-3", over, 202);
     let (_, mut p) = back(&m);
@@ -167,7 +171,7 @@
 #[test]
 fn an_end_on_its_way_is_committed_before_its_worker_may_forget_it() {
     let a = job("wk-1", 2);
-    let mut m = cache(1, &[&a]);
+    let mut m = store_cache(1, &[&a]);
     let (mut l, mut p) = back(&m);
     let done = [
         ("wk-1/0", BEFORE, ENDED, Some("done")),
@@ -190,8 +194,8 @@
     );
     m.put("fw/f/wk-1/0", json!("1"), 300);
     p.job_changed(&"wk-1".into(), &m);
-    let again = report(1, 1, 9, token(EPOCH, 1 << 10), &done);
-    let (_, calls) = answered(p.apply_heartbeat(&again, false, &m, 1.0));
+    let again = heartbeat_from(1, 1, 9, token(EPOCH, 1 << 10), &done);
+    let (_, calls) = accepted(p.apply_heartbeat(&again, false, &m, 1.0));
     assert!(calls.contains(&Command::Forget {
         task: "wk-1/0".into(),
         attempt: BEFORE
@@ -201,18 +205,18 @@
 #[test]
 fn a_worker_silent_for_minutes_is_waited_for_until_its_lease_and_is_empty_when_back() {
     let a = job("wk-1", 1);
-    let m = cache(2, &[&a]);
+    let m = store_cache(2, &[&a]);
     let (mut l, mut p) = back(&m);
     shows(&mut p, &m, 1, &[], 0.1);
     // It has spoken once, but never under the new owner's token.
-    let spoke = report(
+    let spoke = heartbeat_from(
         2,
         1,
         5,
         token(EPOCH - 1, 3),
         &[("wk-1/0", BEFORE, RUNNING, None)],
     );
-    answered(p.apply_heartbeat(&spoke, false, &m, 0.2));
+    accepted(p.apply_heartbeat(&spoke, false, &m, 0.2));
     for now in [9.0, 18.0, 27.0] {
         shows_again(&mut p, &m, 1, now);
     }
@@ -225,7 +229,7 @@
     p.expire_leases(29.0);
     shows_again(&mut p, &m, 1, 29.1);
     assert_eq!(assigned(&mut l, &mut p, &m, 29.2), [("wk-1".into(), 0)]);
-    let late = report(
+    let late = heartbeat_from(
         2,
         1,
         90,
@@ -237,26 +241,26 @@
         HeartbeatReply::Refuse,
         "its session is over"
     );
-    let (t, _) = answered(p.apply_heartbeat(&report(2, 2, 1, 0, &[]), false, &m, 29.4));
-    let (_, calls) = answered(p.apply_heartbeat(&report(2, 2, 2, t, &[]), false, &m, 29.5));
+    let (t, _) = accepted(p.apply_heartbeat(&heartbeat_from(2, 2, 1, 0, &[]), false, &m, 29.4));
+    let (_, calls) = accepted(p.apply_heartbeat(&heartbeat_from(2, 2, 2, t, &[]), false, &m, 29.5));
     assert_eq!(calls, []);
 }
 
 #[test]
 fn a_machine_past_its_lease_that_speaks_again_is_asked_before_it_is_believed() {
     let a = job("wk-1", 1);
-    let m = cache(1, &[&a]);
+    let m = store_cache(1, &[&a]);
     let (mut l, mut p) = back(&m);
     p.expire_leases(29.0);
     // A copy from before the crash, of a session that nobody here has seen.
-    let copy = report(
+    let copy = heartbeat_from(
         1,
         1,
         5,
         token(EPOCH - 1, 3),
         &[("wk-1/0", BEFORE, RUNNING, None)],
     );
-    let (_, calls) = answered(p.apply_heartbeat(&copy, false, &m, 29.1));
+    let (_, calls) = accepted(p.apply_heartbeat(&copy, false, &m, 29.1));
     assert_eq!((calls, verdicts(&mut p)), (Vec::new(), Vec::new()));
     assert!(
         assigned(&mut l, &mut p, &m, 29.2).is_empty(),
@@ -268,14 +272,19 @@
 /// An empty machine reports, and shows that it heeds what it is told.
 fn shows_again(p: &mut Shard, m: &StoreCache, machine: usize, now: f64) {
     let t = token(EPOCH, (1 << 10) + 2 * now as u64);
-    answered(p.apply_heartbeat(&report(machine, 1, 10 + now as u64, t, &[]), false, m, now));
+    accepted(p.apply_heartbeat(
+        &heartbeat_from(machine, 1, 10 + now as u64, t, &[]),
+        false,
+        m,
+        now,
+    ));
 }
 
 #[test]
 fn a_machine_that_never_reports_holds_up_only_what_may_be_on_it() {
-    let here = spec("wk-1", 1, |v| v["grove"] = json!("e"));
-    let there = spec("wk-2", 1, |v| v["grove"] = json!("w"));
-    let m = cache(2, &[&here, &there]);
+    let here = job_spec("wk-1", 1, |v| v["grove"] = json!("e"));
+    let there = job_spec("wk-2", 1, |v| v["grove"] = json!("w"));
+    let m = store_cache(2, &[&here, &there]);
     let (mut l, mut p) = back(&m);
     shows(&mut p, &m, 1, &[], 0.1);
     assert_eq!(
@@ -288,32 +297,32 @@
 #[test]
 fn an_old_report_adopts_nothing_and_proves_nothing() {
     let a = job("wk-1", 1);
-    let m = cache(1, &[&a]);
+    let m = store_cache(1, &[&a]);
     let (mut l, mut p) = back(&m);
     // Held back since before the crash; its machine has begun a new session since.
-    let old = report(
+    let old = heartbeat_from(
         1,
         1,
         5,
         token(EPOCH - 1, 3),
         &[("wk-1/0", BEFORE, RUNNING, None)],
     );
-    answered(p.apply_heartbeat(&old, false, &m, 0.1));
+    accepted(p.apply_heartbeat(&old, false, &m, 0.1));
     assert!(verdicts(&mut p).is_empty());
     assert!(assigned(&mut l, &mut p, &m, 0.2).is_empty());
-    let (t, _) = answered(p.apply_heartbeat(&report(1, 2, 1, 0, &[]), false, &m, 0.3));
+    let (t, _) = accepted(p.apply_heartbeat(&heartbeat_from(1, 2, 1, 0, &[]), false, &m, 0.3));
     assert!(
         assigned(&mut l, &mut p, &m, 0.4).is_empty(),
         "a start under way could still arrive"
     );
-    answered(p.apply_heartbeat(&report(1, 2, 2, t, &[]), false, &m, 0.5));
+    accepted(p.apply_heartbeat(&heartbeat_from(1, 2, 2, t, &[]), false, &m, 0.5));
     assert_eq!(assigned(&mut l, &mut p, &m, 0.6), [("wk-1".into(), 0)]);
 }
 
 #[test]
 fn a_task_on_two_machines_is_a_conflict_and_the_second_is_stopped() {
     let a = job("wk-1", 1);
-    let m = cache(2, &[&a]);
+    let m = store_cache(2, &[&a]);
     let (mut l, mut p) = back(&m);
     assert_eq!(
         shows(&mut p, &m, 1, &[("wk-1/0", BEFORE, RUNNING, None)], 0.1),
@@ -338,7 +347,7 @@
 #[test]
 fn an_absurd_attempt_runs_on_and_blocks_no_later_start() {
     let a = job("wk-1", 1);
-    let m = cache(2, &[&a]);
+    let m = store_cache(2, &[&a]);
     let (mut l, mut p) = back(&m);
     shows(&mut p, &m, 2, &[], 0.1);
     let absurd = attempt(EPOCH + 1_000_000, 1);
@@ -352,14 +361,14 @@
     );
     assert!(assigned(&mut l, &mut p, &m, 0.3).is_empty());
     // It is lost; the next attempt is lower, and is taken all the same.
-    let gone = report(
+    let gone = heartbeat_from(
         1,
         1,
         9,
         token(EPOCH, 1 << 10),
         &[("wk-1/0", absurd, ENDED, Some("error"))],
     );
-    answered(p.apply_heartbeat(&gone, false, &m, 1.0));
+    accepted(p.apply_heartbeat(&gone, false, &m, 1.0));
     assert_eq!(assigned(&mut l, &mut p, &m, 1.1), [("wk-1".into(), 0)]);
     let orders = l.orders("a").expect("orders");
     p.apply_orders(&orders, &m, 1.2);
@@ -369,7 +378,7 @@
 #[test]
 fn tasks_that_nobody_knows_are_left_alone_and_count_for_nothing() {
     let a = job("wk-1", 2);
-    let m = cache(1, &[&a]);
+    let m = store_cache(1, &[&a]);
     let (mut l, mut p) = back(&m);
     let lines = [
         ("wk-1/0", BEFORE, ENDED, Some("done")),
@@ -396,24 +405,24 @@
         "a task that the job doesn't have ends nothing"
     );
     // Nor does a notice that lies in the past close the machine.
-    let mut odd = report(1, 1, 9, token(EPOCH, 1 << 10), &lines);
+    let mut odd = heartbeat_from(1, 1, 9, token(EPOCH, 1 << 10), &lines);
     odd.notice_s = Some(-5.0);
-    answered(p.apply_heartbeat(&odd, false, &m, 1.0));
+    accepted(p.apply_heartbeat(&odd, false, &m, 1.0));
     assert!(!p.snapshot(&m, 1.0).machines.iter().any(|m| m.spot_notice));
 }
 
 #[test]
 fn a_team_at_its_limit_by_work_not_yet_adopted_gets_nothing_more() {
     let (old, new) = (
-        spec("wk-1", 1, |v| v["grove"] = json!("w")),
-        spec("wk-2", 1, |v| v["grove"] = json!("e")),
+        job_spec("wk-1", 1, |v| v["grove"] = json!("w")),
+        job_spec("wk-2", 1, |v| v["grove"] = json!("e")),
     );
-    let mut m = cache(2, &[&old]);
-    let mut fresh = record(&new, false);
+    let mut m = store_cache(2, &[&old]);
+    let mut fresh = job_record(&new, false);
     fresh["e"] = json!(EPOCH);
     m.put("fw/j/wk-2", fresh, 300);
     let mut l =
-        Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 2.0")]).expect("settings"));
+        Leader::new(&settings_with(&[("cpus_max = 400.0", "cpus_max = 2.0")]).expect("settings"));
     let e = Epoch {
         number: EPOCH,
         members: [("a".to_string(), 7)].into_iter().collect(),
@@ -438,11 +447,11 @@
 #[test]
 fn an_unreadable_page_frees_nothing_before_all_leases_are_past() {
     let a = job("wk-1", 2);
-    let mut m = cache(2, &[&a]);
+    let mut m = store_cache(2, &[&a]);
     m.put("fw/r/m-2", json!("scribble"), 400);
     let mut hidden = StoreCache::new(8.0);
     for (key, value) in [
-        ("fw/j/wk-1", record(&a, false)),
+        ("fw/j/wk-1", job_record(&a, false)),
         ("fw/r/m-2", json!("scribble")),
     ] {
         hidden.put(key, value, 400);
@@ -479,8 +488,8 @@
         ),
         []
     );
-    answered(p.apply_heartbeat(
-        &report(1, 1, 60, token(EPOCH, 1 << 11), &[]),
+    accepted(p.apply_heartbeat(
+        &heartbeat_from(1, 1, 60, token(EPOCH, 1 << 11), &[]),
         false,
         &hidden,
         28.9,
@@ -494,9 +503,9 @@
 #[test]
 fn stored_records_that_make_no_sense_are_left_alone() {
     let a = job("wk-1", 3);
-    let mut m = cache(1, &[&a]);
+    let mut m = store_cache(1, &[&a]);
     let with = |change: &dyn Fn(&mut Value)| {
-        let mut v = record(&a, false);
+        let mut v = job_record(&a, false);
         change(&mut v);
         v
     };
@@ -523,6 +532,6 @@
         (3, 0),
         "what was known stays"
     );
-    m.put("fw/j/wk-2", record(&job("wk-2", 1), false), 600);
+    m.put("fw/j/wk-2", job_record(&job("wk-2", 1), false), 600);
     assert!(!m.unreadable.contains("fw/j/wk-2"), "mended");
 }
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -1,7 +1,7 @@
 //! Two faults at once, one small case for each pair that broke a rule or could
-//! have: the real cores, driven by hand. `docs/concurrent-faults.md` lists them.
+//! have: the real leader and shard, driven directly. `docs/concurrent-faults.md` lists them.
 
-use crate::cores::*;
+use crate::builders::*;
 use finchwood::autoscaler::{plan_scale_out, PendingDemand, ScalingPolicy};
 use finchwood::cluster::membership::{renewed_epoch, token, MAX_COUNTER};
 use finchwood::scheduler::Leader;
@@ -18,24 +18,24 @@
 // began. Broke `ran_twice`.
 #[test]
 fn a_session_that_began_later_has_its_whole_lease() {
-    let s = spec("wk-1", 1, |_| {});
-    let m = cache(1, &[&s]);
-    let mut p = shard(&m);
+    let s = job_spec("wk-1", 1, |_| {});
+    let m = store_cache(1, &[&s]);
+    let mut p = new_shard(&m);
     // Taken over at 0, never heard. Asked directly at 25: it is in session 4 now.
     let ask = p.due_commands(&m, 25.0);
     let done = |p: &mut Shard, body: &CommandBatch, r: &Heartbeat, now: f64| {
         p.command_completed(&"m-1".into(), body, Some(r), &m, now);
     };
-    done(&mut p, &ask[0].body, &report(1, 4, 1, 0, &[]), 25.0);
+    done(&mut p, &ask[0].body, &heartbeat_from(1, 4, 1, 0, &[]), 25.0);
     let ask = p.due_commands(&m, 25.1);
     done(
         &mut p,
         &ask[0].body,
-        &report(1, 4, 2, token(EPOCH, 0), &[]),
+        &heartbeat_from(1, 4, 2, token(EPOCH, 0), &[]),
         25.1,
     );
-    p.apply_orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 25.2);
-    place(&mut p, &m, 25.2);
+    p.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &m, 25.2);
+    place_tasks(&mut p, &m, 25.2);
     let start = p.due_commands(&m, 25.2);
     assert!(matches!(
         start[0].body.commands[..],
@@ -45,7 +45,7 @@
     done(
         &mut p,
         &start[0].body,
-        &report(1, 4, 3, start[0].body.token, &runs),
+        &heartbeat_from(1, 4, 3, start[0].body.token, &runs),
         25.3,
     );
     // The epoch and a lease are long past, but not this session's lease.
@@ -62,10 +62,10 @@
 
 #[test]
 fn a_machine_that_obeys_but_does_not_report_is_no_room_and_is_found_out() {
-    let s = spec("wk-1", 1, |_| {});
-    let m = cache(1, &[&s]);
-    let mut p = shard(&m);
-    let t = met(&mut p, &m, 1, 0.2);
+    let s = job_spec("wk-1", 1, |_| {});
+    let m = store_cache(1, &[&s]);
+    let mut p = new_shard(&m);
+    let t = reconcile_machine(&mut p, &m, 1, 0.2);
     let (mut seq, mut open_until, mut found) = (2, 0.0, None);
     for i in 1..60 {
         let now = 0.2 + f64::from(i) * 0.5;
@@ -74,7 +74,7 @@
             p.command_completed(
                 &d.machine,
                 &d.body,
-                Some(&report(1, 1, seq, t, &[])),
+                Some(&heartbeat_from(1, 1, seq, t, &[])),
                 &m,
                 now,
             );
@@ -95,7 +95,7 @@
     let found = found.expect("never found out");
     assert!(found < TIMING.lease_s, "only after its lease: {found}");
     // It reports again: nothing is wrong with it.
-    p.apply_heartbeat(&report(1, 1, seq + 1, t, &[]), false, &m, 31.0);
+    p.apply_heartbeat(&heartbeat_from(1, 1, seq + 1, t, &[]), false, &m, 31.0);
     let told = p.snapshot(&m, 31.0);
     assert!(told
         .machines
@@ -107,10 +107,10 @@
 // before it and just after it is not mute, and neither is one that was refused.
 #[test]
 fn an_outage_makes_no_machine_look_mute() {
-    let s = spec("wk-1", 1, |_| {});
-    let m = cache(1, &[&s]);
-    let mut p = shard(&m);
-    let t = met(&mut p, &m, 1, 0.2);
+    let s = job_spec("wk-1", 1, |_| {});
+    let m = store_cache(1, &[&s]);
+    let mut p = new_shard(&m);
+    let t = reconcile_machine(&mut p, &m, 1, 0.2);
     let mut seq = 2;
     let mut obeys = |p: &mut Shard, now: f64| {
         for d in p.due_commands(&m, now) {
@@ -118,7 +118,7 @@
             p.command_completed(
                 &d.machine,
                 &d.body,
-                Some(&report(1, 1, seq, t, &[])),
+                Some(&heartbeat_from(1, 1, seq, t, &[])),
                 &m,
                 now,
             );
@@ -143,19 +143,20 @@
 // `cancelled`, and then the job was committed as done.
 #[test]
 fn an_end_that_is_reported_after_the_cancellation_makes_no_job_done() {
-    let s = spec("wk-1", 1, |_| {});
-    let mut m = cache(1, &[&s]);
-    let (mut l, mut p, tokens) = pair(&m, 1);
-    round(&mut l, &mut p, &m, 0.5);
-    let (t, calls) = answered(p.apply_heartbeat(&report(1, 1, 3, tokens[0], &[]), false, &m, 0.6));
+    let s = job_spec("wk-1", 1, |_| {});
+    let mut m = store_cache(1, &[&s]);
+    let (mut l, mut p, tokens) = leader_and_shard(&m, 1);
+    scheduling_round(&mut l, &mut p, &m, 0.5);
+    let (t, calls) =
+        accepted(p.apply_heartbeat(&heartbeat_from(1, 1, 3, tokens[0], &[]), false, &m, 0.6));
     let Command::Start { attempt, .. } = calls[0] else {
         panic!("{calls:?}")
     };
-    let behind = cache(1, &[&s]);
-    m.put("fw/j/wk-1", record(&s, true), 200);
+    let behind = store_cache(1, &[&s]);
+    m.put("fw/j/wk-1", job_record(&s, true), 200);
     l.job_changed(&"wk-1".into(), &m);
     let ended = [("wk-1/0", attempt, TaskState::Ended, Some("done"))];
-    p.apply_heartbeat(&report(1, 1, 4, t, &ended), false, &behind, 0.7);
+    p.apply_heartbeat(&heartbeat_from(1, 1, 4, t, &ended), false, &behind, 0.7);
     let told = p.snapshot(&behind, 0.8);
     assert!(
         told.assigned.iter().any(|h| h.phase == TaskPhase::Done),
@@ -169,18 +170,18 @@
 // `stash_s` above `cancel_s` it would go on saving for too long.
 #[test]
 fn a_task_that_saves_is_ended_when_its_job_is_cancelled() {
-    let s = spec("wk-1", 1, |v| {
+    let s = job_spec("wk-1", 1, |v| {
         v["molt_s"] = 5.0.into();
         v["stash_s"] = 90.0.into();
     });
-    let mut m = cache(1, &[&s]);
-    let mut p = shard(&m);
-    let t = met(&mut p, &m, 1, 0.2);
-    p.apply_orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 0.3);
-    place(&mut p, &m, 0.3);
-    answered(p.apply_heartbeat(&report(1, 1, 3, t, &[]), false, &m, 0.4));
+    let mut m = store_cache(1, &[&s]);
+    let mut p = new_shard(&m);
+    let t = reconcile_machine(&mut p, &m, 1, 0.2);
+    p.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &m, 0.3);
+    place_tasks(&mut p, &m, 0.3);
+    accepted(p.apply_heartbeat(&heartbeat_from(1, 1, 3, t, &[]), false, &m, 0.4));
     p.apply_heartbeat(
-        &report(1, 1, 4, t, &[("wk-1/0", 50, TaskState::Running, None)]),
+        &heartbeat_from(1, 1, 4, t, &[("wk-1/0", 50, TaskState::Running, None)]),
         false,
         &m,
         0.5,
@@ -195,9 +196,10 @@
         40.0,
     );
     let saving = [("wk-1/0", 50, TaskState::Saving, None)];
-    let (_, calls) = answered(p.apply_heartbeat(&report(1, 1, 5, t, &saving), false, &m, 40.1));
+    let (_, calls) =
+        accepted(p.apply_heartbeat(&heartbeat_from(1, 1, 5, t, &saving), false, &m, 40.1));
     assert!(calls.is_empty(), "it saves: {calls:?}");
-    m.put("fw/j/wk-1", record(&s, true), 200);
+    m.put("fw/j/wk-1", job_record(&s, true), 200);
     p.job_changed(&"wk-1".into(), &m);
     let direct = p.due_commands(&m, 40.2);
     let ends = |c: &Command| matches!(c, Command::Stop { grace_s, .. } if *grace_s == 0.0);
@@ -212,16 +214,20 @@
 // certain of it. Each of these answers renews the lease of what runs there.
 #[test]
 fn an_answer_to_a_machine_in_doubt_stops_what_is_cancelled_there() {
-    let (s, other) = (spec("wk-1", 1, |_| {}), spec("wk-2", 1, |_| {}));
-    let mut m = cache(1, &[&s, &other]);
-    m.put("fw/j/wk-1", record(&s, true), 200);
-    let mut p = shard(&m);
+    let (s, other) = (job_spec("wk-1", 1, |_| {}), job_spec("wk-2", 1, |_| {}));
+    let mut m = store_cache(1, &[&s, &other]);
+    m.put("fw/j/wk-1", job_record(&s, true), 200);
+    let mut p = new_shard(&m);
     let runs = [
         ("wk-1/0", 50, TaskState::Running, None),
         ("wk-2/0", 51, TaskState::Running, None),
     ];
-    let (_, calls) =
-        answered(p.apply_heartbeat(&report(1, 1, 9, token(EPOCH - 1, 4), &runs), false, &m, 0.2));
+    let (_, calls) = accepted(p.apply_heartbeat(
+        &heartbeat_from(1, 1, 9, token(EPOCH - 1, 4), &runs),
+        false,
+        &m,
+        0.2,
+    ));
     assert_eq!(
         calls,
         [Command::Stop {
@@ -239,16 +245,16 @@
 // token for each question kept it uncertain for as long as that lasted.
 #[test]
 fn questions_without_an_answer_leave_no_machine_in_doubt() {
-    let s = spec("wk-1", 1, |_| {});
-    let m = cache(1, &[&s]);
-    let mut p = shard(&m);
+    let s = job_spec("wk-1", 1, |_| {});
+    let m = store_cache(1, &[&s]);
+    let mut p = new_shard(&m);
     let (mut t, mut seq) = (0, 0);
     for step in 0..160u32 {
         let now = f64::from(step) * 0.1;
         // Slow to report, within the quarter that intervals vary by.
         if step % 37 == 0 {
             seq += 1;
-            t = answered(p.apply_heartbeat(&report(1, 1, seq, t, &[]), false, &m, now)).0;
+            t = accepted(p.apply_heartbeat(&heartbeat_from(1, 1, seq, t, &[]), false, &m, now)).0;
         }
         for d in p.due_commands(&m, now) {
             p.command_completed(&d.machine, &d.body, None, &m, now + 0.05);
@@ -262,16 +268,17 @@
 // no start there could ever be proven dead.
 #[test]
 fn nothing_is_started_where_the_token_can_not_be_raised() {
-    let s = spec("wk-1", 1, |_| {});
-    let m = cache(1, &[&s]);
-    let mut p = shard(&m);
+    let s = job_spec("wk-1", 1, |_| {});
+    let m = store_cache(1, &[&s]);
+    let mut p = new_shard(&m);
     let top = token(EPOCH, MAX_COUNTER);
     assert!(top < token(EPOCH + 1, 0), "epochs don't overlap");
-    p.apply_heartbeat(&report(1, 1, 1, top, &[]), false, &m, 0.2);
-    p.apply_heartbeat(&report(1, 1, 2, top, &[]), false, &m, 0.3);
-    p.apply_orders(&orders(1, deal("wk-1", &[(0, 50)])), &m, 0.4);
-    place(&mut p, &m, 0.4);
-    let (t, calls) = answered(p.apply_heartbeat(&report(1, 1, 3, top, &[]), false, &m, 0.5));
+    p.apply_heartbeat(&heartbeat_from(1, 1, 1, top, &[]), false, &m, 0.2);
+    p.apply_heartbeat(&heartbeat_from(1, 1, 2, top, &[]), false, &m, 0.3);
+    p.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &m, 0.4);
+    place_tasks(&mut p, &m, 0.4);
+    let (t, calls) =
+        accepted(p.apply_heartbeat(&heartbeat_from(1, 1, 3, top, &[]), false, &m, 0.5));
     assert_eq!((t, calls), (top, Vec::new()));
     assert!(p
         .due_commands(&m, 0.6)
@@ -288,18 +295,18 @@
 /// stops before, and the next epoch has all numbers anew.
 #[test]
 fn a_leader_that_runs_out_of_attempt_numbers_waits_for_the_next_epoch() {
-    let s = spec("wk-1", 3, |_| {});
-    let m = cache(2, &[&s]);
-    let (mut l, mut p, _) = pair(&m, 2);
+    let s = job_spec("wk-1", 3, |_| {});
+    let m = store_cache(2, &[&s]);
+    let (mut l, mut p, _) = leader_and_shard(&m, 2);
     l.attempt_limit = 2;
-    round(&mut l, &mut p, &m, 1.0);
+    scheduling_round(&mut l, &mut p, &m, 1.0);
     assert_eq!(
         l.counts().assigned_tasks,
         0,
         "none of three, as two numbers are left"
     );
     l.attempt_limit = 5;
-    round(&mut l, &mut p, &m, 2.0);
+    scheduling_round(&mut l, &mut p, &m, 2.0);
     assert_eq!(l.counts().assigned_tasks, 3);
     assert!(l.needs_new_epoch());
     let present = Epoch {
@@ -318,8 +325,8 @@
 
 #[test]
 fn a_cancellation_is_a_fact_that_needs_no_order() {
-    let s = spec("wk-1", 2, |_| {});
-    let mut m = cache(1, &[&s]);
+    let s = job_spec("wk-1", 2, |_| {});
+    let mut m = store_cache(1, &[&s]);
     let id = "wk-1".into();
     assert!(
         !m.apply_cancellation(&"wk-9".into(), 200, 5),
@@ -333,14 +340,14 @@
     assert!(!m.apply_cancellation(&id, 200, 5), "said again");
     assert!(!m.jobs["wk-1"].live());
     // The record as it was before comes from a slow reading.
-    m.put("fw/j/wk-1", record(&s, false), 100);
-    m.put("fw/j/wk-1", record(&s, true), 200);
+    m.put("fw/j/wk-1", job_record(&s, false), 100);
+    m.put("fw/j/wk-1", job_record(&s, true), 200);
     assert!(m.jobs["wk-1"].record.cancelled);
     let done = JobRecord {
         done: true,
-        ..serde_json::from_value(record(&s, false)).expect("a record")
+        ..serde_json::from_value(job_record(&s, false)).expect("a record")
     };
-    let mut m = cache(1, &[&s]);
+    let mut m = store_cache(1, &[&s]);
     m.put("fw/j/wk-1", json!(done), 150);
     assert!(
         !m.apply_cancellation(&id, 200, 5),
@@ -351,15 +358,15 @@
 // A worker that hangs, or obeys nothing, holds on to a cancelled task.
 #[test]
 fn machines_not_proven_rid_of_cancelled_tasks_are_named_in_time() {
-    let (s, other) = (spec("wk-1", 1, |_| {}), spec("wk-2", 1, |_| {}));
-    let mut m = cache(2, &[&s, &other]);
-    let (mut l, mut p, tokens) = pair(&m, 2);
-    round(&mut l, &mut p, &m, 0.5);
+    let (s, other) = (job_spec("wk-1", 1, |_| {}), job_spec("wk-2", 1, |_| {}));
+    let mut m = store_cache(2, &[&s, &other]);
+    let (mut l, mut p, tokens) = leader_and_shard(&m, 2);
+    scheduling_round(&mut l, &mut p, &m, 0.5);
     for (i, t) in tokens.iter().enumerate() {
-        answered(p.apply_heartbeat(&report(i + 1, 1, 3, *t, &[]), false, &m, 0.6));
+        accepted(p.apply_heartbeat(&heartbeat_from(i + 1, 1, 3, *t, &[]), false, &m, 0.6));
     }
-    let after = settings(&[]).expect("settings").evict_after_s();
-    m.put("fw/j/wk-1", record(&s, true), 200);
+    let after = settings_with(&[]).expect("settings").evict_after_s();
+    m.put("fw/j/wk-1", job_record(&s, true), 200);
     l.job_changed(&"wk-1".into(), &m);
     p.job_changed(&"wk-1".into(), &m);
     assert!(l.apply_shard_report(p.snapshot(&m, 1.0), &m, 1.0));
@@ -403,7 +410,7 @@
             format!("lease_s = {lease:.1}"),
             format!("cancel_s = {cancel:.1}"),
         );
-        let s = settings(&[("lease_s = 20.0", &l), ("cancel_s = 40.0", &c)]).expect(&c);
+        let s = settings_with(&[("lease_s = 20.0", &l), ("cancel_s = 40.0", &c)]).expect(&c);
         assert!(
             s.cancellation_bound_s() < cancel,
             "{} of {cancel}",
@@ -413,7 +420,7 @@
         assert!(s.evict_after_s() < cancel);
     }
     for cancel in ["cancel_s = 10.0", "cancel_s = 20.0", "cancel_s = 23.0"] {
-        let error = settings(&[("cancel_s = 40.0", cancel)]).expect_err(cancel);
+        let error = settings_with(&[("cancel_s = 40.0", cancel)]).expect_err(cancel);
         assert!(
             error.contains("cancel_s") && error.lines().count() == 1,
             "{error}"
@@ -425,8 +432,8 @@
 // it is rented there, and nowhere else.
 #[test]
 fn machines_are_rented_where_the_rest_of_a_bound_job_is() {
-    let one = spec("wk-1", 4, |v| v["one_zone"] = true.into());
-    let m = cache(0, &[]);
+    let one = job_spec("wk-1", 4, |v| v["one_zone"] = true.into());
+    let m = store_cache(0, &[]);
     let catalog: &Catalog = m.catalog.as_ref().expect("types");
     // Zone `e` has the fewer machines, and is otherwise chosen.
     let all = [("w".into(), 5)].into_iter().collect();
@@ -452,13 +459,13 @@
     };
     assert_eq!(rented(&one, &[], 4), ["e"]);
     assert_eq!(rented(&one, &[("w", 2)], 2), ["w"]);
-    let scattered = spec("wk-2", 4, |v| v["scatter"] = true.into());
+    let scattered = job_spec("wk-2", 4, |v| v["scatter"] = true.into());
     assert_eq!(rented(&scattered, &[("e", 2)], 2), ["w"]);
 }
 
 /// Two controllers, machines alternating between them.
 fn two_parts(cache: &StoreCache, machines: usize) -> Leader {
-    let mut l = Leader::new(&settings(&[]).expect("settings"));
+    let mut l = Leader::new(&settings_with(&[]).expect("settings"));
     let members: BTreeMap<String, u64> = [("a".to_string(), 7), ("b".to_string(), 8)]
         .into_iter()
         .collect();
@@ -477,7 +484,7 @@
         let owns = |id: &str| id[2..].parse::<usize>().is_ok_and(|i| (i - 1) / 2 % 2 == n);
         p.start_epoch(EPOCH, incarnation, cache, 0.0, owns);
         for i in (1..=machines).filter(|i| owns(&format!("m-{i}"))) {
-            met(&mut p, cache, i, 0.2);
+            reconcile_machine(&mut p, cache, i, 0.2);
         }
         assert!(l.apply_shard_report(p.snapshot(cache, 0.3), cache, 0.3));
     }
@@ -489,12 +496,12 @@
 // many machines there: it waited for ever.
 #[test]
 fn a_job_for_one_zone_is_shared_by_parts_that_are_too_small_for_it() {
-    let s = spec("wk-1", 4, |v| {
+    let s = job_spec("wk-1", 4, |v| {
         v["one_zone"] = true.into();
         v["shape"] = "standing".into();
         v["cpus"] = 4.0.into();
     });
-    let m = cache(8, &[&s]);
+    let m = store_cache(8, &[&s]);
     let mut l = two_parts(&m, 8);
     let touched = l.assign_tasks(&m, 0.5, || true);
     assert_eq!(touched.len(), 2, "both take some of it");
@@ -517,14 +524,14 @@
 // room for all of it: it moves as a whole, once every task is proven gone.
 #[test]
 fn a_service_that_its_zone_has_no_room_for_moves_as_a_whole() {
-    let s = spec("wk-1", 2, |v| {
+    let s = job_spec("wk-1", 2, |v| {
         v["one_zone"] = true.into();
         v["shape"] = "standing".into();
         v["cpus"] = 4.0.into();
     });
-    let mut m = cache(4, &[&s]);
-    let (mut l, mut p, mut tokens) = pair(&m, 4);
-    round(&mut l, &mut p, &m, 0.5);
+    let mut m = store_cache(4, &[&s]);
+    let (mut l, mut p, mut tokens) = leader_and_shard(&m, 4);
+    scheduling_round(&mut l, &mut p, &m, 0.5);
     let mut on: BTreeMap<usize, (String, u64)> = BTreeMap::new();
     let mut seq = 3;
     let mut obey =
@@ -532,13 +539,13 @@
             seq += 2;
             for i in (1..=4usize).filter(|i| m.registry.contains_key(format!("m-{i}").as_str())) {
                 for again in 0..2 {
-                    let runs: Vec<Line> = on
+                    let runs: Vec<ReportedTask> = on
                         .get(&i)
                         .iter()
                         .map(|(t, a)| (t.as_str(), *a, TaskState::Running, None))
                         .collect();
-                    let r = report(i, 1, seq + again, tokens[i - 1], &runs);
-                    let (t, calls) = answered(p.apply_heartbeat(&r, false, m, now));
+                    let r = heartbeat_from(i, 1, seq + again, tokens[i - 1], &runs);
+                    let (t, calls) = accepted(p.apply_heartbeat(&r, false, m, now));
                     tokens[i - 1] = t;
                     for c in calls {
                         match c {
@@ -565,7 +572,7 @@
     p.unregister_machine(&id.as_str().into());
     for i in 1..200 {
         let now = 1.0 + f64::from(i) * 0.5;
-        round(&mut l, &mut p, &m, now);
+        scheduling_round(&mut l, &mut p, &m, now);
         obey(&mut p, &m, &mut on, now);
     }
     assert_eq!(on.len(), 2, "it runs again: {on:?}");
@@ -580,13 +587,14 @@
 // is proven gone, and that proof comes.
 #[test]
 fn a_team_at_its_limit_gets_nothing_for_a_cancellation_before_proof() {
-    let (old, new) = (spec("wk-1", 4, |_| {}), spec("wk-2", 4, |_| {}));
-    let mut m = cache(4, &[&old]);
-    let mut accepted: JobRecord = serde_json::from_value(record(&new, false)).expect("a record");
-    accepted.epoch = EPOCH;
-    m.put("fw/j/wk-2", json!(accepted), 150);
+    let (old, new) = (job_spec("wk-1", 4, |_| {}), job_spec("wk-2", 4, |_| {}));
+    let mut m = store_cache(4, &[&old]);
+    let mut accepted_job: JobRecord =
+        serde_json::from_value(job_record(&new, false)).expect("a record");
+    accepted_job.epoch = EPOCH;
+    m.put("fw/j/wk-2", json!(accepted_job), 150);
     let mut l =
-        Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 8.0")]).expect("settings"));
+        Leader::new(&settings_with(&[("cpus_max = 400.0", "cpus_max = 8.0")]).expect("settings"));
     l.start_epoch(
         &Epoch {
             number: EPOCH,
@@ -597,15 +605,21 @@
         7,
         &m,
     );
-    let mut p = shard(&m);
-    let mut tokens: Vec<u64> = (1..=3).map(|i| met(&mut p, &m, i, 0.2)).collect();
+    let mut p = new_shard(&m);
+    let mut tokens: Vec<u64> = (1..=3)
+        .map(|i| reconcile_machine(&mut p, &m, i, 0.2))
+        .collect();
     let mut seq = 2;
     let mut dealt = |l: &mut Leader, p: &mut Shard, m: &StoreCache, now: f64| {
         seq += 1;
         for i in 1..=3 {
-            tokens[i - 1] =
-                answered(p.apply_heartbeat(&report(i, 1, seq, tokens[i - 1], &[]), false, m, now))
-                    .0;
+            tokens[i - 1] = accepted(p.apply_heartbeat(
+                &heartbeat_from(i, 1, seq, tokens[i - 1], &[]),
+                false,
+                m,
+                now,
+            ))
+            .0;
         }
         p.expire_leases(now);
         assert!(l.apply_shard_report(p.snapshot(m, now), m, now));
@@ -627,7 +641,7 @@
         0,
         "the fourth machine may hold all that is allowed"
     );
-    m.put("fw/j/wk-1", record(&old, true), 200);
+    m.put("fw/j/wk-1", job_record(&old, true), 200);
     l.job_changed(&"wk-1".into(), &m);
     p.job_changed(&"wk-1".into(), &m);
     assert_eq!(
@@ -651,29 +665,29 @@
 /// lag; the next leader must find on the machine registry that it may hold tasks.
 #[test]
 fn a_machine_gets_no_task_before_its_mark_as_up_is_committed() {
-    let job = spec("wk-1", 1, |_| {});
-    let mut cache = cache(1, &[&job]);
+    let job = job_spec("wk-1", 1, |_| {});
+    let mut cache = store_cache(1, &[&job]);
     let mut record = cache.registry["m-1"].record.clone();
     record.in_use = false;
     cache.put("fw/r/m-1", json!(record), 200);
-    let mut shard = shard(&cache);
-    let token = met(&mut shard, &cache, 1, 0.2);
+    let mut shard = new_shard(&cache);
+    let token = reconcile_machine(&mut shard, &cache, 1, 0.2);
     assert!(
         !shard.snapshot(&cache, 0.3).machines[0].schedulable,
         "it reports, and takes nothing yet"
     );
-    shard.apply_orders(&orders(1, deal("wk-1", &[(0, 50)])), &cache, 0.4);
-    place(&mut shard, &cache, 0.5);
+    shard.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &cache, 0.4);
+    place_tasks(&mut shard, &cache, 0.5);
     let (token, calls) =
-        answered(shard.apply_heartbeat(&report(1, 1, 3, token, &[]), false, &cache, 0.6));
+        accepted(shard.apply_heartbeat(&heartbeat_from(1, 1, 3, token, &[]), false, &cache, 0.6));
     assert_eq!(calls, []);
     record.in_use = true;
     cache.put("fw/r/m-1", json!(record.clone()), 201);
     shard.register_machine(&"m-1".into(), &record, 0.7);
-    shard.apply_orders(&orders(2, deal("wk-1", &[(0, 51)])), &cache, 0.8);
-    place(&mut shard, &cache, 0.9);
+    shard.apply_orders(&orders(2, assignments("wk-1", &[(0, 51)])), &cache, 0.8);
+    place_tasks(&mut shard, &cache, 0.9);
     let (_, calls) =
-        answered(shard.apply_heartbeat(&report(1, 1, 4, token, &[]), false, &cache, 1.0));
+        accepted(shard.apply_heartbeat(&heartbeat_from(1, 1, 4, token, &[]), false, &cache, 1.0));
     assert!(
         matches!(calls[..], [Command::Start { attempt: 51, .. }]),
         "{calls:?}"
--- a/tests/control_plane/failing_tasks.rs
+++ b/tests/control_plane/failing_tasks.rs
@@ -1,7 +1,7 @@
 //! Tasks that fail: whether the job or the machine is at fault, and what becomes
-//! of either. The real leader and shard, driven by hand.
+//! of either. The real leader and shard, driven directly.
 
-use crate::cores::*;
+use crate::builders::*;
 use finchwood::scheduler::{Leader, MachineFault};
 use finchwood::shard::Shard;
 use finchwood::store::cache::StoreCache;
@@ -36,8 +36,8 @@
 impl Fleet {
     fn new(machines: usize, jobs: &[Arc<JobSpec>]) -> Fleet {
         let jobs: Vec<&Arc<JobSpec>> = jobs.iter().collect();
-        let cache = cache(machines, &jobs);
-        let (leader, shard, tokens) = pair(&cache, machines);
+        let cache = store_cache(machines, &jobs);
+        let (leader, shard, tokens) = leader_and_shard(&cache, machines);
         Fleet {
             cache,
             leader,
@@ -58,7 +58,7 @@
     fn step(&mut self) {
         self.now += 0.5;
         self.leader.cordon_faulty_machines(&self.cache);
-        round(&mut self.leader, &mut self.shard, &self.cache, self.now);
+        scheduling_round(&mut self.leader, &mut self.shard, &self.cache, self.now);
         self.commit_completed_jobs();
         for machine in 0..self.shown.len() {
             self.seq += 1;
@@ -70,13 +70,13 @@
                     TaskState::Running
                 }
             };
-            let lines: Vec<Line> = shown
+            let lines: Vec<ReportedTask> = shown
                 .iter()
                 .map(|(task, s)| (task.as_str(), s.0, state(s.1), s.1))
                 .collect();
-            let r = report(machine + 1, 1, self.seq, self.tokens[machine], &lines);
+            let r = heartbeat_from(machine + 1, 1, self.seq, self.tokens[machine], &lines);
             let (token, calls) =
-                answered(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
+                accepted(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
             self.tokens[machine] = token;
             calls.iter().for_each(|call| self.obey(machine, call));
         }
@@ -152,14 +152,14 @@
 /// Jobs of one task that are not broken.
 fn sound_jobs(count: usize) -> Vec<Arc<JobSpec>> {
     (0..count)
-        .map(|i| spec(&format!("wk-sound-{i}"), 1, |_| {}))
+        .map(|i| job_spec(&format!("wk-sound-{i}"), 1, |_| {}))
         .collect()
 }
 
 #[test]
 fn broken_jobs_take_no_machine_out_of_use() {
     let jobs: Vec<Arc<JobSpec>> = (0..3)
-        .map(|i| spec(&format!("{BROKEN}-{i}"), 6, |_| {}))
+        .map(|i| job_spec(&format!("{BROKEN}-{i}"), 6, |_| {}))
         .collect();
     let mut fleet = Fleet::new(6, &jobs);
     fleet.run(60);
@@ -170,7 +170,7 @@
 
 #[test]
 fn a_broken_job_is_tried_with_one_task_less_and_less_often_but_never_forgotten() {
-    let mut fleet = Fleet::new(6, &[spec(BROKEN, 12, |_| {})]);
+    let mut fleet = Fleet::new(6, &[job_spec(BROKEN, 12, |_| {})]);
     fleet.run(40);
     let tried = fleet.failed.len();
     fleet.run(1200);
@@ -214,7 +214,7 @@
 
 #[test]
 fn a_job_that_met_two_faulty_machines_is_not_held_back_once_a_task_has_completed() {
-    let mut fleet = Fleet::new(3, &[spec("wk-array", 12, |_| {})]);
+    let mut fleet = Fleet::new(3, &[job_spec("wk-array", 12, |_| {})]);
     fleet.faulty.extend([0, 1]);
     fleet.run(30);
     assert!(
@@ -234,7 +234,7 @@
 
 #[test]
 fn a_job_that_only_met_faulty_machines_runs_whole_as_soon_as_its_tasks_are_seen_to_run() {
-    let mut fleet = Fleet::new(10, &[spec("wk-array", 16, |_| {})]);
+    let mut fleet = Fleet::new(10, &[job_spec("wk-array", 16, |_| {})]);
     fleet.faulty.extend([0, 1]);
     fleet.long_tasks = true;
     fleet.run(60);
--- a/tests/control_plane/gangs.rs
+++ b/tests/control_plane/gangs.rs
@@ -1,7 +1,7 @@
 //! Gangs: all tasks start together or none, all under one attempt. The real
-//! leader and shard, driven by hand.
+//! leader and shard, driven directly.
 
-use crate::cores::*;
+use crate::builders::*;
 use finchwood::scheduler::Leader;
 use finchwood::shard::{Orders, Shard, TaskPhase};
 use finchwood::store::cache::StoreCache;
@@ -13,7 +13,7 @@
 
 /// A gang whose tasks fill a machine each, unless `change` says otherwise.
 fn gang(id: &str, tasks: u32, change: impl Fn(&mut Value)) -> Arc<JobSpec> {
-    spec(id, tasks, |v| {
+    job_spec(id, tasks, |v| {
         v["shape"] = "ensemble".into();
         v["rank"] = "standard".into();
         v["cpus"] = 4.0.into();
@@ -42,7 +42,7 @@
 
 impl Bench {
     fn new(cache: StoreCache, machines: usize) -> Bench {
-        let (leader, shard, tokens) = pair(&cache, machines);
+        let (leader, shard, tokens) = leader_and_shard(&cache, machines);
         let shown = vec![BTreeMap::new(); machines];
         Bench {
             cache,
@@ -59,17 +59,17 @@
     /// Every machine reports and obeys the answer; leader and shard take a round.
     fn step(&mut self) {
         self.now += 0.5;
-        round(&mut self.leader, &mut self.shard, &self.cache, self.now);
+        scheduling_round(&mut self.leader, &mut self.shard, &self.cache, self.now);
         self.commands.clear();
         for i in 0..self.shown.len() {
             self.seq += 1;
-            let lines: Vec<Line> = self.shown[i]
+            let lines: Vec<ReportedTask> = self.shown[i]
                 .iter()
                 .map(|(t, s)| (t.as_str(), s.0, s.1, s.2))
                 .collect();
-            let r = report(i + 1, 1, self.seq, self.tokens[i], &lines);
+            let r = heartbeat_from(i + 1, 1, self.seq, self.tokens[i], &lines);
             let (token, calls) =
-                answered(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
+                accepted(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
             self.tokens[i] = token;
             for call in calls {
                 self.obey(i, &call);
@@ -98,14 +98,14 @@
     /// A machine reports that it will be taken; returns what it is answered.
     fn notice(&mut self, machine: usize) -> Vec<Command> {
         let shown = &self.shown[machine];
-        let lines: Vec<Line> = shown
+        let lines: Vec<ReportedTask> = shown
             .iter()
             .map(|(t, s)| (t.as_str(), s.0, s.1, s.2))
             .collect();
         self.seq += 1;
-        let mut r = report(machine + 1, 1, self.seq, self.tokens[machine], &lines);
+        let mut r = heartbeat_from(machine + 1, 1, self.seq, self.tokens[machine], &lines);
         r.notice_s = Some(8.0);
-        let (token, calls) = answered(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
+        let (token, calls) = accepted(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
         self.tokens[machine] = token;
         calls
     }
@@ -122,7 +122,7 @@
         };
         self.shard
             .start_epoch(epoch.number, incarnation, &self.cache, self.now, |_| true);
-        self.leader = Leader::new(&settings(&[]).expect("settings"));
+        self.leader = Leader::new(&settings_with(&[]).expect("settings"));
         self.leader.start_epoch(&epoch, incarnation, &self.cache);
     }
 
@@ -160,7 +160,7 @@
 #[test]
 fn a_gang_starts_whole_under_one_attempt_in_one_zone() {
     let s = gang("wk-1", 3, |v| v["one_zone"] = true.into());
-    let mut b = Bench::new(cache(6, &[&s]), 6);
+    let mut b = Bench::new(store_cache(6, &[&s]), 6);
     b.step();
     b.shared_attempt(3);
     let zones: BTreeSet<usize> = b.on_machines().iter().map(|s| s.0 % 2).collect();
@@ -169,14 +169,14 @@
 
 #[test]
 fn a_gang_without_room_for_all_starts_nothing_and_keeps_what_room_there_is() {
-    let (s, small) = (gang("wk-1", 3, |_| {}), spec("wk-2", 8, |_| {}));
-    let mut m = cache(2, &[&s, &small]);
+    let (s, small) = (gang("wk-1", 3, |_| {}), job_spec("wk-2", 8, |_| {}));
+    let mut m = store_cache(2, &[&s, &small]);
     // Both have only just been accepted: what waits for very long comes first,
     // and keeps no room from others.
     for (job, revision) in [(&s, 400), (&small, 401)] {
-        let mut accepted = record(job, false);
-        accepted["t"] = finchwood::clock::wall_clock_ms().into();
-        m.put(&format!("fw/j/{}", job.id), accepted, revision);
+        let mut accepted_job = job_record(job, false);
+        accepted_job["t"] = finchwood::clock::wall_clock_ms().into();
+        m.put(&format!("fw/j/{}", job.id), accepted_job, revision);
     }
     let mut b = Bench::new(m, 2);
     b.steps(3);
@@ -198,12 +198,12 @@
 #[test]
 fn a_gang_beyond_what_its_team_has_left_starts_nothing() {
     let (first, s) = (
-        spec("wk-1", 1, |v| v["rank"] = "urgent".into()),
+        job_spec("wk-1", 1, |v| v["rank"] = "urgent".into()),
         gang("wk-2", 3, |_| {}),
     );
-    let m = cache(6, &[&first, &s]);
+    let m = store_cache(6, &[&first, &s]);
     let mut l =
-        Leader::new(&settings(&[("cpus_max = 400.0", "cpus_max = 12.0")]).expect("settings"));
+        Leader::new(&settings_with(&[("cpus_max = 400.0", "cpus_max = 12.0")]).expect("settings"));
     let members = [("a".to_string(), 7)].into_iter().collect();
     l.start_epoch(
         &Epoch {
@@ -215,9 +215,9 @@
         7,
         &m,
     );
-    let mut p = shard(&m);
+    let mut p = new_shard(&m);
     for machine in 1..=6 {
-        met(&mut p, &m, machine, 0.2);
+        reconcile_machine(&mut p, &m, machine, 0.2);
     }
     assert!(l.apply_shard_report(p.snapshot(&m, 0.3), &m, 0.3));
     l.reconcile(&m, &|_| false);
@@ -233,7 +233,7 @@
 #[test]
 fn a_refused_task_is_replaced_under_the_same_attempt_and_old_word_frees_nothing() {
     let s = gang("wk-1", 3, |_| {});
-    let mut b = Bench::new(cache(4, &[&s]), 4);
+    let mut b = Bench::new(store_cache(4, &[&s]), 4);
     b.step();
     let attempt = b.shared_attempt(3);
     let refused = b.on_machines()[0].0;
@@ -265,7 +265,7 @@
 #[test]
 fn a_running_gang_that_loses_a_task_is_stopped_and_begins_again_when_all_are_gone() {
     let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(cache(4, &[&s]), 4);
+    let mut b = Bench::new(store_cache(4, &[&s]), 4);
     b.step();
     let first = b.shared_attempt(2);
     b.all_show(TaskState::Running, None);
@@ -298,7 +298,7 @@
 #[test]
 fn a_gathering_gang_that_loses_a_task_begins_anew() {
     let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(cache(4, &[&s]), 4);
+    let mut b = Bench::new(store_cache(4, &[&s]), 4);
     b.steps(2);
     let first = b.shared_attempt(2);
     let lost = b.on_machines()[1].0;
@@ -312,7 +312,7 @@
 #[test]
 fn a_refused_task_of_a_gang_for_one_zone_is_replaced_nowhere_else() {
     let s = gang("wk-1", 2, |v| v["one_zone"] = true.into());
-    let mut b = Bench::new(cache(3, &[&s]), 3);
+    let mut b = Bench::new(store_cache(3, &[&s]), 3);
     b.step();
     b.shared_attempt(2);
     for line in b.shown[2].values_mut() {
@@ -328,7 +328,7 @@
 #[test]
 fn done_of_one_task_is_done_of_all() {
     let s = gang("wk-1", 3, |_| {});
-    let mut b = Bench::new(cache(3, &[&s]), 3);
+    let mut b = Bench::new(store_cache(3, &[&s]), 3);
     b.step();
     b.all_show(TaskState::Running, None);
     b.step();
@@ -351,7 +351,7 @@
 #[test]
 fn a_notice_stops_the_whole_gang_with_time_to_save() {
     let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(cache(3, &[&s]), 3);
+    let mut b = Bench::new(store_cache(3, &[&s]), 3);
     b.step();
     b.all_show(TaskState::Running, None);
     b.step();
@@ -377,10 +377,10 @@
 #[test]
 fn a_cancelled_gang_that_gathers_is_stopped_at_once() {
     let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(cache(2, &[&s]), 2);
+    let mut b = Bench::new(store_cache(2, &[&s]), 2);
     b.step();
     b.shared_attempt(2);
-    b.cache.put("fw/j/wk-1", record(&s, true), 500);
+    b.cache.put("fw/j/wk-1", job_record(&s, true), 500);
     b.leader.job_changed(&"wk-1".into(), &b.cache);
     b.shard.job_changed(&"wk-1".into(), &b.cache);
     b.step();
@@ -404,7 +404,7 @@
 /// One of two tasks is gone as the next epoch begins, with a new leader.
 fn a_gang_with_a_missing_task_is_taken_over(incarnation: u64) {
     let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(cache(3, &[&s]), 3);
+    let mut b = Bench::new(store_cache(3, &[&s]), 3);
     b.steps(2);
     let first = b.shared_attempt(2);
     let lost = b.on_machines()[1].0;
@@ -423,7 +423,7 @@
 #[test]
 fn a_gang_that_stays_incomplete_gives_its_room_back() {
     let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(cache(2, &[&s]), 2);
+    let mut b = Bench::new(store_cache(2, &[&s]), 2);
     b.step();
     b.shared_attempt(2);
     b.now += 1.0;
@@ -432,7 +432,11 @@
         .values_mut()
         .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("no_room")));
     // From now on that machine refuses whatever is started there.
-    let wait = settings(&[]).expect("settings").params.workers.gang_wait_s;
+    let wait = settings_with(&[])
+        .expect("settings")
+        .params
+        .workers
+        .gang_wait_s;
     let deadline = b.now + wait / 2.0;
     let mut withdrawn = false;
     while b.now < deadline {
@@ -451,7 +455,7 @@
 #[test]
 fn gangs_wait_until_every_controller_runs_them() {
     let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(cache(2, &[&s]), 2);
+    let mut b = Bench::new(store_cache(2, &[&s]), 2);
     let member =
         |revision: u64, value: Value, m: &mut StoreCache| drop(m.put("fw/m/b", value, revision));
     member(600, json!({"inc": 4}), &mut b.cache);
@@ -480,7 +484,7 @@
 #[test]
 fn a_task_in_an_unknown_state_is_on_its_machine() {
     let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(cache(4, &[&s]), 4);
+    let mut b = Bench::new(store_cache(4, &[&s]), 4);
     b.step();
     let first = b.shared_attempt(2);
     b.all_show(TaskState::Other, None);
@@ -493,7 +497,7 @@
 #[test]
 fn a_cause_that_this_version_does_not_know_ends_the_attempt_and_is_no_fault() {
     let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(cache(4, &[&s]), 4);
+    let mut b = Bench::new(store_cache(4, &[&s]), 4);
     b.steps(2);
     let first = b.shared_attempt(2);
     let one = b.on_machines()[0].0;
@@ -514,14 +518,14 @@
 fn orders_of_a_version_without_gangs_are_still_understood() {
     // A deal without assignments: the attempt stands for them.
     let s = gang("wk-1", 2, |_| {});
-    let m = cache(2, &[&s]);
-    let mut p = shard(&m);
+    let m = store_cache(2, &[&s]);
+    let mut p = new_shard(&m);
     for machine in 1..=2 {
-        met(&mut p, &m, machine, 0.2);
+        reconcile_machine(&mut p, &m, machine, 0.2);
     }
-    let deals = deal("wk-1", &[(0, 50), (1, 50)]);
+    let deals = assignments("wk-1", &[(0, 50), (1, 50)]);
     p.apply_orders(&Orders { ..orders(1, deals) }, &m, 0.4);
-    place(&mut p, &m, 0.5);
+    place_tasks(&mut p, &m, 0.5);
     let held = p.snapshot(&m, 0.6).assigned;
     assert_eq!(
         held.iter()
@@ -529,6 +533,6 @@
             .collect::<Vec<_>>(),
         [(50, 50), (50, 50)]
     );
-    let accepted: JobRecord = serde_json::from_value(record(&s, false)).expect("a record");
-    assert!(accepted.spec.is_some());
+    let accepted_job: JobRecord = serde_json::from_value(job_record(&s, false)).expect("a record");
+    assert!(accepted_job.spec.is_some());
 }
--- a/tests/control_plane/main.rs
+++ b/tests/control_plane/main.rs
@@ -1,13 +1,14 @@
 //! The real leaders and shards driven directly, without threads or a network: each module
 //! shows one part of what they decide.
 
+#[path = "../common/builders/mod.rs"]
+mod builders;
 mod cold_restart;
 mod concurrent_faults;
-#[path = "../common/cores.rs"]
-mod cores;
 mod epochs;
 mod failing_tasks;
 mod gangs;
+mod incremental_reports;
 mod many_small_jobs;
 mod one_machine;
 mod preemption;
@@ -16,3 +17,4 @@
 mod shard_transfers;
 mod stale_heartbeats;
 mod unresponsive_machines;
+mod versions;
--- a/tests/control_plane/many_small_jobs.rs
+++ b/tests/control_plane/many_small_jobs.rs
@@ -1,8 +1,8 @@
 //! Jobs of one task, several a second for minutes, a quarter of them cancelled: what is
 //! cancelled does not start and is gone, the rest runs once and ends, nothing is kept of
-//! either. The real leader and shard, driven by hand.
+//! either. The real leader and shard, driven directly.
 
-use crate::cores::*;
+use crate::builders::*;
 use finchwood::scheduler::Leader;
 use finchwood::shard::Shard;
 use finchwood::store::cache::StoreCache;
@@ -36,8 +36,8 @@
 
 impl Fleet {
     fn new() -> Fleet {
-        let cache = cache(MACHINES, &[]);
-        let (leader, shard, tokens) = pair(&cache, MACHINES);
+        let cache = store_cache(MACHINES, &[]);
+        let (leader, shard, tokens) = leader_and_shard(&cache, MACHINES);
         Fleet {
             cache,
             leader,
@@ -61,7 +61,7 @@
     }
 
     fn submit(&mut self, number: usize) {
-        let spec = spec(&format!("wk-{number}"), 1, |_| {});
+        let spec = job_spec(&format!("wk-{number}"), 1, |_| {});
         let id = spec.id.clone();
         let record = JobRecord {
             spec: Some(spec),
@@ -95,7 +95,7 @@
     fn advance(&mut self) {
         self.step += 1;
         let now = 1.0 + f64::from(self.step) * 0.5;
-        round(&mut self.leader, &mut self.shard, &self.cache, now);
+        scheduling_round(&mut self.leader, &mut self.shard, &self.cache, now);
         for finish in self.leader.completions_to_commit(now, 100, &self.cache) {
             let record = self.cache.jobs[&finish.job].record.clone();
             self.commit(
@@ -134,15 +134,15 @@
         let ended = self.ended[machine]
             .iter()
             .map(|(t, s)| (t.as_str(), s.0, TaskState::Ended, Some(s.1)));
-        let lines: Vec<Line> = running.chain(ended).collect();
-        let report = report(
+        let lines: Vec<ReportedTask> = running.chain(ended).collect();
+        let report = heartbeat_from(
             machine + 1,
             1,
             10 + u64::from(step),
             self.tokens[machine],
             &lines,
         );
-        let (token, calls) = answered(self.shard.apply_heartbeat(&report, false, &self.cache, now));
+        let (token, calls) = accepted(self.shard.apply_heartbeat(&report, false, &self.cache, now));
         self.tokens[machine] = token;
         for call in calls {
             match call {
--- a/tests/control_plane/one_machine.rs
+++ b/tests/control_plane/one_machine.rs
@@ -1,6 +1,9 @@
 //! One machine, `m-1`, and the shard that owns it.
 
-use crate::cores::{answered, cache, deal, orders, record, report, shard, spec, Line, EPOCH};
+use crate::builders::{
+    accepted, assignments, heartbeat_from, job_record, job_spec, new_shard, orders, store_cache,
+    ReportedTask, EPOCH,
+};
 use finchwood::cluster::membership::token;
 use finchwood::shard::{HeartbeatReply, Orders, Shard};
 use finchwood::store::cache::StoreCache;
@@ -13,27 +16,36 @@
 
 /// An array whose tasks take half of the machine each.
 pub(crate) fn job_of_priority(id: &str, tasks: u32, priority: Priority) -> Arc<JobSpec> {
-    spec(id, tasks, |fields| fields["rank"] = json!(priority))
+    job_spec(id, tasks, |fields| fields["rank"] = json!(priority))
 }
 
 /// The machine and jobs: their names, priorities and whether they are cancelled.
 pub(crate) fn cache_with(jobs: &[(&str, Priority, bool)]) -> StoreCache {
-    let mut cache = cache(1, &[]);
+    let mut cache = store_cache(1, &[]);
     for (revision, (id, priority, cancelled)) in (3..).zip(jobs) {
         let job = job_of_priority(id, TASKS, *priority);
-        cache.put(&format!("fw/j/{id}"), record(&job, *cancelled), revision);
+        cache.put(
+            &format!("fw/j/{id}"),
+            job_record(&job, *cancelled),
+            revision,
+        );
     }
     cache
 }
 
 /// What the machine reports.
-pub(crate) fn heartbeat(session: u64, sequence: u64, token: u64, tasks: &[Line]) -> Heartbeat {
-    report(1, session, sequence, token, tasks)
+pub(crate) fn heartbeat(
+    session: u64,
+    sequence: u64,
+    token: u64,
+    tasks: &[ReportedTask],
+) -> Heartbeat {
+    heartbeat_from(1, session, sequence, token, tasks)
 }
 
 /// A shard that is certain of its one empty machine, and the machine's fencing token.
 pub(crate) fn reconciled_shard(cache: &StoreCache) -> (Shard, u64) {
-    let mut shard = shard(cache);
+    let mut shard = new_shard(cache);
     let first = shard.apply_heartbeat(&heartbeat(1, 1, 0, &[]), false, cache, 0.1);
     let HeartbeatReply::Accepted {
         token: fencing_token,
@@ -53,7 +65,7 @@
 
 /// The fencing token that a heartbeat is answered with.
 pub(crate) fn token_of(reply: HeartbeatReply) -> u64 {
-    answered(reply).0
+    accepted(reply).0
 }
 
 /// Orders number `sequence`: start tasks of a job, given by index and attempt.
@@ -64,7 +76,7 @@
     tasks: &[(u32, u64)],
     sequence: u64,
 ) {
-    shard.apply_orders(&orders(sequence, deal(job, tasks)), cache, 0.3);
+    shard.apply_orders(&orders(sequence, assignments(job, tasks)), cache, 0.3);
 }
 
 /// Orders number `sequence`: give back one task.
--- a/tests/control_plane/preemption.rs
+++ b/tests/control_plane/preemption.rs
@@ -1,7 +1,7 @@
 //! Which work is stopped for other work, and which machines are rented for work that
-//! may wait. The real leader and shard, driven by hand.
+//! may wait. The real leader and shard, driven directly.
 
-use crate::cores::*;
+use crate::builders::*;
 use finchwood::clock::{wall_clock_ms, Moment};
 use finchwood::scheduler::Leader;
 use finchwood::shard::Shard;
@@ -27,7 +27,7 @@
 
 /// An array of `priority` whose tasks fill a machine each.
 fn array(id: &str, tasks: u32, priority: &str) -> Arc<JobSpec> {
-    spec(id, tasks, |v| {
+    job_spec(id, tasks, |v| {
         v["rank"] = priority.into();
         v["cpus"] = 4.0.into();
     })
@@ -36,10 +36,10 @@
 impl Fleet {
     /// Machines of a deployment in which the only team is guaranteed so many CPUs.
     fn new(machines: usize, guaranteed_cpus: f64, objectives: &str) -> Fleet {
-        let cache = cache(machines, &[]);
-        let mut shard = shard(&cache);
+        let cache = store_cache(machines, &[]);
+        let mut shard = new_shard(&cache);
         let tokens = (1..=machines)
-            .map(|machine| met(&mut shard, &cache, machine, 0.2))
+            .map(|machine| reconcile_machine(&mut shard, &cache, machine, 0.2))
             .collect();
         let team = format!("cpus = {guaranteed_cpus:.1}\ncpus_max = 400.0");
         let objectives = format!("{objectives}[params.workers]");
@@ -47,7 +47,7 @@
             ("cpus_max = 400.0", team.as_str()),
             ("[params.workers]", objectives.as_str()),
         ];
-        let mut leader = Leader::new(&settings(&changes).expect("settings"));
+        let mut leader = Leader::new(&settings_with(&changes).expect("settings"));
         let members = [("a".to_string(), 7)].into_iter().collect();
         leader.start_epoch(
             &Epoch {
@@ -117,13 +117,13 @@
     fn report(&mut self, machine: usize) {
         self.seq += 1;
         let running = &self.running[machine];
-        let lines: Vec<Line> = running
+        let lines: Vec<ReportedTask> = running
             .iter()
             .map(|(task, attempt)| (task.as_str(), *attempt, TaskState::Running, None))
             .collect();
-        let report = report(machine + 1, 1, self.seq, self.tokens[machine], &lines);
+        let report = heartbeat_from(machine + 1, 1, self.seq, self.tokens[machine], &lines);
         let (token, calls) =
-            answered(
+            accepted(
                 self.shard
                     .apply_heartbeat(&report, false, &self.cache, self.now),
             );
@@ -227,7 +227,7 @@
         (fleet.tasks_of("wk-many"), fleet.tasks_of("wk-single")),
         (2, 1)
     );
-    let service = spec("wk-service", 1, |v| {
+    let service = job_spec("wk-service", 1, |v| {
         v["rank"] = "prod".into();
         v["shape"] = "standing".into();
         v["cpus"] = 4.0.into();
--- a/tests/control_plane/preemption_on_a_shard.rs
+++ b/tests/control_plane/preemption_on_a_shard.rs
@@ -1,6 +1,6 @@
 //! Which tasks a shard stops to make room on its machines, and when it moves a replica.
 
-use crate::cores::{orders, place};
+use crate::builders::{orders, place_tasks};
 use crate::one_machine::{
     assign, cache_with, heartbeat, job_of_priority, recall, reconciled_shard,
 };
@@ -18,7 +18,7 @@
     ]);
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     assign(&mut shard, &cache, "wk-1", &[(0, 50), (1, 51)], 1);
-    place(&mut shard, &cache, 0.4);
+    place_tasks(&mut shard, &cache, 0.4);
     let start = shard.due_commands(&cache, 0.4).remove(0);
     let run = |seq| {
         let (a, b) = (
@@ -29,7 +29,7 @@
     };
     shard.command_completed(&"m-1".into(), &start.body, Some(&run(3)), &cache, 0.5);
     assign(&mut shard, &cache, "wk-2", &[(0, 60)], 2);
-    place(&mut shard, &cache, 0.6);
+    place_tasks(&mut shard, &cache, 0.6);
     let stop = shard.due_commands(&cache, 0.6).remove(0);
     let stops = stop
         .body
@@ -61,9 +61,9 @@
     }
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     assign(&mut shard, &cache, "wk-4", &[(0, 50)], 1);
-    place(&mut shard, &cache, 0.4);
+    place_tasks(&mut shard, &cache, 0.4);
     assign(&mut shard, &cache, "wk-3", &[(0, 51)], 2);
-    place(&mut shard, &cache, 0.5);
+    place_tasks(&mut shard, &cache, 0.5);
     let both = [
         ("wk-4/0", 50, TaskState::Running, None),
         ("wk-3/0", 51, TaskState::Running, None),
@@ -102,7 +102,7 @@
     let cache = cache_with(&[("wk-1", Priority::Prod, false)]);
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
-    place(&mut shard, &cache, 0.4);
+    place_tasks(&mut shard, &cache, 0.4);
     let start = shard.due_commands(&cache, 0.4).remove(0);
     let runs = heartbeat(
         1,
--- a/tests/control_plane/proof_of_removal.rs
+++ b/tests/control_plane/proof_of_removal.rs
@@ -1,7 +1,7 @@
 //! What counts as proof that a task is on no machine: only that frees its room and lets
 //! it start elsewhere.
 
-use crate::cores::{place, TIMING};
+use crate::builders::{place_tasks, TIMING};
 use crate::one_machine::{assign, cache_with, heartbeat, recall, reconciled_shard};
 use finchwood::cluster::membership::token;
 use finchwood::shard::{HeartbeatReply, Shard, TaskPhase};
@@ -13,7 +13,7 @@
     let cache = cache_with(&[("wk-1", Priority::Low, false)]);
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
-    place(&mut shard, &cache, 0.4);
+    place_tasks(&mut shard, &cache, 0.4);
     let commands = shard.due_commands(&cache, 0.4);
     assert!(matches!(
         commands[0].body.commands[0],
@@ -50,7 +50,7 @@
     let cache = cache_with(&[("wk-1", Priority::Low, false)]);
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
-    place(&mut shard, &cache, 0.4);
+    place_tasks(&mut shard, &cache, 0.4);
     let start = shard.due_commands(&cache, 0.4).remove(0);
     let ran = heartbeat(
         1,
--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -2,7 +2,7 @@
 //! cores: what its machines are told in every state, and what becomes of it when the
 //! source, the target, the leader or the key-value store ends in any of them.
 
-use crate::cores::{job_in as job, settings, SETTINGS_ALL, TIMING};
+use crate::builders::{job_of_kind as job, job_record, settings_with, store_cache, TIMING};
 use finchwood::clock::Moment;
 use finchwood::cluster::membership::owner_by_shard_map;
 use finchwood::cluster::peer::{Envelope, PeerMessage};
@@ -62,7 +62,7 @@
             job("wk-2", "array", 6),
             job("wk-3", "ensemble", 2),
         ];
-        let cache = crate::cores::cache(8, &specs.iter().collect::<Vec<_>>());
+        let cache = store_cache(8, &specs.iter().collect::<Vec<_>>());
         let workers = (1..=8)
             .map(|i| (format!("m-{i}").into(), Worker::default()))
             .collect();
@@ -77,7 +77,7 @@
             },
             incs: 10,
             shards: BTreeMap::new(),
-            leader: Leader::new(&settings(SETTINGS_ALL).expect("settings")),
+            leader: Leader::new(&settings_with(&[]).expect("settings")),
             transfers: Transfers::default(),
             workers,
             given: Vec::new(),
@@ -458,17 +458,17 @@
                 "a" | "b" => {
                     two.ends(who);
                     let left = if who == "a" { "b" } else { "a" };
-                    two.leader = Leader::new(&settings(SETTINGS_ALL).expect("settings"));
+                    two.leader = Leader::new(&settings_with(&[]).expect("settings"));
                     two.next_epoch(left);
                 }
                 "leader" => {
-                    two.leader = Leader::new(&settings(SETTINGS_ALL).expect("settings"));
+                    two.leader = Leader::new(&settings_with(&[]).expect("settings"));
                     two.next_epoch("b");
                 }
                 "both" => {
                     two.begins("a");
                     two.begins("b");
-                    two.leader = Leader::new(&settings(SETTINGS_ALL).expect("settings"));
+                    two.leader = Leader::new(&settings_with(&[]).expect("settings"));
                     two.next_epoch("a");
                 }
                 "giver back" => {
@@ -509,7 +509,7 @@
             );
         }
         let spec = job("wk-1", "standing", 4);
-        two.put("fw/j/wk-1", crate::cores::record(&spec, true));
+        two.put("fw/j/wk-1", job_record(&spec, true));
         let cache = &two.cache;
         two.shards
             .values_mut()
@@ -548,8 +548,8 @@
         two.settles("withdrawn");
         // New work starts on its machines as ever.
         let spec = job("wk-9", "array", 16);
-        two.put("fw/j/wk-9", crate::cores::record(&spec, false));
-        let mut record = crate::cores::record(&spec, false);
+        two.put("fw/j/wk-9", job_record(&spec, false));
+        let mut record = job_record(&spec, false);
         record["e"] = json!(two.epoch.number);
         two.put("fw/j/wk-9", record);
         two.leader.job_changed(&"wk-9".into(), &two.cache);
--- a/tests/control_plane/stale_heartbeats.rs
+++ b/tests/control_plane/stale_heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats that are late, repeated or relayed prove less than those that come straight
 //! from their machine.
 
-use crate::cores::TIMING;
+use crate::builders::TIMING;
 use crate::one_machine::{cache_with, heartbeat, reconciled_shard};
 use finchwood::cluster::membership::token;
 use finchwood::shard::{HeartbeatReply, Shard};
--- a/tests/control_plane/unresponsive_machines.rs
+++ b/tests/control_plane/unresponsive_machines.rs
@@ -1,7 +1,7 @@
 //! Machines that ignore commands, hang or are silent are detected, and hold up nothing for
 //! the others.
 
-use crate::cores::{orders, place};
+use crate::builders::{orders, place_tasks};
 use crate::one_machine::{assign, cache_with, heartbeat, reconciled_shard, token_of};
 use finchwood::cluster::membership::token;
 use finchwood::shard::{CommandCapacity, Shard};
@@ -102,7 +102,7 @@
     assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
     // Eight seconds on, one machine reports; the other seven never have.
     shard.apply_heartbeat(&heartbeat(1, 3, fencing_token, &[]), false, &cache, 8.0);
-    place(&mut shard, &cache, 8.1);
+    place_tasks(&mut shard, &cache, 8.1);
     let room = CommandCapacity {
         responsive: 4,
         unverified: 2,
--- a/tests/versions.rs
+++ b/tests/control_plane/versions.rs
@@ -5,10 +5,7 @@
 //! key of the key-value store, and messages between controllers in hex.
 //! [`production`] holds as much of its types as reading needs, as they were.
 
-#[path = "common/cores.rs"]
-mod cores;
-
-use cores::*;
+use crate::builders::*;
 use finchwood::cluster::membership::{next_epoch, owner, owner_by_shard_map};
 use finchwood::cluster::peer::{CancellationNotice, Envelope, PeerMessage};
 use finchwood::finished::{chunks_covering, tasks_per_chunk, Chunk, ChunkRange};
@@ -23,8 +20,8 @@
 use finchwood_sharding::transfer::TransferOrder;
 use serde_json::{json, Value};
 
-const STATE: &str = include_str!("fixtures/production-state.txt");
-const MESSAGES: &str = include_str!("fixtures/production-messages.txt");
+const STATE: &str = include_str!("../fixtures/production-state.txt");
+const MESSAGES: &str = include_str!("../fixtures/production-messages.txt");
 
 /// The types of messages as production has them, without what these tests don't
 /// look at: unknown fields are left out, unknown variants make a message unreadable.
--- /dev/null
+++ b/tests/http/main.rs
@@ -0,0 +1,4 @@
+//! The HTTP server: reading requests, and connections that misbehave.
+
+mod connections;
+mod requests;
--- a/tests/refusals.rs
+++ b/tests/refusals.rs
@@ -1,44 +1,18 @@
 //! What the program refuses: settings, requests and policies that make no
 //! sense, each with the word that names what is wrong.
 
+#[path = "common/settings.rs"]
+mod settings_text;
+
 use finchwood::config::policy::Policy;
 use finchwood::config::settings::Settings;
 use finchwood::wire::{Heartbeat, JobSpec, JobSpecError};
-
-const GOOD: &str = r#"
-node_name = "n0"
-zone = "east"
-client_listen = "127.0.0.1:8080"
-back = "127.0.0.1:8081"
-later_field = "ignored"
-[services]
-cloud = "127.0.0.1:1"
-state = "127.0.0.1:2"
-[params]
-initial_size = 1
-zones = ["east"]
-time_bound_ms = 10.0
-[params.workers]
-report_s = 3.0
-lease_s = 20.0
-cancel_s = 40.0
-[params.state]
-rps = 60.0
-write_rps = 20.0
-value_kb = 8.0
-txn_ops = 12
-[params.cloud]
-rps = 4.0
-list_lag_s = 6.0
-[params.machine_limits]
-core_share = 0.2
-ram_mb = 128.0
-max_connections = 100
-"#;
+use settings_text::SETTINGS;
 
 #[test]
 fn settings_are_checked_and_the_field_is_named() {
-    Settings::parse(GOOD).expect("unknown fields are ignored");
+    let unknown_field = format!("later_field = \"ignored\"\n{SETTINGS}");
+    Settings::parse(&unknown_field).expect("unknown fields are ignored");
     let cases = [
         ("report_s = 3.0", "", "report_s"),
         ("report_s = 3.0", "report_s = -1.0", "report_s"),
@@ -46,9 +20,9 @@
         ("lease_s = 20.0", "lease_s = 2.0", "lease_s"),
         ("txn_ops = 12", "txn_ops = 0", "txn_ops"),
         ("rps = 4.0", "rps = \"many\"", "rps"),
-        ("node_name = \"n0\"", "", "node_name"),
-        ("node_name = \"n0\"", "node_name = \"a/b\"", "node_name"),
-        ("zones = [\"east\"]", "zones = []", "zones"),
+        ("node_name = \"a\"", "", "node_name"),
+        ("node_name = \"a\"", "node_name = \"a/b\"", "node_name"),
+        ("zones = [\"e\", \"w\"]", "zones = []", "zones"),
         (
             "client_listen = \"127.0.0.1:8080\"",
             "client_listen = \"here\"",
@@ -57,7 +31,7 @@
         ("list_lag_s = 6.0", "list_lag_s = inf", "list_lag_s"),
     ];
     for (good, bad, field) in cases {
-        let text = GOOD.replace(good, bad);
+        let text = SETTINGS.replace(good, bad);
         let error = Settings::parse(&text).expect_err(field).to_string();
         assert!(error.contains(field), "{field}: {error}");
         assert_eq!(error.lines().count(), 1, "{error}");
