--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -58,11 +58,11 @@
         let health = self.machine_health(now);
         let detector = FailureDetector::new(report_s, lease_s, health.values());
         let mut booting = self.review_booting(&catalog, &detector, now);
-        let unreconciled = self.doubt(now);
+        let unreconciled = self.unreconciled_machines(now);
         let unreconciled = unreconciled.as_ref();
-        self.leader.preemption_held = self.holds(Action::Preempt, None, unreconciled, now);
-        let consolidates = !self.holds(Action::Consolidate, None, unreconciled, now);
-        let evicts_unasked = !self.holds(Action::EvictUnasked, None, unreconciled, now);
+        self.leader.preemption_held = self.is_held_off(Action::Preempt, None, unreconciled, now);
+        let consolidates = !self.is_held_off(Action::Consolidate, None, unreconciled, now);
+        let evicts_unasked = !self.is_held_off(Action::EvictUnasked, None, unreconciled, now);
         let mut running = self.review_running(&catalog, &detector, &health, evicts_unasked, now);
         if !consolidates {
             running.drained.clear();
@@ -82,7 +82,9 @@
         }
         let missing_cpus = headroom_cpus - running.free_on_demand_cpus;
         let mut demand = self.total_demand(missing_cpus);
-        demand.retain(|demand| !self.holds(Action::Rent, Some(&demand.spec), unreconciled, now));
+        demand.retain(|demand| {
+            !self.is_held_off(Action::Rent, Some(&demand.spec), unreconciled, now)
+        });
         if !demand.is_empty() {
             self.scale_out(&demand, &booting, &catalog, &detector, now);
         }
@@ -170,12 +172,7 @@
     fn registered_machines(&self) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
         let registry = &self.cache.registry;
         let registered = registry.iter().map(|(id, known)| (id, &known.record));
-        let on_the_way = self
-            .registry
-            .fresh
-            .iter()
-            .map(|(id, (_, record))| (id, record))
-            .filter(|(id, _)| !registry.contains_key(*id));
+        let on_the_way = self.registry.unwritten_machines();
         registered.chain(on_the_way)
     }
 
@@ -425,10 +422,11 @@
     /// Sends rentals of `count` machines of an offer, unless the queue is full.
     fn rent(&mut self, offer: &MachineOffer, mut count: u32) {
         while count > 0 {
-            let request = self
-                .autoscaler
-                .rentals
-                .next_request(self.incarnation, offer, count);
+            let request = self.autoscaler.rentals.next_request(
+                self.membership.incarnation().unwrap_or_default(),
+                offer,
+                count,
+            );
             count -= request.count;
             let message = CloudRequest::Rent(request.clone());
             if self.cloud.try_send(message).is_err() {
--- a/src/controller/cloud_responses.rs
+++ b/src/controller/cloud_responses.rs
@@ -62,7 +62,7 @@
     /// Writes the catalog for all controllers, if it has changed.
     fn apply_catalog(&mut self, catalog: &Catalog, now: Seconds) {
         let known = self.cache.catalog.as_deref() == Some(catalog);
-        if known || !self.leading() || self.autoscaler.is_catalog_write_pending() {
+        if known || !self.is_leader() || self.autoscaler.is_catalog_write_pending() {
             return;
         }
         let write = ConditionalWrite {
@@ -115,7 +115,7 @@
         machines: &[ListedMachine],
         now: Seconds,
     ) {
-        if !self.leading() {
+        if !self.is_leader() {
             return;
         }
         let listed: HashSet<&MachineId> = machines.iter().map(|machine| &machine.id).collect();
@@ -156,7 +156,7 @@
     fn adopt_if_unknown(&mut self, machine: &ListedMachine, now: Seconds) {
         let id = &machine.id;
         let is_known = self.cache.registry.contains_key(id)
-            || self.registry.fresh.contains_key(id)
+            || self.registry.is_unwritten(id)
             || self.autoscaler.deletions.is_gone(id);
         if is_known {
             self.autoscaler.machine_list.record_known(id);
@@ -176,6 +176,6 @@
             rented_at_ms: clock::wall_clock_ms().saturating_sub(age_ms),
             address: machine.address.as_deref().map(Into::into),
         };
-        self.enlist_stray(id.clone(), record);
+        self.enlist_unregistered(id.clone(), record);
     }
 }
--- /dev/null
+++ b/src/controller/command_dispatch.rs
@@ -0,0 +1,75 @@
+//! The pools of threads that send direct commands to workers.
+
+use super::events::{event_sink, ControllerEvent};
+use super::MAX_POOL_THREADS;
+use crate::api::command_pool::{CommandPool, CommandResult};
+use crate::clock::Seconds;
+use crate::config::settings::Settings;
+use crate::shard::{CommandCapacity, DirectCommand};
+use crossbeam::channel::Sender;
+
+/// The share of the sockets that commands to responsive machines may take at once.
+const RESPONSIVE_SOCKET_SHARE: f64 = 1.0 / 120.0;
+
+/// The share of the sockets that commands to unverified machines may take at once.
+/// Each takes a while to be given up: a hundred that hang, or a partitioned zone,
+/// must soon be through.
+const UNVERIFIED_SOCKET_SHARE: f64 = 1.0 / 20.0;
+
+/// The fewest threads of a pool.
+const MIN_POOL_THREADS: f64 = 4.0;
+
+/// Sends direct commands. Machines that may not answer have a pool of their own, so
+/// that they don't hold up the others.
+pub(super) struct CommandDispatcher {
+    responsive: CommandPool,
+    unverified: CommandPool,
+}
+
+impl CommandDispatcher {
+    /// Creates both pools; their threads start when they are needed.
+    pub(super) fn new(settings: &Settings, events: &Sender<ControllerEvent>) -> CommandDispatcher {
+        let sockets = settings.params.machine_limits.max_connections as f64;
+        let timeout = settings.params.workers.report_s / 2.0;
+        let on_result = event_sink(events, ControllerEvent::CommandCompleted);
+        let pool = |name, socket_share: f64| {
+            let threads = (sockets * socket_share).clamp(MIN_POOL_THREADS, MAX_POOL_THREADS);
+            CommandPool::new(name, threads as usize, timeout, on_result.clone())
+        };
+        CommandDispatcher {
+            responsive: pool("direct", RESPONSIVE_SOCKET_SHARE),
+            unverified: pool("unverified", UNVERIFIED_SOCKET_SHARE),
+        }
+    }
+
+    fn pool_for(&mut self, command: &DirectCommand) -> &mut CommandPool {
+        if command.unverified {
+            &mut self.unverified
+        } else {
+            &mut self.responsive
+        }
+    }
+
+    /// How many more commands fit now.
+    pub(super) fn capacity(&self) -> CommandCapacity {
+        CommandCapacity {
+            responsive: self.responsive.available(),
+            unverified: self.unverified.available(),
+        }
+    }
+
+    /// Queues a command, not to be sent after `valid_until`; hands it back if there is
+    /// no room.
+    pub(super) fn send(
+        &mut self,
+        command: DirectCommand,
+        valid_until: Seconds,
+    ) -> Result<(), DirectCommand> {
+        self.pool_for(&command).send(command, valid_until)
+    }
+
+    /// Records that a command was answered or given up.
+    pub(super) fn record_completion(&mut self, result: &CommandResult) {
+        self.pool_for(&result.command).record_completion();
+    }
+}
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -1,6 +1,7 @@
-//! Commits of finished tasks: only once they are committed may anybody call a job
+//! Commits of finished tasks: only once they are committed may a job be reported as
 //! done, or a worker forget a result.
 
+use super::writes::{put_record, put_value};
 use super::{Controller, WritePurpose};
 use crate::clock::Seconds;
 use crate::config::settings::StateLimits;
@@ -16,8 +17,14 @@
 /// Commits of finished tasks that are under way.
 pub(super) type PendingFinishes = PendingWrites<JobId, Vec<WriteOp>>;
 
-/// How long a commit of finished tasks may take, in seconds.
-const COMMIT_S: Seconds = 2.0;
+/// How long a commit of finished tasks may take.
+const COMMIT_TIMEOUT: Seconds = 2.0;
+
+/// After how long a commit that failed is tried again, as a share of a report interval.
+const RETRY_SHARE: f64 = 1.0 / 6.0;
+
+/// The fewest commits that may be under way at once.
+const MIN_CONCURRENT_COMMITS: f64 = 2.0;
 
 /// A transaction's conditions and operations.
 struct Transaction {
@@ -26,14 +33,13 @@
 }
 
 impl Controller {
-    /// Commits what is seen done: the chunks of finished tasks, or the end of
-    /// the job.
+    /// Commits finished tasks: their chunks, or the end of the job.
     pub(super) fn commit_finished(&mut self, now: Seconds) {
-        // Few at a time: they are paced by the write rate, and a job's end
-        // must not wait behind the progress of others.
+        // Few at a time: they are paced by the write rate, and a job's end must not wait
+        // behind the progress of others.
         let limits = self.settings.params.state.clone();
-        let most = (limits.write_rps * BULK_SHARE / 2.0).max(2.0) as usize;
-        let room = most.saturating_sub(self.finishes.count());
+        let max_commits = (limits.write_rps * BULK_SHARE / 2.0).max(MIN_CONCURRENT_COMMITS);
+        let room = (max_commits as usize).saturating_sub(self.finishes.count());
         for finish in self.leader.completions_to_commit(now, room, &self.cache) {
             let Some(job) = self.cache.jobs.get(&finish.job).filter(|job| job.live()) else {
                 self.leader.commit_answered(&finish.job, now, now);
@@ -45,7 +51,7 @@
             let write = ConditionalWrite {
                 conditions,
                 ops: ops.clone(),
-                deadline: now + COMMIT_S,
+                deadline: now + COMMIT_TIMEOUT,
                 purpose,
             };
             if self.writer.send(WriteClass::Bulk, write).is_err() {
@@ -56,9 +62,10 @@
         }
     }
 
-    /// What was committed is known at once: a second commit with the versions
-    /// of before would only be refused, and count against the rate.
-    pub(super) fn finish_written(
+    /// A commit of finished tasks was answered, or given up. What was committed goes into
+    /// the cache at once: a second commit under the old revisions would only be refused,
+    /// and count against the rate.
+    pub(super) fn finish_completed(
         &mut self,
         job: &JobId,
         write_id: WriteId,
@@ -71,7 +78,7 @@
             .map(|write| write.1)
             .unwrap_or_default();
         let CommitOutcome::Committed(revision) = outcome else {
-            let retry_at = now + self.settings.params.workers.report_s / 6.0;
+            let retry_at = now + self.report_interval() * RETRY_SHARE;
             return self.leader.commit_answered(job, now, retry_at);
         };
         for op in ops {
@@ -79,11 +86,12 @@
                 self.cache.put(&key, value, revision);
             }
         }
-        self.job_changed(job);
+        self.apply_job_change(job);
         self.leader.commit_answered(job, now, now);
     }
 }
 
+/// The transaction that stores finished tasks.
 fn finish_transaction(
     finish: &FinishedTasks,
     job: &CachedJob,
@@ -109,29 +117,19 @@
             key.clone(),
             job.chunks.get(&range.chunk).copied().unwrap_or(0),
         ));
-        let value = finished.hex(range.first, range.len).into();
-        ops.push(WriteOp::Put {
-            key,
-            value,
-            lease: None,
-        });
+        ops.push(put_value(key, finished.hex(range.first, range.len).into()));
     }
     Transaction { conditions, ops }
 }
 
-/// The job's record as done, in place of its chunks.
+/// Replaces a job's chunks by its record as done.
 fn end_of_job(id: &JobId, job: &CachedJob, limits: &StateLimits) -> Vec<WriteOp> {
     let record = JobRecord {
         spec: None,
         done: true,
         ..job.record.clone()
     };
-    let value = serde_json::to_value(&record).unwrap_or_default();
-    let mut ops = vec![WriteOp::Put {
-        key: job_key(id),
-        value,
-        lease: None,
-    }];
+    let mut ops = vec![put_record(job_key(id), &record)];
     let room = limits.lowest_txn_ops().saturating_sub(1);
     ops.extend(
         job.chunks
--- a/src/controller/job_requests.rs
+++ b/src/controller/job_requests.rs
@@ -1,14 +1,17 @@
-//! Users' requests: answered at once from memory where that is safe, after
-//! a fresh reading of the key-value store where it isn't, and after the commit
-//! where something is to be kept.
+//! Users' requests: answered at once from memory where that is safe, after a fresh
+//! reading of the key-value store where it isn't, and after the commit where something
+//! is to be kept.
 
+use super::writes::{put_record, put_value, to_value};
 use super::{Controller, WritePurpose};
 use crate::api::responder::{error_body, Responder};
 use crate::clock::{self, Seconds};
 use crate::cluster::peer::CancellationNotice;
+use crate::config::settings::Settings;
+use crate::store::cache::CachedJob;
 use crate::store::keys::job_key;
 use crate::store::records::JobRecord;
-use crate::store::{CommitOutcome, Condition, ConditionalWrite, WriteClass, WriteOp};
+use crate::store::{CommitOutcome, Condition, ConditionalWrite, WriteClass};
 use crate::wire::{Catalog, JobId, JobKind, JobSpec, JobStatus};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,53 +26,156 @@
 /// operator has seen to it, nothing else can be said.
 const UNREADABLE_RETRY_S: u32 = 30;
 
-/// Requests that wait.
-#[derive(Default)]
-pub(crate) struct Users {
-    /// Wait for a reading begun after they came.
-    reads: Vec<(Seconds, Read)>,
-    /// Wait for a commit.
-    submits: HashMap<JobId, (JobRecord, Vec<Responder>)>,
-    withdraws: HashMap<JobId, (u64, Vec<Responder>)>,
+/// How long a request may wait before it is given up: a fifth of the time after which
+/// users would give it up.
+const REQUEST_TIMEOUT: Seconds = 1.0;
+
+const STORE_UNREACHABLE: &str = "the state service can't be reached";
+const NOT_COMMITTED: &str = "not committed";
+const TOO_MANY_SUBMISSIONS: &str = "too many submissions";
+
+/// Why a job is rejected for good. The words are what its user reads.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub(super) enum RejectReason {
+    /// The settings name no such team.
+    #[error("unknown team")]
+    UnknownTeam,
+    /// No machine type in an allowed zone has room for a task.
+    #[error("a task fits no allowed machine type")]
+    FitsNoMachineType,
+    /// Scattered tasks need two zones, and there is one.
+    #[error("its tasks must be in two zones and may only be in one")]
+    NeedsTwoZones,
+    /// What must run at once is more than its team may ever use.
+    #[error("the job needs more than the team's limit")]
+    ExceedsTeamLimit,
+    /// The record would be larger than a value of the store may be.
+    #[error("its description is longer than can be stored")]
+    DescriptionTooLong,
 }
 
-enum Read {
-    Query(JobId, Responder),
-    Withdraw(JobId, Responder, Seconds),
-    /// A submission that can never run, unless the job is known.
-    Unfit(JobId, String, Responder),
+/// A request that is answered from a reading of the store begun after it came.
+enum ReadRequest {
+    Query {
+        job: JobId,
+        responder: Responder,
+    },
+    Withdraw {
+        job: JobId,
+        responder: Responder,
+        deadline: Seconds,
+    },
+    /// Rejects a submission, unless the job is known.
+    Reject {
+        job: JobId,
+        reason: RejectReason,
+        responder: Responder,
+    },
 }
 
-impl Controller {
-    /// How many may wait for one thing: each has a connection.
-    fn most_waiting(&self) -> usize {
-        self.settings.params.machine_limits.max_connections
+impl ReadRequest {
+    fn into_responder(self) -> Responder {
+        match self {
+            ReadRequest::Query { responder, .. }
+            | ReadRequest::Withdraw { responder, .. }
+            | ReadRequest::Reject { responder, .. } => responder,
+        }
+    }
+}
+
+struct WaitingRead {
+    received_at: Seconds,
+    request: ReadRequest,
+}
+
+/// A submission that is being committed, and who waits for it.
+struct PendingSubmission {
+    record: JobRecord,
+    responders: Vec<Responder>,
+}
+
+/// A cancellation that is being committed, and who waits for it.
+struct PendingCancellation {
+    /// The time of day, in milliseconds, that the record tells.
+    cancelled_at_ms: u64,
+    responders: Vec<Responder>,
+}
+
+/// The requests that wait, and what users are told of running tasks.
+pub(super) struct JobRequests {
+    /// The most requests that may wait for one thing: each has a connection.
+    max_waiting: usize,
+    reads: Vec<WaitingRead>,
+    submissions: HashMap<JobId, PendingSubmission>,
+    cancellations: HashMap<JobId, PendingCancellation>,
+    /// Running tasks of each job, as the leader last reported.
+    running_tasks: HashMap<JobId, u32>,
+}
+
+impl JobRequests {
+    /// No requests.
+    pub(super) fn new(settings: &Settings) -> JobRequests {
+        JobRequests {
+            max_waiting: settings.params.machine_limits.max_connections,
+            reads: Vec::new(),
+            submissions: HashMap::new(),
+            cancellations: HashMap::new(),
+            running_tasks: HashMap::new(),
+        }
+    }
+
+    /// Replaces the counts of running tasks by those that the leader reports.
+    pub(super) fn set_running_tasks(&mut self, running: &[(JobId, u32)]) {
+        self.running_tasks = running.iter().cloned().collect();
+    }
+
+    fn running_tasks(&self, job: &JobId) -> u32 {
+        self.running_tasks.get(job).copied().unwrap_or(0)
+    }
+
+    /// Adds a responder to a submission that is being committed; hands it back if there
+    /// is none.
+    fn join_submission(&mut self, job: &JobId, responder: Responder) -> Option<Responder> {
+        match self.submissions.get_mut(job) {
+            Some(pending) => {
+                pending.responders.push(responder);
+                None
+            }
+            None => Some(responder),
+        }
     }
 
-    /// How long a request may wait before it is given up: a fifth of the time
-    /// after which users would.
-    fn patience(&self) -> Seconds {
-        1.0
+    /// Adds a responder to a cancellation that is being committed; hands it back if
+    /// there is none.
+    fn join_cancellation(&mut self, job: &JobId, responder: Responder) -> Option<Responder> {
+        match self.cancellations.get_mut(job) {
+            Some(pending) => {
+                pending.responders.push(responder);
+                None
+            }
+            None => Some(responder),
+        }
     }
+}
 
+impl Controller {
+    /// Accepts a job, unless it can never run.
     pub(super) fn submit(&mut self, spec: JobSpec, responder: Responder, now: Seconds) {
         let id = spec.id.clone();
         if self.is_known(&id) {
             return self.query(id, responder, now);
         }
-        if let Some((_, waiting)) = self.users.submits.get_mut(&id) {
-            return waiting.push(responder);
-        }
-        if self.last_synced_at.is_none() || self.store_unreachable {
-            return responder.retry_later(503, 2, "the state service can't be reached");
+        let Some(responder) = self.job_requests.join_submission(&id, responder) else {
+            return;
+        };
+        if !self.store_sync.is_synced() {
+            return responder.retry_later(503, 2, STORE_UNREACHABLE);
         }
         let Some(catalog) = self.cache.catalog.clone() else {
             return responder.retry_later(503, 1, "the machine types are not known yet");
         };
-        if let Err(why) = self.can_run(&spec, &catalog) {
-            // Final for the user: never for a job that another controller has
-            // accepted a moment ago, whatever this body says.
-            return self.wait_fresh(Read::Unfit(id, why, responder), now);
+        if let Err(reason) = self.can_run(&spec, &catalog) {
+            return self.reject_unless_known(id, reason, responder, now);
         }
         // Guard: a version without gangs would start their tasks one by one.
         if spec.job_kind == JobKind::Gang && !self.cache.all_run_gangs() {
@@ -79,260 +185,311 @@
                 "not all controllers run gangs yet",
             );
         }
-        if self.users.submits.len() >= self.most_waiting() {
-            return responder.retry_later(429, 2, "too many submissions");
+        if self.job_requests.submissions.len() >= self.job_requests.max_waiting {
+            return responder.retry_later(429, 2, TOO_MANY_SUBMISSIONS);
         }
-        let record = JobRecord {
-            task_count: spec.task_count,
-            spec: Some(Arc::new(spec)),
-            epoch: self.cache.epoch.as_ref().map_or(0, |e| e.number),
-            accepted_at_ms: clock::wall_clock_ms(),
-            cancelled: false,
-            done: false,
-            cancelled_at_ms: None,
-        };
-        let value = serde_json::to_value(&record).unwrap_or_default();
-        // Guard: a record that the key-value store doesn't take, or will not once
-        // it is cancelled or the limits are lower, could never be kept.
+        self.write_submission(id, spec, responder, now);
+    }
+
+    fn write_submission(&mut self, id: JobId, spec: JobSpec, responder: Responder, now: Seconds) {
+        let record = self.new_job_record(spec);
+        let value = to_value(&record);
+        // Guard: a record that the key-value store doesn't take, or will not once it is
+        // cancelled or the limits are lower, could never be kept.
         let size = value.to_string().len() + CANCELLED_BYTES;
         if size > self.settings.params.state.lowest_value_bytes() {
-            let why = "its description is longer than can be stored".into();
-            return self.wait_fresh(Read::Unfit(id, why, responder), now);
+            let reason = RejectReason::DescriptionTooLong;
+            return self.reject_unless_known(id, reason, responder, now);
         }
         let write = ConditionalWrite {
             conditions: vec![Condition::new(job_key(&id), 0)],
-            ops: vec![WriteOp::Put {
-                key: job_key(&id),
-                value,
-                lease: None,
-            }],
-            deadline: now + self.patience(),
+            ops: vec![put_value(job_key(&id), value)],
+            deadline: now + REQUEST_TIMEOUT,
             purpose: WritePurpose::Submit(id.clone()),
         };
         if self.writer.send(WriteClass::Urgent, write).is_err() {
-            return responder.retry_later(429, 2, "too many submissions");
+            return responder.retry_later(429, 2, TOO_MANY_SUBMISSIONS);
+        }
+        let pending = PendingSubmission {
+            record,
+            responders: vec![responder],
+        };
+        self.job_requests.submissions.insert(id, pending);
+    }
+
+    fn new_job_record(&self, spec: JobSpec) -> JobRecord {
+        JobRecord {
+            task_count: spec.task_count,
+            spec: Some(Arc::new(spec)),
+            epoch: self.cache.epoch.as_ref().map_or(0, |epoch| epoch.number),
+            accepted_at_ms: clock::wall_clock_ms(),
+            cancelled: false,
+            done: false,
+            cancelled_at_ms: None,
         }
-        self.users.submits.insert(id, (record, vec![responder]));
     }
 
     /// Whether a job can ever run; else why not.
-    fn can_run(&self, spec: &JobSpec, catalog: &Catalog) -> Result<(), String> {
-        let team = self.settings.team(&spec.team).ok_or("unknown team")?;
+    fn can_run(&self, spec: &JobSpec, catalog: &Catalog) -> Result<(), RejectReason> {
+        let team = self
+            .settings
+            .team(&spec.team)
+            .ok_or(RejectReason::UnknownTeam)?;
         match spec.zones_that_fit(catalog) {
-            0 => return Err("a task fits no allowed machine type".into()),
+            0 => return Err(RejectReason::FitsNoMachineType),
             // Half of the tasks, rounded up, may be in one zone.
-            n if spec.scatter && spec.task_count > 1 && (n == 1 || spec.one_zone) => {
-                return Err("its tasks must be in two zones and may only be in one".into());
+            zones if spec.scatter && spec.task_count > 1 && (zones == 1 || spec.one_zone) => {
+                return Err(RejectReason::NeedsTwoZones);
             }
             _ => {}
         }
-        let n = if spec.job_kind == JobKind::Array {
+        let tasks_at_once = if spec.job_kind == JobKind::Array {
             1.0
         } else {
             f64::from(spec.task_count)
         };
-        if n * spec.cpus > team.cpu_cap() || n * spec.gpus > team.gpu_cap() {
-            return Err("the job needs more than the team's limit".into());
+        let cpus = tasks_at_once * spec.cpus;
+        let gpus = tasks_at_once * spec.gpus;
+        if cpus > team.cpu_cap() || gpus > team.gpu_cap() {
+            return Err(RejectReason::ExceedsTeamLimit);
         }
         Ok(())
     }
 
-    pub(super) fn submit_written(&mut self, id: JobId, outcome: CommitOutcome, now: Seconds) {
-        let Some((record, replies)) = self.users.submits.remove(&id) else {
+    /// Rejects a submission after a fresh reading. A rejection is final for the user,
+    /// and so never given for a job that another controller has accepted a moment ago,
+    /// whatever this request says of it.
+    fn reject_unless_known(
+        &mut self,
+        job: JobId,
+        reason: RejectReason,
+        responder: Responder,
+        now: Seconds,
+    ) {
+        let request = ReadRequest::Reject {
+            job,
+            reason,
+            responder,
+        };
+        self.wait_for_fresh_read(request, now);
+    }
+
+    /// The write of a submission was answered, or given up.
+    pub(super) fn submit_completed(&mut self, id: JobId, outcome: CommitOutcome, now: Seconds) {
+        let Some(pending) = self.job_requests.submissions.remove(&id) else {
             return;
         };
         match outcome {
             CommitOutcome::Committed(revision) => {
-                if let Some(s) = &record.spec {
-                    tracing::debug!(%id, tasks = s.task_count, estimate = s.estimate_s, due = s.deadline_s, "accepted");
-                }
-                let value = serde_json::to_value(&record).unwrap_or_default();
-                self.cache.put(&job_key(&id), value, revision);
-                self.job_changed(&id);
-                self.note_accepted(now);
+                self.apply_submission(&id, &pending.record, revision, now);
                 let mut status = 201;
-                for responder in replies {
-                    let view = JobStatus {
-                        id: id.clone(),
-                        state: "pending".into(),
-                        done: None,
-                        running: None,
-                    };
-                    responder.send(status, serde_json::to_vec(&view).unwrap_or_default());
+                for responder in pending.responders {
+                    send_job_status(status, &status_without_counts(&id, "pending"), responder);
                     status = 200;
                 }
             }
             CommitOutcome::Conflict(_) => {
                 // Another node has it already.
-                for responder in replies {
+                for responder in pending.responders {
                     self.query(id.clone(), responder, now);
                 }
             }
             CommitOutcome::Refused
             | CommitOutcome::Invalid
             | CommitOutcome::RateLimited
-            | CommitOutcome::Unknown => {
-                for responder in replies {
-                    responder.retry_later(503, 1, "not committed");
-                }
-            }
+            | CommitOutcome::Unknown => send_not_committed(pending.responders),
+        }
+    }
+
+    fn apply_submission(&mut self, id: &JobId, record: &JobRecord, revision: u64, now: Seconds) {
+        if let Some(spec) = &record.spec {
+            tracing::debug!(
+                job = %id,
+                tasks = spec.task_count,
+                estimate_s = spec.estimate_s,
+                deadline_s = spec.deadline_s,
+                "accepted a job"
+            );
         }
+        self.cache.put(&job_key(id), to_value(record), revision);
+        self.apply_job_change(id);
+        self.record_first_accepted(now);
     }
 
+    /// Answers how a job stands: at once if that is final, else after a fresh reading.
     pub(super) fn query(&mut self, id: JobId, responder: Responder, now: Seconds) {
-        if self.cache.jobs.get(&id).is_some_and(|j| !j.live()) {
-            return self.answer(&id, responder);
+        if self.cache.jobs.get(&id).is_some_and(|job| !job.live()) {
+            return self.answer_status(&id, responder);
         }
-        self.wait_fresh(Read::Query(id, responder), now);
+        let request = ReadRequest::Query { job: id, responder };
+        self.wait_for_fresh_read(request, now);
     }
 
+    /// Cancels a job, unless it has ended.
     pub(super) fn withdraw(&mut self, id: JobId, responder: Responder, now: Seconds) {
         match self.cache.jobs.get(&id) {
-            Some(j) if !j.live() => self.answer_final(&id, responder),
+            Some(job) if !job.live() => self.answer_final_state(&id, responder),
             Some(_) => self.cancel(id, responder, now),
-            None => {
-                let until = now + self.patience();
-                self.wait_fresh(Read::Withdraw(id, responder, until), now);
-            }
+            None => self.withdraw_after_fresh_read(id, responder, now),
         }
     }
 
-    /// Whether some controller has accepted a job, and be it that its record can't be
-    /// read.
+    fn withdraw_after_fresh_read(&mut self, job: JobId, responder: Responder, now: Seconds) {
+        let request = ReadRequest::Withdraw {
+            job,
+            responder,
+            deadline: now + REQUEST_TIMEOUT,
+        };
+        self.wait_for_fresh_read(request, now);
+    }
+
+    /// Whether some controller has accepted a job, even if its record can't be read.
     fn is_known(&self, id: &JobId) -> bool {
         self.cache.jobs.contains_key(id) || self.cache.unreadable.contains(&job_key(id))
     }
 
-    fn wait_fresh(&mut self, read: Read, now: Seconds) {
-        let reply_now = self.last_synced_at.is_none()
-            || self.store_unreachable
-            || self.users.reads.len() >= self.most_waiting();
-        if reply_now {
-            return read
-                .into_reply()
-                .retry_later(503, 1, "the state service can't be reached");
+    fn wait_for_fresh_read(&mut self, request: ReadRequest, now: Seconds) {
+        let full = self.job_requests.reads.len() >= self.job_requests.max_waiting;
+        if full || !self.store_sync.is_synced() {
+            return request
+                .into_responder()
+                .retry_later(503, 1, STORE_UNREACHABLE);
         }
-        self.users.reads.push((now, read));
-        let _ = self.watch_wakeups.try_send(());
+        self.job_requests.reads.push(WaitingRead {
+            received_at: now,
+            request,
+        });
+        self.store_sync.request_poll();
     }
 
     fn cancel(&mut self, id: JobId, responder: Responder, now: Seconds) {
-        if self.store_unreachable {
-            return responder.retry_later(503, 1, "the state service can't be reached");
-        }
-        if let Some(waiting) = self.users.withdraws.get_mut(&id) {
-            return waiting.1.push(responder);
+        if self.store_sync.is_unreachable() {
+            return responder.retry_later(503, 1, STORE_UNREACHABLE);
         }
+        let Some(responder) = self.job_requests.join_cancellation(&id, responder) else {
+            return;
+        };
         let Some(job) = self.cache.jobs.get(&id) else {
             return;
         };
-        let record = cancelled(&job.record);
-        let at_ms = record.cancelled_at_ms.unwrap_or_default();
+        let cancelled_at_ms = clock::wall_clock_ms();
+        let record = JobRecord {
+            cancelled: true,
+            cancelled_at_ms: Some(cancelled_at_ms),
+            ..job.record.clone()
+        };
         let write = ConditionalWrite {
             conditions: vec![Condition::new(job_key(&id), job.revision)],
-            ops: vec![WriteOp::Put {
-                key: job_key(&id),
-                value: serde_json::to_value(&record).unwrap_or_default(),
-                lease: None,
-            }],
-            deadline: now + self.patience(),
+            ops: vec![put_record(job_key(&id), &record)],
+            deadline: now + REQUEST_TIMEOUT,
             purpose: WritePurpose::Withdraw(id.clone()),
         };
         if self.writer.send(WriteClass::Urgent, write).is_err() {
             return responder.retry_later(429, 1, "too many requests");
         }
-        self.users.withdraws.insert(id, (at_ms, vec![responder]));
+        let pending = PendingCancellation {
+            cancelled_at_ms,
+            responders: vec![responder],
+        };
+        self.job_requests.cancellations.insert(id, pending);
     }
 
-    pub(super) fn withdraw_written(&mut self, id: JobId, outcome: CommitOutcome, now: Seconds) {
-        let Some((at_ms, replies)) = self.users.withdraws.remove(&id) else {
+    /// The write of a cancellation was answered, or given up.
+    pub(super) fn withdraw_completed(&mut self, id: JobId, outcome: CommitOutcome, now: Seconds) {
+        let Some(pending) = self.job_requests.cancellations.remove(&id) else {
             return;
         };
         match outcome {
             CommitOutcome::Committed(revision) => {
-                if self.cache.apply_cancellation(&id, revision, at_ms) {
-                    self.job_changed(&id);
-                }
-                // The others hear of it in this round: the machines may be theirs.
-                self.cancellation_notices.push((
-                    CancellationNotice {
-                        job: id.clone(),
-                        revision,
-                        at_ms,
-                    },
-                    now,
-                ));
-                self.said_hello = f64::MIN;
-                for responder in replies {
-                    self.answer_final(&id, responder);
+                self.apply_own_cancellation(&id, revision, pending.cancelled_at_ms, now);
+                for responder in pending.responders {
+                    self.answer_final_state(&id, responder);
                 }
             }
             CommitOutcome::Conflict(_) => {
-                for responder in replies {
-                    let until = now + self.patience();
-                    self.wait_fresh(Read::Withdraw(id.clone(), responder, until), now);
+                for responder in pending.responders {
+                    self.withdraw_after_fresh_read(id.clone(), responder, now);
                 }
             }
             CommitOutcome::Refused
             | CommitOutcome::Invalid
             | CommitOutcome::RateLimited
-            | CommitOutcome::Unknown => {
-                for responder in replies {
-                    responder.retry_later(503, 1, "not committed");
-                }
-            }
+            | CommitOutcome::Unknown => send_not_committed(pending.responders),
         }
     }
 
-    /// Serves what a new reading allows; refuses what waited too long.
-    pub(super) fn serve_waiting(&mut self, now: Seconds) {
-        if self.users.reads.is_empty() {
+    fn apply_own_cancellation(&mut self, id: &JobId, revision: u64, at_ms: u64, now: Seconds) {
+        if self.cache.apply_cancellation(id, revision, at_ms) {
+            self.apply_job_change(id);
+        }
+        let notice = CancellationNotice {
+            job: id.clone(),
+            revision,
+            at_ms,
+        };
+        self.peers.record_cancellation(notice, now);
+    }
+
+    /// Serves the requests that a new reading allows, and refuses those that have waited
+    /// too long.
+    pub(super) fn serve_waiting_reads(&mut self, now: Seconds) {
+        if self.job_requests.reads.is_empty() {
             return;
         }
-        let fresh = self.last_synced_at.unwrap_or(f64::MIN);
-        let reads = std::mem::take(&mut self.users.reads);
-        for (came, read) in reads {
-            if fresh >= came {
-                match read {
-                    Read::Query(id, responder) => self.answer(&id, responder),
-                    Read::Unfit(id, why, responder) if !self.is_known(&id) => {
-                        responder.send(422, error_body(&why));
-                    }
-                    Read::Unfit(id, _, responder) => self.answer(&id, responder),
-                    Read::Withdraw(id, responder, until) => match self.cache.jobs.get(&id) {
-                        Some(j) if !j.live() => self.answer_final(&id, responder),
-                        Some(_) if now < until => self.cancel(id, responder, now),
-                        Some(_) => responder.retry_later(503, 1, "not committed"),
-                        None => self.answer_unknown(&id, responder),
-                    },
-                }
-            } else if self.store_unreachable || now - came > self.patience() {
-                read.into_reply()
-                    .retry_later(503, 1, "the state service can't be reached");
+        let synced_at = self.store_sync.last_synced_at();
+        let store_unreachable = self.store_sync.is_unreachable();
+        for read in std::mem::take(&mut self.job_requests.reads) {
+            if synced_at.is_some_and(|at| at >= read.received_at) {
+                self.serve_read(read.request, now);
+            } else if store_unreachable || now - read.received_at > REQUEST_TIMEOUT {
+                read.request
+                    .into_responder()
+                    .retry_later(503, 1, STORE_UNREACHABLE);
             } else {
-                self.users.reads.push((came, read));
+                self.job_requests.reads.push(read);
             }
         }
-        if !self.users.reads.is_empty() {
-            let _ = self.watch_wakeups.try_send(());
+        if !self.job_requests.reads.is_empty() {
+            self.store_sync.request_poll();
+        }
+    }
+
+    fn serve_read(&mut self, request: ReadRequest, now: Seconds) {
+        match request {
+            ReadRequest::Query { job, responder } => self.answer_status(&job, responder),
+            ReadRequest::Reject {
+                job,
+                reason,
+                responder,
+            } => {
+                if self.is_known(&job) {
+                    self.answer_status(&job, responder);
+                } else {
+                    responder.send(422, error_body(&reason.to_string()));
+                }
+            }
+            ReadRequest::Withdraw {
+                job,
+                responder,
+                deadline,
+            } => match self.cache.jobs.get(&job) {
+                Some(known) if !known.live() => self.answer_final_state(&job, responder),
+                Some(_) if now < deadline => self.cancel(job, responder, now),
+                Some(_) => responder.retry_later(503, 1, NOT_COMMITTED),
+                None => self.answer_without_record(&job, responder),
+            },
         }
     }
 
-    fn answer_final(&self, id: &JobId, responder: Responder) {
-        let done = self.cache.jobs.get(id).is_some_and(|j| j.record.done);
+    fn answer_final_state(&self, id: &JobId, responder: Responder) {
+        let done = self.cache.jobs.get(id).is_some_and(|job| job.record.done);
         let state = if done { "done" } else { "cancelled" };
-        let view = JobStatus {
-            id: id.clone(),
-            state: state.into(),
-            done: None,
-            running: None,
-        };
-        responder.send(200, serde_json::to_vec(&view).unwrap_or_default());
+        send_job_status(200, &status_without_counts(id, state), responder);
     }
 
     /// Nothing can be said of a job without a readable record. Guard: one whose record
     /// can't be read was accepted, and must not be called unknown.
-    fn answer_unknown(&self, id: &JobId, responder: Responder) {
+    fn answer_without_record(&self, id: &JobId, responder: Responder) {
         if self.cache.unreadable.contains(&job_key(id)) {
             return responder.retry_later(
                 503,
@@ -343,45 +500,50 @@
         responder.send(404, error_body("no such job"));
     }
 
-    fn answer(&self, id: &JobId, responder: Responder) {
-        let Some(job) = self.cache.jobs.get(id) else {
-            return self.answer_unknown(id, responder);
-        };
-        let running = self.running.get(id).copied().unwrap_or(0);
-        let (state, done, running) = if job.record.done {
-            ("done", job.record.task_count, 0)
-        } else if job.record.cancelled {
-            ("cancelled", job.finished.len(), 0)
-        } else if running > 0 {
-            ("running", job.finished.len(), running)
-        } else {
-            ("pending", job.finished.len(), 0)
-        };
-        let view = JobStatus {
-            id: id.clone(),
-            state: state.into(),
-            done: Some(done),
-            running: Some(running),
-        };
-        responder.send(200, serde_json::to_vec(&view).unwrap_or_default());
+    fn answer_status(&self, id: &JobId, responder: Responder) {
+        match self.cache.jobs.get(id) {
+            Some(job) => {
+                let running = self.job_requests.running_tasks(id);
+                send_job_status(200, &job_status(id, job, running), responder);
+            }
+            None => self.answer_without_record(id, responder),
+        }
     }
 }
 
-/// A job's record once it is cancelled.
-fn cancelled(record: &JobRecord) -> JobRecord {
-    JobRecord {
-        cancelled: true,
-        cancelled_at_ms: Some(clock::wall_clock_ms()),
-        ..record.clone()
+/// How a job stands, of which `running` tasks are running unless it has ended.
+fn job_status(id: &JobId, job: &CachedJob, running: u32) -> JobStatus {
+    let (state, done, running) = if job.record.done {
+        ("done", job.record.task_count, 0)
+    } else if job.record.cancelled {
+        ("cancelled", job.finished.len(), 0)
+    } else if running > 0 {
+        ("running", job.finished.len(), running)
+    } else {
+        ("pending", job.finished.len(), 0)
+    };
+    JobStatus {
+        done: Some(done),
+        running: Some(running),
+        ..status_without_counts(id, state)
     }
 }
 
-impl Read {
-    fn into_reply(self) -> Responder {
-        match self {
-            Read::Query(_, responder)
-            | Read::Withdraw(_, responder, _)
-            | Read::Unfit(_, _, responder) => responder,
-        }
+fn status_without_counts(id: &JobId, state: &str) -> JobStatus {
+    JobStatus {
+        id: id.clone(),
+        state: state.into(),
+        done: None,
+        running: None,
+    }
+}
+
+fn send_job_status(status: u16, body: &JobStatus, responder: Responder) {
+    responder.send(status, serde_json::to_vec(body).unwrap_or_default());
+}
+
+fn send_not_committed(responders: Vec<Responder>) {
+    for responder in responders {
+        responder.retry_later(503, 1, NOT_COMMITTED);
     }
 }
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -1,53 +1,77 @@
-//! One round of the leader: assigning tasks, committing what is finished, and, less
-//! often, keeping the machine registry and looking over the fleet.
+//! A round of the leader: it assigns tasks, commits what is finished and, less often,
+//! updates the machine registry and looks over the whole fleet.
 
+use super::interval_timer::IntervalTimer;
 use super::Controller;
 use crate::clock::{self, Seconds};
 use crate::wire::Priority;
 use std::collections::BTreeMap;
 
-/// When the leader last did what it does less often than every round.
-#[derive(Debug, Default)]
-pub(crate) struct LeaderPace {
-    reviewed_fleet: Seconds,
-    registry_updated_at: Seconds,
-    logged_state: Seconds,
+/// How often the machine registry is updated, as a share of a report interval.
+const REGISTRY_SHARE: f64 = 1.0 / 40.0;
+
+/// How often the whole fleet is looked over, as a share of a report interval: it takes
+/// time in proportion to the fleet.
+const FLEET_REVIEW_SHARE: f64 = 1.0 / 12.0;
+
+/// What the leader does less often than every round.
+#[derive(Debug)]
+pub(super) struct LeaderTimers {
+    fleet_review: IntervalTimer,
+    registry_update: IntervalTimer,
+    state_log: IntervalTimer,
+}
+
+impl Default for LeaderTimers {
+    fn default() -> LeaderTimers {
+        LeaderTimers {
+            fleet_review: IntervalTimer::since_process_start(),
+            registry_update: IntervalTimer::since_process_start(),
+            state_log: IntervalTimer::since_process_start(),
+        }
+    }
 }
 
 impl Controller {
-    /// One round, whose decisions take no longer than until `end`.
-    pub(super) fn lead(&mut self, now: Seconds, end: Seconds) {
+    /// Runs one round, whose assignments end at `end`.
+    pub(super) fn run_leader_round(&mut self, now: Seconds, end: Seconds) {
         let deletions = &self.autoscaler.deletions;
         self.leader
             .reconcile(&self.cache, &|id| deletions.is_gone(id));
         self.leader.allow_gangs(self.cache.all_run_gangs());
-        let touched = self
+        let changed_shards = self
             .leader
             .assign_tasks(&self.cache, now, || clock::now() < end);
-        for shard in touched {
+        for shard in changed_shards {
             self.send_orders(&shard);
         }
         self.commit_finished(now);
-        let report_s = self.settings.params.workers.report_s;
-        if now - self.pace.registry_updated_at > report_s / 40.0 {
-            self.pace.registry_updated_at = now;
+        let report_interval = self.report_interval();
+        let timers = &mut self.leader_timers;
+        if timers
+            .registry_update
+            .restart_if_due(report_interval * REGISTRY_SHARE, now)
+        {
             self.update_registry(now);
         }
-        // Looking over the whole fleet takes time in proportion to it.
-        if now - self.pace.reviewed_fleet > report_s / 12.0 {
-            self.pace.reviewed_fleet = now;
+        let timers = &mut self.leader_timers;
+        if timers
+            .fleet_review
+            .restart_if_due(report_interval * FLEET_REVIEW_SHARE, now)
+        {
             self.autoscale(now);
-            self.move_shares(now);
+            self.run_transfers(now);
             self.log_state(now);
         }
     }
 
-    /// For the log: what there is, and what waits, by priority.
+    /// Logs the leader's counts, and the pending tasks by priority.
     fn log_state(&mut self, now: Seconds) {
-        if now - self.pace.logged_state < self.settings.params.workers.report_s {
+        let report_interval = self.report_interval();
+        let timer = &mut self.leader_timers.state_log;
+        if !timer.restart_if_due(report_interval, now) {
             return;
         }
-        self.pace.logged_state = now;
         let counts = self.leader.counts();
         let mut waiting: BTreeMap<Priority, u32> = BTreeMap::new();
         for demand in &self.leader.pending_demand {
--- a/src/controller/member.rs
+++ b/src/controller/member.rs
@@ -1,139 +1,164 @@
 //! Membership: whether this node may act, whether users should come here, and who
 //! belongs to the next epoch.
 
-use super::Controller;
-use super::WritePurpose;
+use super::writes::put_record;
+use super::{Controller, WritePurpose, PEER_TIMEOUT_REPORTS};
 use crate::clock::Seconds;
 use crate::cluster::membership;
 use crate::store::keys::EPOCH_KEY;
 use crate::store::records::{Epoch, MemberRecord, Versioned};
-use crate::store::{self, Condition, ConditionalWrite, WriteClass, WriteOp};
+use crate::store::{self, Condition, ConditionalWrite, WriteClass};
 use std::collections::BTreeMap;
 
+/// How old a sign that the key-value store is reached may be, as a share of a member's
+/// lease.
+const STORE_REACHED_LEASE_SHARE: f64 = 1.0 / 4.0;
+
+/// How old the last message of a peer may be, as a share of a member's lease.
+const PEER_HEARD_LEASE_SHARE: f64 = 1.0 / 2.0;
+
+/// How long a proposal of an epoch may take, as a share of a member's lease.
+const PROPOSAL_LEASE_SHARE: f64 = 1.0 / 4.0;
+
+/// By how many polls of the store each further member delays its proposal.
+const PROPOSAL_DELAY_POLLS: f64 = 4.0;
+
 impl Controller {
     /// The epoch, if this incarnation is a member of it and has entered it.
-    pub(super) fn my_epoch(&self) -> Option<&Epoch> {
-        self.cache.epoch.as_ref().filter(|e| {
-            self.incarnation != 0
-                && e.members.get(&self.settings.node_name) == Some(&self.incarnation)
-                && self.shard.epoch() == e.number
+    pub(super) fn entered_epoch(&self) -> Option<&Epoch> {
+        self.cache.epoch.as_ref().filter(|epoch| {
+            self.membership.incarnation_in(epoch).is_some() && self.shard.epoch() == epoch.number
         })
     }
 
-    /// Until when this node may act: its lease, and the age of what it knows
-    /// of the epoch.
-    pub(super) fn entitled_until(&self) -> Seconds {
-        match (self.my_epoch(), self.last_synced_at) {
-            (Some(_), Some(fresh)) => self
-                .lease_until
-                .min(fresh + self.settings.max_knowledge_age_s()),
-            _ => 0.0,
-        }
+    /// Whether this incarnation is a member of an epoch that it has not entered.
+    pub(super) fn has_epoch_to_enter(&self) -> bool {
+        self.cache.epoch.as_ref().is_some_and(|epoch| {
+            self.membership.incarnation_in(epoch).is_some() && self.shard.epoch() != epoch.number
+        })
+    }
+
+    /// Until when this node may act: its lease, and the age of what it knows of the
+    /// epoch. `None` if it may not.
+    pub(super) fn may_act_until(&self) -> Option<Seconds> {
+        self.entered_epoch()?;
+        let lease_valid_until = self.membership.lease_valid_until()?;
+        let synced_at = self.store_sync.last_synced_at()?;
+        Some(lease_valid_until.min(synced_at + self.settings.max_knowledge_age_s()))
     }
 
-    pub(super) fn leading(&self) -> bool {
-        self.my_epoch()
-            .is_some_and(|e| e.leader == self.settings.node_name)
+    /// Whether this node leads the epoch that it has entered.
+    pub(super) fn is_leader(&self) -> bool {
+        self.entered_epoch()
+            .is_some_and(|epoch| epoch.leader == self.settings.node_name)
     }
 
-    /// Whether users should come here: the key-value store is reached, or
-    /// nobody else is known to reach it either. One that hears no other
-    /// controller can't know that, and is itself what is cut off.
-    pub(super) fn healthy_now(&self, now: Seconds) -> bool {
-        let life = self.settings.member_lease_s();
-        let reached = self.last_synced_at.is_some_and(|f| now - f < life / 4.0);
-        let others = self.healthy.values().any(|&t| now - t < life / 4.0);
-        let alone = !self.hears.values().any(|(t, _)| now - t < life / 2.0);
-        let cut_off = alone && !self.settings.members.is_empty();
-        reached || (self.last_synced_at.is_some() && !others && !cut_off)
+    /// Whether users should come here: the key-value store is reached, or nobody else
+    /// is known to reach it either. A node that hears no other controller can't know
+    /// that, and is itself partitioned.
+    pub(super) fn accepts_users(&self, now: Seconds) -> bool {
+        let lease = self.settings.member_lease_s();
+        let max_age = lease * STORE_REACHED_LEASE_SHARE;
+        if self.store_sync.synced_within(max_age, now) {
+            return true;
+        }
+        let hears_nobody = !self.peers.any_heard(lease * PEER_HEARD_LEASE_SHARE, now);
+        let partitioned = hears_nobody && !self.settings.members.is_empty();
+        self.store_sync.last_synced_at().is_some()
+            && !self.peers.any_reaches_store(max_age, now)
+            && !partitioned
     }
 
-    /// The members with a lease, without those that nobody reaches: a
-    /// controller whose network is gone but for the key-value store would keep
-    /// its machines, and perhaps the lead, from everybody. It is left out when
-    /// this node and another that hears this one agree. `None` if this node
-    /// hears nobody itself: then it has no say.
-    pub(super) fn reachable_members(
-        &self,
-        now: Seconds,
-    ) -> Option<BTreeMap<String, Versioned<MemberRecord>>> {
-        let patience = self.settings.params.workers.report_s * 2.0;
-        let me = &self.settings.node_name;
-        let hears = |n: &String| self.healthy.get(n).is_some_and(|&t| now - t < patience);
-        let others: Vec<&String> = self.cache.members.keys().filter(|n| *n != me).collect();
-        if others.is_empty() || now - self.began < patience {
+    /// The members with a lease, without those that nobody reaches: a controller whose
+    /// network is gone but for the key-value store would keep its machines, and perhaps
+    /// the lead, from everybody. It is left out when this node and another that hears
+    /// this one agree. `None` if this node hears nobody itself: then it has no say.
+    fn reachable_members(&self, now: Seconds) -> Option<BTreeMap<String, Versioned<MemberRecord>>> {
+        let timeout = self.report_interval() * PEER_TIMEOUT_REPORTS;
+        let this_node = &self.settings.node_name;
+        let hears = |name: &String| self.peers.reaches_store(name, timeout, now);
+        let peers: Vec<&String> = self
+            .cache
+            .members
+            .keys()
+            .filter(|name| *name != this_node)
+            .collect();
+        if peers.is_empty() || self.membership.uptime(now) < timeout {
             return Some(self.cache.members.clone());
         }
-        if !others.iter().any(|n| hears(n)) {
+        if !peers.iter().any(|name| hears(name)) {
             return None;
         }
-        let mut live = self.cache.members.clone();
-        live.retain(|n, _| {
-            n == me || hears(n) || {
-                let agreed = others.iter().any(|o| {
-                    *o != n
-                        && hears(o)
-                        && self
-                            .hears
-                            .get(*o)
-                            .is_some_and(|(_, h)| h.contains(me) && !h.contains(n))
-                });
-                !agreed
-            }
-        });
-        Some(live)
+        let is_missed_by_peer = |name: &String| {
+            peers
+                .iter()
+                .any(|peer| *peer != name && hears(peer) && self.peers.misses(peer, name))
+        };
+        let mut reachable = self.cache.members.clone();
+        reachable.retain(|name, _| name == this_node || hears(name) || !is_missed_by_peer(name));
+        Some(reachable)
     }
 
-    /// Proposes the next epoch when the live members aren't the epoch's. The
-    /// leader does it at once, the others after a moment, so that they rarely
-    /// race; only one proposal can win.
+    /// Proposes the next epoch when the live members aren't the epoch's. The leader does
+    /// it at once, the others after a moment, so that they rarely race; only one
+    /// proposal can win.
     pub(super) fn propose_epoch(&mut self, now: Seconds) {
-        if self.epoch_pending
-            || self.store_unreachable
-            || self.incarnation == 0
-            || now >= self.lease_until
-        {
+        if !self.may_propose_epoch(now) {
             return;
         }
-        let me = &self.settings.node_name;
-        if self.cache.members.get(me).map(|m| m.value.incarnation) != Some(self.incarnation) {
-            return;
-        }
-        let Some(live) = self.reachable_members(now) else {
+        let Some(members) = self.reachable_members(now) else {
             return;
         };
-        let present = self.cache.epoch.as_ref();
-        let renewed = || present.filter(|_| self.leading() && self.leader.needs_new_epoch());
-        let next = membership::next_epoch(present, &live)
-            .or_else(|| renewed().map(membership::renewed_epoch));
-        let Some(next) = next else {
-            self.epoch_wanted = None;
+        let Some(next) = self.next_epoch(&members) else {
+            self.membership.mark_epoch_current();
             return;
         };
-        let since = *self.epoch_wanted.get_or_insert(now);
-        let rank = next.members.keys().position(|n| n == me).unwrap_or(0) as f64;
-        let mine = next.leader == *me;
-        let patience = if mine {
-            0.0
-        } else {
-            store::poll_interval(&self.settings) * 4.0 * (rank + 1.0)
-        };
-        if now - since < patience {
-            return;
+        let stale_since = self.membership.mark_epoch_stale(now);
+        if now - stale_since >= self.proposal_delay(&next) {
+            self.write_epoch(&next, now);
+        }
+    }
+
+    fn may_propose_epoch(&self, now: Seconds) -> bool {
+        if self.membership.is_proposing()
+            || self.store_sync.is_unreachable()
+            || !self.membership.has_valid_lease(now)
+        {
+            return false;
+        }
+        let member = self.cache.members.get(&self.settings.node_name);
+        member.map(|member| member.value.incarnation) == self.membership.incarnation()
+    }
+
+    /// The epoch that should follow, if the present one should not go on.
+    fn next_epoch(&self, members: &BTreeMap<String, Versioned<MemberRecord>>) -> Option<Epoch> {
+        let present = self.cache.epoch.as_ref();
+        let to_renew = || present.filter(|_| self.is_leader() && self.leader.needs_new_epoch());
+        membership::next_epoch(present, members)
+            .or_else(|| to_renew().map(membership::renewed_epoch))
+    }
+
+    /// How long this node waits before it proposes an epoch: none for its leader, and
+    /// longer for each further member.
+    fn proposal_delay(&self, next: &Epoch) -> Seconds {
+        let this_node = &self.settings.node_name;
+        if next.leader == *this_node {
+            return 0.0;
         }
-        self.epoch_pending = true;
+        let rank = next.members.keys().position(|name| name == this_node);
+        let turns = rank.unwrap_or(0) as f64 + 1.0;
+        store::poll_interval(&self.settings) * PROPOSAL_DELAY_POLLS * turns
+    }
+
+    fn write_epoch(&mut self, next: &Epoch, now: Seconds) {
         let write = ConditionalWrite {
             conditions: vec![Condition::new(EPOCH_KEY, self.cache.epoch_revision)],
-            ops: vec![WriteOp::Put {
-                key: EPOCH_KEY.into(),
-                value: serde_json::to_value(&next).unwrap_or_default(),
-                lease: None,
-            }],
-            deadline: now + self.settings.member_lease_s() / 4.0,
+            ops: vec![put_record(EPOCH_KEY, next)],
+            deadline: now + self.settings.member_lease_s() * PROPOSAL_LEASE_SHARE,
             purpose: WritePurpose::Epoch,
         };
-        if self.writer.send(WriteClass::Urgent, write).is_err() {
-            self.epoch_pending = false;
+        if self.writer.send(WriteClass::Urgent, write).is_ok() {
+            self.membership.begin_proposal();
         }
     }
 }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,111 +1,97 @@
-//! What controllers tell each other: cancellations, shards' reports and the leader's
+//! Messages between controllers: cancellations, shards' reports and the leader's
 //! orders.
 
-use super::Controller;
+use super::{Controller, CHANGED_REPORT_SHARE, UNCHANGED_REPORT_SHARE};
 use crate::clock::{self, Seconds};
 use crate::cluster::peer::{Envelope, PeerMessage};
 use crate::shard::{Orders, ShardReport};
 
 impl Controller {
-    pub(super) fn peer(&mut self, e: Envelope, now: Seconds) {
-        self.hears
-            .insert(e.from.clone(), (now, e.heard_peers.clone()));
-        self.reachability
-            .record_unreachable_peers(&e.from, e.unreachable_peers.clone(), now);
-        if e.store_reachable {
-            self.healthy.insert(e.from.clone(), now);
-        }
-        // What is committed is so for whoever hears of it: a controller that
-        // the key-value store refuses need not wait until it is answered again.
-        for c in &e.cancellation_notices {
-            if self.cache.apply_cancellation(&c.job, c.revision, c.at_ms) {
-                self.job_changed(&c.job);
+    /// Applies an envelope, or passes it on if it is for another controller.
+    pub(super) fn handle_envelope(&mut self, envelope: Envelope, now: Seconds) {
+        self.peers.record_envelope(&envelope, now);
+        // What is committed is so for whoever hears of it: a controller that the
+        // key-value store refuses need not wait until it is answered again.
+        for notice in &envelope.cancellation_notices {
+            if self
+                .cache
+                .apply_cancellation(&notice.job, notice.revision, notice.at_ms)
+            {
+                self.apply_job_change(&notice.job);
             }
         }
-        if e.to != self.settings.node_name {
-            // Passed on for one that can't reach the other directly.
-            if e.from != self.settings.node_name {
-                self.peers.send(e);
+        if envelope.to != self.settings.node_name {
+            // For one that its sender can't reach directly.
+            if envelope.from != self.settings.node_name {
+                self.peers.forward(envelope);
             }
             return;
         }
-        match e.message {
-            PeerMessage::ShardReport(r) => self.apply_shard_report(r, now),
-            PeerMessage::Orders(o) => self.take_orders(&o, now),
+        match envelope.message {
+            PeerMessage::ShardReport(report) => self.apply_shard_report(report, now),
+            PeerMessage::Orders(orders) => self.apply_orders(&orders, now),
             PeerMessage::KeepAlive => {}
         }
     }
 
-    /// The leader takes in a shard's report, and answers it with orders.
+    /// The leader applies a shard's report, and answers it with orders.
     fn apply_shard_report(&mut self, mut report: ShardReport, now: Seconds) {
         let transfers = std::mem::take(&mut report.transfers);
         let from = report.node.clone();
-        if self.leading() && self.leader.apply_shard_report(report, &self.cache, now) {
+        if self.is_leader() && self.leader.apply_shard_report(report, &self.cache, now) {
             self.apply_transfer_report(&from, transfers, now);
             self.send_orders(&from);
         }
     }
 
-    pub(super) fn take_orders(&mut self, o: &Orders, now: Seconds) {
-        if o.epoch == self.shard.epoch() {
-            self.shard.apply_orders(o, &self.cache, now);
-            if let Some(running) = &o.running {
-                self.running = running.iter().cloned().collect();
-            }
+    fn apply_orders(&mut self, orders: &Orders, now: Seconds) {
+        if orders.epoch != self.shard.epoch() {
+            return;
+        }
+        self.shard.apply_orders(orders, &self.cache, now);
+        if let Some(running) = &orders.running {
+            self.job_requests.set_running_tasks(running);
         }
     }
 
+    /// The leader sends a shard its orders, if there are any.
     pub(super) fn send_orders(&mut self, to: &str) {
-        if let Some(mut orders) = self.leader.orders(to) {
-            orders.transfers = self.transfer_orders(to);
-            if to == self.settings.node_name {
-                self.take_orders(&orders, clock::now());
-            } else {
-                self.send_peer(to, PeerMessage::Orders(orders));
-            }
+        let Some(mut orders) = self.leader.orders(to) else {
+            return;
+        };
+        orders.transfers = self.transfer_orders(to);
+        if to == self.settings.node_name {
+            self.apply_orders(&orders, clock::now());
+        } else {
+            self.send_to_peer(to, PeerMessage::Orders(orders));
         }
     }
 
-    pub(super) fn send_peer(&self, to: &str, message: PeerMessage) {
-        self.peers.send(Envelope {
-            from: self.settings.node_name.clone(),
-            to: to.into(),
-            store_reachable: !self.store_unreachable && self.last_synced_at.is_some(),
-            heard_peers: self.healthy.keys().cloned().collect(),
-            unreachable_peers: self.reachability.unreachable_peers(),
-            cancellation_notices: self
-                .cancellation_notices
-                .iter()
-                .map(|c| c.0.clone())
-                .collect(),
-            message,
-        });
+    fn send_to_peer(&self, to: &str, message: PeerMessage) {
+        self.peers.send(to, message, self.store_sync.is_synced());
     }
 
-    pub(super) fn tell_leader(&mut self, now: Seconds) {
-        let report_s = self.settings.params.workers.report_s;
-        let gap = if self.shard.report_due {
-            report_s / 20.0
+    /// Reports the shard to the leader: soon if it has changed, else now and then.
+    pub(super) fn report_to_leader(&mut self, now: Seconds) {
+        let share = if self.shard.report_due {
+            CHANGED_REPORT_SHARE
         } else {
-            report_s / 3.0
+            UNCHANGED_REPORT_SHARE
         };
-        if now - self.told_leader < gap {
+        let interval = self.report_interval() * share;
+        if !self.leader_report_timer.is_due(interval, now) {
             return;
         }
-        let Some(leader) = self.my_epoch().map(|e| e.leader.clone()) else {
+        let Some(leader) = self.entered_epoch().map(|epoch| epoch.leader.clone()) else {
             return;
         };
-        self.told_leader = now;
-        let mut snapshot = self.shard.snapshot(&self.cache, now);
-        snapshot.seen_elsewhere = self
-            .redirected
-            .iter()
-            .filter_map(|(id, p)| Some((id.clone(), now - p.met?)))
-            .collect();
+        self.leader_report_timer.restart(now);
+        let mut report = self.shard.snapshot(&self.cache, now);
+        report.seen_elsewhere = self.redirects.verified_workers(now);
         if leader == self.settings.node_name {
-            self.apply_shard_report(snapshot, now);
+            self.apply_shard_report(report, now);
         } else {
-            self.send_peer(&leader, PeerMessage::ShardReport(snapshot));
+            self.send_to_peer(&leader, PeerMessage::ShardReport(report));
         }
     }
 }
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -1,36 +1,88 @@
-//! Keeping the machine registry: pages of machines on the key-value store, brought up to
-//! what is known with few writes. A page has one write under way at a time;
-//! what happens meanwhile goes into its next.
+//! The machine registry: pages of machines in the key-value store, which the leader
+//! updates with few writes. A page has one write under way at a time; what happens
+//! meanwhile goes into its next.
 
+use super::writes::{put_record, to_value};
 use super::{Controller, WritePurpose};
 use crate::autoscaler::MachineOffer;
 use crate::clock::{self, Seconds};
+use crate::shard::MachineStatus;
 use crate::store::keys::page_key;
 use crate::store::pending_writes::{PendingWrites, WriteId};
 use crate::store::records::{MachineRecord, RegistryPage};
-use crate::store::registry_pages::{self, PageCopies, PageLimit, PageQueue};
+use crate::store::registry_pages::{self, PageCopies, PageLimit, PageQueue, Pages};
 use crate::store::{CommitOutcome, Condition, ConditionalWrite, WriteClass, WriteOp};
 use crate::wire::MachineId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// What the leader is writing to the machine registry.
-#[derive(Debug, Default)]
-pub(crate) struct RegistryWriter {
-    /// Pages being written, and the value (none: deletion).
+/// How long a write of a page may take.
+const PAGE_WRITE_TIMEOUT: Seconds = 2.0;
+
+/// How long the cache may take to show the answer to a page's write.
+const CACHE_LAG: Seconds = 0.5;
+
+/// The fewest writes of pages that may be under way at once.
+const MIN_CONCURRENT_WRITES: usize = 2;
+
+/// For how many of the cloud's list lags, beside a worker's lease, a deleted machine is
+/// remembered.
+const DELETED_LIST_LAGS: f64 = 4.0;
+
+/// A machine on its way to the registry.
+struct UnwrittenMachine {
+    page_key: Arc<str>,
+    record: MachineRecord,
+}
+
+/// A machine that reports, but was not rented by this leader.
+struct FoundMachine {
+    id: MachineId,
+    record: MachineRecord,
+}
+
+/// A machine that reports for the first time.
+struct StartedMachine {
+    id: MachineId,
+    address: Arc<str>,
+}
+
+/// What the leader writes to the machine registry.
+#[derive(Default)]
+pub(super) struct RegistryWriter {
+    /// Pages that are being written, and their values; `None` for a deletion.
     writing: PendingWrites<Arc<str>, Option<RegistryPage>>,
-    /// Rented or found, on their way to the machine registry: page key and record.
-    pub(super) fresh: BTreeMap<MachineId, (Arc<str>, MachineRecord)>,
-    found: u64,
-    /// Answered writes that the cache may not show yet.
-    tried: HashMap<Arc<str>, Seconds>,
+    /// Machines that were rented or found, until the cache shows them.
+    unwritten: BTreeMap<MachineId, UnwrittenMachine>,
+    /// How many groups of found machines were put on pages of their own.
+    found_groups: u64,
+    /// When writes that the cache may not show yet were answered.
+    answered_at: HashMap<Arc<str>, Seconds>,
     /// Pages that wait to be written.
     queue: PageQueue,
 }
 
 impl RegistryWriter {
-    pub(super) fn lead(&mut self) {
-        self.tried.clear();
+    /// This node begins to lead an epoch.
+    pub(super) fn begin_leading(&mut self) {
+        self.answered_at.clear();
+    }
+
+    /// Whether a machine is on its way to the registry.
+    pub(super) fn is_unwritten(&self, id: &MachineId) -> bool {
+        self.unwritten.contains_key(id)
+    }
+
+    /// The machines on their way to the registry.
+    pub(super) fn unwritten_machines(&self) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
+        self.unwritten
+            .iter()
+            .map(|(id, machine)| (id, &machine.record))
+    }
+
+    /// Whether a page's write is under way, or was answered a moment ago.
+    fn is_page_busy(&self, key: &Arc<str>) -> bool {
+        self.writing.contains(key) || self.answered_at.contains_key(key)
     }
 }
 
@@ -39,210 +91,265 @@
         PageLimit::new(self.settings.params.state.lowest_value_bytes())
     }
 
-    /// Puts machines of one kind on their way to the machine registry.
+    /// Puts machines of one kind on their way to the registry, on pages named after
+    /// `name`.
     pub(super) fn enlist(&mut self, ids: Vec<MachineId>, name: &str, record: &MachineRecord) {
-        for (n, chunk) in ids.chunks(self.page_limit().machines()).enumerate() {
-            let key: Arc<str> = page_key(&format!("{name}.{n}")).into();
-            for id in chunk {
-                self.registry
-                    .fresh
-                    .insert(id.clone(), (key.clone(), record.clone()));
+        for (number, page_ids) in ids.chunks(self.page_limit().machines()).enumerate() {
+            let page_key: Arc<str> = page_key(&format!("{name}.{number}")).into();
+            for id in page_ids {
+                let machine = UnwrittenMachine {
+                    page_key: page_key.clone(),
+                    record: record.clone(),
+                };
+                self.registry.unwritten.insert(id.clone(), machine);
             }
         }
     }
 
-    /// Machines that nobody here rented.
-    fn enlist_found(&mut self, found: Vec<(MachineId, MachineRecord)>) {
-        let mut kinds: BTreeMap<MachineOffer, Vec<(MachineId, MachineRecord)>> = BTreeMap::new();
-        for (id, r) in found {
-            kinds
-                .entry(MachineOffer::from(&r))
-                .or_default()
-                .push((id, r));
+    /// Puts machines that nobody here rented on their way to the registry.
+    fn enlist_found(&mut self, found: Vec<FoundMachine>) {
+        let mut by_offer: BTreeMap<MachineOffer, Vec<FoundMachine>> = BTreeMap::new();
+        for machine in found {
+            let offer = MachineOffer::from(&machine.record);
+            by_offer.entry(offer).or_default().push(machine);
         }
-        for of_kind in kinds.into_values() {
-            self.registry.found += 1;
-            let name = format!("found-{}-{}", self.incarnation, self.registry.found);
-            let record = of_kind[0].1.clone();
-            self.enlist(of_kind.into_iter().map(|m| m.0).collect(), &name, &record);
+        let incarnation = self.membership.incarnation().unwrap_or_default();
+        for group in by_offer.into_values() {
+            self.registry.found_groups += 1;
+            let name = format!("found-{incarnation}-{}", self.registry.found_groups);
+            let record = group[0].record.clone();
+            let ids = group.into_iter().map(|machine| machine.id).collect();
+            self.enlist(ids, &name, &record);
         }
     }
 
-    /// Takes in a machine that the list shows and nobody knows.
-    pub(super) fn enlist_stray(&mut self, id: MachineId, record: MachineRecord) {
-        self.enlist_found(vec![(id, record)]);
+    /// Puts a machine that the cloud lists, and no page, on its way to the registry.
+    pub(super) fn enlist_unregistered(&mut self, id: MachineId, record: MachineRecord) {
+        self.enlist_found(vec![FoundMachine { id, record }]);
     }
 
-    /// Brings the machine registry up to what is known: rented machines, machines that
-    /// report for the first time, machines that are gone.
+    /// Brings the registry up to what is known: rented machines, machines that report
+    /// for the first time, machines that are gone.
     pub(super) fn update_registry(&mut self, now: Seconds) {
-        self.registry.tried.retain(|_, t| now - *t < 0.5);
-        let mut up: Vec<(MachineId, Arc<str>)> = Vec::new();
+        self.registry
+            .answered_at
+            .retain(|_, at| now - *at < CACHE_LAG);
+        let started = self.enlist_reporting_machines();
+        let mut pages = Pages::new();
+        self.mark_started(started, &mut pages);
+        self.add_unwritten(&mut pages);
+        self.remove_deleted(&mut pages);
+        let stored = &self.cache.registry_pages;
+        let copies = registry_pages::split_long(&mut pages, stored, self.page_limit());
+        self.write_pages(pages, &copies, now);
+        self.forget_deleted(now);
+    }
+
+    /// Enlists the machines that report and are on no page; returns those that report
+    /// for the first time.
+    fn enlist_reporting_machines(&mut self) -> Vec<StartedMachine> {
+        let mut started = Vec::new();
         let mut found = Vec::new();
-        for m in self.leader.machines() {
-            if !m.has_reported || self.autoscaler.deletions.is_gone(&m.id) {
+        for machine in self.leader.machines() {
+            if !machine.has_reported || self.autoscaler.deletions.is_gone(&machine.id) {
                 continue;
             }
-            let address = m.address.clone().unwrap_or_else(|| "".into());
-            match self.cache.registry.get(&m.id) {
-                Some(known) if !known.record.in_use => up.push((m.id.clone(), address)),
-                Some(_) => {}
-                None if self.registry.fresh.contains_key(&m.id) => {}
-                None => found.push((
-                    m.id.clone(),
-                    MachineRecord {
-                        machine_type: m.machine_type.clone(),
-                        zone: m.zone.clone(),
-                        spot: m.spot,
-                        in_use: false,
-                        rented_at_ms: clock::wall_clock_ms(),
-                        address: None,
-                    },
-                )),
+            match self.cache.registry.get(&machine.id) {
+                Some(known) if known.record.in_use => {}
+                Some(_) => started.push(StartedMachine {
+                    id: machine.id.clone(),
+                    address: machine.address.clone().unwrap_or_else(|| "".into()),
+                }),
+                None if self.registry.is_unwritten(&machine.id) => {}
+                None => found.push(found_machine(machine)),
             }
         }
         self.enlist_found(found);
-        let mut pages: BTreeMap<Arc<str>, RegistryPage> = BTreeMap::new();
-        let known = |key: &Arc<str>| self.cache.registry_pages.get(key).map(|p| p.value.clone());
-        for (id, address) in up {
-            let Some(machine) = self.cache.registry.get(&id) else {
+        started
+    }
+
+    /// Adds the addresses of machines that report for the first time to their pages.
+    fn mark_started(&self, started: Vec<StartedMachine>, pages: &mut Pages) {
+        for machine in started {
+            let Some(registered) = self.cache.registry.get(&machine.id) else {
                 continue;
             };
-            let key = &machine.page_key;
-            let Some(page) = pages.get(key).cloned().or_else(|| known(key)) else {
+            let key = &registered.page_key;
+            let stored = self.cache.registry_pages.get(key);
+            let Some(page) = pages
+                .get(key)
+                .cloned()
+                .or_else(|| stored.map(|stored| stored.value.clone()))
+            else {
                 continue;
             };
             pages
                 .entry(key.clone())
                 .or_insert(page)
                 .machines
-                .insert(id, Some(address));
+                .insert(machine.id, Some(machine.address));
         }
+    }
+
+    /// Adds the machines that the cache doesn't show yet to their pages.
+    fn add_unwritten(&mut self, pages: &mut Pages) {
+        let cache = &self.cache;
         self.registry
-            .fresh
-            .retain(|id, _| !self.cache.registry.contains_key(id));
-        for (id, (key, r)) in &self.registry.fresh {
+            .unwritten
+            .retain(|id, _| !cache.registry.contains_key(id));
+        for (id, machine) in &self.registry.unwritten {
+            let key = &machine.page_key;
             let page = pages.entry(key.clone()).or_insert_with(|| {
-                self.cache
+                cache
                     .registry_pages
                     .get(key)
-                    .map(|p| p.value.clone())
-                    .unwrap_or_else(|| RegistryPage {
-                        machine_type: r.machine_type.clone(),
-                        zone: r.zone.clone(),
-                        spot: r.spot,
-                        rented_at_ms: r.rented_at_ms,
-                        machines: BTreeMap::new(),
-                    })
+                    .map(|stored| stored.value.clone())
+                    .unwrap_or_else(|| empty_page(&machine.record))
             });
             page.machines.entry(id.clone()).or_insert(None);
         }
-        let gone: BTreeSet<&MachineId> = self
+    }
+
+    /// Takes deleted machines off their pages.
+    fn remove_deleted(&self, pages: &mut Pages) {
+        let deleted: BTreeSet<&MachineId> = self
             .autoscaler
             .deletions
             .gone()
             .filter(|id| self.cache.registry.contains_key(*id))
             .collect();
-        if !gone.is_empty() {
-            for (key, p) in &self.cache.registry_pages {
-                if p.value.machines.keys().any(|id| gone.contains(id)) {
-                    let page = pages.entry(key.clone()).or_insert_with(|| p.value.clone());
-                    page.machines.retain(|id, _| !gone.contains(id));
-                }
+        if deleted.is_empty() {
+            return;
+        }
+        for (key, stored) in &self.cache.registry_pages {
+            let mut ids = stored.value.machines.keys();
+            if ids.any(|id| deleted.contains(id)) {
+                let page = pages
+                    .entry(key.clone())
+                    .or_insert_with(|| stored.value.clone());
+                page.machines.retain(|id, _| !deleted.contains(id));
             }
         }
-        let copied =
-            registry_pages::split_long(&mut pages, &self.cache.registry_pages, self.page_limit());
-        self.write_pages(pages, &copied, now);
+    }
+
+    /// Forgets deleted machines that neither the cloud nor the registry lists any more.
+    fn forget_deleted(&mut self, now: Seconds) {
+        let params = &self.settings.params;
+        let max_age = params.cloud.list_lag_s * DELETED_LIST_LAGS + params.workers.lease_s;
         let registry = &self.cache.registry;
-        let forget =
-            self.settings.params.cloud.list_lag_s * 4.0 + self.settings.params.workers.lease_s;
         self.autoscaler
             .deletions
-            .forget_gone(forget, |id| registry.contains_key(id), now);
+            .forget_gone(max_age, |id| registry.contains_key(id), now);
     }
 
     /// Writes pages that have no write under way, as many at a time as half a
     /// transaction holds: the longer it takes, the more goes into the next.
-    fn write_pages(
-        &mut self,
-        pages: BTreeMap<Arc<str>, RegistryPage>,
-        copies: &PageCopies,
-        now: Seconds,
-    ) {
-        let most = (self.settings.params.state.lowest_txn_ops() / 2).max(2);
-        let known = |key: &Arc<str>| {
-            self.cache
-                .registry_pages
-                .get(key)
-                .map(|p| p.value.machines.len())
-        };
-        for (key, page) in self.registry.queue.in_turn(pages, known, now) {
-            if self.registry.writing.count() >= most {
+    fn write_pages(&mut self, pages: Pages, copies: &PageCopies, now: Seconds) {
+        let half_transaction = self.settings.params.state.lowest_txn_ops() / 2;
+        let max_writes = half_transaction.max(MIN_CONCURRENT_WRITES);
+        let stored = &self.cache.registry_pages;
+        let stored_len = |key: &Arc<str>| stored.get(key).map(|stored| stored.value.machines.len());
+        for (key, page) in self.registry.queue.in_turn(pages, stored_len, now) {
+            if self.registry.writing.count() >= max_writes {
                 return;
             }
-            if self.registry.writing.contains(&key) || self.registry.tried.contains_key(&key) {
-                continue;
-            }
-            let revision = self
-                .cache
-                .registry_pages
-                .get(&key)
-                .map_or(0, |p| p.revision);
-            let keep = (!page.machines.is_empty()).then_some(page);
-            if keep.is_none() && revision == 0 {
+            if self.registry.is_page_busy(&key) {
                 continue;
             }
-            let op = match &keep {
-                Some(p) => WriteOp::Put {
-                    key: key.to_string(),
-                    value: serde_json::to_value(p).unwrap_or_default(),
-                    lease: None,
-                },
-                None => WriteOp::Delete {
-                    key: key.to_string(),
-                },
-            };
-            let write_id = self.registry.writing.next_id();
-            let mut conditions = vec![Condition::new(&*key, revision)];
-            conditions.extend(copies.get(&key).into_iter().flatten().cloned());
-            let write = ConditionalWrite {
-                conditions,
-                ops: vec![op],
-                deadline: now + 2.0,
-                purpose: WritePurpose::RegistryWriter(write_id),
-            };
-            if self.writer.send(WriteClass::Bulk, write).is_err() {
+            let conditions = copies.get(&key).map(Vec::as_slice).unwrap_or_default();
+            if !self.write_page(key, page, conditions, now) {
                 return;
             }
-            tracing::debug!(%key, revision, left = keep.as_ref().map_or(0, |p| p.machines.len()), "writing a page");
-            // What changes on it from now on waits anew.
-            self.registry.queue.written(&key);
-            self.registry.writing.sent(write_id, key, keep);
         }
     }
 
-    /// A page's write was answered. What is committed is known at once.
-    pub(super) fn registry_page_written(
+    /// Writes a page, or deletes it if it is empty, under its stored revision and
+    /// further conditions. Returns whether there was room for the write.
+    fn write_page(
+        &mut self,
+        key: Arc<str>,
+        page: RegistryPage,
+        further_conditions: &[Condition],
+        now: Seconds,
+    ) -> bool {
+        let stored = self.cache.registry_pages.get(&key);
+        let revision = stored.map_or(0, |stored| stored.revision);
+        let page = (!page.machines.is_empty()).then_some(page);
+        if page.is_none() && revision == 0 {
+            return true;
+        }
+        let op = match &page {
+            Some(page) => put_record(key.to_string(), page),
+            None => WriteOp::Delete {
+                key: key.to_string(),
+            },
+        };
+        let write_id = self.registry.writing.next_id();
+        let mut conditions = vec![Condition::new(&*key, revision)];
+        conditions.extend(further_conditions.iter().cloned());
+        let write = ConditionalWrite {
+            conditions,
+            ops: vec![op],
+            deadline: now + PAGE_WRITE_TIMEOUT,
+            purpose: WritePurpose::RegistryPage(write_id),
+        };
+        if self.writer.send(WriteClass::Bulk, write).is_err() {
+            return false;
+        }
+        let machines = page.as_ref().map_or(0, |page| page.machines.len());
+        tracing::debug!(%key, revision, machines, "writing a registry page");
+        // What changes on it from now on waits anew.
+        self.registry.queue.written(&key);
+        self.registry.writing.sent(write_id, key, page);
+        true
+    }
+
+    /// A page's write was answered, or given up. What is committed goes into the cache
+    /// at once.
+    pub(super) fn registry_page_completed(
         &mut self,
         write_id: WriteId,
         outcome: CommitOutcome,
         now: Seconds,
     ) {
-        let Some((key, value)) = self.registry.writing.answered(write_id) else {
+        let Some((key, page)) = self.registry.writing.answered(write_id) else {
             return;
         };
-        tracing::debug!(%key, ?outcome, "a page's write was answered");
-        match (outcome, value) {
+        tracing::debug!(%key, ?outcome, "the write of a registry page was answered");
+        match (outcome, page) {
             (CommitOutcome::Committed(revision), Some(page)) => {
-                let value = serde_json::to_value(&page).unwrap_or_default();
-                let change = self.cache.put(&key, value, revision);
-                self.changed(change, now);
+                let change = self.cache.put(&key, to_value(&page), revision);
+                self.apply_cache_change(change, now);
             }
-            // Deleted, or somebody else's version: the cache's next reading shows it.
+            // Deleted, or another revision: the next reading of the store shows it.
             _ => {
-                self.registry.tried.insert(key, now);
+                self.registry.answered_at.insert(key, now);
             }
         }
     }
 }
+
+fn found_machine(machine: &MachineStatus) -> FoundMachine {
+    FoundMachine {
+        id: machine.id.clone(),
+        record: MachineRecord {
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            in_use: false,
+            rented_at_ms: clock::wall_clock_ms(),
+            address: None,
+        },
+    }
+}
+
+/// A page without machines, for machines like that of `record`.
+fn empty_page(record: &MachineRecord) -> RegistryPage {
+    RegistryPage {
+        machine_type: record.machine_type.clone(),
+        zone: record.zone.clone(),
+        spot: record.spot,
+        rented_at_ms: record.rented_at_ms,
+        machines: BTreeMap::new(),
+    }
+}
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -1,6 +1,7 @@
-//! Caution after a restart, and its report, where the shard `cold-restart` is switched
-//! on.
+//! Hold-offs after a restart, and the restart report, where the feature `cold-restart`
+//! is on.
 
+use super::interval_timer::IntervalTimer;
 use super::Controller;
 use crate::api::published_report::PublishedReport;
 use crate::api::restart_report::{RecordLeftAlone, RestartReport};
@@ -12,51 +13,53 @@
 use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffLimits, Situation};
 use finchwood_reconciliation::unreconciled::UnreconciledMachines;
 
-/// The share of a report interval after which the report is published anew.
+/// How often the report is published, as a share of a report interval.
 const PUBLISH_SHARE: f64 = 1.0 / 6.0;
 
-/// The most records left alone that a report names.
+/// The most unreadable or misfit records that a report names.
 const MAX_RECORDS_NAMED: usize = 100;
 
-/// What the shard `cold-restart` keeps.
+/// The state of the feature `cold-restart`.
 pub(super) struct Restart {
     hold_off: HoldOff,
     published: PublishedReport<RestartReport>,
-    published_at: Seconds,
-    /// The first job was accepted so long after the start of the process.
+    publish_timer: IntervalTimer,
+    /// How long after the start of the process the first job was accepted.
     first_accepted_s: Option<Seconds>,
 }
 
 impl Restart {
+    /// No hold-off is on before this node begins to lead.
     pub(super) fn new(
-        with: &ColdRestartConfig,
+        config: &ColdRestartConfig,
         settings: &Settings,
         published: PublishedReport<RestartReport>,
     ) -> Restart {
         let workers = &settings.params.workers;
         let limits = HoldOffLimits {
-            answer_s: workers.report_s * with.answer_reports,
+            answer_s: workers.report_s * config.answer_reports,
             lease_s: clock::with_drift_margin(workers.lease_s),
         };
         Restart {
             hold_off: HoldOff::new(limits),
             published,
-            published_at: f64::MIN,
+            publish_timer: IntervalTimer::due_now(),
             first_accepted_s: None,
         }
     }
 }
 
 impl Controller {
-    /// This node leads from now on, with what it knew before or with nothing.
-    pub(super) fn began_to_lead(&mut self, kept: bool, now: Seconds) {
-        if let Some(restart) = self.restart.as_mut().filter(|_| !kept) {
+    /// Begins a hold-off as this node begins to lead, unless it kept its state as the
+    /// leader before.
+    pub(super) fn begin_hold_off(&mut self, kept_state: bool, now: Seconds) {
+        if let Some(restart) = self.restart.as_mut().filter(|_| !kept_state) {
             restart.hold_off.begin(now);
         }
     }
 
-    /// The machines in doubt, if caution may rest on them now.
-    pub(super) fn doubt(&self, now: Seconds) -> Option<UnreconciledMachines> {
+    /// The machines that are not reconciled yet, while a hold-off is on.
+    pub(super) fn unreconciled_machines(&self, now: Seconds) -> Option<UnreconciledMachines> {
         let restart = self.restart.as_ref()?;
         let deletions = &self.autoscaler.deletions;
         let unreconciled = || {
@@ -66,15 +69,15 @@
         restart.hold_off.is_active(now).then(unreconciled)
     }
 
-    /// Whether an action is held back while machines are in doubt; counted, if so.
-    pub(super) fn holds(
+    /// Whether an action is held off until machines are reconciled; recorded, if so.
+    pub(super) fn is_held_off(
         &mut self,
         action: Action,
         spec: Option<&JobSpec>,
-        doubt: Option<&UnreconciledMachines>,
+        unreconciled: Option<&UnreconciledMachines>,
         now: Seconds,
     ) -> bool {
-        let (Some(restart), Some(unreconciled)) = (&self.restart, doubt) else {
+        let (Some(restart), Some(unreconciled)) = (&self.restart, unreconciled) else {
             return false;
         };
         let situation = Situation {
@@ -91,33 +94,34 @@
         }
     }
 
-    /// A job was accepted here.
-    pub(super) fn note_accepted(&mut self, now: Seconds) {
+    /// Records when the first job was accepted here.
+    pub(super) fn record_first_accepted(&mut self, now: Seconds) {
         if let Some(restart) = &mut self.restart {
-            restart.first_accepted_s.get_or_insert(now - self.began);
+            restart
+                .first_accepted_s
+                .get_or_insert(self.membership.uptime(now));
         }
     }
 
-    /// Logs stored records that name what nobody knows.
-    pub(super) fn report_misfits(&self) {
+    /// Logs stored records that name what the settings or the catalog don't have.
+    pub(super) fn log_misfit_records(&self) {
         for misfit in misfit_records(&self.cache, &self.settings) {
-            tracing::warn!(key = misfit.key, why = %misfit.error, "a stored record doesn't fit");
+            tracing::warn!(key = misfit.key, error = %misfit.error, "a stored record doesn't fit");
         }
     }
 
-    /// Publishes the report, now and then.
-    pub(super) fn publish_restart(&mut self, now: Seconds) {
-        let gap = self.settings.params.workers.report_s * PUBLISH_SHARE;
+    /// Publishes the restart report at its interval.
+    pub(super) fn publish_restart_report(&mut self, now: Seconds) {
+        let interval = self.report_interval() * PUBLISH_SHARE;
         let due = self
             .restart
-            .as_ref()
-            .is_some_and(|restart| now - restart.published_at >= gap);
+            .as_mut()
+            .is_some_and(|restart| restart.publish_timer.restart_if_due(interval, now));
         if !due {
             return;
         }
         let report = self.restart_report(now);
-        if let Some(restart) = &mut self.restart {
-            restart.published_at = now;
+        if let Some(restart) = &self.restart {
             restart.published.publish(report);
         }
     }
@@ -135,7 +139,7 @@
                 .restart
                 .as_ref()
                 .and_then(|restart| restart.first_accepted_s),
-            leader: self.leading().then(progress),
+            leader: self.is_leader().then(progress),
             machines: self.shard.restart_record(now),
             records_left_alone_count: left_alone.len(),
             records_left_alone: left_alone.into_iter().take(MAX_RECORDS_NAMED).collect(),
@@ -143,16 +147,20 @@
     }
 
     fn records_left_alone(&self) -> Vec<RecordLeftAlone> {
-        let unreadable = self.cache.unreadable.iter();
-        let unreadable = unreadable.map(|(key, record)| RecordLeftAlone {
-            key: key.clone(),
-            why: record.error.to_string(),
-        });
-        let misfits = misfit_records(&self.cache, &self.settings).into_iter();
-        let misfits = misfits.map(|misfit| RecordLeftAlone {
-            key: misfit.key,
-            why: misfit.error.to_string(),
-        });
+        let unreadable = self
+            .cache
+            .unreadable
+            .iter()
+            .map(|(key, record)| RecordLeftAlone {
+                key: key.clone(),
+                why: record.error.to_string(),
+            });
+        let misfits = misfit_records(&self.cache, &self.settings)
+            .into_iter()
+            .map(|misfit| RecordLeftAlone {
+                key: misfit.key,
+                why: misfit.error.to_string(),
+            });
         unreadable.chain(misfits).collect()
     }
 }
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -1,6 +1,8 @@
-//! Shares that move between live controllers, where the shard `shared-machines` is
-//! switched on: the leader's transfers, and what every controller makes of the table.
+//! Transfers of hash ranges between live shards, where the feature `shared-machines` is
+//! on: the leader's part in them, and the shard map that every controller goes by.
 
+use super::interval_timer::IntervalTimer;
+use super::writes::{put_record, to_value};
 use super::{Controller, WritePurpose};
 use crate::api::published_report::PublishedReport;
 use crate::api::responder::{error_body, Responder};
@@ -10,268 +12,297 @@
 use crate::config::features::SharedMachinesConfig;
 use crate::config::settings::Settings;
 use crate::store::keys::{EPOCH_KEY, SHARD_MAP_KEY};
-use crate::store::{CommitOutcome, Condition, ConditionalWrite, WriteClass, WriteOp};
+use crate::store::{CommitOutcome, Condition, ConditionalWrite, WriteClass};
 use crate::wire::MachineId;
 use finchwood_sharding::hash_position::position;
 use finchwood_sharding::plan::Plan;
 use finchwood_sharding::planner::{Fleet, OwnedMachine, Planner, PlannerLimits};
-use finchwood_sharding::transfer::{TransferOrder, TransferReport, Transfers};
+use finchwood_sharding::shard_map::HashRange;
+use finchwood_sharding::transfer::{TransferOrder, TransferReport, TransferState, Transfers};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes that a share takes in the stored table, with room to spare.
-const SHARE_BYTES: usize = 120;
+/// Bytes that a range takes in the stored shard map, with room to spare.
+const RANGE_BYTES: usize = 120;
 
 /// For how many report intervals a side of a transfer may stay silent.
-const PATIENCE_REPORTS: f64 = 3.0;
+const TRANSFER_TIMEOUT_REPORTS: f64 = 3.0;
 
-/// How long a write of the table may take, in seconds.
-const TABLE_WRITE_S: Seconds = 2.0;
+/// How long a write of the shard map may take.
+const SHARD_MAP_WRITE_TIMEOUT: Seconds = 2.0;
 
-/// The share of a report interval after which the planner looks over the fleet again.
+/// How often the planner looks over the fleet, as a share of a report interval.
 const PLAN_SHARE: f64 = 1.0 / 4.0;
 
-/// The share of a report interval after which the report is published anew.
+/// How often the report is published, as a share of a report interval.
 const PUBLISH_SHARE: f64 = 1.0 / 6.0;
 
-/// What the shard `shared-machines` keeps.
-pub(super) struct Shares {
+/// The state of the feature `shared-machines`.
+pub(super) struct ShardTransfers {
     transfers: Transfers,
     planner: Planner,
-    /// A write of the table is under way.
-    writing: bool,
-    /// When a write of the table was refused for certain.
+    /// A write of the shard map is under way.
+    write_pending: bool,
+    /// When a write of the shard map was refused for certain.
     refused_at: Option<Seconds>,
     published: PublishedReport<ShardMapReport>,
-    published_at: Seconds,
-    /// When the planner was last asked.
-    planned_at: Seconds,
+    publish_timer: IntervalTimer,
+    plan_timer: IntervalTimer,
 }
 
-impl Shares {
+impl ShardTransfers {
+    /// No transfer is under way.
     pub(super) fn new(
-        with: &SharedMachinesConfig,
+        config: &SharedMachinesConfig,
         settings: &Settings,
         published: PublishedReport<ShardMapReport>,
-    ) -> Shares {
+    ) -> ShardTransfers {
         let limits = PlannerLimits {
-            machines_per_move: with.machines_per_move,
-            moves_per_minute: with.moves_per_minute,
-            imbalance: with.imbalance,
-            max_ranges: settings.params.state.lowest_value_bytes() / SHARE_BYTES,
-            cooldown_s: settings.params.workers.lease_s * with.rest_leases,
+            machines_per_move: config.machines_per_move,
+            moves_per_minute: config.moves_per_minute,
+            imbalance: config.imbalance,
+            max_ranges: settings.params.state.lowest_value_bytes() / RANGE_BYTES,
+            cooldown_s: settings.params.workers.lease_s * config.rest_leases,
         };
-        Shares {
+        ShardTransfers {
             transfers: Transfers::default(),
             planner: Planner::new(limits, 0.0),
-            writing: false,
+            write_pending: false,
             refused_at: None,
             published,
-            published_at: f64::MIN,
-            planned_at: f64::MIN,
+            publish_timer: IntervalTimer::due_now(),
+            plan_timer: IntervalTimer::due_now(),
         }
     }
+
+    /// Where the transfers under way stand.
+    fn states(&self) -> Vec<TransferState> {
+        self.transfers
+            .under_way()
+            .map(|transfer| transfer.state)
+            .collect()
+    }
+
+    /// The sources and targets of the transfers under way.
+    fn participants(&self) -> BTreeSet<String> {
+        self.transfers
+            .under_way()
+            .flat_map(|transfer| [&transfer.range_move.source, &transfer.range_move.target])
+            .cloned()
+            .collect()
+    }
 }
 
 impl Controller {
-    /// The owner of a machine, by the table of shares or the hash.
+    /// The owner of a machine, by the shard map or its hash.
     pub(super) fn owner_of(&self, machine: &str) -> Option<&str> {
-        membership::owner_by_shard_map(self.my_epoch()?, &self.cache.shard_map, machine)
+        membership::owner_by_shard_map(self.entered_epoch()?, &self.cache.shard_map, machine)
     }
 
-    /// The table of shares has changed.
-    pub(super) fn shares_changed(&mut self, now: Seconds) {
-        let Some(epoch) = self.my_epoch().cloned() else {
+    /// The shard map has changed.
+    pub(super) fn apply_shard_map_change(&mut self, now: Seconds) {
+        let Some(epoch) = self.entered_epoch().cloned() else {
             return;
         };
         if !epoch.uses_shard_map {
             return;
         }
-        let (table, me) = (
-            self.cache.shard_map.clone(),
-            self.settings.node_name.clone(),
-        );
-        let owns =
-            |id: &str| membership::owner_by_shard_map(&epoch, &table, id) == Some(me.as_str());
+        let shard_map = self.cache.shard_map.clone();
+        let this_node = self.settings.node_name.clone();
+        let owns = |id: &str| {
+            let owner = membership::owner_by_shard_map(&epoch, &shard_map, id);
+            owner == Some(this_node.as_str())
+        };
         self.shard.apply_shard_map(&self.cache, now, owns);
         // The leader hears of it in this round.
-        self.told_leader = f64::MIN;
+        self.leader_report_timer = IntervalTimer::due_now();
     }
 
-    /// A new epoch has begun: whatever transfers had reached stays as it is.
-    pub(super) fn forget_transfers(&mut self, now: Seconds) {
-        if let Some(shares) = &mut self.shares {
-            shares.transfers.abort_all(now);
-            shares.refused_at = None;
+    /// Drops the transfers of the epoch before: what they had reached stays as it is.
+    pub(super) fn reset_transfers(&mut self, now: Seconds) {
+        if let Some(state) = &mut self.shard_transfers {
+            state.transfers.abort_all(now);
+            state.refused_at = None;
         }
     }
 
-    /// What a shard is told of transfers.
+    /// The orders for a shard that takes part in transfers.
     pub(super) fn transfer_orders(&self, node: &str) -> Vec<TransferOrder> {
-        self.shares
+        self.shard_transfers
             .as_ref()
-            .map(|shares| shares.transfers.orders_for(node))
+            .map(|state| state.transfers.orders_for(node))
             .unwrap_or_default()
     }
 
-    /// The leader takes in what a shard tells of transfers.
+    /// The leader applies what a shard reports of transfers.
     pub(super) fn apply_transfer_report(
         &mut self,
         from: &str,
         report: TransferReport,
         now: Seconds,
     ) {
-        let Some(shares) = self.shares.as_mut().filter(|_| !report.is_empty()) else {
+        if report.is_empty() {
+            return;
+        }
+        let Some(state) = &mut self.shard_transfers else {
             return;
         };
-        let before: Vec<_> = shares.transfers.under_way().map(|h| h.state).collect();
-        shares.transfers.apply_report(from, report, now);
-        let after: Vec<_> = shares.transfers.under_way().map(|h| h.state).collect();
-        if before != after {
-            self.tell_sides(from);
+        let before = state.states();
+        state.transfers.apply_report(from, report, now);
+        if before != state.states() {
+            // The reporting shard gets its orders anyway.
+            self.send_orders_to_participants(Some(from));
         }
     }
 
-    /// Whether a machine is being handed over, so that nobody's word on it is final.
+    /// Whether a machine is being transferred, so that no shard's report on it is final.
     pub(super) fn is_changing_hands(&self, machine: &MachineId) -> bool {
-        let (Some(shares), Some(epoch)) = (&self.shares, self.my_epoch()) else {
+        let (Some(state), Some(epoch)) = (&self.shard_transfers, self.entered_epoch()) else {
             return false;
         };
         let Some(hash_owner) = membership::owner(&epoch.members, machine) else {
             return false;
         };
-        let at = position(machine);
-        let moves = shares
+        let position = position(machine);
+        let in_transfer = state
             .transfers
             .under_way()
-            .any(|h| h.range_move.range.contains(hash_owner, at));
-        moves || !self.leader.has_one_owner(machine)
+            .any(|transfer| transfer.range_move.range.contains(hash_owner, position));
+        in_transfer || !self.leader.has_one_owner(machine)
     }
 
-    /// Sends orders to all who take shard in transfers, but for one who gets them anyway.
-    fn tell_sides(&mut self, but: &str) {
-        let Some(shares) = &self.shares else { return };
-        let sides: BTreeSet<String> = shares
-            .transfers
-            .under_way()
-            .flat_map(|h| [h.range_move.source.clone(), h.range_move.target.clone()])
-            .filter(|side| side != but)
-            .collect();
-        for side in sides {
-            self.send_orders(&side);
+    /// Sends orders to all shards that take part in transfers, but for one.
+    fn send_orders_to_participants(&mut self, except: Option<&str>) {
+        let Some(state) = &self.shard_transfers else {
+            return;
+        };
+        for shard in state.participants() {
+            if except != Some(shard.as_str()) {
+                self.send_orders(&shard);
+            }
         }
     }
 
-    /// One step of the leader: takes in the table, writes its next state, withdraws what
-    /// nobody answers, begins what is wanted.
-    pub(super) fn move_shares(&mut self, now: Seconds) {
-        let in_use = self.my_epoch().is_some_and(|epoch| epoch.uses_shard_map);
-        let patience = self.settings.params.workers.report_s * PATIENCE_REPORTS;
-        let Some(shares) = self.shares.as_mut().filter(|_| in_use) else {
+    /// One step of the leader: applies the shard map, withdraws the transfers that nobody
+    /// answers, writes the next shard map, begins the next transfer.
+    pub(super) fn run_transfers(&mut self, now: Seconds) {
+        let in_use = self
+            .entered_epoch()
+            .is_some_and(|epoch| epoch.uses_shard_map);
+        let timeout = self.report_interval() * TRANSFER_TIMEOUT_REPORTS;
+        let Some(state) = self.shard_transfers.as_mut().filter(|_| in_use) else {
             return;
         };
-        shares
+        state
             .transfers
             .observe_shard_map(&self.cache.shard_map, now);
         // Refused for certain, and what has been read since does not hold it either.
-        let read_since = |at: &Seconds| self.last_synced_at.is_some_and(|fresh| fresh > *at);
-        if shares.refused_at.as_ref().is_some_and(read_since) {
-            shares.transfers.write_refused(now);
-            shares.refused_at = None;
+        let synced_at = self.store_sync.last_synced_at();
+        if state.refused_at.is_some_and(|at| synced_at > Some(at)) {
+            state.transfers.write_refused(now);
+            state.refused_at = None;
         }
-        shares.transfers.time_out_stale(patience, now);
-        self.write_table(now);
+        state.transfers.time_out_stale(timeout, now);
+        self.write_shard_map(now);
         self.begin_transfer(now);
     }
 
-    fn write_table(&mut self, now: Seconds) {
-        let Some(shares) = self
-            .shares
+    fn write_shard_map(&mut self, now: Seconds) {
+        let Some(state) = self
+            .shard_transfers
             .as_mut()
-            .filter(|s| !s.writing && s.refused_at.is_none())
+            .filter(|state| !state.write_pending && state.refused_at.is_none())
         else {
             return;
         };
-        let Some(change) = shares.transfers.pending_write(&self.cache.shard_map, now) else {
+        let Some(change) = state.transfers.pending_write(&self.cache.shard_map, now) else {
             return;
         };
         let write = ConditionalWrite {
-            // The table of another leader, or of another epoch, is not overwritten.
+            // The shard map of another leader, or of another epoch, is not overwritten.
             conditions: vec![
                 Condition::new(SHARD_MAP_KEY, self.cache.shard_map_revision),
                 Condition::new(EPOCH_KEY, self.cache.epoch_revision),
             ],
-            ops: vec![WriteOp::Put {
-                key: SHARD_MAP_KEY.into(),
-                value: serde_json::to_value(change.shard_map.to_stored()).unwrap_or_default(),
-                lease: None,
-            }],
-            deadline: now + TABLE_WRITE_S,
-            purpose: WritePurpose::Shares,
+            ops: vec![put_record(SHARD_MAP_KEY, &change.shard_map.to_stored())],
+            deadline: now + SHARD_MAP_WRITE_TIMEOUT,
+            purpose: WritePurpose::ShardMap,
         };
-        shares.writing = self.writer.send(WriteClass::Urgent, write).is_ok();
+        state.write_pending = self.writer.send(WriteClass::Urgent, write).is_ok();
     }
 
-    /// A write of the table was answered, or given up. What has no certain answer is
+    /// A write of the shard map was answered, or given up. What has no certain answer is
     /// written again, under the same conditions.
-    pub(super) fn shares_written(&mut self, outcome: CommitOutcome, now: Seconds) {
-        let Some(shares) = &mut self.shares else {
+    pub(super) fn shard_map_completed(&mut self, outcome: CommitOutcome, now: Seconds) {
+        let Some(state) = &mut self.shard_transfers else {
             return;
         };
-        shares.writing = false;
+        state.write_pending = false;
         match outcome {
-            CommitOutcome::Committed(revision) => {
-                let Some(change) = shares.transfers.pending_write(&self.cache.shard_map, now)
-                else {
-                    return;
-                };
-                let value = serde_json::to_value(change.shard_map.to_stored()).unwrap_or_default();
-                let change = self.cache.put(SHARD_MAP_KEY, value, revision);
-                self.changed(change, now);
-                if let Some(shares) = &mut self.shares {
-                    shares
-                        .transfers
-                        .observe_shard_map(&self.cache.shard_map, now);
-                }
-                self.tell_sides("");
-            }
+            CommitOutcome::Committed(revision) => self.apply_written_shard_map(revision, now),
             CommitOutcome::Conflict(_) | CommitOutcome::Invalid | CommitOutcome::RateLimited => {
-                shares.refused_at = Some(now)
+                state.refused_at = Some(now)
             }
             CommitOutcome::Refused | CommitOutcome::Unknown => {}
         }
     }
 
+    fn apply_written_shard_map(&mut self, revision: u64, now: Seconds) {
+        let Some(state) = &mut self.shard_transfers else {
+            return;
+        };
+        let Some(write) = state.transfers.pending_write(&self.cache.shard_map, now) else {
+            return;
+        };
+        let value = to_value(&write.shard_map.to_stored());
+        let change = self.cache.put(SHARD_MAP_KEY, value, revision);
+        self.apply_cache_change(change, now);
+        if let Some(state) = &mut self.shard_transfers {
+            state
+                .transfers
+                .observe_shard_map(&self.cache.shard_map, now);
+        }
+        self.send_orders_to_participants(None);
+    }
+
     fn begin_transfer(&mut self, now: Seconds) {
-        let gap = self.settings.params.workers.report_s * PLAN_SHARE;
+        let interval = self.report_interval() * PLAN_SHARE;
         let due = self
-            .shares
+            .shard_transfers
             .as_ref()
-            .is_some_and(|shares| now - shares.planned_at >= gap);
-        if !due || self.store_unreachable || !self.leader.all_joined() {
+            .is_some_and(|state| state.plan_timer.is_due(interval, now));
+        if !due || self.store_sync.is_unreachable() || !self.leader.all_joined() {
             return;
         }
-        let Some(epoch) = self.my_epoch() else { return };
+        let Some(epoch) = self.entered_epoch() else {
+            return;
+        };
         let members: BTreeSet<String> = epoch.members.keys().cloned().collect();
         let machines = self.owned_machines(&epoch.members);
-        let Some(shares) = &mut self.shares else {
+        let Some(state) = &mut self.shard_transfers else {
             return;
         };
-        shares.planned_at = now;
+        state.plan_timer.restart(now);
         let fleet = Fleet {
             members: &members,
             machines: &machines,
             shard_map: &self.cache.shard_map,
         };
-        let Some(range_move) = shares.planner.next(fleet, &shares.transfers, now) else {
+        let Some(range_move) = state.planner.next(fleet, &state.transfers, now) else {
             return;
         };
-        tracing::info!(range = %range_move.range, source = range_move.source, target = range_move.target, reason = ?range_move.reason, "a share is to move");
-        if shares.transfers.begin(range_move, now) {
-            self.tell_sides("");
+        tracing::info!(
+            range = %range_move.range,
+            source = range_move.source,
+            target = range_move.target,
+            reason = ?range_move.reason,
+            "a range is to be transferred"
+        );
+        if state.transfers.begin(range_move, now) {
+            self.send_orders_to_participants(None);
         }
     }
 
-    /// All machines on the machine registry, with home and owner.
+    /// All machines of the registry, with their owners by hash and by shard map.
     fn owned_machines(&self, members: &BTreeMap<String, u64>) -> Vec<OwnedMachine> {
         let owned = |id: &MachineId| {
             let hash_owner = membership::owner(members, id)?;
@@ -285,82 +316,83 @@
         self.cache.registry.keys().filter_map(owned).collect()
     }
 
-    /// Operators want shares to move.
-    pub(super) fn take_plan(&mut self, plan: Plan, responder: Responder) {
-        let leads = self.leading();
-        let Some(epoch) = self.my_epoch() else {
+    /// Sets the operators' plan of transfers.
+    pub(super) fn set_transfer_plan(&mut self, plan: Plan, responder: Responder) {
+        let is_leader = self.is_leader();
+        let Some(epoch) = self.entered_epoch() else {
             return responder.retry_later(503, 1, "not a member now");
         };
         let members: BTreeSet<String> = epoch.members.keys().cloned().collect();
-        if !leads {
+        if !is_leader {
             return responder.send(421, error_body(&format!("plan: {} leads", epoch.leader)));
         }
         if !epoch.uses_shard_map {
             return responder.retry_later(503, 5, "not all controllers go by the table of shares");
         }
-        if let Err(why) = plan.check(&members) {
-            return responder.send(400, error_body(&why.to_string()));
+        if let Err(error) = plan.check(&members) {
+            return responder.send(400, error_body(&error.to_string()));
         }
-        tracing::info!(?plan, "a plan of shares");
-        if let Some(shares) = &mut self.shares {
-            shares.planner.set_plan(plan);
+        tracing::info!(?plan, "received a plan of transfers");
+        if let Some(state) = &mut self.shard_transfers {
+            state.planner.set_plan(plan);
         }
         responder.send(200, b"{}".to_vec());
     }
 
-    /// Publishes the report, now and then.
-    pub(super) fn publish_shares(&mut self, now: Seconds) {
-        let gap = self.settings.params.workers.report_s * PUBLISH_SHARE;
+    /// Publishes the shard map report at its interval.
+    pub(super) fn publish_shard_map_report(&mut self, now: Seconds) {
+        let interval = self.report_interval() * PUBLISH_SHARE;
         let due = self
-            .shares
-            .as_ref()
-            .is_some_and(|shares| now - shares.published_at >= gap);
+            .shard_transfers
+            .as_mut()
+            .is_some_and(|state| state.publish_timer.restart_if_due(interval, now));
         if !due {
             return;
         }
-        let report = self.shares_report();
-        if let Some(shares) = &mut self.shares {
-            shares.published_at = now;
-            shares.published.publish(report);
+        let report = self.shard_map_report();
+        if let Some(state) = &self.shard_transfers {
+            state.published.publish(report);
         }
     }
 
-    fn shares_report(&self) -> ShardMapReport {
-        let table = &self.cache.shard_map;
-        let share = |(range, owner): (&_, &str)| OwnedRange {
-            range: Clone::clone(range),
+    fn shard_map_report(&self) -> ShardMapReport {
+        let shard_map = &self.cache.shard_map;
+        let owned_range = |(range, owner): (&HashRange, &str)| OwnedRange {
+            range: range.clone(),
             owner: owner.into(),
         };
         ShardMapReport {
             node: self.settings.node_name.clone(),
             epoch: self.shard.epoch(),
-            in_use: self.my_epoch().is_some_and(|epoch| epoch.uses_shard_map),
-            generation: table.generation,
-            shares: table.ranges().map(share).collect(),
+            in_use: self
+                .entered_epoch()
+                .is_some_and(|epoch| epoch.uses_shard_map),
+            generation: shard_map.generation,
+            shares: shard_map.ranges().map(owned_range).collect(),
             machines: self.shard.registered_machines(),
             fenced: self.shard.fenced_machines(),
             leader: self
-                .shares
+                .shard_transfers
                 .as_ref()
-                .filter(|_| self.leading())
-                .map(|shares| self.transfers_report(shares)),
+                .filter(|_| self.is_leader())
+                .map(|state| self.transfers_report(state)),
         }
     }
 
-    fn transfers_report(&self, shares: &Shares) -> TransfersReport {
-        let told: BTreeSet<&MachineId> = self.leader.machines().map(|m| &m.id).collect();
+    fn transfers_report(&self, state: &ShardTransfers) -> TransfersReport {
+        let reported: BTreeSet<&MachineId> = self.leader.machines().map(|m| &m.id).collect();
         TransfersReport {
-            under_way: shares.transfers.under_way().cloned().collect(),
-            ended: shares.transfers.ended.clone(),
-            machines_moved: shares.transfers.machines_moved,
-            longest_s: shares.transfers.longest_s,
+            under_way: state.transfers.under_way().cloned().collect(),
+            ended: state.transfers.ended.clone(),
+            machines_moved: state.transfers.machines_moved,
+            longest_s: state.transfers.longest_s,
             without_owner: self
                 .cache
                 .registry
                 .keys()
-                .filter(|id| !told.contains(id))
+                .filter(|id| !reported.contains(id))
                 .count(),
-            plan: shares.planner.plan().clone(),
+            plan: state.planner.plan().clone(),
         }
     }
 }
--- a/src/controller/watch_events.rs
+++ b/src/controller/watch_events.rs
@@ -1,85 +1,96 @@
-//! Readings of the key-value store, and what their changes mean to the cores.
+//! Readings of the key-value store, and what their changes mean to the shard and the
+//! leader.
 
+use super::interval_timer::IntervalTimer;
 use super::Controller;
 use crate::clock::Seconds;
 use crate::cluster::membership;
 use crate::store::cache::CacheChange;
-use crate::store::WatchEvent;
+use crate::store::{KeyChange, KeyValue, WatchEvent};
 use crate::wire::{JobId, MachineId};
 
 impl Controller {
-    pub(super) fn feed(&mut self, feed: WatchEvent, now: Seconds) {
-        match feed {
+    /// Applies a reading of the key-value store, and serves the requests that waited
+    /// for it.
+    pub(super) fn apply_watch_event(&mut self, event: WatchEvent, now: Seconds) {
+        match event {
             WatchEvent::Snapshot {
                 began,
                 revision,
                 entries,
             } => {
                 tracing::info!(revision, keys = entries.len(), "read the whole state");
-                self.cache.load(entries);
-                self.report_misfits();
-                self.last_synced_at = Some(began);
-                self.store_unreachable = false;
-                self.epoch_changed(now);
-                let ids: Vec<JobId> = self.cache.jobs.keys().cloned().collect();
-                for id in ids {
-                    self.job_changed(&id);
-                }
-                // What was taken off the machine registry between two readings.
-                for id in self.shard.registered_machines() {
-                    if !self.cache.registry.contains_key(&id) {
-                        self.machine_changed(&id, now);
-                    }
-                }
-                let ids: Vec<MachineId> = self.cache.registry.keys().cloned().collect();
-                for id in ids {
-                    self.machine_changed(&id, now);
-                }
-            }
-            WatchEvent::Changes { began, events, .. } => {
-                for event in events {
-                    let change = self.cache.apply(event);
-                    self.changed(change, now);
-                }
-                self.last_synced_at = Some(began);
-                if self.store_unreachable {
-                    tracing::info!("the state service answers again");
-                }
-                self.store_unreachable = false;
+                self.apply_snapshot(began, entries, now);
             }
+            WatchEvent::Changes { began, events, .. } => self.apply_changes(began, events, now),
             WatchEvent::Unavailable => {
-                if !self.store_unreachable {
+                if !self.store_sync.is_unreachable() {
                     tracing::info!("the state service does not answer");
                 }
-                self.store_unreachable = true;
+                self.store_sync.record_failure();
+            }
+        }
+        self.serve_waiting_reads(now);
+    }
+
+    /// Replaces the cache by a reading that was asked for at `asked_at`.
+    fn apply_snapshot(&mut self, asked_at: Seconds, entries: Vec<KeyValue>, now: Seconds) {
+        self.cache.load(entries);
+        self.log_misfit_records();
+        self.store_sync.record_success(asked_at);
+        self.apply_epoch_change(now);
+        let jobs: Vec<JobId> = self.cache.jobs.keys().cloned().collect();
+        for id in jobs {
+            self.apply_job_change(&id);
+        }
+        // Machines may have been taken off the registry between two readings.
+        for id in self.shard.registered_machines() {
+            if !self.cache.registry.contains_key(&id) {
+                self.apply_machine_change(&id, now);
             }
         }
-        self.serve_waiting(now);
+        let machines: Vec<MachineId> = self.cache.registry.keys().cloned().collect();
+        for id in machines {
+            self.apply_machine_change(&id, now);
+        }
+    }
+
+    fn apply_changes(&mut self, asked_at: Seconds, changes: Vec<KeyChange>, now: Seconds) {
+        for change in changes {
+            let change = self.cache.apply(change);
+            self.apply_cache_change(change, now);
+        }
+        if self.store_sync.is_unreachable() {
+            tracing::info!("the state service answers again");
+        }
+        self.store_sync.record_success(asked_at);
     }
 
-    /// Tells the cores what has changed in the cache.
-    pub(super) fn changed(&mut self, change: CacheChange, now: Seconds) {
+    /// Tells the shard and the leader what has changed in the cache.
+    pub(super) fn apply_cache_change(&mut self, change: CacheChange, now: Seconds) {
         match change {
-            CacheChange::Epoch => self.epoch_changed(now),
-            CacheChange::Job(id) => self.job_changed(&id),
+            CacheChange::Epoch => self.apply_epoch_change(now),
+            CacheChange::Job(id) => self.apply_job_change(&id),
             CacheChange::Machines(ids) => {
                 for id in ids {
-                    self.machine_changed(&id, now);
+                    self.apply_machine_change(&id, now);
                 }
             }
-            CacheChange::ShardMap => self.shares_changed(now),
+            CacheChange::ShardMap => self.apply_shard_map_change(now),
             CacheChange::Members | CacheChange::Catalog | CacheChange::Nothing => {}
         }
     }
 
-    pub(super) fn job_changed(&mut self, id: &JobId) {
+    /// A job's record has changed.
+    pub(super) fn apply_job_change(&mut self, id: &JobId) {
         self.shard.job_changed(id, &self.cache);
-        if self.leading() {
+        if self.is_leader() {
             self.leader.job_changed(id, &self.cache);
         }
     }
 
-    pub(super) fn machine_changed(&mut self, id: &MachineId, now: Seconds) {
+    /// A machine was put on the registry, changed there, or taken off it.
+    fn apply_machine_change(&mut self, id: &MachineId, now: Seconds) {
         match self.cache.registry.get(id) {
             Some(machine) => {
                 let record = &machine.record;
@@ -94,32 +105,38 @@
         }
     }
 
-    pub(super) fn epoch_changed(&mut self, now: Seconds) {
+    /// Enters the epoch that the cache shows, if this incarnation is a member of it.
+    pub(super) fn apply_epoch_change(&mut self, now: Seconds) {
         let Some(epoch) = self.cache.epoch.clone() else {
             return;
         };
-        self.epoch_wanted = None;
-        let me = self.settings.node_name.clone();
-        if self.incarnation == 0 || epoch.members.get(&me) != Some(&self.incarnation) {
+        self.membership.mark_epoch_current();
+        let Some(incarnation) = self.membership.incarnation_in(&epoch) else {
             return;
-        }
-        tracing::info!(epoch = epoch.number, leader = %epoch.leader, members = epoch.members.len(), "entered an epoch");
-        let shares = self.cache.shard_map.clone();
+        };
+        tracing::info!(
+            epoch = epoch.number,
+            leader = %epoch.leader,
+            members = epoch.members.len(),
+            "entered an epoch"
+        );
+        let this_node = self.settings.node_name.clone();
+        let shard_map = self.cache.shard_map.clone();
         if self.shard.epoch() != epoch.number {
             self.shard
-                .start_epoch(epoch.number, self.incarnation, &self.cache, now, |id| {
-                    membership::owner_by_shard_map(&epoch, &shares, id) == Some(me.as_str())
+                .start_epoch(epoch.number, incarnation, &self.cache, now, |id| {
+                    let owner = membership::owner_by_shard_map(&epoch, &shard_map, id);
+                    owner == Some(this_node.as_str())
                 });
         }
-        if epoch.leader == self.settings.node_name {
-            let kept = self
-                .leader
-                .start_epoch(&epoch, self.incarnation, &self.cache);
-            self.began_to_lead(kept, now);
-            self.forget_transfers(now);
+        if epoch.leader == this_node {
+            let kept_state = self.leader.start_epoch(&epoch, incarnation, &self.cache);
+            self.begin_hold_off(kept_state, now);
+            self.reset_transfers(now);
             self.autoscaler.start_leading(now);
-            self.registry.lead();
+            self.registry.begin_leading();
         }
-        self.told_leader = 0.0;
+        // Due now, but for a process that has only just started.
+        self.leader_report_timer = IntervalTimer::since_process_start();
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,7 +4,7 @@
 use finchwood::config::features::{FeatureError, Features};
 use finchwood::config::policy::{Policy, PolicyError};
 use finchwood::config::settings::{Settings, SettingsError};
-use finchwood::controller;
+use finchwood::controller::{self, StartError};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use thiserror::Error;
@@ -34,8 +34,8 @@
     Policy(#[from] PolicyError),
     #[error(transparent)]
     Features(#[from] FeatureError),
-    #[error("{0}")]
-    Controller(String),
+    #[error(transparent)]
+    Controller(#[from] StartError),
 }
 
 /// Logs to the standard error stream, from the level that `LOG_LEVEL` names.
@@ -61,7 +61,8 @@
         None => Policy::default(),
     };
     let features = Features::load(&args.with)?;
-    controller::run(settings, policy, &features).map_err(Error::Controller)
+    controller::run(settings, policy, &features)?;
+    Ok(())
 }
 
 fn main() -> ExitCode {
