--- /dev/null
+++ b/src/scheduler/capacity/machine_slot.rs
@@ -0,0 +1,71 @@
+//! What a machine has free, as placement sees it.
+
+use super::{NameInterner, PlacementRequest, Preempts};
+use crate::shard::MachineStatus;
+use crate::wire::{MachineId, Resources};
+use std::sync::Arc;
+
+/// A machine that takes new tasks. Its names are interned.
+#[derive(Debug, Clone)]
+pub struct MachineSlot {
+    /// The machine.
+    pub id: MachineId,
+    /// The shard that owns it.
+    pub shard: u32,
+    /// Its machine type.
+    pub machine_type: u32,
+    /// Its zone.
+    pub zone: u32,
+    /// Whether the cloud may take it back at short notice.
+    pub spot: bool,
+    /// What no task uses.
+    pub free: Resources,
+    /// What tasks of lower priority use, which the highest priority may preempt.
+    pub preemptible: Resources,
+    /// What low tasks of borrowing teams use, which the priorities between may preempt.
+    pub preemptible_low: Resources,
+    /// The images cached there, in ascending order.
+    pub images: Arc<[u32]>,
+}
+
+impl MachineSlot {
+    /// The slot of a machine of `shard`, from its report.
+    pub fn new(status: &MachineStatus, shard: u32, names: &mut NameInterner) -> MachineSlot {
+        let mut images: Vec<u32> = status.images.iter().map(|i| names.intern(i)).collect();
+        images.sort_unstable();
+        MachineSlot {
+            id: status.id.clone(),
+            shard,
+            machine_type: names.intern(&status.machine_type),
+            zone: names.intern(&status.zone),
+            spot: status.spot,
+            free: status.free,
+            preemptible: status.preemptible,
+            preemptible_low: status.preemptible_low,
+            images: images.into(),
+        }
+    }
+
+    /// How many tasks of a request it has room for.
+    pub(super) fn max_tasks(&self, request: &PlacementRequest) -> u32 {
+        let mut free = self.free;
+        free.add(&self.preemptible_for(request.preempts));
+        free.max_tasks(&request.task_resources)
+    }
+
+    /// What a request may preempt.
+    pub(super) fn preemptible_for(&self, preempts: Preempts) -> Resources {
+        match preempts {
+            Preempts::Nothing => Resources::default(),
+            Preempts::BorrowingLowWork => self.preemptible_low,
+            Preempts::AllLowerWork => self.preemptible,
+        }
+    }
+
+    /// Whether the request's image is likely cached.
+    pub(super) fn has_image(&self, request: &PlacementRequest) -> bool {
+        request
+            .image
+            .is_some_and(|image| self.images.binary_search(&image).is_ok())
+    }
+}
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -66,6 +66,14 @@
             last_report_at: now,
         }
     }
+
+    /// Replaces the machines that are silent now.
+    pub(super) fn set_silent_machines(&mut self, silent: Vec<SilentMachine>) {
+        self.silent_machines = silent
+            .into_iter()
+            .map(|machine| (machine.id.clone(), machine))
+            .collect();
+    }
 }
 
 impl Leader {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -18,6 +18,7 @@
 mod orders;
 mod placement;
 mod progress;
+mod reconcile;
 mod round;
 mod shard_reports;
 mod urgency;
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -70,7 +70,7 @@
         one_zone: bool,
     ) -> Vec<ShardAssignment> {
         for &slot in &fit.slots {
-            capacity.take(slot, &tasks.request.ask);
+            capacity.take(slot, &tasks.request.task_resources);
         }
         // A job for one zone is told which. Left to choose, the shard started it
         // where only some of its tasks had room.
@@ -195,7 +195,7 @@
                 Some((_, count)) => *count += 1,
                 None => told.push((zone.clone(), 1)),
             }
-            capacity.take(slot, &tasks.request.ask);
+            capacity.take(slot, &tasks.request.task_resources);
             by_shard.entry(shard).or_default().push(index);
         }
         shard_assignments(by_shard)
@@ -306,7 +306,7 @@
         return Vec::new();
     };
     for &slot in &fit.slots {
-        capacity.take(slot, &tasks.request.ask);
+        capacity.take(slot, &tasks.request.task_resources);
     }
     vec![ShardAssignment {
         shard: names.name(fit.shard).clone(),
@@ -331,7 +331,7 @@
         };
         match capacity.best(tasks.request, Some(shard), None) {
             Some(slot) => {
-                capacity.take(slot, &tasks.request.ask);
+                capacity.take(slot, &tasks.request.task_resources);
                 let of_shard = by_shard.entry(names.name(shard).clone()).or_default();
                 of_shard.push(index);
                 next = remaining.next();
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -48,7 +48,7 @@
                 if let Some(slot) =
                     capacity.best(request, self.names.lookup(&assignment.shard), None)
                 {
-                    capacity.take(slot, &request.ask);
+                    capacity.take(slot, &request.task_resources);
                 }
             }
         }
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -1,25 +1,30 @@
-//! Shards' reports, and what they prove about where tasks are.
+//! Shards' reports: what they say of machines and of tasks.
 
 use super::completions::needs_commit;
 use super::{AssignmentNumbers, Leader, ShardView, TaskAssignment, TrackedMachine};
 use crate::clock::Seconds;
-use crate::finished::TaskSet;
 use crate::scheduler::capacity::MachineSlot;
 use crate::shard::{
     AssignedTaskStatus, MachineStatus, RemovalReason, RemovedTask, ShardReport, TaskPhase,
 };
 use crate::store::cache::StoreCache;
 use crate::wire::{JobId, JobKind, MachineId, Task};
-use finchwood_reconciliation::unreconciled::{MachineClass, UnreconciledMachines};
 use std::collections::HashSet;
 use std::sync::Arc;
 
 /// Tasks that a report lists.
 type ListedTasks = HashSet<(JobId, u32)>;
 
+fn listed_tasks(statuses: &[AssignedTaskStatus]) -> ListedTasks {
+    statuses
+        .iter()
+        .map(|status| (status.task.job.clone(), status.task.index))
+        .collect()
+}
+
 impl Leader {
-    /// Takes in a shard's report. False if it is none of this epoch's, or
-    /// builds on one that was never taken in: the shard, not told that it was,
+    /// Applies a shard's report. Returns false if it is none of this epoch's, or builds
+    /// on one that was never applied: the shard, whose report is not acknowledged then,
     /// sends all that is missing again.
     pub fn apply_shard_report(
         &mut self,
@@ -35,32 +40,24 @@
         self.epoch.first_report_at.get_or_insert(now);
         self.epoch.reported_shards.insert(report.node.clone());
         let shard: Arc<str> = report.node.as_str().into();
-        let whole = report.since == 0;
-        self.apply_machines(&shard, whole, &report.unregistered, report.machines, now);
+        let full = report.since == 0;
+        self.apply_machines(&shard, full, &report.unregistered, report.machines, now);
         if let Some(view) = self.shards.get_mut(&report.node) {
             view.seen_elsewhere = report.seen_elsewhere.into_iter().collect();
             view.zone_contacts = report.zone_contacts.into_iter().collect();
-            view.silent_machines = report
-                .silent_machines
-                .into_iter()
-                .map(|q| (q.id.clone(), q))
-                .collect();
+            view.set_silent_machines(report.silent_machines);
         }
-        let listed: ListedTasks = report
-            .assigned
-            .iter()
-            .map(|h| (h.task.job.clone(), h.task.index))
-            .collect();
-        for held in report.assigned {
-            self.apply_assigned_task(&shard, held, cache);
+        let listed = listed_tasks(&report.assigned);
+        for status in report.assigned {
+            self.apply_assigned_task(&shard, status, cache);
         }
-        for gone in report.removed {
-            self.apply_removed_task(&shard, gone, now);
+        for removed in report.removed {
+            self.apply_removed_task(&shard, removed, now);
         }
-        if whole && report.state_retained {
+        if full && report.state_retained {
             self.reconcile_retained_shard(&shard, &listed);
         }
-        let mut missing = if whole {
+        let mut missing = if full {
             self.missing_tasks(&shard, &listed)
         } else {
             Vec::new()
@@ -69,18 +66,24 @@
             report
                 .released
                 .into_iter()
-                .filter(|d| self.has_acknowledged(&shard, &d.0, d.1))
-                .map(|d| d.0),
+                .filter(|(task, attempt, _)| self.has_acknowledged(&shard, task, *attempt))
+                .map(|(task, _, _)| task),
         );
+        self.mark_missing(&missing, cache);
+        true
+    }
+
+    /// Marks tasks as unreconciled that a shard lists no more, and removes jobs of
+    /// which nothing is left.
+    fn mark_missing(&mut self, missing: &[Task], cache: &StoreCache) {
         for task in missing {
-            self.mark_unreconciled(&task, cache);
+            self.mark_unreconciled(task, cache);
         }
         self.remove_ended_jobs(cache);
-        true
     }
 
-    /// Whether a report is of this epoch and builds on what was taken in; notes
-    /// that it came, if so.
+    /// Whether a report is of this epoch and builds on what was applied; records that
+    /// it came, if so.
     fn is_next_report(&mut self, report: &ShardReport, now: Seconds) -> bool {
         if report.epoch != self.epoch.number
             || self.epoch.members.get(&report.node) != Some(&report.incarnation)
@@ -102,11 +105,12 @@
         true
     }
 
+    /// Applies what a report says of machines; a full one names all of them.
     fn apply_machines(
         &mut self,
         shard: &Arc<str>,
-        whole: bool,
-        unacknowledged: &[(MachineId, u64)],
+        full: bool,
+        unregistered: &[(MachineId, u64)],
         machines: Vec<MachineStatus>,
         now: Seconds,
     ) {
@@ -114,47 +118,46 @@
         let Some(view) = self.shards.get_mut(&**shard) else {
             return;
         };
-        if whole {
-            let told: HashSet<&MachineId> = machines.iter().map(|machine| &machine.id).collect();
-            view.machines.retain(|id, _| told.contains(id));
+        if full {
+            let reported: HashSet<&MachineId> =
+                machines.iter().map(|machine| &machine.id).collect();
+            view.machines.retain(|id, _| reported.contains(id));
         }
-        for (id, _) in unacknowledged {
+        for (id, _) in unregistered {
             view.machines.remove(id);
         }
         for machine in machines {
-            // One that takes tasks again has been idle since then: it was not
-            // by itself that it held nothing.
-            let before = view
-                .machines
-                .get(&machine.id)
-                .filter(|o| o.view.tasks == 0 && (o.view.schedulable || !machine.schedulable));
-            let before = before.map(|o| o.idle_since);
+            // One that takes tasks again is idle from now on: it was kept empty before.
+            let before = view.machines.get(&machine.id).filter(|before| {
+                before.view.tasks == 0 && (before.view.schedulable || !machine.schedulable)
+            });
+            let before = before.map(|before| before.idle_since);
             let slot = MachineSlot::new(&machine, shard_number, &mut self.names);
-            let news = TrackedMachine {
+            let tracked = TrackedMachine {
                 slot,
                 idle_since: before.unwrap_or(now),
                 view: machine,
             };
-            view.machines.insert(news.view.id.clone(), news);
+            view.machines.insert(tracked.view.id.clone(), tracked);
         }
     }
 
-    /// A shard holds a task.
+    /// Applies that a shard holds a task.
     fn apply_assigned_task(
         &mut self,
         shard: &Arc<str>,
-        held: AssignedTaskStatus,
+        status: AssignedTaskStatus,
         cache: &StoreCache,
     ) {
-        let index = held.task.index;
-        let Some(entry) = self.jobs.get_mut(&held.task.job) else {
+        let index = status.task.index;
+        let Some(entry) = self.jobs.get_mut(&status.task.job) else {
             return;
         };
-        // Guard: a task that the job doesn't have would count towards its end.
+        // A task that the job doesn't have would count towards its end.
         if index >= entry.spec.task_count {
             return;
         }
-        if held.phase == TaskPhase::Done && needs_commit(cache, &held.task) {
+        if status.phase == TaskPhase::Done && needs_commit(cache, &status.task) {
             // The tasks of a gang complete together: if one is done, all are,
             // also those that are lost since.
             let gang = entry.spec.job_kind == JobKind::Gang;
@@ -172,60 +175,58 @@
         let assigned = TaskAssignment {
             shard: shard.clone(),
             numbers: AssignmentNumbers {
-                attempt: held.attempt,
-                assignment: held.assignment,
+                attempt: status.attempt,
+                assignment: status.assignment,
             },
             acknowledged: true,
-            phase: held.phase,
-            machine: held.machine,
+            phase: status.phase,
+            machine: status.machine,
         };
         match entry.assigned.get(&index) {
-            // Two shards list it (a machine changed hands): the newer word
-            // of the later attempt stands, until one of them is gone.
+            // Two shards list it after a transfer of its machine: the later assignment
+            // stands until one of them reports it removed.
             Some(old) if old.shard != assigned.shard && old.numbers > assigned.numbers => {}
             _ => entry.assign(index, assigned),
         }
     }
 
-    /// A task is certainly nowhere in a shard any more.
-    fn apply_removed_task(&mut self, shard: &Arc<str>, gone: RemovedTask, now: Seconds) {
+    /// Applies that a task is certainly nowhere in a shard any more.
+    fn apply_removed_task(&mut self, shard: &Arc<str>, removed: RemovedTask, now: Seconds) {
         let report_s = self.policy.report_s;
-        let Some(entry) = self.jobs.get_mut(&gone.task.job) else {
+        let Some(entry) = self.jobs.get_mut(&removed.task.job) else {
             return;
         };
-        // Guard: a shard says again and again that a task is gone, also after
-        // it was assigned there anew under the same attempt.
-        let same =
-            |d: &TaskAssignment| gone.assignment == 0 || d.numbers.assignment == gone.assignment;
-        let assigned = entry.assigned.get(&gone.task.index);
-        if !assigned
-            .is_some_and(|d| d.shard == *shard && d.numbers.attempt == gone.attempt && same(d))
-        {
+        // A shard repeats that a task is removed, also after it was assigned there anew
+        // under the same attempt.
+        let is_same = |assigned: &TaskAssignment| {
+            assigned.shard == *shard
+                && assigned.numbers.attempt == removed.attempt
+                && (removed.assignment == 0 || assigned.numbers.assignment == removed.assignment)
+        };
+        if !entry.assigned.get(&removed.task.index).is_some_and(is_same) {
             return;
         }
-        entry.unassign(gone.task.index);
-        if let Some(attempt) = entry
-            .attempt
-            .as_mut()
-            .filter(|_| gone.reason != RemovalReason::Passed)
-        {
-            attempt.mark_broken();
+        entry.unassign(removed.task.index);
+        if removed.reason != RemovalReason::Passed {
+            if let Some(attempt) = entry.attempt.as_mut() {
+                attempt.mark_broken();
+            }
         }
-        if gone.reason == RemovalReason::Error {
+        if removed.reason == RemovalReason::Error {
             entry
                 .failures
-                .record_failure(gone.machine.clone(), report_s, now);
-            if let Some(machine) = gone.machine {
+                .record_failure(removed.machine.clone(), report_s, now);
+            if let Some(machine) = removed.machine {
                 self.failed_jobs_by_machine
                     .entry(machine)
                     .or_default()
-                    .insert(gone.task.job);
+                    .insert(removed.task.job);
             }
         }
     }
 
-    /// A shard that kept all it knew proves by its own word that what only it can
-    /// hold, and it doesn't list, is nowhere.
+    /// Frees the tasks that only this shard can hold and that its full report doesn't
+    /// list: it has kept all that it knew, so that its report is proof.
     fn reconcile_retained_shard(&mut self, shard: &Arc<str>, listed: &ListedTasks) {
         for (id, entry) in self
             .jobs
@@ -235,8 +236,8 @@
             let theirs = entry
                 .sole_holders
                 .iter()
-                .filter(|(_, p)| *p == shard)
-                .map(|(i, _)| *i);
+                .filter(|(_, holder)| *holder == shard)
+                .map(|(index, _)| *index);
             for index in theirs.collect::<Vec<u32>>() {
                 entry.sole_holders.remove(&index);
                 if !listed.contains(&(id.clone(), index)) {
@@ -246,14 +247,14 @@
         }
     }
 
-    /// What a shard had listed and lists no more, without a word.
+    /// Tasks that a shard had listed and doesn't list any more, with no reason given.
     fn missing_tasks(&self, shard: &Arc<str>, listed: &ListedTasks) -> Vec<Task> {
         let mut missing = Vec::new();
         for (id, entry) in &self.jobs {
             let theirs = entry
                 .assigned
                 .iter()
-                .filter(|(_, d)| d.shard == *shard && d.acknowledged);
+                .filter(|(_, assigned)| assigned.shard == *shard && assigned.acknowledged);
             let lost = theirs.filter(|(index, _)| !listed.contains(&(id.clone(), **index)));
             missing.extend(lost.map(|(index, _)| Task {
                 job: id.clone(),
@@ -269,18 +270,19 @@
             .jobs
             .get(&task.job)
             .and_then(|entry| entry.assigned.get(&task.index));
-        assigned
-            .is_some_and(|d| d.shard == *shard && d.acknowledged && d.numbers.attempt == attempt)
+        assigned.is_some_and(|assigned| {
+            assigned.shard == *shard && assigned.acknowledged && assigned.numbers.attempt == attempt
+        })
     }
 
-    /// A task is somewhere we don't know, unless it needs no more runs.
+    /// Records that a task may be anywhere, unless it needs no more runs.
     fn mark_unreconciled(&mut self, task: &Task, cache: &StoreCache) {
         let Some(entry) = self.jobs.get_mut(&task.job) else {
             return;
         };
         entry.unassign(task.index);
         let job = cache.jobs.get(&task.job);
-        if job.is_some_and(|j| j.finished.contains(task.index) || j.record.done) {
+        if job.is_some_and(|job| job.finished.contains(task.index) || job.record.done) {
             return;
         }
         entry.unreconciled.add(task.index);
@@ -290,119 +292,12 @@
         self.epoch.reconciled = false;
     }
 
-    fn remove_ended_jobs(&mut self, cache: &StoreCache) {
+    /// Removes jobs that have ended and of which no task may be anywhere.
+    pub(super) fn remove_ended_jobs(&mut self, cache: &StoreCache) {
         self.jobs.retain(|id, entry| {
             !entry.assigned.is_empty()
                 || !entry.unreconciled.is_empty()
-                || cache.jobs.get(id).is_some_and(|j| j.live())
-        });
-    }
-
-    /// Machines whose content nobody knows yet under this epoch, apart from
-    /// those that `gone` says are deleted.
-    pub(super) fn unreconciled_registered<'a>(
-        &'a self,
-        cache: &'a StoreCache,
-        gone: &'a dyn Fn(&MachineId) -> bool,
-    ) -> impl Iterator<Item = &'a MachineId> + 'a {
-        cache
-            .registry
-            .iter()
-            .filter(|(_, machine)| machine.record.in_use)
-            .map(|(id, _)| id)
-            .filter(move |id| {
-                // A shard tells only of machines that are its own in this epoch.
-                !gone(id)
-                    && !self.shards.values().any(|p| {
-                        p.machines
-                            .get(*id)
-                            .is_some_and(|machine| machine.view.reconciled)
-                    })
-            })
-    }
-
-    /// The machines in doubt: those of the machine registry, and those that report although the
-    /// machine registry lacks them.
-    pub fn unreconciled_machines(
-        &self,
-        cache: &StoreCache,
-        gone: &dyn Fn(&MachineId) -> bool,
-    ) -> UnreconciledMachines {
-        let registered = self
-            .unreconciled_registered(cache, gone)
-            .filter_map(|id| cache.registry.get(id));
-        let registered = registered.map(|machine| MachineClass {
-            machine_type: machine.record.machine_type.clone(),
-            zone: machine.record.zone.clone(),
-            spot: machine.record.spot,
-        });
-        let unacknowledged = self.machines().filter(|machine| {
-            machine.has_reported
-                && !machine.reconciled
-                && !cache.registry.contains_key(&machine.id)
-                && !gone(&machine.id)
-        });
-        let unacknowledged = unacknowledged.map(|machine| MachineClass {
-            machine_type: machine.machine_type.clone(),
-            zone: machine.zone.clone(),
-            spot: machine.spot,
+                || cache.jobs.get(id).is_some_and(|job| job.live())
         });
-        registered.chain(unacknowledged).collect()
-    }
-
-    /// Whether machines that no readable page of the machine registry names may hold tasks. Such
-    /// a machine reports to its owner within its worker's lease, or that is past.
-    fn may_be_on_unlisted_machines(&self, cache: &StoreCache) -> bool {
-        let Some(first_report_at) = self.epoch.first_report_at else {
-            return true;
-        };
-        cache.unreadable.any_registry_page()
-            && self.epoch.last_report_at - first_report_at < self.policy.takeover_s
-    }
-
-    /// Whether every member has sent its holdings in this epoch.
-    pub fn all_joined(&self) -> bool {
-        self.epoch
-            .members
-            .keys()
-            .all(|machine| self.epoch.reported_shards.contains(machine))
-    }
-
-    /// Frees unknown tasks once they are proven to be nowhere: every shard has
-    /// told its holdings, and the owner of every machine that may run them is
-    /// certain of what is on it. Only the owner can say that a worker's lease
-    /// must be past, since it knows whether it has answered it: by the age of
-    /// the epoch alone, a worker answered a moment ago would count as empty.
-    ///
-    /// A machine that stays unheard holds up only the jobs that may be on it:
-    /// those allowed on its type, in its zone and on its kind.
-    ///
-    /// `gone` knows whose deletion was answered: that is proof long before the
-    /// machine registry shows it, which may be written late when there is much to write.
-    pub fn reconcile(&mut self, cache: &StoreCache, gone: &dyn Fn(&MachineId) -> bool) {
-        if self.epoch.reconciled || !self.epoch.has_new_evidence || !self.all_joined() {
-            return;
-        }
-        self.epoch.has_new_evidence = false;
-        if self.may_be_on_unlisted_machines(cache) {
-            return;
-        }
-        let unreconciled = self.unreconciled_machines(cache, gone);
-        self.epoch.reconciled = unreconciled.is_empty();
-        for entry in self
-            .jobs
-            .values_mut()
-            .filter(|entry| !entry.unreconciled.is_empty())
-        {
-            if !unreconciled.may_hold(&entry.spec) {
-                entry.unreconciled = TaskSet::default();
-            }
-        }
-        self.remove_ended_jobs(cache);
-    }
-
-    /// Whether nothing is in doubt any more.
-    pub fn is_reconciled(&self) -> bool {
-        self.epoch.reconciled
     }
 }
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -275,7 +275,7 @@
             prop_assert_eq!(real.map(|s| capacity.slots[s].id.to_string()), expected);
             match real {
                 Some(slot) => {
-                    capacity.take(slot, &request.ask);
+                    capacity.take(slot, &request.task_resources);
                     nodes[slot]
                         .free
                         .iter_mut()
@@ -397,7 +397,7 @@
     let request = PlacementRequest::new(&array, &names, Vec::new(), false, Preempts::Nothing);
     let mut taken = Vec::new();
     while let Some(slot) = capacity.best(&request, None, None) {
-        capacity.take(slot, &request.ask);
+        capacity.take(slot, &request.task_resources);
         taken.push(capacity.slots[slot].spot);
     }
     // All four on the spot machine, then four of eight on ordinary ones.
