--- a/src/shard/assigned_tasks.rs
+++ b/src/shard/assigned_tasks.rs
@@ -1,12 +1,92 @@
-//! The tasks that a shard holds, with an index by machine: what concerns one
+//! The tasks that are assigned to a shard, with an index by machine: what concerns one
 //! machine must not cost a look at every task of the shard.
 
-use crate::shard::{AssignedTask, AssignedTaskStatus, LastReported, Placement, TaskPhase};
-use crate::wire::{MachineId, Task};
+use crate::clock::Seconds;
+use crate::shard::{AssignedTaskStatus, TaskPhase};
+use crate::wire::{JobId, MachineId, Task};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::ops::RangeInclusive;
 
-/// Held tasks. A task's place changes only through [`AssignedTasks::place`],
+/// Why a task is stopped.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Stop {
+    /// Its job is cancelled.
+    Cancelled,
+    /// The leader wants it back.
+    Recalled,
+    /// A task of a higher priority needs its room.
+    Preempted,
+    /// Its machine is about to be reclaimed by the cloud.
+    Notice,
+}
+
+/// Where an assigned task is, and how far its start and its stop have come.
+#[derive(Debug, Clone)]
+pub(crate) struct Placement {
+    pub machine: MachineId,
+    /// The session of its worker in which it was started or found.
+    pub session: u64,
+    pub phase: TaskPhase,
+    /// The token under which the last start was sent (or the task adopted);
+    /// none while no start can be under way.
+    pub start_token: Option<u64>,
+    /// Its start was sent, and not taken back since.
+    pub start_sent: bool,
+    /// Its machine has shown it.
+    pub confirmed: bool,
+    /// Why it is to stop, if it is.
+    pub stop: Option<Stop>,
+    pub stop_sent: bool,
+    /// When its phase last changed.
+    pub phase_since: Seconds,
+}
+
+/// A task that is assigned to this shard.
+#[derive(Debug, Clone)]
+pub(crate) struct AssignedTask {
+    pub attempt: u64,
+    /// Tells one assignment of an attempt from the next.
+    pub assignment: u64,
+    /// None while it waits for a machine.
+    pub placement: Option<Placement>,
+    /// When this shard came to have it.
+    pub assigned_at: Seconds,
+    /// Machines that must not get it.
+    pub avoid: Vec<MachineId>,
+    /// What the leader was last told of it, and in which report.
+    pub last_reported: Option<LastReported>,
+}
+
+/// What a report said of a task, and which.
+#[derive(Debug, Clone)]
+pub(crate) struct LastReported {
+    pub attempt: u64,
+    pub phase: TaskPhase,
+    pub machine: Option<MachineId>,
+    pub seq: u64,
+}
+
+impl Placement {
+    pub(super) fn adopted(
+        machine: &MachineId,
+        session: u64,
+        token: u64,
+        now: Seconds,
+    ) -> Placement {
+        Placement {
+            machine: machine.clone(),
+            session,
+            phase: TaskPhase::Running,
+            start_token: Some(token),
+            start_sent: true,
+            confirmed: true,
+            stop: None,
+            stop_sent: false,
+            phase_since: now,
+        }
+    }
+}
+
+/// All assigned tasks. A task's placement changes only through [`AssignedTasks::place`],
 /// which keeps the index true.
 #[derive(Debug, Default)]
 pub(crate) struct AssignedTasks {
@@ -20,22 +100,31 @@
     pub fn get(&self, task: &Task) -> Option<&AssignedTask> {
         self.all.get(task)
     }
-    /// One task's place, for everything but moving it to another machine.
+
+    /// One task's placement, for everything but moving it to another machine.
     pub fn place_mut(&mut self, task: &Task) -> Option<&mut Placement> {
         self.all.get_mut(task)?.placement.as_mut()
     }
-    /// Whether it is held.
+
+    /// Whether a task is assigned.
     pub fn contains(&self, task: &Task) -> bool {
         self.all.contains_key(task)
     }
+
     /// All of them, in order.
     pub fn iter(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
         self.all.iter()
     }
-    /// A range of them, in order.
-    pub fn range(&self, r: RangeInclusive<Task>) -> impl Iterator<Item = (&Task, &AssignedTask)> {
-        self.all.range(r)
+
+    /// Those of a job, in order.
+    pub fn of_job(&self, job: &JobId) -> impl Iterator<Item = (&Task, &AssignedTask)> {
+        let task = |index| Task {
+            job: job.clone(),
+            index,
+        };
+        self.all.range(task(0)..=task(u32::MAX))
     }
+
     /// Those of a machine, in order.
     pub fn on<'a>(
         &'a self,
@@ -44,22 +133,26 @@
         let tasks = self.on.get(machine).into_iter().flatten();
         tasks.filter_map(|t| self.all.get_key_value(t))
     }
-    /// The names of those of a machine.
+
+    /// The names of those of a machine, in order.
     pub fn names_on(&self, machine: &MachineId) -> Vec<Task> {
         self.on
             .get(machine)
             .map(|s| s.iter().cloned().collect())
             .unwrap_or_default()
     }
+
     /// How many a machine has.
     pub fn count_on(&self, machine: &MachineId) -> usize {
         self.on.get(machine).map_or(0, BTreeSet::len)
     }
+
     /// Those that no machine has yet.
     pub fn queued(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
         self.queued.iter().filter_map(|t| self.all.get_key_value(t))
     }
-    /// Takes one in, in place of what was held of it.
+
+    /// Adds a task, in place of what was known of it.
     pub fn insert(&mut self, task: Task, held: AssignedTask) {
         self.remove(&task);
         match &held.placement {
@@ -75,7 +168,8 @@
         }
         self.all.insert(task, held);
     }
-    /// Lets go of one.
+
+    /// Removes a task.
     pub fn remove(&mut self, task: &Task) -> Option<AssignedTask> {
         let held = self.all.remove(task)?;
         match &held.placement {
@@ -93,7 +187,8 @@
         }
         Some(held)
     }
-    /// Gives one its place.
+
+    /// Gives a task its placement.
     pub fn place(&mut self, task: &Task, attempt: u64, at: Placement) {
         if let Some(held) = self.remove(task) {
             self.insert(
@@ -106,8 +201,9 @@
             );
         }
     }
-    /// The views that have changed since report `since`; `seq` is the report
-    /// that will tell them.
+
+    /// The tasks whose status has changed since report `since`; `seq` is the report
+    /// that will list them.
     pub fn changed(&mut self, seq: u64, since: u64) -> Vec<AssignedTaskStatus> {
         let mut out = Vec::new();
         for (task, h) in &mut self.all {
@@ -136,7 +232,8 @@
         }
         out
     }
-    /// Lets go of all that `keep` says no to.
+
+    /// Removes all tasks for which `keep` is false, and returns them with their attempts.
     pub fn retain(&mut self, keep: impl Fn(&Task, &AssignedTask) -> bool) -> Vec<(Task, u64)> {
         let out: Vec<(Task, u64)> = self
             .all
--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -1,10 +1,10 @@
-//! Commands to workers, as answers to reports or sent directly, and the tokens
+//! Commands to workers, as answers to heartbeats or sent directly, and the tokens
 //! that tell late copies from new ones.
 
-use super::machine::ObservedTask;
+use super::machine::{Machine, ObservedTask};
 use super::{Shard, Stop, TaskPhase, LATE_REPORTS};
 use crate::clock::Seconds;
-use crate::cluster::membership::{token, token_counter, token_epoch};
+use crate::cluster::membership::{token, token_epoch};
 use crate::store::cache::StoreCache;
 use crate::wire::{Command, CommandBatch, Heartbeat, MachineId, Task};
 use finchwood_reconciliation::restart_record::StopCause;
@@ -13,35 +13,56 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What to answer a worker.
+/// What to answer a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
     /// 200 with token and commands.
     Accepted { token: u64, commands: Vec<Command> },
-    /// 503: not entitled, or the report is older than one already seen.
+    /// 503: this controller is not entitled to answer, or the heartbeat is older than one
+    /// already seen.
     Refuse,
 }
 
-/// Commands to send directly.
+/// Commands to send to a worker directly.
 #[derive(Debug, Clone)]
 pub struct DirectCommand {
+    /// The machine whose worker it is for.
     pub machine: MachineId,
+    /// Where its worker takes commands.
     pub address: Arc<str>,
+    /// What is sent.
     pub body: CommandBatch,
     /// It has not been heard lately: it may not answer, and must not hold up
     /// what is meant for those that do.
     pub unverified: bool,
 }
 
-/// How many direct commands may go out: to machines heard lately, and to those
-/// in doubt.
+/// How many direct commands may go out.
 #[derive(Debug, Clone, Copy)]
 pub struct CommandCapacity {
+    /// To machines heard lately.
     pub responsive: usize,
+    /// To the others, which may not answer.
     pub unverified: usize,
 }
 
-/// How long a task that is stopped may take to save.
+impl CommandCapacity {
+    /// Takes room for one command; false if there is none.
+    fn take_one(&mut self, unverified: bool) -> bool {
+        let left = if unverified {
+            &mut self.unverified
+        } else {
+            &mut self.responsive
+        };
+        if *left == 0 {
+            return false;
+        }
+        *left -= 1;
+        true
+    }
+}
+
+/// How long a task that is stopped may take to save its progress, in seconds.
 fn saving_time(stop: Stop, task: &Task, cache: &StoreCache) -> Seconds {
     let spec = cache
         .jobs
@@ -107,7 +128,7 @@
         (token, commands)
     }
 
-    /// The command that a held task is due, if any: a stop until it has stopped, a
+    /// The command that an assigned task is due, if any: a stop until it has stopped, a
     /// start until it is seen.
     fn command_for_assigned(
         &mut self,
@@ -159,14 +180,14 @@
             let holding = self.holding(id, task, observed.attempt);
             may_forget(observed.reported(), holding, cache.stored_task(task)).is_some()
         });
-        due.map(|(task, line)| Command::Forget {
+        due.map(|(task, observed)| Command::Forget {
             task: task.to_string(),
-            attempt: line.attempt,
+            attempt: observed.attempt,
         })
         .collect()
     }
 
-    /// Stops for what a machine shows to run and this shard doesn't hold there.
+    /// Stops for what a machine shows to run and is not assigned to it.
     fn stops_for_unassigned(&self, id: &MachineId) -> Vec<Command> {
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
@@ -175,9 +196,9 @@
             let holding = self.holding(id, task, observed.attempt);
             must_stop(observed.reported(), holding).is_some()
         });
-        let stop = |(task, line): (&Task, &ObservedTask)| Command::Stop {
+        let stop = |(task, observed): (&Task, &ObservedTask)| Command::Stop {
             task: task.to_string(),
-            attempt: line.attempt,
+            attempt: observed.attempt,
             grace_s: 0.0,
         };
         due.map(stop).collect()
@@ -204,90 +225,82 @@
         now: Seconds,
         mut room: CommandCapacity,
     ) -> Vec<DirectCommand> {
-        let mut due: BTreeSet<MachineId> = BTreeSet::new();
-        for (_, h) in self.assigned.iter() {
-            if let Some(p) = &h.placement {
-                if (!p.start_sent && p.stop.is_none()) || (p.stop.is_some() && !p.stop_sent) {
-                    due.insert(p.machine.clone());
-                }
-            }
-        }
-        // Ask machines that were taken over, and those that are late to report.
+        self.machines_due_commands(now)
+            .into_iter()
+            .filter_map(|id| self.direct_command(id, cache, now, &mut room))
+            .collect()
+    }
+
+    /// Machines that are to be sent a command: for a start or a stop that was not sent yet,
+    /// because they were taken over, or because their heartbeat is late.
+    fn machines_due_commands(&self, now: Seconds) -> BTreeSet<MachineId> {
+        let placements = self
+            .assigned
+            .iter()
+            .filter_map(|(_, a)| a.placement.as_ref());
+        let mut due: BTreeSet<MachineId> = placements
+            .filter(|placement| match placement.stop {
+                None => !placement.start_sent,
+                Some(_) => !placement.stop_sent,
+            })
+            .map(|placement| placement.machine.clone())
+            .collect();
         let late = self.timing.report_s * LATE_REPORTS;
-        let entered = self.epoch_started_at;
-        due.extend(
-            self.machines
-                .iter()
-                .filter(|(_, m)| {
-                    m.commands.probe_due
-                        || m.used && !m.is_reconciled() && m.session.id == 0
-                        || m.used && m.silent_for(entered, now) > late
-                })
-                .map(|(id, _)| id.clone()),
-        );
-        let mut out = Vec::new();
-        for id in due {
-            if self.transfers.is_fenced(&id) {
-                continue;
-            }
-            let Some(m) = self.machines.get_mut(&id) else {
-                continue;
-            };
-            if m.commands.in_flight
-                || m.commands.retry_after.is_some_and(|at| now < at)
-                || m.session.id != 0 && m.session.has_ended()
-            {
-                continue;
-            }
-            let (Some(address), session) = (m.identity.address.clone(), m.session.id) else {
-                continue;
-            };
-            let unverified = m.commands.unanswered_since.is_some()
-                || m.session.last_heartbeat_at.is_none_or(|h| now - h > late);
-            let left = if unverified {
-                &mut room.unverified
-            } else {
-                &mut room.responsive
-            };
-            if *left == 0 {
-                continue;
-            }
-            *left -= 1;
-            m.commands.probe_due = false;
-            m.commands.outstanding_since = m.commands.outstanding_since.or(Some(now));
-            if !m.is_reconciled() {
-                m.commands.in_flight = true;
-                let commands = m.cancelled_stops(cache);
-                self.restart_record.orders.questions += 1;
-                let body = CommandBatch {
-                    token: token(self.epoch, m.token.counter),
-                    session,
-                    commands,
-                };
-                out.push(DirectCommand {
-                    machine: id,
-                    address,
-                    body,
-                    unverified,
-                });
-                continue;
-            }
-            let (token, commands) = self.commands_for(&id, cache, true);
-            out.push(DirectCommand {
-                machine: id,
-                address,
-                body: CommandBatch {
-                    token,
-                    session,
-                    commands,
-                },
-                unverified,
-            });
+        let is_due = |machine: &Machine| {
+            let never_heard = !machine.is_reconciled() && machine.session.id == 0;
+            let is_late = || machine.silent_for(self.epoch_started_at, now) > late;
+            machine.commands.probe_due || machine.used && (never_heard || is_late())
+        };
+        let to_probe = self.machines.iter().filter(|(_, m)| is_due(m));
+        due.extend(to_probe.map(|(id, _)| id.clone()));
+        due
+    }
+
+    /// The command to a machine that is due one, unless it can't be sent now.
+    fn direct_command(
+        &mut self,
+        id: MachineId,
+        cache: &StoreCache,
+        now: Seconds,
+        room: &mut CommandCapacity,
+    ) -> Option<DirectCommand> {
+        if self.transfers.is_fenced(&id) {
+            return None;
+        }
+        let machine = self.machines.get_mut(&id)?;
+        if !machine.accepts_commands(now) {
+            return None;
+        }
+        let address = machine.identity.address.clone()?;
+        let session = machine.session.id;
+        let unverified = machine.commands.unanswered_since.is_some()
+            || is_late(machine, self.timing.report_s, now);
+        if !room.take_one(unverified) {
+            return None;
         }
-        out
+        machine.commands.probe_due = false;
+        machine.commands.outstanding_since.get_or_insert(now);
+        let (token, commands) = if machine.is_reconciled() {
+            self.commands_for(&id, cache, true)
+        } else {
+            machine.commands.in_flight = true;
+            self.restart_record.orders.questions += 1;
+            let token = token(self.epoch, machine.token.counter);
+            (token, machine.cancelled_stops(cache))
+        };
+        Some(DirectCommand {
+            machine: id,
+            address,
+            body: CommandBatch {
+                token,
+                session,
+                commands,
+            },
+            unverified,
+        })
     }
 
-    /// A direct command was answered (with the worker's report), or not.
+    /// A direct command was answered with the worker's heartbeat, or not answered.
     pub fn command_completed(
         &mut self,
         id: &MachineId,
@@ -296,68 +309,89 @@
         cache: &StoreCache,
         now: Seconds,
     ) {
-        let (epoch, report_s) = (self.epoch, self.timing.report_s);
-        let Some(m) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        m.commands.in_flight = false;
+        machine.commands.in_flight = false;
         // What is known of it has gone over to its target: no more may change.
         if self.transfers.is_fenced(id) {
             return;
         }
         match answer {
-            Some(r) if r.machine == *id && token_epoch(r.token) <= epoch => {
-                // It has just been reached: what it is told reaches it. That
-                // renews no lease, though: only an answered report does.
-                m.token.unacknowledged = None;
-                m.record_command_response(report_s, now);
-                if r.token > token(epoch, m.token.counter) {
-                    m.token.counter = token_counter(r.token) + 1;
-                }
-                if r.token > sent.token || r.session != sent.session {
-                    m.commands.probe_due = true;
-                    for task in self.assigned.names_on(id) {
-                        if let Some(p) = self.assigned.place_mut(&task).filter(|p| !p.confirmed) {
-                            p.start_sent = false;
-                        }
-                    }
-                }
-                let zone = m.identity.zone.clone();
-                self.apply_machine_state(r, cache, now);
-                self.record_zone_contact(&zone, now);
+            Some(heartbeat)
+                if heartbeat.machine == *id && token_epoch(heartbeat.token) <= self.epoch =>
+            {
+                self.apply_command_response(sent, heartbeat, cache, now);
             }
-            _ => {
-                // It may be executed yet: whatever it held is dead once the
-                // worker has seen a higher token. A question alone, or a stop, is
-                // harmless however late it comes; a higher token for each that
-                // gets no answer would keep a machine uncertain, and what runs
-                // there renewed, for as long as commands don't reach it.
-                if sent
-                    .commands
-                    .iter()
-                    .any(|c| !matches!(c, Command::Stop { .. }))
-                {
-                    m.token.counter += 1;
-                }
-                // One taken over that doesn't answer the first question is
-                // suspected at once, but only if others of its zone are reached
-                // meanwhile. It is asked once more, as it may only just be back
-                // from a short cut.
-                let late = m
-                    .session
-                    .last_heartbeat_at
-                    .is_none_or(|h| now - h > report_s * LATE_REPORTS);
-                let asked = m.commands.outstanding_since.unwrap_or(now);
-                let others = self
-                    .zone_contacts
-                    .get(&m.identity.zone)
-                    .is_some_and(|s| s.last_at > asked);
-                let suspect = late && others && m.commands.unanswered_since.is_none();
-                m.commands.retry_after = Some(if suspect { now } else { now + report_s });
-                if suspect {
-                    m.commands.unanswered_since = Some(now);
+            _ => self.record_command_failure(id, sent, now),
+        }
+    }
+
+    /// Applies the heartbeat with which a worker answered a direct command.
+    fn apply_command_response(
+        &mut self,
+        sent: &CommandBatch,
+        heartbeat: &Heartbeat,
+        cache: &StoreCache,
+        now: Seconds,
+    ) {
+        let id = &heartbeat.machine;
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        // It has just been reached: what it is told reaches it. That renews no lease,
+        // though: only an answered heartbeat does.
+        machine.token.unacknowledged = None;
+        machine.record_command_response(self.timing.report_s, now);
+        machine.follow_token(self.epoch, heartbeat.token);
+        let zone = machine.identity.zone.clone();
+        if heartbeat.token > sent.token || heartbeat.session != sent.session {
+            // The worker has dropped the command.
+            machine.commands.probe_due = true;
+            for task in self.assigned.names_on(id) {
+                let placement = self.assigned.place_mut(&task);
+                if let Some(placement) = placement.filter(|placement| !placement.confirmed) {
+                    placement.start_sent = false;
                 }
             }
         }
+        self.apply_machine_state(heartbeat, cache, now);
+        self.record_zone_contact(&zone, now);
+    }
+
+    /// Records that a direct command got no answer. It may be executed yet.
+    fn record_command_failure(&mut self, id: &MachineId, sent: &CommandBatch, now: Seconds) {
+        let report_s = self.timing.report_s;
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        // Whatever the command held is dead once the worker has seen a higher token. A
+        // probe alone, or a stop, is harmless however late it comes; a higher token for
+        // each that gets no answer would keep a machine unreconciled, and what runs
+        // there renewed, for as long as commands don't reach it.
+        let is_harmless = |command: &Command| matches!(command, Command::Stop { .. });
+        if !sent.commands.iter().all(is_harmless) {
+            machine.token.counter += 1;
+        }
+        // One taken over that doesn't answer the first probe is suspected at once, but
+        // only if others of its zone are reached meanwhile. It is probed once more, as it
+        // may only just be back from a short network partition.
+        let asked_at = machine.commands.outstanding_since.unwrap_or(now);
+        let contact = self.zone_contacts.get(&machine.identity.zone);
+        let newly_suspect = is_late(machine, report_s, now)
+            && contact.is_some_and(|contact| contact.last_at > asked_at)
+            && machine.commands.unanswered_since.is_none();
+        if newly_suspect {
+            machine.commands.unanswered_since = Some(now);
+            machine.commands.retry_after = Some(now);
+        } else {
+            machine.commands.retry_after = Some(now + report_s);
+        }
     }
 }
+
+/// Whether a machine's heartbeat is late, or none was ever seen.
+fn is_late(machine: &Machine, report_s: Seconds, now: Seconds) -> bool {
+    let last_heartbeat_at = machine.session.last_heartbeat_at;
+    last_heartbeat_at.is_none_or(|at| now - at > report_s * LATE_REPORTS)
+}
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -1,55 +1,81 @@
-//! Workers' reports: which are newer than what is known, what they prove, and
-//! what has become of the tasks that this shard holds.
+//! Workers' heartbeats: which are newer than what is known, what they prove, and
+//! what has become of the tasks that are assigned to their machines.
 
 use super::machine::{Machine, MachineIdentity, ObservedTask};
 use super::{HeartbeatReply, Shard};
 use crate::clock::Seconds;
 use crate::cluster::failure_detection::ZoneContactSpan;
-use crate::cluster::membership::{token, token_counter, token_epoch};
+use crate::cluster::membership::{token, token_epoch};
 use crate::store::cache::StoreCache;
-use crate::wire::{Heartbeat, MachineId, Task, TaskReport};
+use crate::wire::{Heartbeat, MachineId, Task};
 use finchwood_reconciliation::machine_state::MachineEvent;
 use std::sync::Arc;
 
 impl Shard {
-    /// A report came, and be it that this node has no right to answer it: its
-    /// machine is not mute.
+    /// A heartbeat came, even if this controller has no right to answer it: its machine
+    /// has not stopped reporting.
     pub fn record_contact(&mut self, id: &MachineId) {
-        if let Some(m) = self.machines.get_mut(id) {
-            m.commands.without_heartbeat = None;
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.commands.without_heartbeat = None;
         }
     }
 
-    /// Takes in a worker's report and composes the answer.
+    /// Applies a worker's heartbeat and returns the answer; `relayed` if it came through
+    /// another controller.
     pub fn apply_heartbeat(
         &mut self,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         relayed: bool,
         cache: &StoreCache,
         now: Seconds,
     ) -> HeartbeatReply {
-        if token_epoch(r.token) > self.epoch {
-            // Somebody with a later epoch commands it: an answer of ours
-            // would only be dropped.
+        let id = &heartbeat.machine;
+        // A controller with a later epoch commands it: an answer of ours would only be
+        // dropped. Or what its source knows of it is still to come.
+        if token_epoch(heartbeat.token) > self.epoch || self.transfers.is_awaited(id) {
             return HeartbeatReply::Refuse;
         }
-        if self.transfers.is_awaited(&r.machine) {
+        if self.transfers.is_fenced(id) {
+            return self.answer_fenced(heartbeat, cache, now);
+        }
+        let (epoch, timing) = (self.epoch, self.timing);
+        let machine = self.machine_of(heartbeat, cache, now);
+        if machine.session.is_outdated(heartbeat) {
             return HeartbeatReply::Refuse;
         }
-        if self.transfers.is_fenced(&r.machine) {
-            return self.answer_fenced(r, cache, now);
+        machine.session.last_answered_at = Some(now);
+        machine.commands.without_heartbeat = None;
+        machine.follow_token(epoch, heartbeat.token);
+        machine.record_seen_token(heartbeat, epoch, relayed, timing, now);
+        self.apply_machine_state(heartbeat, cache, now);
+        let machine = self.machines.get(id);
+        if let Some(machine) =
+            machine.filter(|machine| !relayed && machine.session.last_heartbeat_at == Some(now))
+        {
+            let zone = machine.identity.zone.clone();
+            self.record_zone_contact(&zone, now);
         }
-        let epoch = self.epoch;
+        let (token, commands) = self.commands_for(id, cache, false);
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.record_answer(heartbeat.token, token, now);
+        }
+        HeartbeatReply::Accepted { token, commands }
+    }
+
+    /// The machine that a heartbeat is of, known from now on if it wasn't.
+    fn machine_of(
+        &mut self,
+        heartbeat: &Heartbeat,
+        cache: &StoreCache,
+        now: Seconds,
+    ) -> &mut Machine {
         let source_renews_until = self.source_renews_until();
-        let known = cache
-            .registry
-            .get(&r.machine)
-            .map(|machine| machine.record.clone());
-        let m = self.machines.entry(r.machine.clone()).or_insert_with(|| {
+        let id = heartbeat.machine.clone();
+        let machine = self.machines.entry(id).or_insert_with(|| {
             let identity = MachineIdentity {
-                machine_type: r.machine_type.clone(),
-                zone: r.zone.clone(),
-                spot: r.spot,
+                machine_type: heartbeat.machine_type.clone(),
+                zone: heartbeat.zone.clone(),
+                spot: heartbeat.spot,
                 address: None,
             };
             Machine {
@@ -57,130 +83,97 @@
                 ..Machine::new(identity, now)
             }
         });
-        if let Some(record) = known {
-            m.registered = true;
-            m.used |= record.in_use;
-        }
-        if m.session.is_outdated(r) {
-            return HeartbeatReply::Refuse;
-        }
-        m.session.last_answered_at = Some(now);
-        m.commands.without_heartbeat = None;
-        if r.token > token(epoch, m.token.counter) {
-            m.token.counter = token_counter(r.token) + 1;
-        }
-        m.record_seen_token(r, epoch, relayed, self.timing, now);
-        self.apply_machine_state(r, cache, now);
-        if let Some(m) = self
-            .machines
-            .get(&r.machine)
-            .filter(|m| !relayed && m.session.last_heartbeat_at == Some(now))
-        {
-            let zone = m.identity.zone.clone();
-            self.record_zone_contact(&zone, now);
+        if let Some(registered) = cache.registry.get(&heartbeat.machine) {
+            machine.registered = true;
+            machine.used |= registered.record.in_use;
         }
-        let (token, commands) = self.commands_for(&r.machine, cache, false);
-        if let Some(m) = self.machines.get_mut(&r.machine) {
-            m.record_answer(r.token, token, now);
-        }
-        HeartbeatReply::Accepted { token, commands }
+        machine
     }
 
     /// A machine of a zone was reached with nobody in between.
     pub(super) fn record_zone_contact(&mut self, zone: &Arc<str>, now: Seconds) {
-        let known = self.zone_contacts.get(zone).copied();
-        let stretch = ZoneContactSpan::extend(known, now, self.timing.report_s);
-        self.zone_contacts.insert(zone.clone(), stretch);
-        if known.is_some_and(|k| k.began_at != stretch.began_at) {
-            // The zone is back: all its machines are asked at once, as what may
-            // be on them waits for their answers.
-            for m in self
-                .machines
-                .values_mut()
-                .filter(|m| m.identity.zone == *zone)
-            {
-                m.commands.retry_after = m.commands.retry_after.map(|at| at.min(now));
+        let before = self.zone_contacts.get(zone).copied();
+        let contact = ZoneContactSpan::extend(before, now, self.timing.report_s);
+        self.zone_contacts.insert(zone.clone(), contact);
+        if before.is_none_or(|before| before.began_at == contact.began_at) {
+            return;
+        }
+        // The zone is back: all its machines are probed at once, as what may
+        // be on them waits for their answers.
+        for machine in self.machines.values_mut() {
+            if machine.identity.zone == *zone {
+                let retry_after = &mut machine.commands.retry_after;
+                *retry_after = retry_after.map(|at| at.min(now));
             }
         }
     }
 
-    /// Takes in the newest known state of a machine.
-    pub(super) fn apply_machine_state(&mut self, r: &Heartbeat, cache: &StoreCache, now: Seconds) {
-        let id = r.machine.clone();
-        let Some(m) = self.machines.get_mut(&id) else {
+    /// Applies the newest known state of a machine, from a heartbeat or from its answer to
+    /// a direct command.
+    pub(super) fn apply_machine_state(
+        &mut self,
+        heartbeat: &Heartbeat,
+        cache: &StoreCache,
+        now: Seconds,
+    ) {
+        let id = &heartbeat.machine;
+        let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if m.session.is_outdated(r) {
+        if machine.session.is_outdated(heartbeat) {
             return;
         }
-        let new_session = r.session > m.session.id;
-        if new_session {
-            m.session.first_seen_at = Some(now);
-        }
-        m.session.id = r.session;
-        m.session.sequence = r.seq;
-        m.identity.address = Some(r.address.as_str().into());
-        // A copy of an old report may come long after its machine is gone, to
-        // a node that never saw the first: only a worker that has seen a token
-        // of this epoch is alive in it. One that was never used has sent no
-        // report before; whoever is neither is asked, and proves it.
-        let fresh = m.registered && !m.used;
-        let alive = fresh || token_epoch(r.token) == self.epoch;
-        if alive {
-            m.commands.outstanding_since = None;
-            m.commands.unanswered_since = None;
-        }
-        if m.session.last_heartbeat_at.is_none() && alive {
-            m.contents.idle_since = now;
-            self.report_due = true;
-        }
-        // Left alone: a notice that lies in the past makes no sense.
-        if let Some(s) = r.notice_s.filter(|s| *s >= 0.0) {
-            if m.reclaimed_at.is_none() {
+        let is_new_session = machine.follow_session(heartbeat, now);
+        let was_reconciled = machine.is_reconciled();
+        let event = MachineEvent::Heartbeat {
+            first_contact: machine.session.last_heartbeat_at.is_none(),
+            used: machine.used,
+            shows_token: heartbeat.token >= token(self.epoch, machine.token.counter),
+        };
+        if machine.shows_life(heartbeat, self.epoch) {
+            machine.commands.outstanding_since = None;
+            machine.commands.unanswered_since = None;
+            if machine.session.last_heartbeat_at.is_none() {
+                machine.contents.idle_since = now;
                 self.report_due = true;
             }
-            m.reclaimed_at = Some(now + s);
-        }
-        m.contents.tasks = r
-            .tasks
-            .iter()
-            .filter_map(|l: &TaskReport| {
-                let observed = ObservedTask {
-                    attempt: l.attempt,
-                    state: l.state,
-                    cause: l.cause.clone(),
-                };
-                Some((Task::parse(&l.task)?, observed))
-            })
-            .collect();
-        let was_certain = m.is_reconciled();
-        let transition = m.state.after(MachineEvent::Heartbeat {
-            first_contact: m.session.last_heartbeat_at.is_none(),
-            used: m.used,
-            shows_token: r.token >= token(self.epoch, m.token.counter),
-        });
-        m.state = transition.state;
-        if alive {
-            m.session.last_heartbeat_at = Some(now);
+            machine.session.last_heartbeat_at = Some(now);
+        }
+        // A notice that lies in the past makes no sense, and is ignored.
+        if let Some(notice_s) = heartbeat.notice_s.filter(|notice_s| *notice_s >= 0.0) {
+            self.report_due |= machine.reclaimed_at.is_none();
+            machine.reclaimed_at = Some(now + notice_s);
         }
-        let certain = m.is_reconciled();
+        let reports = heartbeat.tasks.iter();
+        machine.contents.tasks = reports
+            .filter_map(|report| Some((Task::parse(&report.task)?, ObservedTask::from(report))))
+            .collect();
+        let transition = machine.state.after(event);
+        machine.state = transition.state;
         if transition.ask {
             // Its answer under our token is proof.
-            m.commands.probe_due = true;
-        } else if !was_certain {
-            m.commands.probe_due = false;
+            machine.commands.probe_due = true;
+        } else if !was_reconciled {
+            machine.commands.probe_due = false;
             self.report_due = true;
         }
-        if new_session {
-            self.expire_session(&id, r.session);
+        let is_reconciled = machine.is_reconciled();
+        if is_new_session {
+            self.expire_session(id, heartbeat.session);
         }
-        if certain {
-            self.reconcile(&id, r.token, cache, now);
+        if is_reconciled {
+            self.reconcile(id, heartbeat.token, cache, now);
         }
-        if let Some(m) = self.machines.get_mut(&id) {
-            if !m.contents.tasks.is_empty() || self.assigned.count_on(&id) > 0 {
-                m.contents.idle_since = now;
-            }
+        self.record_use(id, now);
+    }
+
+    /// Records that a machine holds tasks, if it does.
+    fn record_use(&mut self, id: &MachineId, now: Seconds) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        if !machine.contents.tasks.is_empty() || self.assigned.count_on(id) > 0 {
+            machine.contents.idle_since = now;
         }
     }
 }
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -1,11 +1,11 @@
-//! One machine as its owner knows it: its worker's session, what it showed last
-//! and which signs of trouble it gives.
+//! One machine as its owner knows it: its worker's session, what it showed last,
+//! and whether its heartbeats and our commands get through.
 
 use super::Timing;
 use crate::clock::Seconds;
-use crate::cluster::membership::{token, token_epoch, MAX_COUNTER};
+use crate::cluster::membership::{token, token_counter, token_epoch, MAX_COUNTER};
 use crate::store::cache::StoreCache;
-use crate::wire::{Command, Heartbeat, JobId, Task, TaskState};
+use crate::wire::{Command, Heartbeat, JobId, JobSpec, Task, TaskReport, TaskState};
 use finchwood_reconciliation::machine_state::MachineState;
 use finchwood_reconciliation::verdict::{ReportedTask, Verdict};
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -173,6 +173,16 @@
     }
 }
 
+impl From<&TaskReport> for ObservedTask {
+    fn from(report: &TaskReport) -> ObservedTask {
+        ObservedTask {
+            attempt: report.attempt,
+            state: report.state,
+            cause: report.cause.clone(),
+        }
+    }
+}
+
 /// For how long a machine has answered direct commands without a heartbeat.
 #[derive(Debug, Clone)]
 pub(super) struct ResponsePeriod {
@@ -201,6 +211,17 @@
             idle_since: now,
         }
     }
+
+    /// Records that a task's image will be in the machine's cache of `cache_gb`, from which
+    /// the oldest go when it is full.
+    pub(super) fn cache_image(&mut self, spec: &JobSpec, cache_gb: f64) {
+        self.images.retain(|(name, _)| *name != spec.image);
+        self.images.push_front((spec.image.clone(), spec.image_gb));
+        let used_gb = |images: &VecDeque<CachedImage>| images.iter().map(|(_, gb)| gb).sum::<f64>();
+        while self.images.len() > 1 && used_gb(&self.images) > cache_gb {
+            self.images.pop_back();
+        }
+    }
 }
 
 impl Machine {
@@ -365,6 +386,42 @@
         })
     }
 
+    /// Whether a direct command may be sent now.
+    pub(super) fn accepts_commands(&self, now: Seconds) -> bool {
+        let waits = self.commands.retry_after.is_some_and(|at| now < at);
+        let session_over = self.session.id != 0 && self.session.has_ended();
+        !self.commands.in_flight && !waits && !session_over
+    }
+
+    /// Makes the token higher than one of this epoch that the worker showed, if it isn't
+    /// as high.
+    pub(super) fn follow_token(&mut self, epoch: u64, shown: u64) {
+        if shown > token(epoch, self.token.counter) {
+            self.token.counter = token_counter(shown) + 1;
+        }
+    }
+
+    /// Records the session of a newer heartbeat; true if it is a new one.
+    pub(super) fn follow_session(&mut self, heartbeat: &Heartbeat, now: Seconds) -> bool {
+        let is_new = heartbeat.session > self.session.id;
+        if is_new {
+            self.session.first_seen_at = Some(now);
+        }
+        self.session.id = heartbeat.session;
+        self.session.sequence = heartbeat.seq;
+        self.identity.address = Some(heartbeat.address.as_str().into());
+        is_new
+    }
+
+    /// Whether a heartbeat is a sign of life. A copy of an old one may come long after its
+    /// machine is gone, to a controller that never saw the first: only a worker that has
+    /// seen a token of this epoch is alive in it. One that was never used has sent no
+    /// heartbeat before; whoever is neither is probed, and proves it.
+    pub(super) fn shows_life(&self, heartbeat: &Heartbeat, epoch: u64) -> bool {
+        let never_used = self.registered && !self.used;
+        never_used || token_epoch(heartbeat.token) == epoch
+    }
+
     /// Makes the token higher than `floor`, if it isn't.
     pub(super) fn raise_token_above(&mut self, epoch: u64, floor: u64) {
         if token(epoch, self.token.counter) <= floor {
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -1,5 +1,5 @@
 //! What becomes of the tasks that a machine shows, once its content is certain.
-//! Which is which is judged in `finchwood-reconcile`; here the verdicts are carried
+//! Which is which is verdicts in `finchwood-reconciliation`; here the verdicts are carried
 //! out.
 
 use super::machine::{ObservedTask, ObservedTasks};
@@ -39,6 +39,8 @@
         }
     }
 
+    /// Compares what a machine shows with what is assigned to it, and acts on the verdicts.
+    /// `seen_token` is the token that the machine's heartbeat showed.
     pub(super) fn reconcile(
         &mut self,
         id: &MachineId,
@@ -49,12 +51,12 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        let lines = std::mem::take(&mut m.contents.tasks);
-        let judged_before = std::mem::take(&mut m.contents.verdicts);
+        let observed_tasks = std::mem::take(&mut m.contents.tasks);
+        let verdicts_before = std::mem::take(&mut m.contents.verdicts);
         let (session, first_sight) = (m.session.id, !m.contents.compared);
         m.contents.compared = true;
-        let mut judged = BTreeMap::new();
-        for (task, observed) in &lines {
+        let mut verdicts = BTreeMap::new();
+        for (task, observed) in &observed_tasks {
             let attempt = observed.attempt;
             let holding = self.holding(id, task, attempt);
             let verdict = decide(
@@ -64,9 +66,17 @@
                 self.epoch,
             );
             if verdict != Verdict::Known {
-                judged.insert(task.clone(), (attempt, verdict));
-                if judged_before.get(task) != Some(&(attempt, verdict)) {
-                    self.record_verdict(id, session, task, attempt, verdict, first_sight, now);
+                verdicts.insert(task.clone(), (attempt, verdict));
+                if verdicts_before.get(task) != Some(&(attempt, verdict)) {
+                    let entry = DecisionEntry {
+                        at_s: self.restart_record.age_s(now),
+                        task: task.to_string(),
+                        attempt,
+                        machine: id.clone(),
+                        session,
+                        verdict,
+                    };
+                    self.record_verdict(entry, first_sight);
                 }
             }
             if attempt_counts(attempt, self.epoch) {
@@ -77,10 +87,10 @@
             self.apply_verdict(verdict, task, attempt, adopted, now);
             self.apply_observed_state(verdict, task, observed, now);
         }
-        self.reconcile_absent(id, &lines, seen_token);
+        self.reconcile_absent(id, &observed_tasks, seen_token);
         if let Some(m) = self.machines.get_mut(id) {
-            m.contents.tasks = lines;
-            m.contents.verdicts = judged;
+            m.contents.tasks = observed_tasks;
+            m.contents.verdicts = verdicts;
         }
     }
 
@@ -97,7 +107,7 @@
             Verdict::Known | Verdict::Forget(_) | Verdict::Conflict(_) => {}
             Verdict::Adopt(AdoptReason::FoundWhilePlanned) => {
                 let stale = self.assigned.get(task).map(|held| held.attempt);
-                tracing::warn!(%task, stale, attempt, "assigned task found on a machine");
+                tracing::warn!(%task, stale, attempt, "queued task found on a machine");
                 self.assigned.place(task, attempt, place);
                 self.report_due = true;
             }
@@ -144,36 +154,25 @@
         }
     }
 
-    /// Keeps a verdict for the record: all on what a machine shows first, later only
-    /// what is out of the ordinary.
-    #[allow(clippy::too_many_arguments)]
-    fn record_verdict(
-        &mut self,
-        id: &MachineId,
-        session: u64,
-        task: &Task,
-        attempt: u64,
-        verdict: Verdict,
-        first_sight: bool,
-        now: Seconds,
-    ) {
-        let odd = matches!(
+    /// Records a verdict for the operators: all on what a machine shows first, later only
+    /// those that leave a task alone.
+    fn record_verdict(&mut self, entry: DecisionEntry, first_sight: bool) {
+        let verdict = entry.verdict;
+        if matches!(
             verdict,
             Verdict::LeaveUnreconciled(_) | Verdict::Conflict(_)
-        );
-        if odd {
-            tracing::warn!(%task, attempt, machine = %id, ?verdict, "a reported task is left alone");
+        ) {
+            tracing::warn!(
+                task = %entry.task,
+                attempt = entry.attempt,
+                machine = %entry.machine,
+                ?verdict,
+                "reported task left alone"
+            );
         } else if !first_sight {
             return;
         }
-        self.restart_record.record_decision(DecisionEntry {
-            at_s: self.restart_record.age_s(now),
-            task: task.to_string(),
-            attempt,
-            machine: id.clone(),
-            session,
-            verdict,
-        });
+        self.restart_record.record_decision(entry);
     }
 
     /// What this shard holds on a machine and the newest report doesn't list.
@@ -244,6 +243,7 @@
             .view(self.machines.values().map(|m| m.state), now)
     }
 
+    /// Applies what a machine shows of a task that is assigned to it.
     pub(super) fn update_phase(&mut self, task: &Task, observed: &ObservedTask, now: Seconds) {
         let Some(since) = self.assigned.get(task).map(|h| h.assigned_at) else {
             return;
@@ -278,7 +278,7 @@
             },
         };
         if p.phase != phase {
-            tracing::debug!(%task, ?phase, after = now - since, "now");
+            tracing::debug!(%task, ?phase, assigned_s = now - since, "task phase changed");
             p.phase = phase;
             p.phase_since = now;
             self.report_due = true;
--- a/src/shard/report.rs
+++ b/src/shard/report.rs
@@ -1,9 +1,9 @@
-//! What the leader is told: all that has changed since it last took a report in.
+//! Reports to the leader: all that has changed since the last one that it acknowledged.
 
 use super::machine::Machine;
 use super::{MachineStatus, Shard, ShardReport, SilentMachine, LATE_REPORTS};
 use crate::clock::Seconds;
-use crate::cluster::failure_detection::ZoneContact;
+use crate::cluster::failure_detection::{ZoneContact, ZoneContactSpan};
 use crate::store::cache::StoreCache;
 use crate::wire::{MachineId, Priority, Resources};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
         cache: &StoreCache,
         now: Seconds,
     ) -> MachineStatus {
-        let (mut yielding, mut yielding_low) = (Resources::default(), Resources::default());
+        let (mut preemptible, mut preemptible_low) = (Resources::default(), Resources::default());
         for (task, h) in self.assigned.on(id) {
             let spec = cache
                 .jobs
@@ -27,10 +27,10 @@
                 continue;
             };
             if self.is_preemptible(spec, place, Priority::Prod, now) {
-                yielding.add(&spec.task_resources());
+                preemptible.add(&spec.task_resources());
             }
             if self.is_preemptible(spec, place, Priority::Standard, now) {
-                yielding_low.add(&spec.task_resources());
+                preemptible_low.add(&spec.task_resources());
             }
         }
         let mut images: Vec<Arc<str>> = m.contents.images.iter().map(|i| i.0.clone()).collect();
@@ -45,8 +45,8 @@
             registered: m.registered,
             address: m.identity.address.clone(),
             free: self.free_resources(id, m, cache),
-            preemptible: yielding,
-            preemptible_low: yielding_low,
+            preemptible,
+            preemptible_low,
             schedulable: self.is_schedulable(m, now) && !self.transfers.is_fenced(id),
             spot_notice: m.reclaimed_at.is_some(),
             faulty: m.is_faulty(),
@@ -59,51 +59,14 @@
         }
     }
 
-    /// What has changed in this shard since the leader last said what it had.
+    /// The report of all that has changed since the last one that the leader acknowledged.
     pub fn snapshot(&mut self, cache: &StoreCache, now: Seconds) -> ShardReport {
         self.report_seq += 1;
         self.report_due = false;
         let (seq, since) = (self.report_seq, self.acknowledged_seq);
-        let mut told = std::mem::take(&mut self.last_reported);
-        let mut machines = Vec::new();
-        let mut quiet = Vec::new();
-        for (id, m) in &self.machines {
-            let view = self.machine_status(id, m, cache, now);
-            let entry = match told.get_mut(id) {
-                Some(t) => {
-                    if t.0 != view {
-                        *t = (view, seq);
-                    }
-                    t
-                }
-                None => told.entry(id.clone()).or_insert((view, seq)),
-            };
-            if entry.1 > since {
-                machines.push(entry.0.clone());
-            }
-            let silent_s = m.silent_for(self.epoch_started_at, now);
-            if silent_s > self.timing.report_s * LATE_REPORTS
-                || m.commands.unanswered_since.is_some()
-            {
-                quiet.push(SilentMachine {
-                    id: id.clone(),
-                    silent_s,
-                    unanswered_s: m.commands.unanswered_since.map(|d| now - d),
-                });
-            }
-        }
-        let reached = self.zone_contacts.iter();
-        let reached = reached.map(|(z, s)| {
-            (
-                z.clone(),
-                ZoneContact {
-                    began_ago_s: now - s.began_at,
-                    last_ago_s: now - s.last_at,
-                },
-            )
-        });
-        told.retain(|id, _| self.machines.contains_key(id));
-        self.last_reported = told;
+        let machines = self.changed_machines(cache, now);
+        let assigned = self.assigned.changed(seq, since);
+        let released = self.released_tasks.iter();
         ShardReport {
             epoch: self.epoch,
             node: self.node.clone(),
@@ -113,17 +76,70 @@
             seq,
             machines,
             unregistered: self.unregistered_machines.clone(),
-            assigned: self.assigned.changed(seq, since),
+            assigned,
             removed: self.removed_tasks.clone(),
-            released: self
-                .released_tasks
-                .iter()
+            released: released
                 .map(|released| (released.task.clone(), released.attempt, released.report_seq))
                 .collect(),
-            silent_machines: quiet,
-            zone_contacts: reached.collect(),
+            silent_machines: self.silent_machines(now),
+            zone_contacts: self.zone_contact_ages(now),
             seen_elsewhere: Vec::new(),
             transfers: self.transfers.report(),
         }
     }
+
+    /// The machines whose status has changed since the last acknowledged report.
+    fn changed_machines(&mut self, cache: &StoreCache, now: Seconds) -> Vec<MachineStatus> {
+        let (seq, since) = (self.report_seq, self.acknowledged_seq);
+        let mut last_reported = std::mem::take(&mut self.last_reported);
+        let mut changed = Vec::new();
+        for (id, machine) in &self.machines {
+            let status = self.machine_status(id, machine, cache, now);
+            let (reported, reported_in) = match last_reported.get_mut(id) {
+                Some(last) => {
+                    if last.0 != status {
+                        *last = (status, seq);
+                    }
+                    last
+                }
+                None => last_reported.entry(id.clone()).or_insert((status, seq)),
+            };
+            if *reported_in > since {
+                changed.push(reported.clone());
+            }
+        }
+        last_reported.retain(|id, _| self.machines.contains_key(id));
+        self.last_reported = last_reported;
+        changed
+    }
+
+    /// All machines whose heartbeat is late, or that don't answer direct commands.
+    fn silent_machines(&self, now: Seconds) -> Vec<SilentMachine> {
+        let late = self.timing.report_s * LATE_REPORTS;
+        let mut silent = Vec::new();
+        for (id, machine) in &self.machines {
+            let silent_s = machine.silent_for(self.epoch_started_at, now);
+            let unanswered_since = machine.commands.unanswered_since;
+            if silent_s > late || unanswered_since.is_some() {
+                silent.push(SilentMachine {
+                    id: id.clone(),
+                    silent_s,
+                    unanswered_s: unanswered_since.map(|since| now - since),
+                });
+            }
+        }
+        silent
+    }
+
+    /// How long ago each zone was reached.
+    fn zone_contact_ages(&self, now: Seconds) -> Vec<(Arc<str>, ZoneContact)> {
+        let ages = |contact: &ZoneContactSpan| ZoneContact {
+            began_ago_s: now - contact.began_at,
+            last_ago_s: now - contact.last_at,
+        };
+        let contacts = self.zone_contacts.iter();
+        contacts
+            .map(|(zone, contact)| (zone.clone(), ages(contact)))
+            .collect()
+    }
 }
