--- a/crates/sharding/src/plan.rs
+++ b/crates/sharding/src/plan.rs
@@ -21,9 +21,11 @@
 #[serde(deny_unknown_fields)]
 pub struct PlannedMove {
     /// Their owner.
-    pub from: String,
+    #[serde(rename = "from")]
+    pub source: String,
     /// Their owner to be.
-    pub to: String,
+    #[serde(rename = "to")]
+    pub target: String,
     /// How many.
     pub machines: usize,
 }
@@ -65,21 +67,25 @@
             return Err(PlanError::NobodyLeft);
         }
         let mut pairs = BTreeSet::new();
-        for wanted in &self.moves {
-            let PlannedMove { from, to, machines } = wanted;
-            known(from, members)?;
-            known(to, members)?;
-            if from == to {
-                return Err(PlanError::ToItself(from.clone()));
+        for planned in &self.moves {
+            let PlannedMove {
+                source,
+                target,
+                machines,
+            } = planned;
+            known(source, members)?;
+            known(target, members)?;
+            if source == target {
+                return Err(PlanError::ToItself(source.clone()));
             }
             if *machines == 0 {
-                return Err(PlanError::NoMachines(from.clone(), to.clone()));
+                return Err(PlanError::NoMachines(source.clone(), target.clone()));
             }
-            if drained.contains(to) {
-                return Err(PlanError::ToDrained(to.clone()));
+            if drained.contains(target) {
+                return Err(PlanError::ToDrained(target.clone()));
             }
-            if !pairs.insert((from, to)) {
-                return Err(PlanError::Twice(format!("{from} to {to}")));
+            if !pairs.insert((source, target)) {
+                return Err(PlanError::Twice(format!("{source} to {target}")));
             }
         }
         Ok(())
--- a/crates/sharding/src/planner.rs
+++ b/crates/sharding/src/planner.rs
@@ -149,10 +149,10 @@
     fn choose_planned(&mut self, fleet: Fleet, transfers: &Transfers) -> Option<Candidate> {
         // Whoever has nothing left has given all that it can.
         let owns = |name: &String| fleet.machines.iter().any(|machine| machine.owner == *name);
-        let possible = |range_move: &PlannedMove| {
-            range_move.machines > 0
-                && fleet.members.contains(&range_move.to)
-                && owns(&range_move.from)
+        let possible = |planned_move: &PlannedMove| {
+            planned_move.machines > 0
+                && fleet.members.contains(&planned_move.target)
+                && owns(&planned_move.source)
         };
         self.plan.moves.retain(possible);
         let most = self.limits.machines_per_move;
@@ -160,11 +160,11 @@
             .moves
             .iter()
             .enumerate()
-            .find_map(|(planned, range_move)| {
-                let most = range_move.machines.min(most);
+            .find_map(|(planned, planned_move)| {
+                let most = planned_move.machines.min(most);
                 let (range, machines) =
-                    longest_owned_run(&range_move.from, most, fleet, transfers, &[])?;
-                let (source, target) = (range_move.from.clone(), range_move.to.clone());
+                    longest_owned_run(&planned_move.source, most, fleet, transfers, &[])?;
+                let (source, target) = (planned_move.source.clone(), planned_move.target.clone());
                 let range_move = RangeMove {
                     range,
                     source,
--- a/crates/sharding/tests/shard_map.rs
+++ b/crates/sharding/tests/shard_map.rs
@@ -81,7 +81,7 @@
         let plan = Plan {
             drain: drained.iter().map(|n| NODES[*n].to_string()).collect(),
             moves: moved.iter().filter(|m| m.0 != m.1).map(|(from, to, machines)| PlannedMove {
-                from: NODES[*from].into(), to: NODES[*to].into(), machines: *machines,
+                source: NODES[*from].into(), target: NODES[*to].into(), machines: *machines,
             }).collect(),
         };
         let mut planner = Planner::new(limits, 0.0);
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -242,8 +242,8 @@
 
 fn plan() -> Plan {
     let moves = vec![PlannedMove {
-        from: "a".into(),
-        to: "b".into(),
+        source: "a".into(),
+        target: "b".into(),
         machines: 12,
     }];
     Plan {
