--- a/crates/sharding/tests/shard_map.rs
+++ b/crates/sharding/tests/shard_map.rs
@@ -225,7 +225,7 @@
     assert_eq!(
         state(&all).as_deref(),
         Some("Committed"),
-        "its giver has not let go yet"
+        "its source has not released it yet"
     );
     let released = TransferReport {
         released: vec![1],
--- a/tests/control_plane/cold_restart.rs
+++ b/tests/control_plane/cold_restart.rs
@@ -1,4 +1,4 @@
-//! A new owner and a new leader, who know nothing, meet machines that were used
+//! A new owner and a new leader, which know nothing, meet machines that were used
 //! before: one small case for each way in which stored records and reports can
 //! disagree. The real leader and shard, driven directly.
 
@@ -22,7 +22,7 @@
 const BEFORE: u64 = (EPOCH - 1) << 24 | 5;
 
 /// A shard and a leader that have just come back, and know nothing.
-fn back(cache: &StoreCache) -> (Leader, Shard) {
+fn restarted(cache: &StoreCache) -> (Leader, Shard) {
     let mut p = Shard::new("a", TIMING, Default::default());
     p.set_record_limit(100);
     p.start_epoch(EPOCH, 7, cache, 0.0, |_| true);
@@ -94,7 +94,7 @@
         job("wk-2", 2),
     );
     let m = store_cache(2, &[&s, &a]);
-    let (mut l, mut p) = back(&m);
+    let (mut l, mut p) = restarted(&m);
     assert!(
         assigned(&mut l, &mut p, &m, 0.0).is_empty(),
         "all may run somewhere"
@@ -146,7 +146,7 @@
     m.put("fw/j/wk-2", job_record(&c, true), 201);
     let over = json!({"e": 1, "t": 0, "n": 1, "d": true});
     m.put("fw/j/wk-3", over, 202);
-    let (_, mut p) = back(&m);
+    let (_, mut p) = restarted(&m);
     let lines = ["wk-1/0", "wk-1/1", "wk-2/0", "wk-3/0"].map(|t| (t, BEFORE, RUNNING, None));
     let calls = shows(&mut p, &m, 1, &lines, 0.1);
     let stop = |t: &str| Command::Stop {
@@ -172,7 +172,7 @@
 fn an_end_on_its_way_is_committed_before_its_worker_may_forget_it() {
     let a = job("wk-1", 2);
     let mut m = store_cache(1, &[&a]);
-    let (mut l, mut p) = back(&m);
+    let (mut l, mut p) = restarted(&m);
     let done = [
         ("wk-1/0", BEFORE, ENDED, Some("done")),
         ("wk-1/1", BEFORE, ENDED, Some("error")),
@@ -206,7 +206,7 @@
 fn a_worker_silent_for_minutes_is_waited_for_until_its_lease_and_is_empty_when_back() {
     let a = job("wk-1", 1);
     let m = store_cache(2, &[&a]);
-    let (mut l, mut p) = back(&m);
+    let (mut l, mut p) = restarted(&m);
     shows(&mut p, &m, 1, &[], 0.1);
     // It has spoken once, but never under the new owner's token.
     let spoke = heartbeat_from(
@@ -250,7 +250,7 @@
 fn a_machine_past_its_lease_that_speaks_again_is_asked_before_it_is_believed() {
     let a = job("wk-1", 1);
     let m = store_cache(1, &[&a]);
-    let (mut l, mut p) = back(&m);
+    let (mut l, mut p) = restarted(&m);
     p.expire_leases(29.0);
     // A copy from before the crash, of a session that nobody here has seen.
     let copy = heartbeat_from(
@@ -285,7 +285,7 @@
     let here = job_spec("wk-1", 1, |v| v["grove"] = json!("e"));
     let there = job_spec("wk-2", 1, |v| v["grove"] = json!("w"));
     let m = store_cache(2, &[&here, &there]);
-    let (mut l, mut p) = back(&m);
+    let (mut l, mut p) = restarted(&m);
     shows(&mut p, &m, 1, &[], 0.1);
     assert_eq!(
         assigned(&mut l, &mut p, &m, 0.3),
@@ -298,7 +298,7 @@
 fn an_old_report_adopts_nothing_and_proves_nothing() {
     let a = job("wk-1", 1);
     let m = store_cache(1, &[&a]);
-    let (mut l, mut p) = back(&m);
+    let (mut l, mut p) = restarted(&m);
     // Held back since before the crash; its machine has begun a new session since.
     let old = heartbeat_from(
         1,
@@ -323,7 +323,7 @@
 fn a_task_on_two_machines_is_a_conflict_and_the_second_is_stopped() {
     let a = job("wk-1", 1);
     let m = store_cache(2, &[&a]);
-    let (mut l, mut p) = back(&m);
+    let (mut l, mut p) = restarted(&m);
     assert_eq!(
         shows(&mut p, &m, 1, &[("wk-1/0", BEFORE, RUNNING, None)], 0.1),
         []
@@ -348,7 +348,7 @@
 fn an_absurd_attempt_runs_on_and_blocks_no_later_start() {
     let a = job("wk-1", 1);
     let m = store_cache(2, &[&a]);
-    let (mut l, mut p) = back(&m);
+    let (mut l, mut p) = restarted(&m);
     shows(&mut p, &m, 2, &[], 0.1);
     let absurd = attempt(EPOCH + 1_000_000, 1);
     assert_eq!(
@@ -379,7 +379,7 @@
 fn tasks_that_nobody_knows_are_left_alone_and_count_for_nothing() {
     let a = job("wk-1", 2);
     let m = store_cache(1, &[&a]);
-    let (mut l, mut p) = back(&m);
+    let (mut l, mut p) = restarted(&m);
     let lines = [
         ("wk-1/0", BEFORE, ENDED, Some("done")),
         ("wk-1/7", BEFORE, ENDED, Some("done")),
@@ -471,7 +471,7 @@
         json!({"b": "k", "z": "e", "s": false, "u": true}),
         2,
     );
-    let (mut l, mut p) = back(&hidden);
+    let (mut l, mut p) = restarted(&hidden);
     shows(&mut p, &hidden, 1, &[], 0.1);
     for now in [0.3, 10.0, 19.0, 27.0] {
         shows_again(&mut p, &hidden, 1, now);
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-// A mute machine: its reports reach nobody, direct commands reach it. Its lease
+// Unidirectional reachability: heartbeats reach nobody, direct commands arrive. The lease
 // runs out again and again, and each new session has a whole lease from when it
 // began. Broke `ran_twice`.
 #[test]
@@ -104,9 +104,9 @@
 }
 
 // In an outage longer than that nobody may command or answer: whoever obeyed just
-// before it and just after it is not mute, and neither is one that was refused.
+// before it and just after it is not unidirectional, and neither is one that was refused.
 #[test]
-fn an_outage_makes_no_machine_look_mute() {
+fn an_outage_makes_no_machine_look_unidirectional() {
     let s = job_spec("wk-1", 1, |_| {});
     let m = store_cache(1, &[&s]);
     let mut p = new_shard(&m);
@@ -130,12 +130,12 @@
     };
     assert!(!obeys(&mut p, 5.0));
     assert!(!obeys(&mut p, 65.0), "nothing was sent to it for a minute");
-    let mute = (0..24).any(|i| {
+    let looks_unidirectional = (0..24).any(|i| {
         // Its reports come, and are refused.
         p.record_contact(&"m-1".into());
         obeys(&mut p, 66.0 + f64::from(i))
     });
-    assert!(!mute);
+    assert!(!looks_unidirectional);
 }
 
 // The last task's end is reported by a shard that hasn't heard of the
@@ -213,7 +213,7 @@
 // Owners change faster than a worker reports, and each answers it before it is
 // certain of it. Each of these answers renews the lease of what runs there.
 #[test]
-fn an_answer_to_a_machine_in_doubt_stops_what_is_cancelled_there() {
+fn an_answer_to_an_unreconciled_machine_stops_cancelled_tasks() {
     let (s, other) = (job_spec("wk-1", 1, |_| {}), job_spec("wk-2", 1, |_| {}));
     let mut m = store_cache(1, &[&s, &other]);
     m.put("fw/j/wk-1", job_record(&s, true), 200);
@@ -244,7 +244,7 @@
 // Direct commands don't reach a machine while its reports are answered: a higher
 // token for each question kept it uncertain for as long as that lasted.
 #[test]
-fn questions_without_an_answer_leave_no_machine_in_doubt() {
+fn unanswered_queries_leave_no_machine_unreconciled() {
     let s = job_spec("wk-1", 1, |_| {});
     let m = store_cache(1, &[&s]);
     let mut p = new_shard(&m);
@@ -290,7 +290,6 @@
     );
 }
 
-// LastReported by another controller while the key-value store refuses this one.
 /// The number of an attempt takes its epoch's place if it grows too large: a leader
 /// stops before, and the next epoch has all numbers anew.
 #[test]
@@ -323,8 +322,9 @@
     assert!(l.start_epoch(&next, 7, &m) && !l.needs_new_epoch());
 }
 
+/// Another controller notifies this one while the key-value store refuses it.
 #[test]
-fn a_cancellation_is_a_fact_that_needs_no_order() {
+fn a_cancellation_notice_is_applied_in_any_order() {
     let s = job_spec("wk-1", 2, |_| {});
     let mut m = store_cache(1, &[&s]);
     let id = "wk-1".into();
@@ -464,7 +464,7 @@
 }
 
 /// Two controllers, machines alternating between them.
-fn two_parts(cache: &StoreCache, machines: usize) -> Leader {
+fn two_shards(cache: &StoreCache, machines: usize) -> Leader {
     let mut l = Leader::new(&settings_with(&[]).expect("settings"));
     let members: BTreeMap<String, u64> = [("a".to_string(), 7), ("b".to_string(), 8)]
         .into_iter()
@@ -495,14 +495,14 @@
 // A zone has room for a job that must be in one, but no controller alone has so
 // many machines there: it waited for ever.
 #[test]
-fn a_job_for_one_zone_is_shared_by_parts_that_are_too_small_for_it() {
+fn a_job_for_one_zone_is_split_over_shards_that_are_too_small_for_it() {
     let s = job_spec("wk-1", 4, |v| {
         v["one_zone"] = true.into();
         v["shape"] = "standing".into();
         v["cpus"] = 4.0.into();
     });
     let m = store_cache(8, &[&s]);
-    let mut l = two_parts(&m, 8);
+    let mut l = two_shards(&m, 8);
     let touched = l.assign_tasks(&m, 0.5, || true);
     assert_eq!(touched.len(), 2, "both take some of it");
     let mut zones = std::collections::BTreeSet::new();
--- a/tests/control_plane/gangs.rs
+++ b/tests/control_plane/gangs.rs
@@ -231,7 +231,7 @@
 // run, and the others wait for a replacement under the same attempt. The shard
 // says again and again that the refused one is gone.
 #[test]
-fn a_refused_task_is_replaced_under_the_same_attempt_and_old_word_frees_nothing() {
+fn a_refused_task_is_replaced_under_the_same_attempt_and_a_stale_report_frees_nothing() {
     let s = gang("wk-1", 3, |_| {});
     let mut b = Bench::new(store_cache(4, &[&s]), 4);
     b.step();
@@ -250,7 +250,7 @@
         b.on_machines().iter().all(|s| s.0 != refused),
         "on another machine"
     );
-    // The word of the first assignment comes once more.
+    // The report about the first assignment comes once more.
     let mut again = b.shard.snapshot(&b.cache, b.now);
     again.removed = gone;
     assert!(b.leader.apply_shard_report(again, &b.cache, b.now));
@@ -360,7 +360,7 @@
     b.shard.stop_for_notices(&b.cache, b.now);
     assert!(
         b.notice(noticed).is_empty(),
-        "the part alone stops none of it"
+        "the shard alone stops none of it"
     );
     b.step();
     let graces: Vec<f64> = b
--- a/tests/control_plane/incremental_reports.rs
+++ b/tests/control_plane/incremental_reports.rs
@@ -190,8 +190,8 @@
     );
 }
 
-/// One controller's return left everything that a cut zone had lost in doubt
-/// until the last of its machines was heard. A shard that lived on and kept its
+/// One controller's return left everything that a partitioned zone had lost
+/// unreconciled until the last of its machines was heard. A shard that lived on and kept its
 /// machines proves by itself what became of its own tasks; one that knows only
 /// what it has heard since, or that handed machines over, does not.
 #[test]
--- a/tests/control_plane/preemption.rs
+++ b/tests/control_plane/preemption.rs
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn work_of_a_higher_rank_stops_low_arrays_that_borrow() {
+fn higher_priority_work_preempts_low_arrays_that_borrow() {
     let mut fleet = Fleet::new(4, 0.0, "");
     fleet.submit(&array("wk-low", 8, "low"), 0);
     fleet.run_for(40.0);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn low_arrays_within_their_teams_guarantee_are_not_stopped() {
+fn low_arrays_within_their_teams_guarantee_are_not_preempted() {
     let mut fleet = Fleet::new(4, 400.0, "");
     fleet.submit(&array("wk-low", 8, "low"), 0);
     fleet.run_for(40.0);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_start_that_does_not_count_yet_is_not_stopped_for_the_ranks_between() {
+fn a_start_that_does_not_count_yet_is_not_preempted_by_middle_priorities() {
     let mut fleet = Fleet::new(4, 0.0, "");
     fleet.submit(&array("wk-low", 8, "low"), 0);
     fleet.run_for(3.0);
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_job_that_has_only_just_come_stops_nothing() {
+fn a_job_that_was_only_just_submitted_preempts_nothing() {
     let mut fleet = Fleet::new(4, 0.0, "");
     fleet.submit(&array("wk-low", 8, "low"), 0);
     fleet.run_for(40.0);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_service_stops_the_only_task_of_a_job_last() {
+fn a_service_preempts_the_only_task_of_a_job_last() {
     let mut fleet = Fleet::new(3, 0.0, "");
     fleet.submit(&array("wk-many", 2, "low"), 0);
     fleet.run_for(10.0);
@@ -243,7 +243,7 @@
     );
 }
 
-const AIM: &str =
+const OBJECTIVE: &str =
     "[[params.objectives]]\nkind = \"finished\"\nclass = \"f\"\nwithin_s = 100.0\nshare = 0.9\n";
 
 /// What is wanted for a low array of ten that has waited so long, beside another
@@ -264,14 +264,18 @@
 }
 
 #[test]
-fn ordinary_machines_are_rented_for_low_borrowed_work_only_to_begin_it_or_for_an_aim() {
+fn ordinary_machines_are_rented_for_low_borrowed_work_only_to_begin_it_or_for_an_objective() {
     assert_eq!(wanted(0.0, "", 20), (10, true));
     assert_eq!(
         wanted(0.0, "", 100),
         (1, false),
         "one machine, so that it begins"
     );
-    assert_eq!(wanted(0.0, AIM, 20), (10, false), "its class has an aim");
+    assert_eq!(
+        wanted(0.0, OBJECTIVE, 20),
+        (10, false),
+        "its class has an objective"
+    );
     assert_eq!(
         wanted(400.0, "", 20),
         (10, false),
--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -1,4 +1,4 @@
-//! One share that moves from controller `a` to controller `b`, step by step, with the real
+//! One shard range that moves from controller `a` to controller `b`, step by step, with the real
 //! cores: what its machines are told in every state, and what becomes of it when the
 //! source, the target, the leader or the key-value store ends in any of them.
 
@@ -278,7 +278,7 @@
             .observe_shard_map(&self.cache.shard_map, self.now);
     }
 
-    /// All machines whose home is `a` are to go to `b`.
+    /// All machines whose hash owner is `a` are to go to `b`.
     fn begin(&mut self) {
         let range = HashRange::whole("a");
         let wanted = RangeMove {
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn a_share_moves_with_all_that_runs_on_it_and_nothing_is_ordered() {
+fn a_shard_range_moves_with_all_its_tasks_and_nothing_is_ordered() {
     let mut two = Two::new();
     let moved: Vec<MachineId> = two
         .workers
@@ -445,8 +445,8 @@
             "b",
             "leader",
             "both",
-            "giver back",
-            "taker back",
+            "source back",
+            "target back",
             "nobody",
         ] {
             let mut two = Two::new();
@@ -471,11 +471,11 @@
                     two.leader = Leader::new(&settings_with(&[]).expect("settings"));
                     two.next_epoch("a");
                 }
-                "giver back" => {
+                "source back" => {
                     two.begins("a");
                     two.next_epoch("b");
                 }
-                "taker back" => {
+                "target back" => {
                     two.begins("b");
                     two.next_epoch("a");
                 }
@@ -600,7 +600,7 @@
     assert!(two.leader.apply_shard_report(report, &two.cache, now));
     assert!(
         moving.iter().all(|id| !two.leader.has_one_owner(id)),
-        "its giver has not let go yet"
+        "its source has not released it yet"
     );
     two.settles("moved");
     assert!(moving.iter().all(|id| two.leader.has_one_owner(id)));
@@ -628,13 +628,13 @@
         .iter()
         .any(|direct| *direct.machine == *id));
     two.workers.insert(id.as_str().into(), Worker::default());
-    two.settles("it is the taker's");
+    two.settles("it is the target's");
     assert_eq!(two.owner(&id), "b");
 }
 
 /// With a controller that doesn't go by the table the hash decides, for all.
 #[test]
-fn with_production_among_the_members_no_share_counts() {
+fn with_production_among_the_members_the_shard_map_does_not_count() {
     let mut two = Two::new();
     two.begin();
     (0..8).for_each(|_| two.turn());
--- a/tests/control_plane/versions.rs
+++ b/tests/control_plane/versions.rs
@@ -473,7 +473,7 @@
 // Shares are fields that production leaves out, and an epoch in which one member is of
 // production doesn't have them.
 #[test]
-fn production_reads_epochs_members_and_messages_with_shares() {
+fn production_reads_epochs_members_and_messages_with_shard_maps() {
     let knows = |name: &str, incarnation: u64, shares: bool| {
         (
             name.to_string(),
@@ -506,7 +506,7 @@
         .with_owner(&HashRange::whole("a"), "b")
         .with_owner(&HashRange::whole("b"), "a");
     for id in (0..20).map(|i| format!("m-{i}")) {
-        let hash_owner = owner(&all.members, &id).expect("a home");
+        let hash_owner = owner(&all.members, &id).expect("a hash owner");
         assert_eq!(owner_by_shard_map(&mixed, &table, &id), Some(hash_owner));
         assert_ne!(owner_by_shard_map(&all, &table, &id), Some(hash_owner));
     }
--- a/tests/failure_detection_model.rs
+++ b/tests/failure_detection_model.rs
@@ -24,7 +24,7 @@
     /// How long it takes to come back, as a share of the longest.
     late: f64,
     heard: f64,
-    deaf: Option<f64>,
+    unanswered_since: Option<f64>,
     /// When its owner asks it next, if it is late, or gives up asking.
     ask: f64,
     asking: bool,
@@ -62,10 +62,10 @@
                 } else if m.asking {
                     // Given up; once more at once, then now and then.
                     let others = known.is_some_and(|r| m.asked.is_some_and(|a| r.last_at > a));
-                    let suspect = others && m.deaf.is_none();
+                    let suspect = others && m.unanswered_since.is_none();
                     m.ask = if suspect { now } else { now + REPORT_S };
                     if suspect {
-                        m.deaf = Some(now);
+                        m.unanswered_since = Some(now);
                     }
                     m.asking = false;
                 } else {
@@ -77,7 +77,7 @@
             if answers {
                 m.due = now + REPORT_S * (0.75 + m.late / 2.0);
                 m.heard = now;
-                m.deaf = None;
+                m.unanswered_since = None;
                 m.asked = None;
                 m.asking = false;
                 *known = Some(ZoneContactSpan::extend(*known, now, REPORT_S));
@@ -91,7 +91,7 @@
                 // Its first report after a while may say nothing new.
                 state_known: m.heard > 0.0 && now - m.heard >= STEP_S || i % 3 > 0,
                 silent_s: now - m.heard,
-                unanswered_s: m.deaf.map(|d| now - d),
+                unanswered_s: m.unanswered_since.map(|d| now - d),
                 zone_contact: reached[m.zone][i % OWNERS].map(|s| ZoneContact {
                     began_ago_s: now - s.began_at,
                     last_ago_s: now - s.last_at,
@@ -139,7 +139,7 @@
             due: late * REPORT_S,
             late,
             heard: 0.0,
-            deaf: None,
+            unanswered_since: None,
             ask: 0.0,
             asking: false,
             asked: None,
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -416,7 +416,7 @@
     assert_eq!(fleet.tasks(), all, "and all of it runs on");
 }
 
-/// One controller holds all, as after the loss of the others: its shard's whole report is
+/// One controller holds all, as after the loss of the others: its shard's full report is
 /// longer than any bound that doesn't follow from the settings.
 #[test]
 fn the_whole_of_a_large_part_is_within_what_a_controller_takes() {
--- a/tests/reachability.rs
+++ b/tests/reachability.rs
@@ -1,11 +1,11 @@
-//! Workers that are apart from their owner.
+//! Workers that are partitioned from their owner.
 
 use finchwood::cluster::reachability::*;
 
-/// A restart of all within a cut: told to go to owners they could not
+/// A restart of all controllers within a network partition: told to go to owners they could not
 /// reach, workers spent their lease on the way.
 #[test]
-fn workers_apart_from_their_owner_go_round() {
+fn workers_partitioned_from_their_owner_report_through_another_controller() {
     let others = [("b", "west"), ("c", "north"), ("d", "west")];
     let others = others.map(|(n, z)| (n.to_string(), z.to_string())).to_vec();
     let mut ways = Reachability::new("east", others, 8.0);
