--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -181,7 +181,7 @@
                 }
                 change
             }
-            Err(RecordError::ForeignKey) => {
+            Err(RecordError::UnknownKey) => {
                 tracing::debug!(key, revision, "skipped a key of another version");
                 CacheChange::Nothing
             }
@@ -199,7 +199,7 @@
         value: Value,
         revision: u64,
     ) -> Result<CacheChange, RecordError> {
-        match StoreKey::parse(key).ok_or(RecordError::ForeignKey)? {
+        match StoreKey::parse(key).ok_or(RecordError::UnknownKey)? {
             StoreKey::Epoch => self.put_epoch(value, revision),
             StoreKey::Catalog => self.put_catalog(value, revision),
             StoreKey::ShardMap => self.put_shard_map(value, revision),
@@ -307,9 +307,9 @@
         let chunk = Chunk::parse(chunk).ok_or(RecordError::Malformed)?;
         let first = chunk
             .first_task(self.tasks_per_numbered_chunk)
-            .ok_or(RecordError::NoSuchTask)?;
+            .ok_or(RecordError::UnknownTask)?;
         let hex_digits: String = from_value(value)?;
-        let job = self.jobs.get_mut(id).ok_or(RecordError::NoSuchJob)?;
+        let job = self.jobs.get_mut(id).ok_or(RecordError::UnknownJob)?;
         let known = job.chunks.get(&chunk).copied().unwrap_or(0);
         if job.record.done || revision <= known {
             return Ok(CacheChange::Nothing);
@@ -321,7 +321,7 @@
             .last()
             .is_some_and(|task| task >= job.record.task_count)
         {
-            return Err(RecordError::NoSuchTask);
+            return Err(RecordError::UnknownTask);
         }
         job.chunks.insert(chunk, revision);
         job.finished = finished;
@@ -384,7 +384,7 @@
     fn register_machines(&mut self, key: &Arc<str>, page: &RegistryPage) -> Vec<MachineId> {
         let mut changed = Vec::new();
         for (id, address) in &page.machines {
-            let record = page.machine_record(address);
+            let record = page.machine_record(address.as_ref());
             match self.registry.get(id) {
                 Some(known) if known.page_key != *key => {}
                 Some(known) if known.record == record => {}
@@ -413,7 +413,7 @@
             let other = self.registry_pages.iter().find_map(|(key, page)| {
                 let address = page.value.machines.get(id)?;
                 Some(RegisteredMachine {
-                    record: page.value.machine_record(address),
+                    record: page.value.machine_record(address.as_ref()),
                     page_key: key.clone(),
                 })
             });
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -111,9 +111,9 @@
     pub(super) fn check(&self, id: &str) -> Result<(), RecordError> {
         match &self.spec {
             _ if self.done || self.cancelled => Ok(()),
-            None => Err(RecordError::NoDescription),
-            Some(spec) if &*spec.id != id => Err(RecordError::OtherJob),
-            Some(spec) if spec.task_count != self.task_count => Err(RecordError::TaskCount),
+            None => Err(RecordError::MissingSpec),
+            Some(spec) if &*spec.id != id => Err(RecordError::JobIdMismatch),
+            Some(spec) if spec.task_count != self.task_count => Err(RecordError::TaskCountMismatch),
             _ => Ok(()),
         }
     }
@@ -166,14 +166,14 @@
 
 impl RegistryPage {
     /// The record of one machine of the page, given its entry in `machines`.
-    pub(super) fn machine_record(&self, address: &Option<Arc<str>>) -> MachineRecord {
+    pub(super) fn machine_record(&self, address: Option<&Arc<str>>) -> MachineRecord {
         MachineRecord {
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             in_use: address.is_some(),
             rented_at_ms: self.rented_at_ms,
-            address: address.clone().filter(|a| !a.is_empty()),
+            address: address.filter(|address| !address.is_empty()).cloned(),
         }
     }
 
--- a/src/store/unreadable_records.rs
+++ b/src/store/unreadable_records.rs
@@ -10,25 +10,25 @@
 pub enum RecordError {
     /// This version does not know the key.
     #[error("a key that this version doesn't know")]
-    ForeignKey,
+    UnknownKey,
     /// The value does not have the form that its key requires.
     #[error("the value has not the form of such a record")]
     Malformed,
     /// The record names a job other than its key does.
     #[error("the record is of another job")]
-    OtherJob,
+    JobIdMismatch,
     /// The record and the specification in it disagree on the number of tasks.
     #[error("the record and its description disagree on the number of tasks")]
-    TaskCount,
+    TaskCountMismatch,
     /// A job that is not done has no specification.
     #[error("a job that is not done has no description")]
-    NoDescription,
+    MissingSpec,
     /// Finished tasks of a job without a record.
     #[error("finished tasks of a job without a record")]
-    NoSuchJob,
+    UnknownJob,
     /// Finished tasks that are not among the job's.
     #[error("finished tasks that the job doesn't have")]
-    NoSuchTask,
+    UnknownTask,
     /// The settings do not name the job's team.
     #[error("the job's team is not in the settings")]
     UnknownTeam,
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -132,13 +132,13 @@
 }
 
 const RECORD_ERRORS: [RecordError; 10] = [
-    RecordError::ForeignKey,
+    RecordError::UnknownKey,
     RecordError::Malformed,
-    RecordError::OtherJob,
-    RecordError::TaskCount,
-    RecordError::NoDescription,
-    RecordError::NoSuchJob,
-    RecordError::NoSuchTask,
+    RecordError::JobIdMismatch,
+    RecordError::TaskCountMismatch,
+    RecordError::MissingSpec,
+    RecordError::UnknownJob,
+    RecordError::UnknownTask,
     RecordError::UnknownTeam,
     RecordError::UnknownMachineType,
     RecordError::UnknownZone,
