--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -172,7 +172,10 @@
     fn registered_machines(&self) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
         let registry = &self.cache.registry;
         let registered = registry.iter().map(|(id, known)| (id, &known.record));
-        let on_the_way = self.registry.unwritten_machines();
+        let on_the_way = self
+            .registry
+            .unwritten_machines()
+            .filter(|(id, _)| !registry.contains_key(*id));
         registered.chain(on_the_way)
     }
 
