--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -1,21 +1,28 @@
-//! Where a task goes: the paper's filter and cost, and our order of ties.
+//! Which machine a task is placed on: the filter and cost of HIOBS (section 3.2,
+//! Algorithm 1), with an order of ties that the paper leaves open.
 
 use crate::wire::{Catalog, JobSpec, Resources};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A machine as the placement sees it.
+/// A machine that a task may be placed on.
 #[derive(Debug, Clone)]
 pub struct Candidate<'a> {
+    /// The machine.
     pub id: &'a str,
+    /// Its machine type.
     pub machine_type: &'a str,
+    /// Its zone.
     pub zone: &'a str,
+    /// Whether the cloud may take it back at short notice.
     pub spot: bool,
+    /// What no task uses.
     pub free: Resources,
-    /// Whether the task's image is likely there.
+    /// Whether the task's image is likely cached there.
     pub cached: bool,
-    /// Tasks of the same job in the machine's zone, and on the machine.
+    /// Tasks of the same job in the machine's zone.
     pub zone_peers: u32,
+    /// Tasks of the same job on the machine.
     pub machine_peers: u32,
 }
 
@@ -38,7 +45,8 @@
     }
 }
 
-/// HIOBS' fragmentation cost: what is left of the resource that counts.
+/// The fragmentation cost: what is left of the resource that counts (HIOBS section
+/// 3.2.3, Equation 1, with GPUs or else CPUs in place of IOPS).
 pub fn cost(free: &Resources, ask: &Resources) -> f64 {
     if ask.gpus > 0.0 {
         free.gpus - ask.gpus
@@ -47,13 +55,13 @@
     }
 }
 
-/// Steps in which costs count as equal: a hundredth of a CPU.
+/// A cost in steps of a hundredth of a CPU or GPU, within which costs count as equal.
 pub fn cost_steps(cost: f64) -> i64 {
     (cost * 100.0).round() as i64
 }
 
-/// Drops the machines that lack anything asked for or aren't allowed, and
-/// picks the one with the lowest cost. Ties go to the zone, then the machine
+/// Drops the machines that lack anything asked for or aren't allowed, and picks the
+/// one with the lowest cost (HIOBS section 3.2, Algorithm 1). Ties go to the zone, then the machine
 /// with fewer tasks of the job, then to a cached image, then by name.
 ///
 /// Two exceptions come before the paper's order. Work that may run on spot
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -17,7 +17,7 @@
 /// Of how many jobs tasks must have failed on a machine for it to be suspected.
 const JOBS_OF_SUSPECTED_MACHINE: usize = 2;
 
-/// How many of the latest machines a suspected job avoids. Guard: one that avoided
+/// How many of the latest machines a suspected job avoids. Not all: one that avoided
 /// all machines on which it has failed would soon have machines rented for it.
 const AVOIDED_BY_SUSPECTED_JOB: usize = 2;
 
@@ -42,15 +42,20 @@
 }
 
 impl JobFailures {
-    /// A task has completed.
-    pub fn record_success(&mut self) {
+    /// Records that a task has completed.
+    pub(super) fn record_success(&mut self) {
         self.succeeded = true;
         self.retry_at = 0.0;
     }
 
-    /// A task has failed. All that fail until the next try is due belong to the
+    /// Records that a task has failed. All that fail until the next try is due belong to the
     /// same try, so that a large job doesn't wait longer than a small one.
-    pub fn record_failure(&mut self, machine: Option<MachineId>, report_s: Seconds, now: Seconds) {
+    pub(super) fn record_failure(
+        &mut self,
+        machine: Option<MachineId>,
+        report_s: Seconds,
+        now: Seconds,
+    ) {
         if let Some(machine) = machine {
             self.machines.retain(|known| *known != machine);
             self.machines.push(machine);
@@ -60,23 +65,23 @@
         }
         self.failed_tries += 1;
         let wait = report_s * 2f64.powi(self.failed_tries.min(30) as i32);
-        // Guard: a job may be right after all, and must not wait for minutes
+        // A job may be right after all, and must not wait for minutes
         // while there is room.
         self.retry_at = now + wait.min(BEGIN_WITHIN_S * LONGEST_WAIT_SHARE);
     }
 
     /// Whether the job itself seems to be at fault.
-    pub fn suspected(&self) -> bool {
+    pub(super) fn suspected(&self) -> bool {
         !self.succeeded && self.machines.len() >= MACHINES_OF_SUSPECTED_JOB
     }
 
     /// Whether its tasks must wait for the next try.
-    pub fn waits(&self, now: Seconds) -> bool {
+    pub(super) fn backs_off(&self, now: Seconds) -> bool {
         now < self.retry_at
     }
 
     /// Machines on which its tasks are not tried again for now.
-    pub fn avoided(&self) -> &[MachineId] {
+    pub(super) fn avoided(&self) -> &[MachineId] {
         let most = if self.suspected() {
             AVOIDED_BY_SUSPECTED_JOB
         } else {
@@ -88,7 +93,7 @@
 
 impl JobEntry {
     /// How many of `free` tasks may be started. A suspected job is tried with one
-    /// task, since all of them would take the same room again and again. Guard: as
+    /// task, since all of them would take the same room again and again. As
     /// many more follow as are seen to run, or one long task would hold up a job
     /// that only met faulty machines.
     pub(super) fn tries_allowed(&self, free: usize) -> usize {
@@ -125,7 +130,7 @@
 }
 
 impl Leader {
-    /// Machines that failures speak against. Guard: jobs that fail everywhere say
+    /// Machines that failures speak against. Jobs that fail everywhere say
     /// nothing about the machines, or each broken job would take away those that
     /// it was tried on.
     pub fn machine_faults(&self, cache: &StoreCache) -> BTreeMap<MachineId, MachineFault> {
@@ -145,6 +150,7 @@
             .collect()
     }
 
+    /// What the failures of a job say about the machines it failed on.
     fn evidence(&self, job: &JobId, cache: &StoreCache) -> Evidence {
         match self.jobs.get(job) {
             Some(entry) if entry.failures.succeeded => Evidence::Strong,
@@ -155,7 +161,7 @@
         }
     }
 
-    /// Notes which machines failures speak against; they get no new tasks.
+    /// Cordons the machines that failures speak against: they get no new tasks.
     pub fn cordon_faulty_machines(
         &mut self,
         cache: &StoreCache,
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct Attempt {
     /// Shared by all tasks, never used for another attempt.
-    pub number: u64,
+    pub(super) number: u64,
     since: Seconds,
     /// Some task has been seen to run.
     started: bool,
@@ -42,7 +42,7 @@
 
 impl Attempt {
     /// An attempt that begins.
-    pub fn begun(number: u64, now: Seconds) -> Attempt {
+    pub(super) fn new(number: u64, now: Seconds) -> Attempt {
         Attempt {
             number,
             since: now,
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Where a task is has become unknown.
-    pub fn mark_unreconciled(&mut self) {
+    /// Records that some task may be anywhere.
+    pub(super) fn mark_unreconciled(&mut self) {
         self.unreconciled = true;
     }
 
-    /// A task left its machine, other than by being refused.
-    pub fn mark_broken(&mut self) {
+    /// Records that a task left its machine, other than by being refused.
+    pub(super) fn mark_broken(&mut self) {
         self.broken = true;
     }
 }
@@ -76,7 +76,7 @@
     /// Whether the tasks that a gang lacks may be assigned now, of which `free`
     /// are within the team's limit.
     pub(super) fn gang_may_start(&self, free: usize) -> bool {
-        // Guard: where the team's limit leaves room for some only, or some may be
+        // Where the team's limit leaves room for some only, or some may be
         // anywhere yet, none starts.
         let whole = self.assigned.len() + free == self.spec.task_count as usize;
         // A shard is told how many tasks a zone may take of all that it hasn't listed.
@@ -86,7 +86,7 @@
     /// The attempt number for a task of a gang that is assigned now.
     pub(super) fn gang_attempt(&mut self, new_number: u64, now: Seconds) -> u64 {
         self.attempt
-            .get_or_insert_with(|| Attempt::begun(new_number, now))
+            .get_or_insert_with(|| Attempt::new(new_number, now))
             .number
     }
 
@@ -100,11 +100,12 @@
                 .max();
             self.attempt = number.map(|number| Attempt {
                 unreconciled: true,
-                ..Attempt::begun(number, now)
+                ..Attempt::new(number, now)
             });
         }
     }
 
+    /// What is to be done about the attempt now.
     fn next_step(&mut self, gang_wait_s: Seconds, now: Seconds) -> Step {
         self.adopt_attempt(now);
         let complete = self.assigned.len() == self.spec.task_count as usize;
@@ -136,7 +137,7 @@
 }
 
 impl Leader {
-    /// Looks after all gangs: withdraws attempts that can't run any more and
+    /// Updates all gangs: withdraws attempts that can't run any more and
     /// those whose machine is about to be taken. Returns the shards that have
     /// new orders: a stop must reach all tasks within `gang_peer_s`.
     pub(super) fn update_gangs(&mut self, cache: &StoreCache, now: Seconds) -> BTreeSet<String> {
@@ -270,7 +271,7 @@
 /// The zones that take `count` tasks of a gang; none if they have not the room.
 ///
 /// Of a gang for one zone it is a single one: where the most tasks find their
-/// image, then the one with the least room. Guard: this looks once at each
+/// image, then the one with the least room. This looks once at each
 /// machine. A large gang that waits would else be placed in vain, task by task, in
 /// every round, and hold up all else.
 fn zones_for(
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -1,31 +1,35 @@
-//! The machines of all shards, as the leader last heard of them.
+//! The machines of all shards, as their latest reports describe them.
 
 use super::Leader;
 use crate::clock::Seconds;
 use crate::cluster::failure_detection::ZoneContact;
 use crate::scheduler::capacity::MachineSlot;
-use crate::shard::TaskPhase;
-use crate::shard::{MachineStatus, SilentMachine};
+use crate::shard::{MachineStatus, SilentMachine, TaskPhase};
 use crate::store::cache::StoreCache;
 use crate::wire::MachineId;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// A machine as the leader last heard of it.
+/// A machine as its shard last reported it.
 #[derive(Debug)]
 pub struct TrackedMachine {
+    /// The report.
     pub view: MachineStatus,
     pub(super) slot: MachineSlot,
     /// Since when it holds nothing.
     pub(super) idle_since: Seconds,
 }
 
-/// A machine with how long ago things were.
+/// A machine at one point in time, with how many seconds ago things were.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineSnapshot<'a> {
+    /// What its shard last reported.
     pub view: &'a MachineStatus,
+    /// Since its last heartbeat; 0 if it is not silent.
     pub silent_s: f64,
+    /// Since it has not answered commands, while others of its zone were reached.
     pub unanswered_s: Option<f64>,
+    /// Since it holds nothing; 0 if it holds something.
     pub idle_s: f64,
     /// How its owner reaches its zone. A report that came through a third
     /// controller shows nothing of that.
@@ -39,15 +43,17 @@
     }
 }
 
-/// A shard as its reports tell it.
+/// A shard as its reports describe it.
 #[derive(Debug)]
 pub struct ShardView {
     pub(super) incarnation: u64,
+    /// The latest report that was applied.
     pub(super) seq: u64,
     pub(super) machines: BTreeMap<MachineId, TrackedMachine>,
     pub(super) silent_machines: HashMap<MachineId, SilentMachine>,
     pub(super) zone_contacts: HashMap<Arc<str>, ZoneContact>,
     pub(super) seen_elsewhere: HashMap<MachineId, f64>,
+    /// The latest orders that were made.
     pub(super) orders_seq: u64,
     pub(super) last_report_at: Seconds,
 }
@@ -105,8 +111,8 @@
         })
     }
 
-    /// Whether a single shard tells of a machine. For a moment of a transfer two do: what
-    /// its source last said of it is not what its target makes of it.
+    /// Whether a single shard reports a machine. For a moment of a transfer two do, and
+    /// the source's last report may contradict the target's.
     pub fn has_one_owner(&self, id: &MachineId) -> bool {
         self.shards
             .values()
@@ -122,8 +128,8 @@
             .flat_map(|shard| shard.machines.values().map(|machine| &machine.view))
     }
 
-    /// Machines that may be silent for their owners only: some other controller
-    /// has met their workers within `age`.
+    /// Machines that may be silent for their owners only: their workers have reported to
+    /// some other controller within the last `age` seconds.
     pub fn seen_by_other_shards(&self, age: Seconds) -> HashSet<&MachineId> {
         let all = self
             .shards
@@ -132,8 +138,8 @@
         all.filter(|(_, &a)| a < age).map(|(id, _)| id).collect()
     }
 
-    /// Whether a quarter of the machines of this one's owner heed nothing: then
-    /// it is the owner whose answers come too late, not the machines.
+    /// Whether a quarter of the machines of this one's owner ignore commands: then the
+    /// owner's answers come too late, and the machines are not at fault.
     pub fn owner_responds_late(&self, id: &MachineId) -> bool {
         self.shards
             .values()
@@ -148,7 +154,7 @@
             })
     }
 
-    /// A shard's age of news.
+    /// For how many seconds a shard has not reported.
     pub fn shard_silence(&self, node: &str, now: Seconds) -> Option<Seconds> {
         self.shards
             .get(node)
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 impl Leader {
-    /// Free room of every open machine, less what is assigned and not placed.
+    /// The free room of every schedulable machine, less what is assigned and not placed yet.
     pub(super) fn capacity(&self, wall_clock_ms: u64) -> FreeCapacity {
         let open = self
             .shards
@@ -102,9 +102,9 @@
     /// round stopped, if its time was over.
     fn jobs_in_order(&mut self, round: &Round) -> Vec<JobId> {
         let guaranteed = self.guaranteed_jobs(round.cache);
-        let live = |id: &JobId| round.cache.jobs.get(id).is_some_and(|j| j.live());
+        let live = |id: &JobId| round.cache.jobs.get(id).is_some_and(|job| job.live());
         let may_have_free = |entry: &JobEntry| {
-            !entry.failures.waits(round.now) && entry.occupied_tasks() < entry.spec.task_count
+            !entry.failures.backs_off(round.now) && entry.occupied_tasks() < entry.spec.task_count
         };
         let waiting = self
             .jobs
@@ -154,7 +154,7 @@
         (0..entry.spec.task_count).filter(free).take(most).collect()
     }
 
-    /// Assigns what is free of one job; what has no room is wanted.
+    /// Assigns the free tasks of one job; those without room become pending demand.
     fn assign_job(&mut self, id: &JobId, round: &mut Round) {
         let Some(job) = round.cache.jobs.get(id) else {
             return;
@@ -165,11 +165,11 @@
         let spec = entry.spec.clone();
         let used = round.used.entry(spec.team.clone()).or_default();
         let free = self.free_tasks(entry, job, used);
-        let gang_may_not = spec.job_kind == JobKind::Gang
+        let gang_must_wait = spec.job_kind == JobKind::Gang
             && !(self.gangs_allowed && entry.gang_may_start(free.len()));
-        // Guard: a number beyond the limit would be one of a later epoch.
+        // A number beyond the limit would be one of a later epoch.
         let numbers_left = self.epoch.attempts_used + free.len() as u64 <= self.attempt_limit;
-        if free.is_empty() || gang_may_not || !numbers_left {
+        if free.is_empty() || gang_must_wait || !numbers_left {
             return;
         }
         let age_s = round.age_s(entry);
@@ -198,7 +198,7 @@
         }
     }
 
-    /// What is stopped for the tasks of a job that have no room. Guard: without it,
+    /// What may be preempted for the tasks of a job that have no room. Without it,
     /// guests' low arrays that run for minutes held the machines which a team's own
     /// work then waited for.
     fn preempts(&self, entry: &JobEntry, wall_clock_ms: u64) -> Preempts {
@@ -216,8 +216,8 @@
         }
     }
 
-    /// What to rent for `count` tasks of a job that have no room. Guard: for low work
-    /// that nobody has an aim for and that its team only borrows room for, no
+    /// What to rent for `count` tasks of a job that have no room. For low work
+    /// that no objective names and that its team only borrows room for, no
     /// ordinary machine is rented but the first, so that it begins: the cloud has
     /// too few of them for all.
     fn pending_demand_of(
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Gives a task to a shard, under an attempt of its own or that of its gang.
+    /// Assigns a task to a shard, under an attempt of its own or that of its gang.
     fn assign_task(&mut self, id: &JobId, index: u32, shard: &Arc<str>, now: Seconds) {
         self.epoch.attempts_used += 1;
         let assignment = token::attempt(self.epoch.number, self.epoch.attempts_used);
@@ -380,7 +380,7 @@
             .cache
             .jobs
             .get(id)
-            .is_some_and(|j| !j.finished.is_empty());
+            .is_some_and(|job| !job.finished.is_empty());
     match entry.spec.priority {
         Priority::Prod => Stage::HighestPriority,
         _ if !begun && round.age_s(entry) > UNBEGUN_AFTER_S => Stage::Unbegun,
