--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -5,7 +5,7 @@
 use crate::api::responder::Responder;
 use crate::api::routes::Request;
 use crate::autoscaler::cloud::CloudResponse;
-use crate::cluster::membership::LeaseEvent;
+use crate::cluster::member_lease::LeaseEvent;
 use crate::store::pending_writes::WriteId;
 use crate::store::{CommitOutcome, WatchEvent};
 use crate::wire::JobId;
--- a/src/controller/node_membership.rs
+++ b/src/controller/node_membership.rs
@@ -1,7 +1,7 @@
 //! This node's lease at the key-value store, and its proposals of epochs.
 
 use crate::clock::Seconds;
-use crate::cluster::membership::LeaseEvent;
+use crate::cluster::member_lease::LeaseEvent;
 use crate::store::records::Epoch;
 
 /// A lease that this node holds.
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -21,7 +21,7 @@
 use crate::api::shard_map_report::ShardMapReport;
 use crate::autoscaler::{cloud, Autoscaler};
 use crate::clock;
-use crate::cluster::membership;
+use crate::cluster::member_lease;
 use crate::config::features::Features;
 use crate::config::policy::Policy;
 use crate::config::settings::Settings;
@@ -157,7 +157,7 @@
     budget: RateBudget,
     events: &Sender<ControllerEvent>,
 ) {
-    membership::start_lease_actor(
+    member_lease::start_lease_actor(
         settings,
         budget,
         features.shared_machines.is_some(),
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -9,7 +9,7 @@
 mod settings;
 
 use finchwood::autoscaler::cloud::{self, CloudRequest, CloudResponse};
-use finchwood::cluster::membership::{start_lease_actor, LeaseEvent};
+use finchwood::cluster::member_lease::{start_lease_actor, LeaseEvent};
 use finchwood::config::settings::Settings;
 use finchwood::finished::{Chunk, TaskSet};
 use finchwood::store::cache::StoreCache;
