--- a/src/cluster/reachability.rs
+++ b/src/cluster/reachability.rs
@@ -1,88 +1,109 @@
-//! Who reaches whom: which of the controllers can't reach each other, and so
-//! where a worker goes that is not here with its owner. Pure.
+//! Which controllers can reach each other directly, and to which controller a worker is
+//! therefore sent that is not here with its owner. Pure.
 
 use crate::clock::Seconds;
 use std::collections::{BTreeSet, HashMap};
 
-/// What is known of the ways between controllers.
+/// Which peers a controller said it cannot reach.
+#[derive(Debug)]
+struct UnreachableReport {
+    reported_at: Seconds,
+    unreachable: Vec<String>,
+}
+
+/// What is known of the connections between controllers.
 #[derive(Debug, Default)]
 pub struct Reachability {
-    /// This controller's zone, and the others with theirs.
+    /// This controller's zone.
     zone: String,
-    others: Vec<(String, String)>,
-    /// Whom this one can't reach directly.
-    apart: BTreeSet<String>,
-    /// Whom each of the others can't, and when it said so.
-    told: HashMap<String, (Seconds, Vec<String>)>,
-    /// How long that counts.
-    recent: Seconds,
+    /// The name and the zone of each other controller.
+    peers: Vec<(String, String)>,
+    /// The peers that this controller cannot reach directly.
+    unreachable: BTreeSet<String>,
+    /// The newest report of each peer.
+    reports: HashMap<String, UnreachableReport>,
+    /// For how many seconds a report counts.
+    report_valid_s: Seconds,
 }
 
 impl Reachability {
-    /// Nobody is known to be apart.
-    pub fn new(zone: &str, others: Vec<(String, String)>, recent: Seconds) -> Reachability {
+    /// Every peer counts as reachable at first. `peers` are the other controllers' names
+    /// and zones; what they report counts for `report_valid_s` seconds.
+    pub fn new(zone: &str, peers: Vec<(String, String)>, report_valid_s: Seconds) -> Reachability {
         Reachability {
             zone: zone.into(),
-            others,
-            recent,
+            peers,
+            report_valid_s,
             ..Reachability::default()
         }
     }
 
-    /// This controller can't reach another one directly, or can again.
-    pub fn record_direct_contact(&mut self, name: &str, reached: bool) {
-        if reached {
-            self.apart.remove(name);
+    /// Records whether this controller reaches a peer directly.
+    pub fn record_direct_contact(&mut self, peer: &str, is_reached: bool) {
+        if is_reached {
+            self.unreachable.remove(peer);
         } else {
-            self.apart.insert(name.into());
+            self.unreachable.insert(peer.into());
         }
     }
 
-    /// Another controller says whom it can't reach.
-    pub fn record_unreachable_peers(&mut self, name: &str, apart: Vec<String>, now: Seconds) {
-        self.told.insert(name.into(), (now, apart));
+    /// Records which controllers a peer says it cannot reach.
+    pub fn record_unreachable_peers(&mut self, peer: &str, unreachable: Vec<String>, now: Seconds) {
+        let report = UnreachableReport {
+            reported_at: now,
+            unreachable,
+        };
+        self.reports.insert(peer.into(), report);
     }
 
-    /// Whom this controller can't reach.
+    /// The peers that this controller cannot reach directly.
     pub fn unreachable_peers(&self) -> Vec<String> {
-        self.apart.iter().cloned().collect()
+        self.unreachable.iter().cloned().collect()
     }
 
-    fn says(&self, name: &str, now: Seconds) -> Option<&Vec<String>> {
-        self.told
-            .get(name)
-            .filter(|(t, _)| now - t < self.recent)
-            .map(|(_, apart)| apart)
+    /// The controllers that a peer cannot reach, if it has said so lately.
+    fn reported_by(&self, peer: &str, now: Seconds) -> Option<&[String]> {
+        self.reports
+            .get(peer)
+            .filter(|report| now - report.reported_at < self.report_valid_s)
+            .map(|report| report.unreachable.as_slice())
     }
 
-    /// Whether a zone is apart from a controller in another one: some
-    /// controller there can't reach it.
-    pub fn is_partitioned(&self, zone: &str, owner: &str, now: Seconds) -> bool {
-        if self.others.iter().any(|(n, z)| n == owner && z == zone) {
+    /// Whether a zone is partitioned from a controller in another zone: some controller
+    /// in the zone cannot reach it.
+    pub fn is_partitioned(&self, zone: &str, controller: &str, now: Seconds) -> bool {
+        let is_in_zone =
+            |(name, peer_zone): &(String, String)| name == controller && peer_zone == zone;
+        if self.peers.iter().any(is_in_zone) {
             return false;
         }
-        let here = self.zone == zone && self.apart.contains(owner);
-        let there = |name: &String| {
-            self.says(name, now)
-                .is_some_and(|a| a.iter().any(|n| n == owner))
+        let seen_here = self.zone == zone && self.unreachable.contains(controller);
+        let reports_it = |peer: &str| {
+            self.reported_by(peer, now)
+                .is_some_and(|unreachable| unreachable.iter().any(|name| name == controller))
         };
-        here || self.others.iter().any(|(n, z)| z == zone && there(n))
+        seen_here
+            || self
+                .peers
+                .iter()
+                .any(|(name, peer_zone)| peer_zone == zone && reports_it(name))
     }
 
-    /// Where a worker goes on to that can't reach its owner, when this
-    /// controller can't either: one that reaches the owner and is reached from
-    /// here. None if its report is better passed on.
+    /// The controller to which a worker goes that cannot reach its owner, when this
+    /// controller cannot reach the owner either: one that reaches the owner and is
+    /// reached from here. `None` if its report is better relayed from here.
     pub fn alternate_controller(&self, owner: &str, now: Seconds) -> Option<&str> {
-        if !self.apart.contains(owner) {
+        if !self.unreachable.contains(owner) {
             return None;
         }
-        let reaches = |n: &str| {
-            self.says(n, now)
-                .is_some_and(|a| a.iter().all(|x| x != owner))
+        let reaches_owner = |peer: &str| {
+            self.reported_by(peer, now)
+                .is_some_and(|unreachable| unreachable.iter().all(|name| name != owner))
         };
-        let names = self.others.iter().map(|(n, _)| n.as_str());
-        names
-            .filter(|n| *n != owner && !self.apart.contains(*n))
-            .find(|n| reaches(n))
+        self.peers
+            .iter()
+            .map(|(name, _)| name.as_str())
+            .filter(|name| *name != owner && !self.unreachable.contains(*name))
+            .find(|name| reaches_owner(name))
     }
 }
