--- a/src/shard/assigned_tasks.rs
+++ b/src/shard/assigned_tasks.rs
@@ -97,27 +97,27 @@
 
 impl AssignedTasks {
     /// One task.
-    pub fn get(&self, task: &Task) -> Option<&AssignedTask> {
+    pub(super) fn get(&self, task: &Task) -> Option<&AssignedTask> {
         self.all.get(task)
     }
 
     /// One task's placement, for everything but moving it to another machine.
-    pub fn place_mut(&mut self, task: &Task) -> Option<&mut Placement> {
+    pub(super) fn place_mut(&mut self, task: &Task) -> Option<&mut Placement> {
         self.all.get_mut(task)?.placement.as_mut()
     }
 
     /// Whether a task is assigned.
-    pub fn contains(&self, task: &Task) -> bool {
+    pub(super) fn contains(&self, task: &Task) -> bool {
         self.all.contains_key(task)
     }
 
     /// All of them, in order.
-    pub fn iter(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
         self.all.iter()
     }
 
     /// Those of a job, in order.
-    pub fn of_job(&self, job: &JobId) -> impl Iterator<Item = (&Task, &AssignedTask)> {
+    pub(super) fn of_job(&self, job: &JobId) -> impl Iterator<Item = (&Task, &AssignedTask)> {
         let task = |index| Task {
             job: job.clone(),
             index,
@@ -126,7 +126,7 @@
     }
 
     /// Those of a machine, in order.
-    pub fn on<'a>(
+    pub(super) fn on<'a>(
         &'a self,
         machine: &MachineId,
     ) -> impl Iterator<Item = (&'a Task, &'a AssignedTask)> + 'a {
@@ -135,7 +135,7 @@
     }
 
     /// The names of those of a machine, in order.
-    pub fn names_on(&self, machine: &MachineId) -> Vec<Task> {
+    pub(super) fn names_on(&self, machine: &MachineId) -> Vec<Task> {
         self.on
             .get(machine)
             .map(|s| s.iter().cloned().collect())
@@ -143,19 +143,19 @@
     }
 
     /// How many a machine has.
-    pub fn count_on(&self, machine: &MachineId) -> usize {
+    pub(super) fn count_on(&self, machine: &MachineId) -> usize {
         self.on.get(machine).map_or(0, BTreeSet::len)
     }
 
     /// Those that no machine has yet.
-    pub fn queued(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
+    pub(super) fn queued(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
         self.queued.iter().filter_map(|t| self.all.get_key_value(t))
     }
 
     /// Adds a task, in place of what was known of it.
-    pub fn insert(&mut self, task: Task, held: AssignedTask) {
+    pub(super) fn insert(&mut self, task: Task, assigned: AssignedTask) {
         self.remove(&task);
-        match &held.placement {
+        match &assigned.placement {
             Some(p) => {
                 self.on
                     .entry(p.machine.clone())
@@ -166,13 +166,13 @@
                 self.queued.insert(task.clone());
             }
         }
-        self.all.insert(task, held);
+        self.all.insert(task, assigned);
     }
 
     /// Removes a task.
-    pub fn remove(&mut self, task: &Task) -> Option<AssignedTask> {
-        let held = self.all.remove(task)?;
-        match &held.placement {
+    pub(super) fn remove(&mut self, task: &Task) -> Option<AssignedTask> {
+        let assigned = self.all.remove(task)?;
+        match &assigned.placement {
             Some(p) => {
                 if let Some(on) = self.on.get_mut(&p.machine) {
                     on.remove(task);
@@ -185,18 +185,18 @@
                 self.queued.remove(task);
             }
         }
-        Some(held)
+        Some(assigned)
     }
 
     /// Gives a task its placement.
-    pub fn place(&mut self, task: &Task, attempt: u64, at: Placement) {
-        if let Some(held) = self.remove(task) {
+    pub(super) fn place(&mut self, task: &Task, attempt: u64, at: Placement) {
+        if let Some(assigned) = self.remove(task) {
             self.insert(
                 task.clone(),
                 AssignedTask {
                     attempt,
                     placement: Some(at),
-                    ..held
+                    ..assigned
                 },
             );
         }
@@ -204,7 +204,7 @@
 
     /// The tasks whose status has changed since report `since`; `seq` is the report
     /// that will list them.
-    pub fn changed(&mut self, seq: u64, since: u64) -> Vec<AssignedTaskStatus> {
+    pub(super) fn changed(&mut self, seq: u64, since: u64) -> Vec<AssignedTaskStatus> {
         let mut out = Vec::new();
         for (task, h) in &mut self.all {
             let phase = h.placement.as_ref().map_or(TaskPhase::Queued, |p| p.phase);
@@ -234,7 +234,10 @@
     }
 
     /// Removes all tasks for which `keep` is false, and returns them with their attempts.
-    pub fn retain(&mut self, keep: impl Fn(&Task, &AssignedTask) -> bool) -> Vec<(Task, u64)> {
+    pub(super) fn retain(
+        &mut self,
+        keep: impl Fn(&Task, &AssignedTask) -> bool,
+    ) -> Vec<(Task, u64)> {
         let out: Vec<(Task, u64)> = self
             .all
             .iter()
--- a/src/shard/leases.rs
+++ b/src/shard/leases.rs
@@ -21,14 +21,14 @@
             .machines
             .iter()
             .filter(|(_, m)| {
-                // Guard: a session without an answer has its lease from when it
+                // A session without an answer has its lease from when it
                 // began. A worker that reports to nobody begins one after the
                 // other, and direct commands start tasks in each.
                 let mut renewed = m.session.last_answered_at.unwrap_or(entered);
                 if let Some(first_seen_at) = m.session.first_seen_at {
                     renewed = renewed.max(first_seen_at);
                 }
-                // Guard: while it has not shown our token, our answer may have been
+                // While it has not shown our token, our answer may have been
                 // lost, and an earlier owner's accepted after it.
                 if !m.is_reconciled() {
                     renewed = renewed.max(entered);
@@ -44,7 +44,7 @@
             .collect();
         for id in silent {
             if let Some(m) = self.machines.get_mut(&id) {
-                tracing::info!(%id, session = m.session.id, "a worker's lease is past");
+                tracing::info!(machine = %id, session = m.session.id, "a worker's lease is past");
                 m.state = m.state.after(MachineEvent::LeasePast).state;
                 m.session.ended_up_to = m.session.id;
                 m.contents.tasks.clear();
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -28,13 +28,13 @@
     #[serde(rename = "how")]
     pub reason: RemovalReason,
     pub machine: Option<MachineId>,
-    /// The assignment that it was held under; 0 if the version doesn't say.
+    /// The assignment that it had; 0 if the version doesn't say.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub assignment: u64,
     pub(super) seq: u64,
 }
 
-/// What a held task is doing, as the leader sees it.
+/// What an assigned task is doing, as the leader sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
     Queued,
@@ -45,14 +45,14 @@
     Done,
 }
 
-/// One held task in a shard's report.
+/// One assigned task in a shard's report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AssignedTaskStatus {
     pub task: Task,
     pub attempt: u64,
     pub phase: TaskPhase,
     pub machine: Option<MachineId>,
-    /// The assignment that it is held under; 0 if the version doesn't say.
+    /// Its assignment; 0 if the version doesn't say.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub assignment: u64,
 }
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -1,9 +1,9 @@
-//! A part of the fleet: the machines that hash to this controller, what runs
+//! A shard: the machines that hash to this controller, what runs
 //! on them, and the commands they are due. Pure: time comes in, commands go
 //! out as values.
 //!
 //! The one thing that must never happen is a task starting while it is
-//! somewhere else. A task held here leaves this shard only on proof: it was
+//! somewhere else. A task assigned here leaves this shard only on proof: it was
 //! seen ended, its machine is off the machine registry, its worker began a new session,
 //! or a report under a token above that of the last start doesn't list it.
 
@@ -80,13 +80,15 @@
 /// Settings that a shard needs.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
+    /// How often a worker sends a heartbeat.
     pub report_s: Seconds,
+    /// How long a worker's lease lasts after an answer.
     pub lease_s: Seconds,
     /// The longest that a member left out of an epoch may not know of it.
     pub member_lease_s: Seconds,
 }
 
-/// A part of the fleet.
+/// The machines that one controller owns, and the tasks that are assigned to it.
 #[derive(Debug)]
 pub struct Shard {
     node: String,
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -15,7 +15,7 @@
 };
 use std::collections::BTreeMap;
 
-/// A task that is held and not listed.
+/// A task that is assigned to a machine and that its heartbeat does not list.
 struct Absent {
     task: Task,
     /// The report shows a token above that of the last start.
@@ -111,8 +111,8 @@
                 self.assigned.place(task, attempt, place);
                 self.report_due = true;
             }
-            // One that is to stop is held until it has: so long it takes its team's
-            // room. One that nothing is known of is held as well, and left alone.
+            // One that is to stop stays assigned until it has: so long it takes its team's
+            // room. One that nothing is known of is assigned as well, and left alone.
             Verdict::Adopt(_)
             | Verdict::RecordFinished
             | Verdict::Stop(_)
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Takes in what a held task does now.
+    /// Applies what an assigned task does now.
     fn apply_observed_state(
         &mut self,
         verdict: Verdict,
@@ -167,7 +167,7 @@
                 attempt = entry.attempt,
                 machine = %entry.machine,
                 ?verdict,
-                "reported task left alone"
+                "a reported task is left alone"
             );
         } else if !first_sight {
             return;
@@ -226,7 +226,7 @@
         }
     }
 
-    /// The leader held something back because of what is in doubt.
+    /// The leader held an action off because of unreconciled machines.
     pub fn record_hold_off(&mut self, action: Action, reason: HoldReason) {
         self.restart_record.record_hold(action, reason);
     }
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -35,7 +35,7 @@
     released: bool,
 }
 
-/// The transfers in which a shard takes shard.
+/// The transfers in which this shard takes part.
 #[derive(Debug, Clone, Default)]
 pub(super) struct TransferParticipant {
     fences: BTreeMap<TransferId, Fence>,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether a machine gets no orders. Guard: by its position, so that one that appears
+    /// Whether a machine gets no orders. It goes by its position, so that one that appears
     /// while its range moves gets none either.
     pub(super) fn is_fenced(&self, id: &MachineId) -> bool {
         let fences = self.fences.values().filter(|fence| !fence.released);
@@ -166,7 +166,7 @@
     }
 
     /// Tasks that were to be started on a machine, and certainly were not, are the leader's
-    /// again. Guard: given back later, they would be in the target's hands as well.
+    /// again. Given back later, they would be in the target's hands as well.
     fn return_unstarted(&mut self, id: &MachineId) {
         for task in self.assigned.names_on(id) {
             let place = self
@@ -188,7 +188,7 @@
             .collect()
     }
 
-    /// Answers a worker of a share that is being handed over: its lease is renewed, and
+    /// Answers a worker of a range that is being transferred: its lease is renewed, and
     /// what is cancelled stops.
     pub(super) fn answer_fenced(
         &mut self,
@@ -204,7 +204,7 @@
             return HeartbeatReply::Refuse;
         }
         m.session.last_answered_at = Some(now);
-        // Guard: it would look silent for as long as the table can't be written.
+        // Otherwise it would look silent for as long as the table can't be written.
         if token_epoch(r.token) == epoch {
             m.session.last_heartbeat_at = Some(now);
         }
@@ -229,7 +229,7 @@
         }
     }
 
-    /// The table of shares has changed: what is no longer this shard's goes, and what is
+    /// The shard map has changed: what is no longer this shard's goes, and what is
     /// new waits for its source's knowledge.
     pub fn apply_shard_map(
         &mut self,
@@ -271,7 +271,7 @@
             .push((id.clone(), self.report_seq + 1));
     }
 
-    /// Goes on with a share from what its source knew. A machine of it that the source did
+    /// Takes over a range with what its source knew. A machine of it that the source did
     /// not know is asked like any other.
     fn take_over_range(
         &mut self,
@@ -300,7 +300,7 @@
                 m.source_renews_until = until;
             }
         }
-        tracing::debug!(%range, machines = mine.len(), "took a share");
+        tracing::debug!(%range, machines = mine.len(), "range taken over");
     }
 
     /// Until when the source of a machine that has just come may renew its worker's lease:
@@ -318,7 +318,7 @@
         let held = self
             .assigned
             .on(id)
-            .filter_map(|(task, held)| task_knowledge(task, held, now));
+            .filter_map(|(task, held)| task_transfer_state(task, held, now));
         let lines = m
             .contents
             .tasks
@@ -408,7 +408,7 @@
         now: Seconds,
     ) {
         if self.assigned.contains(&known.task) {
-            tracing::warn!(task = %known.task, %machine, "a task that comes with a share is held already");
+            tracing::warn!(task = %known.task, %machine, "transferred task is assigned already");
             return;
         }
         let phase = match (known.completed, known.confirmed) {
@@ -464,7 +464,11 @@
     }
 }
 
-fn task_knowledge(task: &Task, held: &AssignedTask, now: Seconds) -> Option<AssignedTaskState> {
+fn task_transfer_state(
+    task: &Task,
+    held: &AssignedTask,
+    now: Seconds,
+) -> Option<AssignedTaskState> {
     let place = held.placement.as_ref()?;
     Some(AssignedTaskState {
         task: task.clone(),
