--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -1,6 +1,6 @@
-//! The actor that speaks to the cloud: rentals, deletions, the list and the
-//! catalog, within the cloud's rate. Only the leader asks it for anything
-//! that costs.
+//! The actor that calls the cloud's API: rentals, deletions, the machine list and the
+//! catalog, within the cloud's rate limit. Only the leader sends it requests that cost
+//! money.
 
 use crate::clock::{self, Seconds};
 use crate::config::settings::Settings;
@@ -13,47 +13,62 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// What can be asked.
+/// A request to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudRequest {
+    /// For the catalog of machine types.
     Catalog,
+    /// To rent machines. Repeating it under the same identifier rents no others.
     Rent(RentalRequest),
+    /// To delete machines.
     Delete(Vec<MachineId>),
+    /// For the list of all rented machines.
     List,
 }
 
-/// What comes back.
+/// The outcome of a request to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudResponse {
+    /// The catalog of machine types.
     Catalog(Catalog),
+    /// Machines were rented, perhaps fewer than were requested.
     Rented {
+        /// The request.
         request: RentalRequest,
+        /// The names of the machines.
         machines: Vec<MachineId>,
     },
+    /// The cloud has no machine of this offer at present.
     NoCapacity(RentalRequest),
-    /// No certain answer: the same request is to be sent again.
+    /// The outcome of a rental is unknown: the same request is to be sent again.
     RentUnknown(RentalRequest),
-    /// The cloud takes nothing of this kind.
+    /// The cloud refuses a rental as malformed.
     RentRefused(RentalRequest),
+    /// The machines are deleted.
     Deleted(Vec<MachineId>),
+    /// A deletion has failed, or its outcome is unknown.
     DeleteFailed(Vec<MachineId>),
-    /// The list, with the time at which it was asked for.
+    /// The list of all rented machines.
     List {
+        /// When it was requested, on the steady clock.
         asked: Seconds,
+        /// The machines.
         machines: Vec<ListedMachine>,
     },
+    /// A request for the catalog or the list has failed.
     Failed,
 }
 
-/// Starts the actor; the channel is bounded, and a full one is the asker's
-/// sign to come again later.
+/// Starts the actor in a detached thread; `tell` takes its responses and returns false
+/// once nobody takes them any more. The channel is bounded: when it is full, the request
+/// is to be sent again later.
 pub fn start<F>(settings: &Settings, tell: F) -> Sender<CloudRequest>
 where
     F: Fn(CloudResponse) -> bool + Send + Clone + 'static,
 {
     let (asks, inbox) = bounded::<CloudRequest>(64);
-    // Only the leader asks: most of the rate is its, and a little is left for
-    // one that led a moment ago.
+    // Only the leader sends requests: it takes most of the rate, and leaves a little to a
+    // controller that led a moment ago.
     let rate = settings.params.cloud.rps * 0.75;
     let http = HttpClient::new(
         settings.services.cloud,
