--- a/src/cluster/member_lease.rs
+++ b/src/cluster/member_lease.rs
@@ -10,6 +10,15 @@
 use serde_json::json;
 use std::time::Duration;
 
+/// How often the lease is renewed within its duration.
+const RENEWALS_PER_LEASE: f64 = 5.0;
+
+/// How often a failed request for a lease is repeated within the duration of one.
+const RETRIES_PER_LEASE: f64 = 24.0;
+
+/// The shortest pause after a failed renewal, in seconds.
+const MIN_RENEWAL_RETRY_S: Seconds = 0.3;
+
 /// What the lease actor reports.
 #[derive(Debug)]
 pub enum LeaseEvent {
@@ -24,86 +33,161 @@
     Expired,
 }
 
-/// Starts the actor that holds this node's lease and member key.
-pub fn start_lease_actor<F>(settings: &Settings, budget: RateBudget, shares: bool, tell: F)
-where
+/// Starts the actor that holds this node's lease and member key, in a detached thread.
+///
+/// `uses_shard_map` says whether this controller takes part in sharding by the shard map.
+/// `on_event` takes the actor's events and returns false once nobody takes them any more,
+/// which ends the actor.
+pub fn start_lease_actor<F>(
+    settings: &Settings,
+    budget: RateBudget,
+    uses_shard_map: bool,
+    on_event: F,
+) where
     F: Fn(LeaseEvent) -> bool + Send + 'static,
 {
-    let store = StoreClient::new(settings);
-    let key = member_key(&settings.node_name);
-    let life = settings.member_lease_s();
-    spawn_detached("lease", move || loop {
-        let pause = life / 24.0;
-        let Some((lease, sent)) = join(&store, &budget, &key, life, shares) else {
-            std::thread::sleep(Duration::from_secs_f64(pause));
-            continue;
-        };
-        let mut until = sent + clock::usable(life);
-        if !tell(LeaseEvent::Renewed {
-            incarnation: lease,
-            until,
-        }) {
-            return;
+    let actor = LeaseActor {
+        store: StoreClient::new(settings),
+        budget,
+        member_key: member_key(&settings.node_name),
+        lease_s: settings.member_lease_s(),
+        uses_shard_map,
+        on_event,
+    };
+    spawn_detached("lease", move || actor.run());
+}
+
+/// Nobody takes the actor's events any more.
+struct Disconnected;
+
+/// A lease that the store has granted.
+struct GrantedLease {
+    id: u64,
+    /// Until when it can be relied upon, on the steady clock.
+    until: Seconds,
+}
+
+/// The state of the lease actor.
+struct LeaseActor<F> {
+    store: StoreClient,
+    budget: RateBudget,
+    member_key: String,
+    /// The duration of the lease.
+    lease_s: Seconds,
+    uses_shard_map: bool,
+    on_event: F,
+}
+
+impl<F: Fn(LeaseEvent) -> bool> LeaseActor<F> {
+    /// Acquires a lease whenever there is none, and renews it until it ends.
+    fn run(&self) {
+        loop {
+            let Some(lease) = self.acquire() else {
+                sleep(self.retry_pause_s());
+                continue;
+            };
+            if self.renew_until_expired(lease).is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Requests a new lease and attaches the member key to it.
+    fn acquire(&self) -> Option<GrantedLease> {
+        self.budget.force_call();
+        let revision = self.store.get(&self.member_key).ok()?;
+        let revision = revision.map_or(0, |entry| entry.revision);
+        let lease = self.request_lease()?;
+        self.write_member_key(lease.id, revision).then_some(lease)
+    }
+
+    /// Requests a lease from the store. It is counted from the sending of the request.
+    fn request_lease(&self) -> Option<GrantedLease> {
+        self.budget.force_call();
+        let sent_at = clock::now();
+        match self.store.lease(self.lease_s) {
+            Ok(id) => Some(GrantedLease {
+                id,
+                until: self.usable_until(sent_at),
+            }),
+            Err(CallError::Status(code, _)) => {
+                tracing::debug!(code, "no member lease yet");
+                None
+            }
+            Err(CallError::NoResponse) => None,
         }
-        let mut gap = life / 5.0;
+    }
+
+    /// Writes the member key, whose last known revision is `revision`; returns whether
+    /// that has certainly succeeded.
+    fn write_member_key(&self, lease: u64, revision: u64) -> bool {
+        self.budget.force_call();
+        let put = WriteOp::Put {
+            key: self.member_key.clone(),
+            value: json!(MemberRecord::new(lease, self.uses_shard_map)),
+            lease: Some(lease),
+        };
+        let condition = Condition::new(&self.member_key, revision);
+        matches!(
+            self.store.commit(&[condition], &[put]),
+            CommitOutcome::Committed(_)
+        )
+    }
+
+    /// Reports the lease and renews it until the store says that it has ended.
+    fn renew_until_expired(&self, mut lease: GrantedLease) -> Result<(), Disconnected> {
+        self.report_renewed(&lease)?;
+        let mut pause_s = self.renewal_interval_s();
         loop {
-            std::thread::sleep(Duration::from_secs_f64(gap));
-            budget.force_call();
-            let sent = clock::now();
-            match store.renew(lease) {
+            sleep(pause_s);
+            self.budget.force_call();
+            let sent_at = clock::now();
+            match self.store.renew(lease.id) {
                 Ok(true) => {
-                    gap = life / 5.0;
-                    until = until.max(sent + clock::usable(life));
-                    if !tell(LeaseEvent::Renewed {
-                        incarnation: lease,
-                        until,
-                    }) {
-                        return;
-                    }
+                    pause_s = self.renewal_interval_s();
+                    lease.until = lease.until.max(self.usable_until(sent_at));
+                    self.report_renewed(&lease)?;
                 }
                 Ok(false) => {
-                    tracing::warn!(lease, "the member lease has ended");
-                    if !tell(LeaseEvent::Expired) {
-                        return;
-                    }
-                    break;
+                    tracing::warn!(lease = lease.id, "the member lease has ended");
+                    return self.report(LeaseEvent::Expired);
                 }
-                // Ask more often while it is refused, so that an outage's
-                // end is noticed soon.
-                Err(_) => gap = pause.max(0.3),
+                // The request is repeated more often while it fails, so that the end of
+                // an outage is noticed soon.
+                Err(_) => pause_s = self.retry_pause_s().max(MIN_RENEWAL_RETRY_S),
             }
         }
-    });
-}
+    }
 
-/// A new lease with the member key attached to it.
-fn join(
-    store: &StoreClient,
-    budget: &RateBudget,
-    key: &str,
-    life: Seconds,
-    shares: bool,
-) -> Option<(u64, Seconds)> {
-    budget.force_call();
-    let revision = store.get(key).ok()?.map_or(0, |e| e.revision);
-    budget.force_call();
-    let sent = clock::now();
-    let lease = match store.lease(life) {
-        Ok(lease) => lease,
-        Err(CallError::Status(code, _)) => {
-            tracing::debug!(code, "no member lease yet");
-            return None;
+    fn report_renewed(&self, lease: &GrantedLease) -> Result<(), Disconnected> {
+        self.report(LeaseEvent::Renewed {
+            incarnation: lease.id,
+            until: lease.until,
+        })
+    }
+
+    fn report(&self, event: LeaseEvent) -> Result<(), Disconnected> {
+        if (self.on_event)(event) {
+            Ok(())
+        } else {
+            Err(Disconnected)
         }
-        Err(CallError::NoResponse) => return None,
-    };
-    budget.force_call();
-    let put = WriteOp::Put {
-        key: key.into(),
-        value: json!(MemberRecord::new(lease, shares)),
-        lease: Some(lease),
-    };
-    match store.commit(&[Condition::new(key, revision)], &[put]) {
-        CommitOutcome::Committed(_) => Some((lease, sent)),
-        _ => None,
     }
+
+    /// Until when a lease can be relied upon that was requested or renewed at `sent_at`.
+    fn usable_until(&self, sent_at: Seconds) -> Seconds {
+        sent_at + clock::usable(self.lease_s)
+    }
+
+    fn renewal_interval_s(&self) -> Seconds {
+        self.lease_s / RENEWALS_PER_LEASE
+    }
+
+    fn retry_pause_s(&self) -> Seconds {
+        self.lease_s / RETRIES_PER_LEASE
+    }
+}
+
+fn sleep(pause_s: Seconds) {
+    std::thread::sleep(Duration::from_secs_f64(pause_s));
 }
