--- a/src/cluster/membership.rs
+++ b/src/cluster/membership.rs
@@ -6,6 +6,15 @@
 pub use finchwood_types::token::{token, token_counter, token_epoch, MAX_COUNTER};
 use std::collections::BTreeMap;
 
+/// The offset basis of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+
+/// The prime of the 64-bit FNV-1a hash.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// Between the two hashed names; no UTF-8 text has this byte.
+const NAME_SEPARATOR: u8 = 0xff;
+
 /// The epoch that should follow, if the live members are not those of the
 /// present one. The leader stays while it lives in the same incarnation.
 pub fn next_epoch(
@@ -16,40 +25,44 @@
         .iter()
         .map(|(name, member)| (name.clone(), member.value.incarnation))
         .collect();
-    let first = members.keys().next()?.clone();
-    let shares = live
+    if present.is_some_and(|epoch| epoch.members == members) {
+        return None;
+    }
+    let leader = elect_leader(present, &members)?;
+    let uses_shard_map = live
         .values()
         .all(|member| member.value.capability >= SHARD_MAP_CAPABILITY);
-    match present {
-        Some(e) if e.members == members => None,
-        Some(e) => {
-            let stays = members
-                .get(&e.leader)
-                .is_some_and(|incarnation| e.members.get(&e.leader) == Some(incarnation));
-            // A survivor knows more than a newcomer does.
-            let survivor = members
-                .iter()
-                .find(|(name, incarnation)| e.members.get(*name) == Some(incarnation))
-                .map(|(name, _)| name.clone());
-            let leader = if stays {
-                e.leader.clone()
-            } else {
-                survivor.unwrap_or(first)
-            };
-            Some(Epoch {
-                number: e.number + 1,
-                members,
-                leader,
-                uses_shard_map: shares,
-            })
-        }
-        None => Some(Epoch {
-            number: 1,
-            members,
-            leader: first,
-            uses_shard_map: shares,
-        }),
-    }
+    Some(Epoch {
+        number: present.map_or(0, |epoch| epoch.number) + 1,
+        members,
+        leader,
+        uses_shard_map,
+    })
+}
+
+/// The leader of the epoch that follows the present one: its leader if it is among the
+/// members in the same incarnation, else the first member that was in the present epoch,
+/// else the first of all.
+fn elect_leader(present: Option<&Epoch>, members: &BTreeMap<String, u64>) -> Option<String> {
+    let survives = |name: &str, incarnation: &u64| {
+        present.is_some_and(|epoch| epoch.members.get(name) == Some(incarnation))
+    };
+    let present_leader = present.map(|epoch| &epoch.leader).filter(|leader| {
+        members
+            .get(*leader)
+            .is_some_and(|incarnation| survives(leader, incarnation))
+    });
+    // A survivor knows more than a newcomer does.
+    let first_survivor = || {
+        members
+            .iter()
+            .find(|(name, incarnation)| survives(name, incarnation))
+            .map(|(name, _)| name)
+    };
+    present_leader
+        .or_else(first_survivor)
+        .or_else(|| members.keys().next())
+        .cloned()
 }
 
 /// The epoch that follows when the present one's leader is about to run out of attempt
@@ -69,32 +82,41 @@
         .map(String::as_str)
 }
 
-/// The live member that owns a machine by the table of shares, where all members of the
-/// epoch go by it; else by the hash.
+/// The live member that owns a machine by the shard map, where all members of the epoch
+/// use it; else by the hash.
 pub fn owner_by_shard_map<'a>(
     epoch: &'a Epoch,
-    table: &'a ShardMap,
+    shard_map: &'a ShardMap,
     machine: &str,
 ) -> Option<&'a str> {
     let hash_owner = owner(&epoch.members, machine)?;
-    if !epoch.uses_shard_map || table.is_empty() {
+    if !epoch.uses_shard_map || shard_map.is_empty() {
         return Some(hash_owner);
     }
-    let moved = table
+    let assigned_owner = shard_map
         .owner(hash_owner, machine)
         .filter(|owner| epoch.members.contains_key(*owner));
-    Some(moved.unwrap_or(hash_owner))
+    Some(assigned_owner.unwrap_or(hash_owner))
 }
 
-fn pair_hash(a: &str, b: &str) -> u64 {
-    let mut h = 0xcbf2_9ce4_8422_2325u64;
-    for byte in a.bytes().chain([0xff]).chain(b.bytes()) {
-        h = (h ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    }
+/// A hash of a member's and a machine's name. All controllers compute the same one.
+fn pair_hash(member: &str, machine: &str) -> u64 {
+    let name_bytes = member
+        .bytes()
+        .chain([NAME_SEPARATOR])
+        .chain(machine.bytes());
+    let fnv = name_bytes.fold(FNV_OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+    });
     // FNV alone moves the last bytes too little into the upper bits.
-    h ^= h >> 33;
-    h = h.wrapping_mul(0xff51_afd7_ed55_8ccd);
-    h ^= h >> 33;
-    h = h.wrapping_mul(0xc4ce_b9fe_1a85_ec53);
-    h ^ (h >> 33)
+    mix_bits(fnv)
+}
+
+/// The finalizer of MurmurHash3: every bit of the input changes all bits of the result.
+fn mix_bits(mut hash: u64) -> u64 {
+    hash ^= hash >> 33;
+    hash = hash.wrapping_mul(0xff51_afd7_ed55_8ccd);
+    hash ^= hash >> 33;
+    hash = hash.wrapping_mul(0xc4ce_b9fe_1a85_ec53);
+    hash ^ (hash >> 33)
 }
