--- a/src/cluster/reachability.rs
+++ b/src/cluster/reachability.rs
@@ -4,6 +4,15 @@
 use crate::clock::Seconds;
 use std::collections::{BTreeSet, HashMap};
 
+/// Another controller and where it is.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Peer {
+    /// The controller's node name.
+    pub name: String,
+    /// Its zone.
+    pub zone: String,
+}
+
 /// Which peers a controller said it cannot reach.
 #[derive(Debug)]
 struct UnreachableReport {
@@ -16,8 +25,8 @@
 pub struct Reachability {
     /// This controller's zone.
     zone: String,
-    /// The name and the zone of each other controller.
-    peers: Vec<(String, String)>,
+    /// The other controllers.
+    peers: Vec<Peer>,
     /// The peers that this controller cannot reach directly.
     unreachable: BTreeSet<String>,
     /// The newest report of each peer.
@@ -27,9 +36,9 @@
 }
 
 impl Reachability {
-    /// Every peer counts as reachable at first. `peers` are the other controllers' names
-    /// and zones; what they report counts for `report_valid_s` seconds.
-    pub fn new(zone: &str, peers: Vec<(String, String)>, report_valid_s: Seconds) -> Reachability {
+    /// Every peer counts as reachable at first. `peers` are the other controllers; what
+    /// they report counts for `report_valid_s` seconds.
+    pub fn new(zone: &str, peers: Vec<Peer>, report_valid_s: Seconds) -> Reachability {
         Reachability {
             zone: zone.into(),
             peers,
@@ -72,8 +81,7 @@
     /// Whether a zone is partitioned from a controller in another zone: some controller
     /// in the zone cannot reach it.
     pub fn is_partitioned(&self, zone: &str, controller: &str, now: Seconds) -> bool {
-        let is_in_zone =
-            |(name, peer_zone): &(String, String)| name == controller && peer_zone == zone;
+        let is_in_zone = |peer: &Peer| peer.name == controller && peer.zone == zone;
         if self.peers.iter().any(is_in_zone) {
             return false;
         }
@@ -86,7 +94,7 @@
             || self
                 .peers
                 .iter()
-                .any(|(name, peer_zone)| peer_zone == zone && reports_it(name))
+                .any(|peer| peer.zone == zone && reports_it(&peer.name))
     }
 
     /// The controller to which a worker goes that cannot reach its owner, when this
@@ -102,7 +110,7 @@
         };
         self.peers
             .iter()
-            .map(|(name, _)| name.as_str())
+            .map(|peer| peer.name.as_str())
             .filter(|name| *name != owner && !self.unreachable.contains(*name))
             .find(|name| reaches_owner(name))
     }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -4,7 +4,7 @@
 use super::interval_timer::IntervalTimer;
 use crate::clock::Seconds;
 use crate::cluster::peer::{CancellationNotice, Envelope, PeerMessage, PeerTransport};
-use crate::cluster::reachability::Reachability;
+use crate::cluster::reachability::{Peer, Reachability};
 use crate::config::settings::Settings;
 use crossbeam::channel::Sender;
 use std::collections::HashMap;
@@ -42,10 +42,13 @@
 impl Peers {
     /// Starts the transport to each of the other controllers.
     pub(super) fn start(settings: &Settings, events: &Sender<ControllerEvent>) -> Peers {
-        let zones = settings
+        let peers = settings
             .members
             .iter()
-            .map(|member| (member.node_name.clone(), member.zone.clone()))
+            .map(|member| Peer {
+                name: member.node_name.clone(),
+                zone: member.zone.clone(),
+            })
             .collect();
         let events = events.clone();
         let transport = PeerTransport::start(settings, move |name, unreachable| {
@@ -60,7 +63,7 @@
             transport,
             reachability: Reachability::new(
                 &settings.zone,
-                zones,
+                peers,
                 settings.params.workers.report_s * 2.0,
             ),
             store_reached_at: HashMap::new(),
--- a/tests/reachability.rs
+++ b/tests/reachability.rs
@@ -7,8 +7,11 @@
 #[test]
 fn workers_partitioned_from_their_owner_report_through_another_controller() {
     let others = [("b", "west"), ("c", "north"), ("d", "west")];
-    let others = others.map(|(n, z)| (n.to_string(), z.to_string())).to_vec();
-    let mut ways = Reachability::new("east", others, 8.0);
+    let peers = others.map(|(name, zone)| Peer {
+        name: name.into(),
+        zone: zone.into(),
+    });
+    let mut ways = Reachability::new("east", peers.to_vec(), 8.0);
     assert!(!ways.is_partitioned("east", "b", 1.0), "nothing is known");
     ways.record_direct_contact("b", false);
     ways.record_direct_contact("d", false);
