--- a/crates/reconciliation/src/lib.rs
+++ b/crates/reconciliation/src/lib.rs
@@ -12,6 +12,9 @@
 //! Everything here is pure: time and evidence come in as arguments, decisions go
 //! out as values.
 
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::expect_used, clippy::panic, clippy::unwrap_used)]
+
 pub mod hold_off;
 pub mod machine_state;
 pub mod restart_record;
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -12,6 +12,9 @@
 //!
 //! Everything here is pure: time comes in as an argument, orders go out as values.
 
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::expect_used, clippy::panic, clippy::unwrap_used)]
+
 pub mod hash_position;
 pub mod plan;
 pub mod planner;
--- a/crates/sharding/src/transfer_messages.rs
+++ b/crates/sharding/src/transfer_messages.rs
@@ -73,15 +73,27 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum TransferOrder {
     /// To the target: will it take the range?
-    Offer { id: TransferId },
+    Offer {
+        /// The transfer.
+        id: TransferId,
+    },
     /// To the source: no more orders to these machines. It ends when it is no longer told.
-    Fence { id: TransferId, range: HashRange },
+    Fence {
+        /// The transfer.
+        id: TransferId,
+        /// The machines that it moves.
+        range: HashRange,
+    },
     /// To the target: go on from this, once the shard map of that generation is seen.
     #[serde(rename = "Take")]
     TakeOver {
+        /// The transfer.
         id: TransferId,
+        /// The machines that it moves.
         range: HashRange,
+        /// The generation of the shard map that names the target.
         generation: u64,
+        /// What the source knew of the machines.
         machines: Vec<MachineTransferState>,
     },
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,9 @@
 //! The types that finchwood's packages share: messages, clocks, fencing tokens, and sets of
 //! finished tasks. They hold no policy.
 
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::expect_used, clippy::panic, clippy::unwrap_used)]
+
 pub mod clock;
 pub mod cloud;
 pub mod finished;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,6 +8,9 @@
 //! [`store`], [`cluster`] and [`autoscaler`] exchange events with it through channels.
 //! `docs/architecture.md` tells which way each request takes.
 
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::expect_used, clippy::panic, clippy::unwrap_used)]
+
 pub mod api;
 pub mod autoscaler;
 pub mod cluster;
--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -17,7 +17,12 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
     /// 200 with token and commands.
-    Accepted { token: u64, commands: Vec<Command> },
+    Accepted {
+        /// The fencing token of the answer.
+        token: u64,
+        /// What the worker is to do.
+        commands: Vec<Command>,
+    },
     /// 503: this controller is not entitled to answer, or the heartbeat is older than one
     /// already seen.
     Refuse,
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -1,4 +1,4 @@
-//! What a shard and the leader tell each other. The names of fields and variants
+//! The messages between a shard and the leader. The names of fields and variants
 //! are read by other versions.
 
 use crate::cluster::failure_detection::ZoneContact;
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// How a task left this shard.
+/// Why a task was removed from a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RemovalReason {
-    /// Stopped by our command.
+    /// Stopped by command.
     Stopped,
     /// Failed on its machine.
     Error,
@@ -23,34 +23,49 @@
 /// A task that is certainly nowhere in this shard any more.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RemovedTask {
+    /// The task.
     pub task: Task,
+    /// The attempt that was removed.
     pub attempt: u64,
+    /// Why it was removed.
     #[serde(rename = "how")]
     pub reason: RemovalReason,
+    /// The machine that it was on, if it had one.
     pub machine: Option<MachineId>,
     /// The assignment that it had; 0 if the version doesn't say.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub assignment: u64,
+    /// The number of the report that tells of it first.
     pub(super) seq: u64,
 }
 
 /// What an assigned task is doing, as the leader sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
+    /// It has no machine yet.
     Queued,
+    /// It has a machine, whose worker has not shown it yet.
     Starting,
+    /// Its image is being fetched, or its gang is not complete yet.
     Fetching,
+    /// It runs.
     Running,
+    /// It saves a checkpoint before it stops.
     Saving,
+    /// It has completed.
     Done,
 }
 
 /// One assigned task in a shard's report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AssignedTaskStatus {
+    /// The task.
     pub task: Task,
+    /// The attempt that is assigned.
     pub attempt: u64,
+    /// What it is doing.
     pub phase: TaskPhase,
+    /// Its machine, if it has one.
     pub machine: Option<MachineId>,
     /// Its assignment; 0 if the version doesn't say.
     #[serde(default, skip_serializing_if = "is_zero")]
@@ -62,25 +77,31 @@
 }
 
 /// One machine in a shard's report: everything but how long ago things were,
-/// so that a machine on which nothing happens need not be told again.
+/// so that a machine on which nothing happens need not be reported again.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineStatus {
+    /// The machine.
     pub id: MachineId,
+    /// Its type, as the catalog names it.
     #[serde(rename = "kind")]
     pub machine_type: Arc<str>,
+    /// Its zone.
     pub zone: Arc<str>,
+    /// Whether the cloud may take it back at any time.
     pub spot: bool,
-    /// What it holds is known under this owner's token.
+    /// Its tasks are known under this owner's fencing token.
     #[serde(rename = "certain")]
     pub reconciled: bool,
-    /// Heard of at all.
+    /// Its worker has reported to this owner.
     #[serde(rename = "heard")]
     pub has_reported: bool,
     /// On the machine registry.
     #[serde(rename = "listed")]
     pub registered: bool,
+    /// Where its worker takes direct commands, if that is known.
     #[serde(rename = "addr")]
     pub address: Option<Arc<str>>,
+    /// What is free for further tasks.
     pub free: Resources,
     /// What lower work than the highest priority's would give up for that.
     #[serde(rename = "yielding")]
@@ -93,55 +114,68 @@
     /// Takes new tasks.
     #[serde(rename = "open")]
     pub schedulable: bool,
+    /// The cloud has given notice that it takes the machine back.
     #[serde(rename = "noticed")]
     pub spot_notice: bool,
     /// Tasks of two jobs failed there. Read by earlier versions only: the leader of this
     /// one judges by the failures of all machines.
     pub faulty: bool,
-    /// Only one way between it and its owner is open: its reports arrive, but it
-    /// acts on nothing it is answered, or it obeys direct commands but doesn't
-    /// report. Its worker's lease runs out all the same.
+    /// It is reachable in one direction only: its heartbeats arrive but it acts on no
+    /// answer, or it obeys direct commands but sends no heartbeats. Its worker's lease
+    /// expires all the same.
     #[serde(rename = "heedless")]
     pub ignores_commands: bool,
+    /// It takes no more tasks, as the leader wants it empty.
     pub draining: bool,
+    /// The number of tasks on it.
     pub tasks: u32,
     /// Images that are likely cached there, by name.
     pub images: Vec<Arc<str>>,
 }
 
-/// A machine that has not been heard for a while.
+/// A machine that has sent no heartbeat for a while.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SilentMachine {
+    /// The machine.
     pub id: MachineId,
+    /// How long ago it was last heard, in seconds.
     pub silent_s: f64,
-    /// Since when it has not answered when asked, while others of its zone were
-    /// reached.
+    /// For how long it has not answered direct commands while others of its zone were
+    /// reached, in seconds.
     #[serde(rename = "deaf_s")]
     pub unanswered_s: Option<f64>,
 }
 
-/// What a shard tells the leader: all that changed since report `since`, which
-/// the leader is known to have taken in (0: the whole). Everything in it is
-/// absolute, so that hearing a change twice does no harm; a report whose
-/// `since` the leader doesn't have is dropped by it and told again.
+/// A shard's report to the leader: all that has changed since report `since`, which
+/// the leader is known to have applied (0: everything). Everything in it is
+/// absolute, so that applying a change twice does no harm; the leader drops a report
+/// whose `since` it has not applied, and the shard sends the changes again.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ShardReport {
+    /// The epoch in which it was made.
     pub epoch: u64,
+    /// The controller that owns the shard.
     pub node: String,
+    /// That controller's incarnation.
     #[serde(rename = "inc")]
     pub incarnation: u64,
-    /// All that was known in the epoch before is known still.
+    /// The shard has kept all its state from the epoch before.
     #[serde(default)]
     #[serde(rename = "kept")]
     pub state_retained: bool,
+    /// The report that this one builds on; 0: it holds everything.
     pub since: u64,
+    /// The number of this report.
     pub seq: u64,
+    /// The machines that are new or have changed.
     pub machines: Vec<MachineStatus>,
     /// Machines that are no longer this shard's.
     #[serde(rename = "unlisted")]
     pub unregistered: Vec<(MachineId, u64)>,
+    /// The assigned tasks that are new or have changed.
     #[serde(rename = "held")]
     pub assigned: Vec<AssignedTaskStatus>,
+    /// Tasks that were removed and that the leader has not acknowledged yet.
     #[serde(rename = "gone")]
     pub removed: Vec<RemovedTask>,
     /// Tasks that this shard let go of and that need no proof of removal (committed as
@@ -151,13 +185,13 @@
     /// All machines that are silent now, whether that is new or not.
     #[serde(rename = "quiet")]
     pub silent_machines: Vec<SilentMachine>,
-    /// How zones are reached with nobody in between.
+    /// How the shard's owner reaches each zone directly.
     #[serde(rename = "zones_met")]
     pub zone_contacts: Vec<(Arc<str>, ZoneContact)>,
-    /// Machines of other shards that came here, and how long ago.
+    /// Machines of other shards whose workers reported here, and how many seconds ago.
     #[serde(rename = "met")]
     pub seen_elsewhere: Vec<(MachineId, f64)>,
-    /// Shares that come or go.
+    /// The hash ranges that are being transferred.
     #[serde(default, skip_serializing_if = "TransferReport::is_empty")]
     #[serde(rename = "handovers")]
     pub transfers: TransferReport,
@@ -166,11 +200,13 @@
 /// Tasks of one job that are assigned to a shard.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobAssignment {
+    /// The job.
     pub job: JobId,
     /// Number and attempt.
     pub tasks: Vec<(u32, u64)>,
     /// For jobs whose tasks depend on each other: how many more each zone may take.
     pub zone_room: Option<Vec<(Arc<str>, u32)>>,
+    /// Machines on which its tasks are not to be started.
     pub avoid: Vec<MachineId>,
     /// Number and assignment of tasks whose attempt is older than their
     /// assignment: those of gangs, which share one attempt. Versions without
@@ -189,27 +225,31 @@
     }
 }
 
-/// All that the leader tells a shard.
+/// What the leader orders a shard to do.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Orders {
+    /// The epoch in which they were given.
     pub epoch: u64,
+    /// The controller that owns the shard.
     pub node: String,
+    /// The number of these orders.
     pub seq: u64,
-    /// The newest report of the shard that the leader has taken in.
+    /// The newest report of the shard that the leader has applied.
     #[serde(rename = "ack")]
     pub acknowledged_seq: u64,
+    /// The assigned tasks that the shard has not reported yet.
     #[serde(rename = "deals")]
     pub assignments: Vec<JobAssignment>,
-    /// Tasks to give back.
+    /// Tasks to stop, with their attempts.
     pub recall: Vec<(Task, u64)>,
     /// Machines that take no more tasks.
     pub drain: Vec<MachineId>,
-    /// Running tasks per job, for display; told now and then.
+    /// Running tasks of each job, for display; in some orders only.
     pub running: Option<Vec<(JobId, u32)>>,
     /// Teams that use more than they are guaranteed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub borrowing: Vec<Arc<str>>,
-    /// Shares that this shard gives or takes, all of them.
+    /// All transfers of hash ranges in which this shard takes part.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "handovers")]
     pub transfers: Vec<TransferOrder>,
