--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -102,26 +102,29 @@
         direct: bool,
     ) -> (u64, Vec<Command>) {
         let epoch = self.epoch;
-        let Some(m) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(id) else {
             return (token(epoch, 0), Vec::new());
         };
-        if !m.is_reconciled() || m.token_exhausted() {
-            return (token(epoch, m.token.counter), m.cancelled_stops(cache));
+        if !machine.is_reconciled() || machine.token_exhausted() {
+            return (
+                token(epoch, machine.token.counter),
+                machine.cancelled_stops(cache),
+            );
         }
-        let reaps = if m.commands.in_flight {
+        let reaps = if machine.commands.in_flight {
             Vec::new()
         } else {
             self.forget_commands(id, cache)
         };
         let stops = self.stops_for_unassigned(id);
-        let Some(m) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(id) else {
             return (token(epoch, 0), Vec::new());
         };
         if !reaps.is_empty() {
-            m.token.counter += 1;
+            machine.token.counter += 1;
         }
-        m.commands.in_flight |= direct;
-        let token = token(epoch, m.token.counter);
+        machine.commands.in_flight |= direct;
+        let token = token(epoch, machine.token.counter);
         let counts = &mut self.restart_record.orders;
         counts.reaps += reaps.len() as u64;
         *counts.stops.entry(StopCause::NotAssigned).or_default() += stops.len() as u64;
@@ -142,7 +145,10 @@
         token: u64,
         cache: &StoreCache,
     ) -> Option<Command> {
-        let (session, up) = self.machines.get(id).map(|m| (m.session.id, m.used))?;
+        let (session, up) = self
+            .machines
+            .get(id)
+            .map(|machine| (machine.session.id, machine.used))?;
         let attempt = self.assigned.get(task)?.attempt;
         let place = self.assigned.place_mut(task)?;
         let counts = &mut self.restart_record.orders;
@@ -178,12 +184,17 @@
 
     /// What a machine's worker may forget.
     fn forget_commands(&self, id: &MachineId, cache: &StoreCache) -> Vec<Command> {
-        let Some(m) = self.machines.get(id) else {
+        let Some(machine) = self.machines.get(id) else {
             return Vec::new();
         };
-        let due = m.contents.tasks.iter().filter(|(task, observed)| {
-            let holding = self.holding(id, task, observed.attempt);
-            may_forget(observed.reported(), holding, cache.stored_task(task)).is_some()
+        let due = machine.contents.tasks.iter().filter(|(task, observed)| {
+            let known_assignment = self.known_assignment(id, task, observed.attempt);
+            may_forget(
+                observed.reported(),
+                known_assignment,
+                cache.stored_task(task),
+            )
+            .is_some()
         });
         due.map(|(task, observed)| Command::Forget {
             task: task.to_string(),
@@ -194,12 +205,12 @@
 
     /// Stops for what a machine shows to run and is not assigned to it.
     fn stops_for_unassigned(&self, id: &MachineId) -> Vec<Command> {
-        let Some(m) = self.machines.get(id) else {
+        let Some(machine) = self.machines.get(id) else {
             return Vec::new();
         };
-        let due = m.contents.tasks.iter().filter(|(task, observed)| {
-            let holding = self.holding(id, task, observed.attempt);
-            must_stop(observed.reported(), holding).is_some()
+        let due = machine.contents.tasks.iter().filter(|(task, observed)| {
+            let known_assignment = self.known_assignment(id, task, observed.attempt);
+            must_stop(observed.reported(), known_assignment).is_some()
         });
         let stop = |(task, observed): (&Task, &ObservedTask)| Command::Stop {
             task: task.to_string(),
@@ -256,7 +267,7 @@
             let is_late = || machine.silent_for(self.epoch_started_at, now) > late;
             machine.commands.probe_due || machine.used && (never_heard || is_late())
         };
-        let to_probe = self.machines.iter().filter(|(_, m)| is_due(m));
+        let to_probe = self.machines.iter().filter(|(_, machine)| is_due(machine));
         due.extend(to_probe.map(|(id, _)| id.clone()));
         due
     }
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -131,23 +131,10 @@
             shows_token: heartbeat.token >= token(self.epoch, machine.token.counter),
         };
         if machine.shows_life(heartbeat, self.epoch) {
-            machine.commands.outstanding_since = None;
-            machine.commands.unanswered_since = None;
-            if machine.session.last_heartbeat_at.is_none() {
-                machine.contents.idle_since = now;
-                self.report_due = true;
-            }
-            machine.session.last_heartbeat_at = Some(now);
-        }
-        // A notice that lies in the past makes no sense, and is ignored.
-        if let Some(notice_s) = heartbeat.notice_s.filter(|notice_s| *notice_s >= 0.0) {
-            self.report_due |= machine.reclaimed_at.is_none();
-            machine.reclaimed_at = Some(now + notice_s);
+            self.report_due |= machine.record_life(now);
         }
-        let reports = heartbeat.tasks.iter();
-        machine.contents.tasks = reports
-            .filter_map(|report| Some((Task::parse(&report.task)?, ObservedTask::from(report))))
-            .collect();
+        self.report_due |= machine.record_reclaim_notice(heartbeat.notice_s, now);
+        machine.record_reported_tasks(heartbeat);
         let transition = machine.state.after(event);
         machine.state = transition.state;
         if transition.ask {
@@ -177,3 +164,36 @@
         }
     }
 }
+
+impl Machine {
+    /// Records that the machine's worker is alive. Returns whether it is the first sign of it.
+    fn record_life(&mut self, now: Seconds) -> bool {
+        self.commands.outstanding_since = None;
+        self.commands.unanswered_since = None;
+        let first_heartbeat = self.session.last_heartbeat_at.is_none();
+        if first_heartbeat {
+            self.contents.idle_since = now;
+        }
+        self.session.last_heartbeat_at = Some(now);
+        first_heartbeat
+    }
+
+    /// Records that the cloud reclaims the machine in `notice_s` seconds. Returns whether
+    /// that was not known. A notice that lies in the past makes no sense, and is ignored.
+    fn record_reclaim_notice(&mut self, notice_s: Option<f64>, now: Seconds) -> bool {
+        let Some(notice_s) = notice_s.filter(|notice_s| *notice_s >= 0.0) else {
+            return false;
+        };
+        let first_notice = self.reclaimed_at.is_none();
+        self.reclaimed_at = Some(now + notice_s);
+        first_notice
+    }
+
+    /// Replaces the tasks that the machine shows by those of its newest heartbeat.
+    fn record_reported_tasks(&mut self, heartbeat: &Heartbeat) {
+        let reports = heartbeat.tasks.iter();
+        self.contents.tasks = reports
+            .filter_map(|report| Some((Task::parse(&report.task)?, ObservedTask::from(report))))
+            .collect();
+    }
+}
--- a/src/shard/leases.rs
+++ b/src/shard/leases.rs
@@ -1,5 +1,4 @@
-//! What ends with a worker's lease, and what has to leave machines that will be
-//! taken.
+//! Expiry of workers' leases, and tasks on machines that the cloud will reclaim.
 
 use super::{Shard, Stop, TaskPhase};
 use crate::clock::{self, Seconds};
@@ -10,7 +9,7 @@
 impl Shard {
     /// A worker that has had no answer for the whole of its lease has killed
     /// its tasks: only this owner answers it (an earlier one was fenced before
-    /// this epoch), so what it held is nowhere, even if the machine itself
+    /// this epoch), so its tasks run nowhere, even if the machine itself
     /// can't be seen. A session it was answered in is over for good.
     pub fn expire_leases(&mut self, now: Seconds) {
         let limit = clock::with_drift_margin(self.timing.lease_s);
@@ -20,59 +19,61 @@
         let silent: Vec<MachineId> = self
             .machines
             .iter()
-            .filter(|(_, m)| {
+            .filter(|(_, machine)| {
                 // A session without an answer has its lease from when it
                 // began. A worker that reports to nobody begins one after the
                 // other, and direct commands start tasks in each.
-                let mut renewed = m.session.last_answered_at.unwrap_or(entered);
-                if let Some(first_seen_at) = m.session.first_seen_at {
+                let mut renewed = machine.session.last_answered_at.unwrap_or(entered);
+                if let Some(first_seen_at) = machine.session.first_seen_at {
                     renewed = renewed.max(first_seen_at);
                 }
                 // While it has not shown our token, our answer may have been
                 // lost, and an earlier owner's accepted after it.
-                if !m.is_reconciled() {
+                if !machine.is_reconciled() {
                     renewed = renewed.max(entered);
                 }
-                if let Some(until) = m.source_renews_until {
+                if let Some(until) = machine.source_renews_until {
                     renewed = renewed.max(until);
                 }
-                !m.commands.in_flight && now - renewed > limit
+                !machine.commands.in_flight && now - renewed > limit
             })
             .filter(|(id, _)| !self.transfers.is_fenced(id))
-            .filter(|(_, m)| !m.is_reconciled() || !m.session.has_ended())
+            .filter(|(_, machine)| !machine.is_reconciled() || !machine.session.has_ended())
             .map(|(id, _)| id.clone())
             .collect();
         for id in silent {
-            if let Some(m) = self.machines.get_mut(&id) {
-                tracing::info!(machine = %id, session = m.session.id, "a worker's lease is past");
-                m.state = m.state.after(MachineEvent::LeasePast).state;
-                m.session.ended_up_to = m.session.id;
-                m.contents.tasks.clear();
-                let below = m.session.id + 1;
+            if let Some(machine) = self.machines.get_mut(&id) {
+                tracing::info!(machine = %id, session = machine.session.id, "a worker's lease is past");
+                machine.state = machine.state.after(MachineEvent::LeasePast).state;
+                machine.session.ended_up_to = machine.session.id;
+                machine.contents.tasks.clear();
+                let below = machine.session.id + 1;
                 self.expire_session(&id, below);
                 self.report_due = true;
             }
         }
     }
 
-    /// Stops what has to move off machines that will be taken.
+    /// Stops the tasks that have to move off machines which the cloud will reclaim.
     pub fn stop_for_notices(&mut self, cache: &StoreCache, now: Seconds) {
         let mut moving = Vec::new();
         let noticed = self
             .machines
             .iter()
-            .filter_map(|(id, m)| Some((id, m.reclaimed_at?)));
-        for (until, (task, h)) in
-            noticed.flat_map(|(id, until)| self.assigned.on(id).map(move |t| (until, t)))
+            .filter_map(|(id, machine)| Some((id, machine.reclaimed_at?)));
+        for (until, (task, assigned)) in
+            noticed.flat_map(|(id, until)| self.assigned.on(id).map(move |task| (until, task)))
         {
-            let Some(p) = &h.placement else { continue };
-            if p.stop.is_some() || p.phase == TaskPhase::Done {
+            let Some(placement) = &assigned.placement else {
+                continue;
+            };
+            if placement.stop.is_some() || placement.phase == TaskPhase::Done {
                 continue;
             }
             let Some(spec) = cache
                 .jobs
                 .get(&task.job)
-                .and_then(|j| j.record.spec.as_ref())
+                .and_then(|job| job.record.spec.as_ref())
             else {
                 continue;
             };
@@ -80,12 +81,12 @@
             if spec.job_kind == JobKind::Gang {
                 continue;
             }
-            let left = spec.estimate_s - (now - p.phase_since);
-            let ends_in_time = p.phase == TaskPhase::Running
+            let remaining_s = spec.estimate_s - (now - placement.phase_since);
+            let ends_in_time = placement.phase == TaskPhase::Running
                 && spec.job_kind == JobKind::Array
-                && now + left.max(0.0) < until;
+                && now + remaining_s.max(0.0) < until;
             if !ends_in_time {
-                moving.push((task.clone(), h.attempt));
+                moving.push((task.clone(), assigned.attempt));
             }
         }
         for (task, attempt) in moving {
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -97,7 +97,7 @@
         let place = self
             .assigned
             .get(task)
-            .and_then(|held| held.placement.as_ref());
+            .and_then(|assigned| assigned.placement.as_ref());
         let young = place.is_some_and(|place| {
             place.phase == TaskPhase::Running
                 && place.stop.is_none()
@@ -118,13 +118,17 @@
     /// at once; one that may be starting needs a token above that of its start first.
     pub(super) fn stop_task(&mut self, task: &Task, attempt: u64, why: Stop) {
         let epoch = self.epoch;
-        if self.assigned.get(task).is_none_or(|h| h.attempt != attempt) {
+        if self
+            .assigned
+            .get(task)
+            .is_none_or(|assigned| assigned.attempt != attempt)
+        {
             return;
         }
         let machine = self
             .assigned
             .get(task)
-            .and_then(|held| Some(held.placement.as_ref()?.machine.clone()));
+            .and_then(|assigned| Some(assigned.placement.as_ref()?.machine.clone()));
         let fenced = machine.is_some_and(|machine| self.transfers.is_fenced(&machine));
         match self.assigned.place_mut(task) {
             None => self.remove_task(task, RemovalReason::Stopped),
@@ -132,22 +136,24 @@
             Some(_) if fenced => {}
             // Saving for another start: nobody has any use for that any more, and
             // it may take longer than a cancelled task may.
-            Some(p) if p.stop.is_some_and(|s| s != why) && why == Stop::Cancelled => {
-                p.stop = Some(why);
-                p.stop_sent = false;
+            Some(placement)
+                if placement.stop.is_some_and(|stop| stop != why) && why == Stop::Cancelled =>
+            {
+                placement.stop = Some(why);
+                placement.stop_sent = false;
             }
-            Some(p) if p.stop.is_none() && p.phase != TaskPhase::Done => {
-                p.stop = Some(why);
-                p.stop_sent = false;
-                if !p.confirmed {
-                    let Some(floor) = p.start_token else {
+            Some(placement) if placement.stop.is_none() && placement.phase != TaskPhase::Done => {
+                placement.stop = Some(why);
+                placement.stop_sent = false;
+                if !placement.confirmed {
+                    let Some(floor) = placement.start_token else {
                         // No start was ever sent, or it is proven dead.
                         return self.remove_task(task, RemovalReason::Stopped);
                     };
-                    let id = p.machine.clone();
-                    if let Some(m) = self.machines.get_mut(&id) {
-                        m.raise_token_above(epoch, floor);
-                        m.commands.probe_due = true;
+                    let id = placement.machine.clone();
+                    if let Some(machine) = self.machines.get_mut(&id) {
+                        machine.raise_token_above(epoch, floor);
+                        machine.commands.probe_due = true;
                     }
                 }
             }
--- a/src/shard/placement.rs
+++ b/src/shard/placement.rs
@@ -62,20 +62,20 @@
     pub(super) fn free_resources(
         &self,
         id: &MachineId,
-        m: &Machine,
+        machine: &Machine,
         cache: &StoreCache,
     ) -> Resources {
         let Some(total) = cache
             .catalog
             .as_ref()
-            .and_then(|c| c.get(&m.identity.machine_type))
+            .and_then(|c| c.get(&machine.identity.machine_type))
             .map(|t| t.total())
         else {
             return Resources::default();
         };
         let mut free = total;
         let spec = |job: &JobId| cache.jobs.get(job).and_then(|j| j.record.spec.as_ref());
-        for (task, observed) in &m.contents.tasks {
+        for (task, observed) in &machine.contents.tasks {
             if observed.state != TaskState::Ended {
                 match spec(&task.job) {
                     Some(s) => free.subtract(&s.task_resources()),
@@ -84,7 +84,8 @@
             }
         }
         for (task, h) in self.assigned.on(id) {
-            if m.contents
+            if machine
+                .contents
                 .tasks
                 .get(task)
                 .is_none_or(|l| l.attempt != h.attempt)
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -1,6 +1,5 @@
-//! What becomes of the tasks that a machine shows, once its content is certain.
-//! Which is which is verdicts in `finchwood-reconciliation`; here the verdicts are carried
-//! out.
+//! Reconciliation of the tasks that a machine reports with those that are assigned to it.
+//! The verdicts are reached in `finchwood-reconciliation`; this module carries them out.
 
 use super::machine::{ObservedTask, ObservedTasks};
 use super::{AssignedTask, Placement, RemovalReason, Shard, Stop, TaskPhase};
@@ -25,13 +24,18 @@
 }
 
 impl Shard {
-    /// What this shard holds of a task that a machine shows under an attempt.
-    pub(super) fn holding(&self, id: &MachineId, task: &Task, attempt: u64) -> KnownAssignment {
+    /// What this shard knows of a task that a machine reports under an attempt.
+    pub(super) fn known_assignment(
+        &self,
+        id: &MachineId,
+        task: &Task,
+        attempt: u64,
+    ) -> KnownAssignment {
         match self.assigned.get(task) {
             None => KnownAssignment::Unassigned,
-            Some(held) => match &held.placement {
+            Some(assigned) => match &assigned.placement {
                 None => KnownAssignment::Unplaced,
-                Some(place) if held.attempt == attempt && place.machine == *id => {
+                Some(place) if assigned.attempt == attempt && place.machine == *id => {
                     KnownAssignment::Same
                 }
                 Some(_) => KnownAssignment::Elsewhere,
@@ -48,23 +52,17 @@
         cache: &StoreCache,
         now: Seconds,
     ) {
-        let Some(m) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let observed_tasks = std::mem::take(&mut m.contents.tasks);
-        let verdicts_before = std::mem::take(&mut m.contents.verdicts);
-        let (session, first_sight) = (m.session.id, !m.contents.compared);
-        m.contents.compared = true;
+        let observed_tasks = std::mem::take(&mut machine.contents.tasks);
+        let verdicts_before = std::mem::take(&mut machine.contents.verdicts);
+        let (session, first_sight) = (machine.session.id, !machine.contents.compared);
+        machine.contents.compared = true;
         let mut verdicts = BTreeMap::new();
         for (task, observed) in &observed_tasks {
             let attempt = observed.attempt;
-            let holding = self.holding(id, task, attempt);
-            let verdict = decide(
-                observed.reported(),
-                holding,
-                cache.stored_task(task),
-                self.epoch,
-            );
+            let verdict = self.decide_verdict(id, task, observed, cache);
             if verdict != Verdict::Known {
                 verdicts.insert(task.clone(), (attempt, verdict));
                 if verdicts_before.get(task) != Some(&(attempt, verdict)) {
@@ -80,21 +78,39 @@
                 }
             }
             if attempt_counts(attempt, self.epoch) {
-                let seen = self.highest_assignments.entry(task.clone()).or_insert(0);
-                *seen = (*seen).max(attempt);
+                self.raise_highest_assignment(task, attempt);
             }
             let adopted = Placement::adopted(id, session, seen_token, now);
             self.apply_verdict(verdict, task, attempt, adopted, now);
             self.apply_observed_state(verdict, task, observed, now);
         }
         self.reconcile_absent(id, &observed_tasks, seen_token);
-        if let Some(m) = self.machines.get_mut(id) {
-            m.contents.tasks = observed_tasks;
-            m.contents.verdicts = verdicts;
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.contents.tasks = observed_tasks;
+            machine.contents.verdicts = verdicts;
         }
     }
 
-    /// Holds a task as the verdict says.
+    /// The verdict on a task that a machine reports.
+    fn decide_verdict(
+        &self,
+        id: &MachineId,
+        task: &Task,
+        observed: &ObservedTask,
+        cache: &StoreCache,
+    ) -> Verdict {
+        let known_assignment = self.known_assignment(id, task, observed.attempt);
+        let stored = cache.stored_task(task);
+        decide(observed.reported(), known_assignment, stored, self.epoch)
+    }
+
+    /// Records that a task has been assigned under `assignment`, unless a higher one is known.
+    pub(super) fn raise_highest_assignment(&mut self, task: &Task, assignment: u64) {
+        let highest = self.highest_assignments.entry(task.clone()).or_insert(0);
+        *highest = (*highest).max(assignment);
+    }
+
+    /// Assigns a reported task, or leaves it as it is, according to the verdict.
     fn apply_verdict(
         &mut self,
         verdict: Verdict,
@@ -106,7 +122,7 @@
         match verdict {
             Verdict::Known | Verdict::Forget(_) | Verdict::Conflict(_) => {}
             Verdict::Adopt(AdoptReason::FoundWhilePlanned) => {
-                let stale = self.assigned.get(task).map(|held| held.attempt);
+                let stale = self.assigned.get(task).map(|assigned| assigned.attempt);
                 tracing::warn!(%task, stale, attempt, "queued task found on a machine");
                 self.assigned.place(task, attempt, place);
                 self.report_due = true;
@@ -117,7 +133,7 @@
             | Verdict::RecordFinished
             | Verdict::Stop(_)
             | Verdict::LeaveUnreconciled(_) => {
-                let held = AssignedTask {
+                let assigned = AssignedTask {
                     attempt,
                     assignment: attempt,
                     placement: Some(place),
@@ -125,7 +141,7 @@
                     avoid: Vec::new(),
                     last_reported: None,
                 };
-                self.assigned.insert(task.clone(), held);
+                self.assigned.insert(task.clone(), assigned);
                 self.report_due = true;
             }
         }
@@ -175,18 +191,23 @@
         self.restart_record.record_decision(entry);
     }
 
-    /// What this shard holds on a machine and the newest report doesn't list.
-    fn reconcile_absent(&mut self, id: &MachineId, lines: &ObservedTasks, seen_token: u64) {
+    /// Reconciles the tasks that are assigned to a machine and that its report doesn't list.
+    fn reconcile_absent(
+        &mut self,
+        id: &MachineId,
+        observed_tasks: &ObservedTasks,
+        seen_token: u64,
+    ) {
         let absent: Vec<Absent> = self
             .assigned
             .on(id)
-            .filter(|(task, held)| {
-                lines
+            .filter(|(task, assigned)| {
+                observed_tasks
                     .get(*task)
-                    .is_none_or(|line| line.attempt != held.attempt)
+                    .is_none_or(|observed| observed.attempt != assigned.attempt)
             })
-            .filter_map(|(task, held)| {
-                let place = held.placement.as_ref()?;
+            .filter_map(|(task, assigned)| {
+                let place = assigned.placement.as_ref()?;
                 Some(Absent {
                     task: task.clone(),
                     proven: place.start_token.is_some_and(|token| seen_token > token),
@@ -218,9 +239,9 @@
                     place.start_token = None;
                 }
             } else if confirmed || stopping {
-                if let Some(m) = self.machines.get_mut(id) {
-                    m.raise_token_above(self.epoch, seen_token);
-                    m.commands.probe_due = true;
+                if let Some(machine) = self.machines.get_mut(id) {
+                    machine.raise_token_above(self.epoch, seen_token);
+                    machine.commands.probe_due = true;
                 }
             }
         }
@@ -233,26 +254,26 @@
 
     /// What was found and decided since this shard last knew nothing.
     pub fn restart_record(&mut self, now: Seconds) -> RecordView {
-        let in_doubt = self
+        let unreconciled = self
             .machines
             .values()
-            .filter(|m| !m.is_reconciled())
+            .filter(|machine| !machine.is_reconciled())
             .count();
-        self.restart_record.record_unreconciled(in_doubt, now);
+        self.restart_record.record_unreconciled(unreconciled, now);
         self.restart_record
-            .view(self.machines.values().map(|m| m.state), now)
+            .view(self.machines.values().map(|machine| machine.state), now)
     }
 
     /// Applies what a machine shows of a task that is assigned to it.
     pub(super) fn update_phase(&mut self, task: &Task, observed: &ObservedTask, now: Seconds) {
-        let Some(since) = self.assigned.get(task).map(|h| h.assigned_at) else {
+        let Some(since) = self.assigned.get(task).map(|assigned| assigned.assigned_at) else {
             return;
         };
-        let Some(p) = self.assigned.place_mut(task) else {
+        let Some(placement) = self.assigned.place_mut(task) else {
             return;
         };
-        p.confirmed = true;
-        p.start_sent = true;
+        placement.confirmed = true;
+        placement.start_sent = true;
         let phase = match observed.state {
             // A gang that gathers does not run yet.
             TaskState::Fetching | TaskState::Gathering => TaskPhase::Fetching,
@@ -262,9 +283,9 @@
                 Some(cause::DONE) => TaskPhase::Done,
                 Some(cause::STOPPED) => return self.remove_task(task, RemovalReason::Stopped),
                 Some(cause::ERROR) => {
-                    let machine = p.machine.clone();
-                    if let Some(m) = self.machines.get_mut(&machine) {
-                        m.contents.failed_jobs.insert(task.job.clone());
+                    let id = placement.machine.clone();
+                    if let Some(machine) = self.machines.get_mut(&id) {
+                        machine.contents.failed_jobs.insert(task.job.clone());
                     }
                     return self.remove_task(task, RemovalReason::Error);
                 }
@@ -277,10 +298,10 @@
                 Some(_) => return self.remove_task(task, RemovalReason::Lost),
             },
         };
-        if p.phase != phase {
+        if placement.phase != phase {
             tracing::debug!(%task, ?phase, assigned_s = now - since, "task phase changed");
-            p.phase = phase;
-            p.phase_since = now;
+            placement.phase = phase;
+            placement.phase_since = now;
             self.report_due = true;
         }
     }
--- a/src/shard/registration.rs
+++ b/src/shard/registration.rs
@@ -14,7 +14,7 @@
         if self.transfers.is_awaited(id) {
             return;
         }
-        let m = self.machines.entry(id.clone()).or_insert_with(|| {
+        let machine = self.machines.entry(id.clone()).or_insert_with(|| {
             let identity = MachineIdentity {
                 machine_type: record.machine_type.clone(),
                 zone: record.zone.clone(),
@@ -27,10 +27,10 @@
                 ..Machine::new(identity, now)
             }
         });
-        m.registered = true;
-        m.used |= record.in_use;
-        if m.identity.address.is_none() {
-            m.identity.address.clone_from(&record.address);
+        machine.registered = true;
+        machine.used |= record.in_use;
+        if machine.identity.address.is_none() {
+            machine.identity.address.clone_from(&record.address);
         }
         self.report_due = true;
     }
@@ -51,7 +51,7 @@
     pub fn registered_machines(&self) -> Vec<MachineId> {
         self.machines
             .iter()
-            .filter(|(_, m)| m.registered)
+            .filter(|(_, machine)| machine.registered)
             .map(|(id, _)| id.clone())
             .collect()
     }
--- a/src/shard/removal.rs
+++ b/src/shard/removal.rs
@@ -14,13 +14,13 @@
         let lost: Vec<Task> = self
             .assigned
             .on(id)
-            .filter(|(_, h)| {
-                h.placement.as_ref().is_some_and(|p| {
-                    p.session < below_session && p.phase != TaskPhase::Done
+            .filter(|(_, assigned)| {
+                assigned.placement.as_ref().is_some_and(|placement| {
+                    placement.session < below_session && placement.phase != TaskPhase::Done
                         || below_session == u64::MAX
                 })
             })
-            .map(|(t, _)| t.clone())
+            .map(|(task, _)| task.clone())
             .collect();
         for task in lost {
             self.remove_task(&task, RemovalReason::Lost);
@@ -29,29 +29,30 @@
 
     /// Removes a task that is proven to be nowhere in this shard, and tells the leader so.
     pub(super) fn remove_task(&mut self, task: &Task, reason: RemovalReason) {
-        if let Some(h) = self.assigned.remove(task) {
-            let reason = match (&h.placement, reason) {
-                (Some(p), RemovalReason::Lost) if p.stop.is_some() => RemovalReason::Stopped,
+        if let Some(assigned) = self.assigned.remove(task) {
+            let reason = match (&assigned.placement, reason) {
+                (Some(placement), RemovalReason::Lost) if placement.stop.is_some() => {
+                    RemovalReason::Stopped
+                }
                 _ => reason,
             };
-            let placement = h.placement.as_ref();
+            let placement = assigned.placement.as_ref();
             let stop = placement.and_then(|placement| placement.stop);
             let machine = placement.map(|placement| &placement.machine);
             tracing::debug!(%task, ?reason, ?stop, ?machine, "task removed");
             self.removed_tasks.push(RemovedTask {
                 task: task.clone(),
-                attempt: h.attempt,
+                attempt: assigned.attempt,
                 reason,
-                assignment: h.assignment,
-                machine: h.placement.map(|p| p.machine),
+                assignment: assigned.assignment,
+                machine: assigned.placement.map(|placement| placement.machine),
                 seq: self.report_seq + 1,
             });
             self.report_due = true;
         }
     }
 
-    /// A job changed in the cache: cancelled tasks are stopped, finished
-    /// ones are let go of.
+    /// A job changed in the cache: stops cancelled tasks and releases finished ones.
     pub fn job_changed(&mut self, id: &JobId, cache: &StoreCache) {
         let Some(job) = cache.jobs.get(id) else {
             return;
@@ -59,13 +60,14 @@
         let tasks: Vec<(Task, u64, bool)> = self
             .assigned
             .of_job(id)
-            .map(|(t, h)| {
+            .map(|(task, assigned)| {
                 (
-                    t.clone(),
-                    h.attempt,
-                    h.placement
+                    task.clone(),
+                    assigned.attempt,
+                    assigned
+                        .placement
                         .as_ref()
-                        .is_some_and(|p| p.phase == TaskPhase::Done),
+                        .is_some_and(|placement| placement.phase == TaskPhase::Done),
                 )
             })
             .collect();
@@ -81,12 +83,12 @@
         }
     }
 
-    /// Lets go of a task without a proof of removal: it is committed, or another shard has it.
+    /// Releases a task without a proof of removal: it is committed, or another shard has it.
     pub(super) fn release_task(&mut self, task: &Task) {
-        if let Some(h) = self.assigned.remove(task) {
+        if let Some(assigned) = self.assigned.remove(task) {
             self.released_tasks.push(ReleasedTask {
                 task: task.clone(),
-                attempt: h.attempt,
+                attempt: assigned.attempt,
                 report_seq: self.report_seq + 1,
             });
             self.report_due = true;
@@ -98,13 +100,14 @@
         let finished_tasks: Vec<Task> = self
             .assigned
             .iter()
-            .filter(|(t, h)| {
-                h.placement
+            .filter(|(task, assigned)| {
+                assigned
+                    .placement
                     .as_ref()
-                    .is_some_and(|p| p.phase == TaskPhase::Done)
-                    && is_finished(cache, t)
+                    .is_some_and(|placement| placement.phase == TaskPhase::Done)
+                    && is_finished(cache, task)
             })
-            .map(|(t, _)| t.clone())
+            .map(|(task, _)| task.clone())
             .collect();
         for task in finished_tasks {
             self.release_task(&task);
@@ -112,14 +115,15 @@
         // Neither rented nor shown to be alive: a copy of a report, or a machine
         // whose lease is past by now.
         let (lease_s, entered) = (self.timing.lease_s, self.epoch_started_at);
-        self.machines.retain(|_, m| {
-            m.registered
-                || m.session.last_heartbeat_at.is_some()
-                || now - m.known_since.max(entered) < lease_s
+        self.machines.retain(|_, machine| {
+            machine.registered
+                || machine.session.last_heartbeat_at.is_some()
+                || now - machine.known_since.max(entered) < lease_s
         });
         let assigned = &self.assigned;
-        self.highest_assignments
-            .retain(|t, _| assigned.contains(t) || cache.jobs.get(&t.job).is_none_or(|j| j.live()));
+        self.highest_assignments.retain(|task, _| {
+            assigned.contains(task) || cache.jobs.get(&task.job).is_none_or(|job| job.live())
+        });
     }
 }
 
--- a/src/shard/report.rs
+++ b/src/shard/report.rs
@@ -13,17 +13,17 @@
     pub(super) fn machine_status(
         &self,
         id: &MachineId,
-        m: &Machine,
+        machine: &Machine,
         cache: &StoreCache,
         now: Seconds,
     ) -> MachineStatus {
         let (mut preemptible, mut preemptible_low) = (Resources::default(), Resources::default());
-        for (task, h) in self.assigned.on(id) {
+        for (task, assigned) in self.assigned.on(id) {
             let spec = cache
                 .jobs
                 .get(&task.job)
-                .and_then(|j| j.record.spec.as_ref());
-            let (Some(spec), Some(place)) = (spec, h.placement.as_ref()) else {
+                .and_then(|job| job.record.spec.as_ref());
+            let (Some(spec), Some(place)) = (spec, assigned.placement.as_ref()) else {
                 continue;
             };
             if self.is_preemptible(spec, place, Priority::Prod, now) {
@@ -33,28 +33,33 @@
                 preemptible_low.add(&spec.task_resources());
             }
         }
-        let mut images: Vec<Arc<str>> = m.contents.images.iter().map(|i| i.0.clone()).collect();
+        let mut images: Vec<Arc<str>> = machine
+            .contents
+            .images
+            .iter()
+            .map(|i| i.0.clone())
+            .collect();
         images.sort();
         MachineStatus {
             id: id.clone(),
-            machine_type: m.identity.machine_type.clone(),
-            zone: m.identity.zone.clone(),
-            spot: m.identity.spot,
-            reconciled: m.is_reconciled(),
-            has_reported: m.session.last_heartbeat_at.is_some(),
-            registered: m.registered,
-            address: m.identity.address.clone(),
-            free: self.free_resources(id, m, cache),
+            machine_type: machine.identity.machine_type.clone(),
+            zone: machine.identity.zone.clone(),
+            spot: machine.identity.spot,
+            reconciled: machine.is_reconciled(),
+            has_reported: machine.session.last_heartbeat_at.is_some(),
+            registered: machine.registered,
+            address: machine.identity.address.clone(),
+            free: self.free_resources(id, machine, cache),
             preemptible,
             preemptible_low,
-            schedulable: self.is_schedulable(m, now) && !self.transfers.is_fenced(id),
-            spot_notice: m.reclaimed_at.is_some(),
-            faulty: m.is_faulty(),
-            ignores_commands: m.ignores_commands(self.timing.report_s, now)
-                || m.stopped_reporting(self.timing.report_s, now)
-                || m.token_exhausted(),
-            draining: m.draining,
-            tasks: (self.assigned.count_on(id) as u32).max(m.contents.tasks.len() as u32),
+            schedulable: self.is_schedulable(machine, now) && !self.transfers.is_fenced(id),
+            spot_notice: machine.reclaimed_at.is_some(),
+            faulty: machine.is_faulty(),
+            ignores_commands: machine.ignores_commands(self.timing.report_s, now)
+                || machine.stopped_reporting(self.timing.report_s, now)
+                || machine.token_exhausted(),
+            draining: machine.draining,
+            tasks: (self.assigned.count_on(id) as u32).max(machine.contents.tasks.len() as u32),
             images,
         }
     }
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -1,8 +1,8 @@
-//! A shard's side of transfers: as source it stops giving orders and tells what it knows,
-//! as target it goes on from that.
+//! Transfers of machines between shards: the source stops giving orders and reports its
+//! state of the machines, and the target continues from that state.
 //!
 //! A fenced machine is frozen: its worker's lease is renewed, so that nothing there ends,
-//! and cancelled tasks are stopped; but nothing is started, reaped or taken in any more.
+//! and cancelled tasks are stopped; but nothing is started, forgotten or adopted any more.
 //! What is on the machine can only become less, so that what the target is told is never
 //! too little, however late it comes.
 
@@ -138,18 +138,22 @@
         if self.transfers.fences.contains_key(&id) {
             return;
         }
-        let side = &self.transfers;
+        let transfers = &self.transfers;
         let machines: Vec<MachineId> = self
             .machines
             .keys()
-            .filter(|machine| side.is_in(range, machine))
+            .filter(|machine| transfers.is_in(range, machine))
             .cloned()
             .collect();
         for id in &machines {
             self.return_unstarted(id);
-            if let Some(m) = self.machines.get_mut(id).filter(|m| m.commands.in_flight) {
+            if let Some(machine) = self
+                .machines
+                .get_mut(id)
+                .filter(|machine| machine.commands.in_flight)
+            {
                 // It may be executed yet: dead once its worker has seen a higher token.
-                m.token.counter += 1;
+                machine.token.counter += 1;
             }
         }
         let knowledge = machines
@@ -172,7 +176,7 @@
             let place = self
                 .assigned
                 .get(&task)
-                .and_then(|held| held.placement.as_ref());
+                .and_then(|assigned| assigned.placement.as_ref());
             if place.is_some_and(|place| !place.confirmed && place.start_token.is_none()) {
                 self.remove_task(&task, RemovalReason::Passed);
             }
@@ -192,39 +196,39 @@
     /// what is cancelled stops.
     pub(super) fn answer_fenced(
         &mut self,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         cache: &StoreCache,
         now: Seconds,
     ) -> HeartbeatReply {
         let epoch = self.epoch;
-        let Some(m) = self.machines.get_mut(&r.machine) else {
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return HeartbeatReply::Refuse;
         };
-        if m.session.is_outdated(r) {
+        if machine.session.is_outdated(heartbeat) {
             return HeartbeatReply::Refuse;
         }
-        m.session.last_answered_at = Some(now);
+        machine.session.last_answered_at = Some(now);
         // Otherwise it would look silent for as long as the table can't be written.
-        if token_epoch(r.token) == epoch {
-            m.session.last_heartbeat_at = Some(now);
+        if token_epoch(heartbeat.token) == epoch {
+            machine.session.last_heartbeat_at = Some(now);
         }
         let cancelled = |task: &str| {
             let job = Task::parse(task).and_then(|task| cache.jobs.get(&task.job));
             job.is_some_and(|job| job.record.cancelled)
         };
-        let stops = r
+        let stops = heartbeat
             .tasks
             .iter()
-            .filter(|line| line.state != TaskState::Ended && cancelled(&line.task));
+            .filter(|reported| reported.state != TaskState::Ended && cancelled(&reported.task));
         let commands = stops
-            .map(|line| Command::Stop {
-                task: line.task.clone(),
-                attempt: line.attempt,
+            .map(|reported| Command::Stop {
+                task: reported.task.clone(),
+                attempt: reported.attempt,
                 grace_s: 0.0,
             })
             .collect();
         HeartbeatReply::Accepted {
-            token: token(epoch, m.token.counter),
+            token: token(epoch, machine.token.counter),
             commands,
         }
     }
@@ -280,11 +284,11 @@
         cache: &StoreCache,
         now: Seconds,
     ) {
-        let side = &self.transfers;
-        let mine: BTreeSet<MachineId> = side
+        let transfers = &self.transfers;
+        let mine: BTreeSet<MachineId> = transfers
             .awaited
             .iter()
-            .filter(|id| side.is_in(range, id))
+            .filter(|id| transfers.is_in(range, id))
             .cloned()
             .collect();
         self.transfers.awaited.retain(|id| !mine.contains(id));
@@ -296,8 +300,8 @@
                 self.register_machine(id, &machine.record.clone(), now);
             }
             let until = self.source_renews_until();
-            if let Some(m) = self.machines.get_mut(id) {
-                m.source_renews_until = until;
+            if let Some(machine) = self.machines.get_mut(id) {
+                machine.source_renews_until = until;
             }
         }
         tracing::debug!(%range, machines = mine.len(), "range taken over");
@@ -314,51 +318,52 @@
 
     /// What is known of a machine, for its target.
     fn transfer_state(&self, id: &MachineId, now: Seconds) -> Option<MachineTransferState> {
-        let m = self.machines.get(id)?;
-        let held = self
+        let machine = self.machines.get(id)?;
+        let assigned_tasks = self
             .assigned
             .on(id)
-            .filter_map(|(task, held)| task_transfer_state(task, held, now));
-        let lines = m
-            .contents
-            .tasks
-            .iter()
-            .map(|(task, observed)| ReportedTaskState {
-                task: task.clone(),
-                attempt: observed.attempt,
-                state: observed.state,
-                why: observed.cause.clone(),
-            });
+            .filter_map(|(task, assigned)| task_transfer_state(task, assigned, now));
+        let reported_tasks =
+            machine
+                .contents
+                .tasks
+                .iter()
+                .map(|(task, observed)| ReportedTaskState {
+                    task: task.clone(),
+                    attempt: observed.attempt,
+                    state: observed.state,
+                    why: observed.cause.clone(),
+                });
         Some(MachineTransferState {
             id: id.clone(),
-            machine_type: m.identity.machine_type.clone(),
-            zone: m.identity.zone.clone(),
-            spot: m.identity.spot,
-            address: m.identity.address.clone(),
-            registered: m.registered,
-            up: m.used,
-            state: m.state,
-            session: m.session.id,
-            seq: m.session.sequence,
-            token_counter: m.token.counter,
-            ended_session: m.session.ended_up_to,
-            last_heartbeat_ago_s: m.session.last_heartbeat_at.map(|at| now - at),
+            machine_type: machine.identity.machine_type.clone(),
+            zone: machine.identity.zone.clone(),
+            spot: machine.identity.spot,
+            address: machine.identity.address.clone(),
+            registered: machine.registered,
+            up: machine.used,
+            state: machine.state,
+            session: machine.session.id,
+            seq: machine.session.sequence,
+            token_counter: machine.token.counter,
+            ended_session: machine.session.ended_up_to,
+            last_heartbeat_ago_s: machine.session.last_heartbeat_at.map(|at| now - at),
             // On the wire, a session that was never seen began with the clock.
-            session_seen_ago_s: now - m.session.first_seen_at.unwrap_or(0.0),
-            notice_in_s: m.reclaimed_at.map(|until| until - now),
-            reported_tasks: lines.collect(),
-            assigned_tasks: held.collect(),
-            images: m.contents.images.iter().cloned().collect(),
+            session_seen_ago_s: now - machine.session.first_seen_at.unwrap_or(0.0),
+            notice_in_s: machine.reclaimed_at.map(|until| until - now),
+            reported_tasks: reported_tasks.collect(),
+            assigned_tasks: assigned_tasks.collect(),
+            images: machine.contents.images.iter().cloned().collect(),
         })
     }
 
     /// Takes over a machine with all that its source knew. Its token is above any that the
     /// source used.
     fn adopt_machine(&mut self, known: &MachineTransferState, cache: &StoreCache, now: Seconds) {
-        let lines = known
+        let observed_tasks = known
             .reported_tasks
             .iter()
-            .map(|l| (l.task.clone(), ObservedTask::from(l)));
+            .map(|reported| (reported.task.clone(), ObservedTask::from(reported)));
         let identity = MachineIdentity {
             machine_type: known.machine_type.clone(),
             zone: known.zone.clone(),
@@ -386,7 +391,7 @@
                 ..CommandChannel::default()
             },
             contents: MachineContents {
-                tasks: lines.collect(),
+                tasks: observed_tasks.collect(),
                 compared: true,
                 images: known.images.iter().cloned().collect(),
                 ..MachineContents::empty(now)
@@ -400,6 +405,7 @@
         }
     }
 
+    /// Takes over a task that the source had assigned to a machine.
     fn adopt_task(
         &mut self,
         machine: &MachineId,
@@ -411,26 +417,10 @@
             tracing::warn!(task = %known.task, %machine, "transferred task is assigned already");
             return;
         }
-        let phase = match (known.completed, known.confirmed) {
-            (true, _) => TaskPhase::Done,
-            (false, true) => TaskPhase::Running,
-            (false, false) => TaskPhase::Starting,
-        };
-        let place = Placement {
-            machine: machine.clone(),
-            session: known.session,
-            phase,
-            start_token: (known.start_token != NO_START_TOKEN).then_some(known.start_token),
-            start_sent: known.start_sent,
-            confirmed: known.confirmed,
-            stop: known.stopping.then_some(Stop::Recalled),
-            stop_sent: false,
-            phase_since: now - known.in_phase_s,
-        };
-        let held = AssignedTask {
+        let assigned = AssignedTask {
             attempt: known.attempt,
             assignment: known.assignment,
-            placement: Some(place),
+            placement: Some(transferred_placement(machine, known, now)),
             assigned_at: now,
             avoid: Vec::new(),
             last_reported: None,
@@ -438,12 +428,8 @@
         // It was here before, and is again: that it had gone need not be told any more.
         self.released_tasks
             .retain(|released| released.task != known.task || released.attempt != known.attempt);
-        let seen = self
-            .highest_assignments
-            .entry(known.task.clone())
-            .or_insert(0);
-        *seen = (*seen).max(known.assignment);
-        self.assigned.insert(known.task.clone(), held);
+        self.raise_highest_assignment(&known.task, known.assignment);
+        self.assigned.insert(known.task.clone(), assigned);
         if cache
             .jobs
             .get(&known.task.job)
@@ -464,16 +450,41 @@
     }
 }
 
+/// Where a transferred task is, from what its source knew.
+fn transferred_placement(
+    machine: &MachineId,
+    known: &AssignedTaskState,
+    now: Seconds,
+) -> Placement {
+    let phase = match (known.completed, known.confirmed) {
+        (true, _) => TaskPhase::Done,
+        (false, true) => TaskPhase::Running,
+        (false, false) => TaskPhase::Starting,
+    };
+    Placement {
+        machine: machine.clone(),
+        session: known.session,
+        phase,
+        start_token: (known.start_token != NO_START_TOKEN).then_some(known.start_token),
+        start_sent: known.start_sent,
+        confirmed: known.confirmed,
+        stop: known.stopping.then_some(Stop::Recalled),
+        stop_sent: false,
+        phase_since: now - known.in_phase_s,
+    }
+}
+
+/// What the target has to know of a task that is placed on a machine.
 fn task_transfer_state(
     task: &Task,
-    held: &AssignedTask,
+    assigned: &AssignedTask,
     now: Seconds,
 ) -> Option<AssignedTaskState> {
-    let place = held.placement.as_ref()?;
+    let place = assigned.placement.as_ref()?;
     Some(AssignedTaskState {
         task: task.clone(),
-        attempt: held.attempt,
-        assignment: held.assignment,
+        attempt: assigned.attempt,
+        assignment: assigned.assignment,
         session: place.session,
         start_token: place.start_token.unwrap_or(NO_START_TOKEN),
         start_sent: place.start_sent,
