--- a/src/shard/assigned_tasks.rs
+++ b/src/shard/assigned_tasks.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct AssignedTask {
     pub attempt: u64,
-    /// Tells one assignment of an attempt from the next.
+    /// Distinguishes one assignment of an attempt from the next.
     pub assignment: u64,
     /// None while it waits for a machine.
     pub placement: Option<Placement>,
@@ -52,7 +52,7 @@
     pub assigned_at: Seconds,
     /// Machines that must not get it.
     pub avoid: Vec<MachineId>,
-    /// What the leader was last told of it, and in which report.
+    /// Its state as last reported to the leader, and in which report.
     pub last_reported: Option<LastReported>,
 }
 
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Workers' heartbeats: which are newer than what is known, what they prove, and
-//! what has become of the tasks that are assigned to their machines.
+//! Workers' heartbeats: which are newer than the known state, what they prove, and how
+//! they change the state of their machines.
 
 use super::machine::{Machine, MachineIdentity, ObservedTask};
 use super::{HeartbeatReply, Shard};
@@ -62,7 +62,7 @@
         HeartbeatReply::Accepted { token, commands }
     }
 
-    /// The machine that a heartbeat is of, known from now on if it wasn't.
+    /// The machine that sent a heartbeat; it is added if it was unknown.
     fn machine_of(
         &mut self,
         heartbeat: &Heartbeat,
@@ -90,7 +90,7 @@
         machine
     }
 
-    /// A machine of a zone was reached with nobody in between.
+    /// Records that a machine of a zone was reached directly, without a relay.
     pub(super) fn record_zone_contact(&mut self, zone: &Arc<str>, now: Seconds) {
         let before = self.zone_contacts.get(zone).copied();
         let contact = ZoneContactSpan::extend(before, now, self.timing.report_s);
@@ -154,7 +154,7 @@
         self.record_use(id, now);
     }
 
-    /// Records that a machine holds tasks, if it does.
+    /// Records that a machine is in use, if it has tasks or any are assigned to it.
     fn record_use(&mut self, id: &MachineId, now: Seconds) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -189,7 +189,7 @@
         first_notice
     }
 
-    /// Replaces the tasks that the machine shows by those of its newest heartbeat.
+    /// Replaces the reported tasks by those of the newest heartbeat.
     fn record_reported_tasks(&mut self, heartbeat: &Heartbeat) {
         let reports = heartbeat.tasks.iter();
         self.contents.tasks = reports
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -147,7 +147,7 @@
     pub(super) images: VecDeque<CachedImage>,
     /// Jobs of which a task failed there.
     pub(super) failed_jobs: HashSet<JobId>,
-    /// Since when it holds nothing.
+    /// Since when it has been idle.
     pub(super) idle_since: Seconds,
 }
 
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -104,14 +104,14 @@
     removed_tasks: Vec<RemovedTask>,
     released_tasks: Vec<ReleasedTask>,
     unregistered_machines: Vec<(MachineId, u64)>,
-    /// Machines as the leader was last told, and in which report.
+    /// Machines as last reported to the leader, and in which report.
     last_reported: HashMap<MachineId, (MachineStatus, u64)>,
-    /// The newest report that the leader has taken in.
+    /// The newest report that the leader has acknowledged.
     acknowledged_seq: u64,
     /// The highest assignment seen of each task: a late copy does nothing.
     highest_assignments: HashMap<Task, u64>,
     zone_capacities: HashMap<JobId, ZoneCapacity>,
-    /// Teams that use more than they are guaranteed, as the leader last told.
+    /// Teams that use more than they are guaranteed, by the leader's last orders.
     borrowing_teams: HashSet<Arc<str>>,
     /// How zones are reached with nobody in between.
     zone_contacts: BTreeMap<Arc<str>, ZoneContactSpan>,
@@ -198,7 +198,7 @@
         self.incarnation = incarnation;
         self.state_retained = stays;
         self.orders_seq = 0;
-        // The whole is told anew.
+        // The next report is a full one.
         self.acknowledged_seq = 0;
         self.last_reported.clear();
         self.released_tasks.clear();
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The leader has taken in the reports up to `ack`.
+    /// The leader has acknowledged the reports up to `ack`.
     fn apply_acknowledgement(&mut self, ack: u64) {
         self.acknowledged_seq = ack.min(self.report_seq);
         self.removed_tasks.retain(|removed| removed.seq > ack);
@@ -132,7 +132,7 @@
         let fenced = machine.is_some_and(|machine| self.transfers.is_fenced(&machine));
         match self.assigned.place_mut(task) {
             None => self.remove_task(task, RemovalReason::Stopped),
-            // What its target was told must not become untrue: the leader tells the target.
+            // The state sent to the target must stay true: the leader orders the target to stop it.
             Some(_) if fenced => {}
             // Saving for another start: nobody has any use for that any more, and
             // it may take longer than a cancelled task may.
--- a/src/shard/removal.rs
+++ b/src/shard/removal.rs
@@ -1,4 +1,4 @@
-//! How tasks leave this shard: on proof that they are nowhere in it, because they are
+//! Removal of tasks from this shard: on proof that they are nowhere in it, because they are
 //! committed as finished, or because their machine is another shard's.
 
 use super::{ReleasedTask, RemovalReason, RemovedTask, Shard, Stop, TaskPhase};
@@ -8,7 +8,7 @@
 use finchwood_reconciliation::stored_jobs::StoredJobs;
 
 impl Shard {
-    /// Removes what a machine held in sessions before `below_session`, as those have ended.
+    /// Removes the tasks placed on a machine in sessions before `below_session`, as those have ended.
     /// What is done is kept until its machine is gone (`u64::MAX`): the worker keeps results.
     pub(super) fn expire_session(&mut self, id: &MachineId, below_session: u64) {
         let lost: Vec<Task> = self
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Removes a task that is proven to be nowhere in this shard, and tells the leader so.
+    /// Removes a task that is proven to be nowhere in this shard, and reports that to the leader.
     pub(super) fn remove_task(&mut self, task: &Task, reason: RemovalReason) {
         if let Some(assigned) = self.assigned.remove(task) {
             let reason = match (&assigned.placement, reason) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Forgets what nobody needs any more.
+    /// Forgets finished tasks, machines past their lease and assignments of finished jobs.
     pub fn forget_finished(&mut self, cache: &StoreCache, now: Seconds) {
         let finished_tasks: Vec<Task> = self
             .assigned
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -3,8 +3,8 @@
 //!
 //! A fenced machine is frozen: its worker's lease is renewed, so that nothing there ends,
 //! and cancelled tasks are stopped; but nothing is started, forgotten or adopted any more.
-//! What is on the machine can only become less, so that what the target is told is never
-//! too little, however late it comes.
+//! Tasks on the machine can only end, so that the state sent to the target never misses one,
+//! however late it arrives.
 
 use super::machine::{
     CommandChannel, Machine, MachineContents, MachineIdentity, ObservedTask, TokenAcknowledgement,
@@ -26,12 +26,12 @@
 /// The token on the wire of a task whose start can't be under way.
 const NO_START_TOKEN: u64 = u64::MAX;
 
-/// A share to whose machines no orders are given.
+/// A range to whose machines no orders are given.
 #[derive(Debug, Clone)]
 struct Fence {
     range: HashRange,
     knowledge: Vec<MachineTransferState>,
-    /// The table names the target, and the machines are let go of.
+    /// The shard map names the target, and the machines are released.
     released: bool,
 }
 
@@ -41,11 +41,11 @@
     fences: BTreeMap<TransferId, Fence>,
     accepted: BTreeSet<TransferId>,
     taken_over: BTreeSet<TransferId>,
-    /// Machines that the table has given to this shard, and of which it knows nothing yet.
+    /// Machines that the shard map has given to this shard, and whose state is yet to come.
     awaited: BTreeSet<MachineId>,
-    /// When the table last changed.
+    /// When the shard map last changed.
     table_changed_at: Option<Seconds>,
-    /// The members of the epoch, among whom the hash names homes.
+    /// The members of the epoch, among whom the hash chooses owners.
     members: BTreeMap<String, u64>,
 }
 
@@ -65,23 +65,23 @@
         fences.into_iter().any(|fence| self.is_in(&fence.range, id))
     }
 
-    /// Whether a machine is of a range: by its home, and its position.
+    /// Whether a machine is in a range, by its hash owner and its position.
     fn is_in(&self, range: &HashRange, id: &str) -> bool {
         let hash_owner = membership::owner(&self.members, id);
         hash_owner.is_some_and(|hash_owner| range.contains(hash_owner, position(id)))
     }
 
-    /// Whether a machine is this shard's, and what its source knows is still to come.
+    /// Whether a machine is this shard's, and its source's state of it is still to come.
     pub(super) fn is_awaited(&self, id: &MachineId) -> bool {
         self.awaited.contains(id)
     }
 
-    /// A machine is gone.
+    /// Stops waiting for a machine that is gone.
     pub(super) fn forget(&mut self, id: &MachineId) {
         self.awaited.remove(id);
     }
 
-    /// What the leader is told.
+    /// The state of all transfers, for the leader.
     pub(super) fn report(&self) -> TransferReport {
         let fenced = self.fences.iter().filter(|(_, fence)| !fence.released);
         let released = self.fences.iter().filter(|(_, fence)| fence.released);
@@ -97,8 +97,8 @@
 }
 
 impl Shard {
-    /// Takes in all transfers that the leader tells. A fence that is no longer told is
-    /// over: the transfer was withdrawn, or this shard has let go of the share.
+    /// Applies all transfers that the leader orders. A fence that is no longer ordered is
+    /// over: the transfer was withdrawn, or this shard has released the range.
     pub(super) fn apply_transfer_orders(
         &mut self,
         orders: &[TransferOrder],
@@ -133,7 +133,7 @@
         self.report_due |= self.transfers.report() != before;
     }
 
-    /// Stops giving orders to the machines of a range, and notes what is known of them.
+    /// Stops giving orders to the machines of a range, and records their state.
     fn fence(&mut self, id: TransferId, range: &HashRange, now: Seconds) {
         if self.transfers.fences.contains_key(&id) {
             return;
@@ -208,7 +208,7 @@
             return HeartbeatReply::Refuse;
         }
         machine.session.last_answered_at = Some(now);
-        // Otherwise it would look silent for as long as the table can't be written.
+        // Otherwise it would look silent for as long as the shard map can't be written.
         if token_epoch(heartbeat.token) == epoch {
             machine.session.last_heartbeat_at = Some(now);
         }
@@ -233,8 +233,8 @@
         }
     }
 
-    /// The shard map has changed: what is no longer this shard's goes, and what is
-    /// new waits for its source's knowledge.
+    /// The shard map has changed: releases the machines that are no longer this shard's, and
+    /// waits for the source's state of those that are new.
     pub fn apply_shard_map(
         &mut self,
         cache: &StoreCache,
@@ -264,7 +264,7 @@
         self.report_due = true;
     }
 
-    /// A machine is another shard's, with all that is on it.
+    /// Releases a machine to another shard, with all its tasks.
     fn release_machine(&mut self, id: &MachineId) {
         for task in self.assigned.names_on(id) {
             self.release_task(&task);
@@ -316,7 +316,7 @@
             .map(|changed| changed + margin)
     }
 
-    /// What is known of a machine, for its target.
+    /// The state of a machine, for the target of its transfer.
     fn transfer_state(&self, id: &MachineId, now: Seconds) -> Option<MachineTransferState> {
         let machine = self.machines.get(id)?;
         let assigned_tasks = self
@@ -425,7 +425,7 @@
             avoid: Vec::new(),
             last_reported: None,
         };
-        // It was here before, and is again: that it had gone need not be told any more.
+        // It was here before, and is again: its release need not be reported any more.
         self.released_tasks
             .retain(|released| released.task != known.task || released.attempt != known.attempt);
         self.raise_highest_assignment(&known.task, known.assignment);
@@ -450,7 +450,7 @@
     }
 }
 
-/// Where a transferred task is, from what its source knew.
+/// The placement of a transferred task, from the source's state of it.
 fn transferred_placement(
     machine: &MachineId,
     known: &AssignedTaskState,
@@ -474,7 +474,7 @@
     }
 }
 
-/// What the target has to know of a task that is placed on a machine.
+/// The state of a task that is placed on a machine, for the target of its transfer.
 fn task_transfer_state(
     task: &Task,
     assigned: &AssignedTask,
