--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -2,6 +2,7 @@
 //! catalog, within the cloud's rate limit. Only the leader sends it requests that cost
 //! money.
 
+use crate::api::status;
 use crate::clock::{self, Seconds};
 use crate::config::settings::Settings;
 use crate::store::{CallError, HttpClient, TokenBucket};
@@ -13,6 +14,31 @@
 use serde_json::json;
 use std::time::Duration;
 
+/// How many requests may wait for the actor.
+const QUEUE_CAPACITY: usize = 64;
+
+/// The share of the cloud's rate limit that the leader uses. The rest is left to a
+/// controller that led a moment ago.
+const RATE_SHARE: f64 = 0.75;
+
+/// The least rate of requests, in requests per second.
+const MIN_RATE: f64 = 0.2;
+
+/// The least number of requests that may be sent at once.
+const MIN_BURST: f64 = 1.0;
+
+/// The shortest time that a response may take, in seconds.
+const MIN_TIMEOUT_S: Seconds = 1.0;
+
+/// The shortest pause before a request that the rate limit holds back, in seconds.
+const MIN_RATE_PAUSE_S: Seconds = 0.01;
+
+/// The most machines in a page of the machine list.
+const LIST_PAGE_SIZE: usize = 500;
+
+/// The error of a refused rental by which the cloud says that it has no such machine.
+const NO_CAPACITY_ERROR: &str = "no capacity";
+
 /// A request to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudRequest {
@@ -41,125 +67,148 @@
     /// The cloud has no machine of this offer at present.
     NoCapacity(RentalRequest),
     /// The outcome of a rental is unknown: the same request is to be sent again.
-    RentUnknown(RentalRequest),
+    RentOutcomeUnknown(RentalRequest),
     /// The cloud refuses a rental as malformed.
     RentRefused(RentalRequest),
     /// The machines are deleted.
     Deleted(Vec<MachineId>),
     /// A deletion has failed, or its outcome is unknown.
-    DeleteFailed(Vec<MachineId>),
+    DeleteUnconfirmed(Vec<MachineId>),
     /// The list of all rented machines.
     List {
         /// When it was requested, on the steady clock.
-        asked: Seconds,
+        requested_at: Seconds,
         /// The machines.
         machines: Vec<ListedMachine>,
     },
     /// A request for the catalog or the list has failed.
-    Failed,
+    ReadFailed,
 }
 
-/// Starts the actor in a detached thread; `tell` takes its responses and returns false
-/// once nobody takes them any more. The channel is bounded: when it is full, the request
-/// is to be sent again later.
-pub fn start<F>(settings: &Settings, tell: F) -> Sender<CloudRequest>
+/// Starts the actor in a detached thread; `on_response` takes its responses and returns
+/// false once nobody takes them any more. The channel is bounded: when it is full, the
+/// request is to be sent again later.
+pub fn start<F>(settings: &Settings, on_response: F) -> Sender<CloudRequest>
 where
     F: Fn(CloudResponse) -> bool + Send + Clone + 'static,
 {
-    let (asks, inbox) = bounded::<CloudRequest>(64);
-    // Only the leader sends requests: it takes most of the rate, and leaves a little to a
-    // controller that led a moment ago.
-    let rate = settings.params.cloud.rps * 0.75;
+    let (sender, requests) = bounded::<CloudRequest>(QUEUE_CAPACITY);
+    let rate = (settings.params.cloud.rps * RATE_SHARE).max(MIN_RATE);
     let http = HttpClient::new(
         settings.services.cloud,
-        settings.params.workers.report_s.max(1.0),
+        settings.params.workers.report_s.max(MIN_TIMEOUT_S),
     );
-    spawn_detached("cloud", move || run(&http, &inbox, rate.max(0.2), &tell));
-    asks
+    spawn_detached("cloud", move || run(&http, &requests, rate, &on_response));
+    sender
 }
 
 fn run(
     http: &HttpClient,
-    inbox: &Receiver<CloudRequest>,
+    requests: &Receiver<CloudRequest>,
     rate: f64,
-    tell: &impl Fn(CloudResponse) -> bool,
+    on_response: &impl Fn(CloudResponse) -> bool,
 ) {
-    let mut bucket = TokenBucket::new(rate, rate.max(1.0), clock::now());
-    while let Ok(ask) = inbox.recv() {
-        while let Err(wait) = bucket.take(1.0, clock::now()) {
-            std::thread::sleep(Duration::from_secs_f64(wait.max(0.01)));
-        }
-        let answer = serve(http, ask, &mut bucket);
-        if !tell(answer) {
+    let mut bucket = TokenBucket::new(rate, rate.max(MIN_BURST), clock::now());
+    while let Ok(request) = requests.recv() {
+        wait_for_token(&mut bucket, MIN_RATE_PAUSE_S);
+        let response = execute(http, request, &mut bucket);
+        if !on_response(response) {
             return;
         }
     }
 }
 
-fn serve(http: &HttpClient, ask: CloudRequest, bucket: &mut TokenBucket) -> CloudResponse {
-    match ask {
-        CloudRequest::Catalog => match http.call("GET", "/catalog", None) {
-            Ok(v) => {
-                serde_json::from_value(v).map_or(CloudResponse::Failed, CloudResponse::Catalog)
-            }
-            Err(_) => CloudResponse::Failed,
+/// Waits until the rate limit allows a request, at least `min_pause_s` seconds at a time.
+fn wait_for_token(bucket: &mut TokenBucket, min_pause_s: Seconds) {
+    while let Err(wait_s) = bucket.take(1.0, clock::now()) {
+        std::thread::sleep(Duration::from_secs_f64(wait_s.max(min_pause_s)));
+    }
+}
+
+fn execute(http: &HttpClient, request: CloudRequest, bucket: &mut TokenBucket) -> CloudResponse {
+    match request {
+        CloudRequest::Catalog => get_catalog(http),
+        CloudRequest::Rent(request) => rent(http, request, bucket),
+        CloudRequest::Delete(machines) => delete(http, machines),
+        CloudRequest::List => list_machines(http, bucket),
+    }
+}
+
+fn get_catalog(http: &HttpClient) -> CloudResponse {
+    let catalog = http.call("GET", "/catalog", None);
+    match catalog.map(serde_json::from_value::<Catalog>) {
+        Ok(Ok(catalog)) => CloudResponse::Catalog(catalog),
+        Ok(Err(_)) | Err(_) => CloudResponse::ReadFailed,
+    }
+}
+
+fn rent(http: &HttpClient, request: RentalRequest, bucket: &mut TokenBucket) -> CloudResponse {
+    match http.call("POST", "/machines", Some(&json!(request))) {
+        Ok(names) => match serde_json::from_value::<MachineNames>(names) {
+            Ok(names) => CloudResponse::Rented {
+                request,
+                machines: names.machines,
+            },
+            Err(_) => CloudResponse::RentOutcomeUnknown(request),
         },
-        CloudRequest::Rent(request) => {
-            let body = json!(request);
-            match http.call("POST", "/machines", Some(&body)) {
-                Ok(v) => match serde_json::from_value::<MachineNames>(v) {
-                    Ok(names) => CloudResponse::Rented {
-                        request,
-                        machines: names.machines,
-                    },
-                    Err(_) => CloudResponse::RentUnknown(request),
-                },
-                Err(CallError::Status(503, v)) if v["error"] == "no capacity" => {
-                    CloudResponse::NoCapacity(request)
-                }
-                Err(CallError::Status(400, v)) => {
-                    tracing::warn!(%v, "the cloud calls a rental malformed");
-                    CloudResponse::RentRefused(request)
-                }
-                Err(CallError::Status(429, _)) => {
-                    bucket.refused(clock::now());
-                    CloudResponse::RentUnknown(request)
-                }
-                Err(_) => CloudResponse::RentUnknown(request),
-            }
+        Err(error) => rental_error(error, request, bucket),
+    }
+}
+
+/// What a failed call says of the rental.
+fn rental_error(
+    error: CallError,
+    request: RentalRequest,
+    bucket: &mut TokenBucket,
+) -> CloudResponse {
+    match error {
+        CallError::Status(status::SERVICE_UNAVAILABLE, body)
+            if body["error"] == NO_CAPACITY_ERROR =>
+        {
+            CloudResponse::NoCapacity(request)
+        }
+        CallError::Status(status::BAD_REQUEST, body) => {
+            tracing::warn!(%body, "the cloud calls a rental malformed");
+            CloudResponse::RentRefused(request)
         }
-        CloudRequest::Delete(machines) => {
-            let body = json!(MachineNames {
-                machines: machines.clone()
-            });
-            match http.call("POST", "/machines/delete", Some(&body)) {
-                Ok(_) => CloudResponse::Deleted(machines),
-                Err(_) => CloudResponse::DeleteFailed(machines),
-            }
+        CallError::Status(status::TOO_MANY_REQUESTS, _) => {
+            bucket.refused(clock::now());
+            CloudResponse::RentOutcomeUnknown(request)
         }
-        CloudRequest::List => list(http, bucket),
+        _ => CloudResponse::RentOutcomeUnknown(request),
+    }
+}
+
+fn delete(http: &HttpClient, machines: Vec<MachineId>) -> CloudResponse {
+    let names = MachineNames { machines };
+    let response = http.call("POST", "/machines/delete", Some(&json!(names)));
+    match response {
+        Ok(_) => CloudResponse::Deleted(names.machines),
+        Err(_) => CloudResponse::DeleteUnconfirmed(names.machines),
     }
 }
 
-fn list(http: &HttpClient, bucket: &mut TokenBucket) -> CloudResponse {
-    let asked = clock::now();
+fn list_machines(http: &HttpClient, bucket: &mut TokenBucket) -> CloudResponse {
+    let requested_at = clock::now();
     let mut machines: Vec<ListedMachine> = Vec::new();
     loop {
         let from = machines
             .last()
-            .map(|m| format!("from={}&", m.id))
+            .map(|machine| format!("from={}&", machine.id))
             .unwrap_or_default();
-        let page = http.call("GET", &format!("/machines?{from}most=500"), None);
+        let path = format!("/machines?{from}most={LIST_PAGE_SIZE}");
+        let page = http.call("GET", &path, None);
         let Ok(Ok(page)) = page.map(serde_json::from_value::<MachineListPage>) else {
-            return CloudResponse::Failed;
+            return CloudResponse::ReadFailed;
         };
-        let empty = page.machines.is_empty();
+        let is_empty = page.machines.is_empty();
         machines.extend(page.machines);
-        if !page.more || empty {
-            return CloudResponse::List { asked, machines };
-        }
-        while let Err(wait) = bucket.take(1.0, clock::now()) {
-            std::thread::sleep(Duration::from_secs_f64(wait));
+        if !page.more || is_empty {
+            return CloudResponse::List {
+                requested_at,
+                machines,
+            };
         }
+        wait_for_token(bucket, 0.0);
     }
 }
--- a/src/controller/cloud_responses.rs
+++ b/src/controller/cloud_responses.rs
@@ -2,7 +2,7 @@
 //! machine list, which shows what is gone and what nobody knows.
 
 use super::{Controller, WritePurpose};
-use crate::autoscaler::cloud;
+use crate::autoscaler::cloud::CloudResponse;
 use crate::autoscaler::MachineOffer;
 use crate::clock::{self, Seconds};
 use crate::store::keys::CATALOG_KEY;
@@ -27,32 +27,32 @@
 const MAX_LISTED_AGE_S: Seconds = 1e9;
 
 impl Controller {
-    /// Applies an answer of the cloud.
-    pub(super) fn cloud_answer(&mut self, answer: cloud::CloudResponse, now: Seconds) {
-        match answer {
-            cloud::CloudResponse::Catalog(catalog) => self.apply_catalog(&catalog, now),
-            cloud::CloudResponse::Rented { request, machines } => {
+    /// Applies a response of the cloud.
+    pub(super) fn handle_cloud_response(&mut self, response: CloudResponse, now: Seconds) {
+        match response {
+            CloudResponse::Catalog(catalog) => self.apply_catalog(&catalog, now),
+            CloudResponse::Rented { request, machines } => {
                 self.machines_rented(&request, machines, now)
             }
-            cloud::CloudResponse::NoCapacity(request)
-            | cloud::CloudResponse::RentRefused(request) => {
+            CloudResponse::NoCapacity(request) | CloudResponse::RentRefused(request) => {
                 self.autoscaler.rentals.close(&request);
                 self.capacity_short(&request, now);
             }
-            cloud::CloudResponse::RentUnknown(request) => {
+            CloudResponse::RentOutcomeUnknown(request) => {
                 self.autoscaler.rentals.retry(request, now + RETRY_S)
             }
-            cloud::CloudResponse::Deleted(machines) => {
-                self.autoscaler.deletions.confirm(machines, now)
-            }
-            cloud::CloudResponse::DeleteFailed(machines) => {
+            CloudResponse::Deleted(machines) => self.autoscaler.deletions.confirm(machines, now),
+            CloudResponse::DeleteUnconfirmed(machines) => {
                 self.autoscaler.deletions.retry(machines, now + RETRY_S)
             }
-            cloud::CloudResponse::List { asked, machines } => {
+            CloudResponse::List {
+                requested_at,
+                machines,
+            } => {
                 self.autoscaler.machine_list.record_answer();
-                self.apply_machine_list(asked, &machines, now);
+                self.apply_machine_list(requested_at, &machines, now);
             }
-            cloud::CloudResponse::Failed => {
+            CloudResponse::ReadFailed => {
                 self.autoscaler.machine_list.record_answer();
                 self.autoscaler.request_catalog_by(now + CATALOG_RETRY_S);
             }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -152,7 +152,7 @@
             ControllerEvent::WriteCompleted(purpose, outcome) => {
                 self.write_completed(purpose, outcome, now);
             }
-            ControllerEvent::CloudResponse(response) => self.cloud_answer(response, now),
+            ControllerEvent::CloudResponse(response) => self.handle_cloud_response(response, now),
             ControllerEvent::PeerReachability { name, reachable } => {
                 tracing::info!(peer = name, reachable, "reachability of a peer changed");
                 self.peers.record_reachability(&name, reachable);
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -444,7 +444,7 @@
     ));
     assert!(matches!(
         rent("rent-trouble"),
-        CloudResponse::RentUnknown(_)
+        CloudResponse::RentOutcomeUnknown(_)
     ));
     let deleted = with_cloud(
         fixtures,
