--- a/src/shard/assigned_tasks.rs
+++ b/src/shard/assigned_tasks.rs
@@ -131,14 +131,14 @@
         machine: &MachineId,
     ) -> impl Iterator<Item = (&'a Task, &'a AssignedTask)> + 'a {
         let tasks = self.on.get(machine).into_iter().flatten();
-        tasks.filter_map(|t| self.all.get_key_value(t))
+        tasks.filter_map(|task| self.all.get_key_value(task))
     }
 
     /// The names of those of a machine, in order.
     pub(super) fn names_on(&self, machine: &MachineId) -> Vec<Task> {
         self.on
             .get(machine)
-            .map(|s| s.iter().cloned().collect())
+            .map(|tasks| tasks.iter().cloned().collect())
             .unwrap_or_default()
     }
 
@@ -149,16 +149,18 @@
 
     /// Those that no machine has yet.
     pub(super) fn queued(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
-        self.queued.iter().filter_map(|t| self.all.get_key_value(t))
+        self.queued
+            .iter()
+            .filter_map(|task| self.all.get_key_value(task))
     }
 
     /// Adds a task, in place of what was known of it.
     pub(super) fn insert(&mut self, task: Task, assigned: AssignedTask) {
         self.remove(&task);
         match &assigned.placement {
-            Some(p) => {
+            Some(placement) => {
                 self.on
-                    .entry(p.machine.clone())
+                    .entry(placement.machine.clone())
                     .or_default()
                     .insert(task.clone());
             }
@@ -173,11 +175,11 @@
     pub(super) fn remove(&mut self, task: &Task) -> Option<AssignedTask> {
         let assigned = self.all.remove(task)?;
         match &assigned.placement {
-            Some(p) => {
-                if let Some(on) = self.on.get_mut(&p.machine) {
+            Some(placement) => {
+                if let Some(on) = self.on.get_mut(&placement.machine) {
                     on.remove(task);
                     if on.is_empty() {
-                        self.on.remove(&p.machine);
+                        self.on.remove(&placement.machine);
                     }
                 }
             }
@@ -206,27 +208,39 @@
     /// that will list them.
     pub(super) fn changed(&mut self, seq: u64, since: u64) -> Vec<AssignedTaskStatus> {
         let mut out = Vec::new();
-        for (task, h) in &mut self.all {
-            let phase = h.placement.as_ref().map_or(TaskPhase::Queued, |p| p.phase);
-            let machine = h.placement.as_ref().map(|p| &p.machine);
-            let same = h.last_reported.as_ref().is_some_and(|t| {
-                t.attempt == h.attempt && t.phase == phase && t.machine.as_ref() == machine
+        for (task, assigned) in &mut self.all {
+            let phase = assigned
+                .placement
+                .as_ref()
+                .map_or(TaskPhase::Queued, |placement| placement.phase);
+            let machine = assigned
+                .placement
+                .as_ref()
+                .map(|placement| &placement.machine);
+            let same = assigned.last_reported.as_ref().is_some_and(|reported| {
+                reported.attempt == assigned.attempt
+                    && reported.phase == phase
+                    && reported.machine.as_ref() == machine
             });
             if !same {
-                h.last_reported = Some(LastReported {
-                    attempt: h.attempt,
+                assigned.last_reported = Some(LastReported {
+                    attempt: assigned.attempt,
                     phase,
                     machine: machine.cloned(),
                     seq,
                 });
             }
-            if h.last_reported.as_ref().is_some_and(|t| t.seq > since) {
+            if assigned
+                .last_reported
+                .as_ref()
+                .is_some_and(|reported| reported.seq > since)
+            {
                 out.push(AssignedTaskStatus {
                     task: task.clone(),
-                    attempt: h.attempt,
+                    attempt: assigned.attempt,
                     phase,
                     machine: machine.cloned(),
-                    assignment: h.assignment,
+                    assignment: assigned.assignment,
                 });
             }
         }
@@ -241,8 +255,8 @@
         let out: Vec<(Task, u64)> = self
             .all
             .iter()
-            .filter(|(t, h)| !keep(t, h))
-            .map(|(t, h)| (t.clone(), h.attempt))
+            .filter(|(task, assigned)| !keep(task, assigned))
+            .map(|(task, assigned)| (task.clone(), assigned.attempt))
             .collect();
         for (t, _) in &out {
             self.remove(t);
--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -150,28 +150,28 @@
             .get(id)
             .map(|machine| (machine.session.id, machine.used))?;
         let attempt = self.assigned.get(task)?.attempt;
-        let place = self.assigned.place_mut(task)?;
+        let placement = self.assigned.place_mut(task)?;
         let counts = &mut self.restart_record.orders;
-        let Some(stop) = place.stop else {
-            if place.confirmed || !up {
+        let Some(stop) = placement.stop else {
+            if placement.confirmed || !up {
                 return None;
             }
-            place.start_token = Some(token);
-            place.session = session;
-            place.start_sent = true;
+            placement.start_token = Some(token);
+            placement.session = session;
+            placement.start_sent = true;
             counts.starts += 1;
             return Some(Command::Start {
                 task: task.to_string(),
                 attempt,
             });
         };
-        if place.phase == TaskPhase::Done {
+        if placement.phase == TaskPhase::Done {
             return None;
         }
-        place.stop_sent = true;
+        placement.stop_sent = true;
         let grace_s = saving_time(stop, task, cache);
         // A second stop would end a saving task.
-        if place.phase == TaskPhase::Saving && grace_s > 0.0 {
+        if placement.phase == TaskPhase::Saving && grace_s > 0.0 {
             return None;
         }
         *counts.stops.entry(stop.into()).or_default() += 1;
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -191,7 +191,7 @@
         }
         self.restart_record.enter(epoch, stays, now);
         // Whatever a transfer has reached: owners of the new epoch ask their machines.
-        let members = cache.epoch.as_ref().map(|e| e.members.clone());
+        let members = cache.epoch.as_ref().map(|epoch| epoch.members.clone());
         self.transfers = TransferParticipant::new(members.unwrap_or_default());
         self.epoch = epoch;
         self.epoch_started_at = now;
@@ -208,7 +208,7 @@
         self.assigned.retain(|_, h| {
             h.placement
                 .as_ref()
-                .is_none_or(|p| machines.contains_key(&p.machine))
+                .is_none_or(|placement| machines.contains_key(&placement.machine))
         });
         for (id, machine) in &cache.registry {
             if owns(id) {
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -94,14 +94,14 @@
     /// A task is to be given back. One that has only just started is moved later:
     /// users count on a start for that long.
     fn apply_recall(&mut self, task: &Task, attempt: u64, cache: &StoreCache, now: Seconds) {
-        let place = self
+        let placement = self
             .assigned
             .get(task)
             .and_then(|assigned| assigned.placement.as_ref());
-        let young = place.is_some_and(|place| {
-            place.phase == TaskPhase::Running
-                && place.stop.is_none()
-                && now - place.phase_since < START_COUNTS_S
+        let young = placement.is_some_and(|placement| {
+            placement.phase == TaskPhase::Running
+                && placement.stop.is_none()
+                && now - placement.phase_since < START_COUNTS_S
         });
         // The tasks of a gang are stopped together: one alone would lose their progress.
         let spec = cache
--- a/src/shard/placement.rs
+++ b/src/shard/placement.rs
@@ -68,30 +68,30 @@
         let Some(total) = cache
             .catalog
             .as_ref()
-            .and_then(|c| c.get(&machine.identity.machine_type))
-            .map(|t| t.total())
+            .and_then(|types| types.get(&machine.identity.machine_type))
+            .map(|machine_type| machine_type.total())
         else {
             return Resources::default();
         };
         let mut free = total;
-        let spec = |job: &JobId| cache.jobs.get(job).and_then(|j| j.record.spec.as_ref());
+        let spec = |job: &JobId| cache.jobs.get(job).and_then(|job| job.record.spec.as_ref());
         for (task, observed) in &machine.contents.tasks {
             if observed.state != TaskState::Ended {
                 match spec(&task.job) {
-                    Some(s) => free.subtract(&s.task_resources()),
+                    Some(spec) => free.subtract(&spec.task_resources()),
                     None => return Resources::default(),
                 }
             }
         }
-        for (task, h) in self.assigned.on(id) {
+        for (task, assigned) in self.assigned.on(id) {
             if machine
                 .contents
                 .tasks
                 .get(task)
-                .is_none_or(|l| l.attempt != h.attempt)
+                .is_none_or(|reported| reported.attempt != assigned.attempt)
             {
-                if let Some(s) = spec(&task.job) {
-                    free.subtract(&s.task_resources());
+                if let Some(spec) = spec(&task.job) {
+                    free.subtract(&spec.task_resources());
                 }
             }
         }
--- a/src/shard/preemption.rs
+++ b/src/shard/preemption.rs
@@ -64,18 +64,18 @@
     pub(super) fn is_preemptible(
         &self,
         spec: &JobSpec,
-        place: &Placement,
+        placement: &Placement,
         priority: Priority,
         now: Seconds,
     ) -> bool {
         if spec.job_kind != JobKind::Array
             || spec.priority <= priority
-            || place.phase == TaskPhase::Done
+            || placement.phase == TaskPhase::Done
         {
             return false;
         }
-        let stays = place.phase != TaskPhase::Running || place.stop.is_some();
-        let counts = !stays && now - place.phase_since >= START_COUNTS_S;
+        let stays = placement.phase != TaskPhase::Running || placement.stop.is_some();
+        let counts = !stays && now - placement.phase_since >= START_COUNTS_S;
         let borrows = spec.priority == Priority::Low && self.borrowing_teams.contains(&spec.team);
         priority == Priority::Prod || counts && borrows
     }
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -35,7 +35,7 @@
             None => KnownAssignment::Unassigned,
             Some(assigned) => match &assigned.placement {
                 None => KnownAssignment::Unplaced,
-                Some(place) if assigned.attempt == attempt && place.machine == *id => {
+                Some(placement) if assigned.attempt == attempt && placement.machine == *id => {
                     KnownAssignment::Same
                 }
                 Some(_) => KnownAssignment::Elsewhere,
@@ -116,7 +116,7 @@
         verdict: Verdict,
         task: &Task,
         attempt: u64,
-        place: Placement,
+        placement: Placement,
         now: Seconds,
     ) {
         match verdict {
@@ -124,7 +124,7 @@
             Verdict::Adopt(AdoptReason::FoundWhilePlanned) => {
                 let stale = self.assigned.get(task).map(|assigned| assigned.attempt);
                 tracing::warn!(%task, stale, attempt, "queued task found on a machine");
-                self.assigned.place(task, attempt, place);
+                self.assigned.place(task, attempt, placement);
                 self.report_due = true;
             }
             // One that is to stop stays assigned until it has: so long it takes its team's
@@ -136,7 +136,7 @@
                 let assigned = AssignedTask {
                     attempt,
                     assignment: attempt,
-                    placement: Some(place),
+                    placement: Some(placement),
                     assigned_at: now,
                     avoid: Vec::new(),
                     last_reported: None,
@@ -191,15 +191,14 @@
         self.restart_record.record_decision(entry);
     }
 
-    /// Reconciles the tasks that are assigned to a machine and that its report doesn't list.
-    fn reconcile_absent(
-        &mut self,
+    /// The tasks that are assigned to a machine and that its report doesn't list.
+    fn absent_tasks(
+        &self,
         id: &MachineId,
         observed_tasks: &ObservedTasks,
         seen_token: u64,
-    ) {
-        let absent: Vec<Absent> = self
-            .assigned
+    ) -> Vec<Absent> {
+        self.assigned
             .on(id)
             .filter(|(task, assigned)| {
                 observed_tasks
@@ -207,15 +206,27 @@
                     .is_none_or(|observed| observed.attempt != assigned.attempt)
             })
             .filter_map(|(task, assigned)| {
-                let place = assigned.placement.as_ref()?;
+                let placement = assigned.placement.as_ref()?;
                 Some(Absent {
                     task: task.clone(),
-                    proven: place.start_token.is_some_and(|token| seen_token > token),
-                    confirmed: place.confirmed,
-                    stopping: place.stop.is_some(),
+                    proven: placement
+                        .start_token
+                        .is_some_and(|token| seen_token > token),
+                    confirmed: placement.confirmed,
+                    stopping: placement.stop.is_some(),
                 })
             })
-            .collect();
+            .collect()
+    }
+
+    /// Reconciles the tasks that are assigned to a machine and that its report doesn't list.
+    fn reconcile_absent(
+        &mut self,
+        id: &MachineId,
+        observed_tasks: &ObservedTasks,
+        seen_token: u64,
+    ) {
+        let absent = self.absent_tasks(id, observed_tasks, seen_token);
         for Absent {
             task,
             proven,
@@ -234,9 +245,9 @@
                 );
             } else if proven {
                 // Not there and can't come any more: start it anew.
-                if let Some(place) = self.assigned.place_mut(&task) {
-                    place.start_sent = false;
-                    place.start_token = None;
+                if let Some(placement) = self.assigned.place_mut(&task) {
+                    placement.start_sent = false;
+                    placement.start_token = None;
                 }
             } else if confirmed || stopping {
                 if let Some(machine) = self.machines.get_mut(id) {
--- a/src/shard/report.rs
+++ b/src/shard/report.rs
@@ -17,22 +17,7 @@
         cache: &StoreCache,
         now: Seconds,
     ) -> MachineStatus {
-        let (mut preemptible, mut preemptible_low) = (Resources::default(), Resources::default());
-        for (task, assigned) in self.assigned.on(id) {
-            let spec = cache
-                .jobs
-                .get(&task.job)
-                .and_then(|job| job.record.spec.as_ref());
-            let (Some(spec), Some(place)) = (spec, assigned.placement.as_ref()) else {
-                continue;
-            };
-            if self.is_preemptible(spec, place, Priority::Prod, now) {
-                preemptible.add(&spec.task_resources());
-            }
-            if self.is_preemptible(spec, place, Priority::Standard, now) {
-                preemptible_low.add(&spec.task_resources());
-            }
-        }
+        let (preemptible, preemptible_low) = self.preemptible_resources(id, cache, now);
         let mut images: Vec<Arc<str>> = machine
             .contents
             .images
@@ -64,6 +49,33 @@
         }
     }
 
+    /// What a machine's tasks would free if preempted by production tasks, and by those of
+    /// standard priority.
+    fn preemptible_resources(
+        &self,
+        id: &MachineId,
+        cache: &StoreCache,
+        now: Seconds,
+    ) -> (Resources, Resources) {
+        let (mut preemptible, mut preemptible_low) = (Resources::default(), Resources::default());
+        for (task, assigned) in self.assigned.on(id) {
+            let spec = cache
+                .jobs
+                .get(&task.job)
+                .and_then(|job| job.record.spec.as_ref());
+            let (Some(spec), Some(placement)) = (spec, assigned.placement.as_ref()) else {
+                continue;
+            };
+            if self.is_preemptible(spec, placement, Priority::Prod, now) {
+                preemptible.add(&spec.task_resources());
+            }
+            if self.is_preemptible(spec, placement, Priority::Standard, now) {
+                preemptible_low.add(&spec.task_resources());
+            }
+        }
+        (preemptible, preemptible_low)
+    }
+
     /// The report of all that has changed since the last one that the leader acknowledged.
     pub fn snapshot(&mut self, cache: &StoreCache, now: Seconds) -> ShardReport {
         self.report_seq += 1;
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -173,11 +173,13 @@
     /// again. Given back later, they would be in the target's hands as well.
     fn return_unstarted(&mut self, id: &MachineId) {
         for task in self.assigned.names_on(id) {
-            let place = self
+            let placement = self
                 .assigned
                 .get(&task)
                 .and_then(|assigned| assigned.placement.as_ref());
-            if place.is_some_and(|place| !place.confirmed && place.start_token.is_none()) {
+            if placement
+                .is_some_and(|placement| !placement.confirmed && placement.start_token.is_none())
+            {
                 self.remove_task(&task, RemovalReason::Passed);
             }
         }
@@ -480,17 +482,17 @@
     assigned: &AssignedTask,
     now: Seconds,
 ) -> Option<AssignedTaskState> {
-    let place = assigned.placement.as_ref()?;
+    let placement = assigned.placement.as_ref()?;
     Some(AssignedTaskState {
         task: task.clone(),
         attempt: assigned.attempt,
         assignment: assigned.assignment,
-        session: place.session,
-        start_token: place.start_token.unwrap_or(NO_START_TOKEN),
-        start_sent: place.start_sent,
-        confirmed: place.confirmed,
-        completed: place.phase == TaskPhase::Done,
-        stopping: place.stop.is_some(),
-        in_phase_s: now - place.phase_since,
+        session: placement.session,
+        start_token: placement.start_token.unwrap_or(NO_START_TOKEN),
+        start_sent: placement.start_sent,
+        confirmed: placement.confirmed,
+        completed: placement.phase == TaskPhase::Done,
+        stopping: placement.stop.is_some(),
+        in_phase_s: now - placement.phase_since,
     })
 }
