--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -7,7 +7,7 @@
 mod common;
 
 use common::cluster::{job, Cluster, PATIENCE};
-use common::Seen;
+use common::stand_ins::worker::Seen;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -10,7 +10,7 @@
 mod common;
 
 use common::cluster::{job, lock, running, wait, Cluster, Options};
-use common::Seen;
+use common::stand_ins::worker::Seen;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
--- a/tests/common/cluster.rs
+++ b/tests/common/cluster.rs
@@ -2,7 +2,9 @@
 //! link from a controller to the key-value store or to another controller leads
 //! through a gate that can be shut.
 
-use super::{cloud, state_service, Seen};
+use super::stand_ins::cloud::start_cloud;
+use super::stand_ins::store::start_store;
+use super::stand_ins::worker::Seen;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -69,7 +71,7 @@
     configs: Vec<std::path::PathBuf>,
     children: Vec<Option<Child>>,
     agent: ureq::Agent,
-    /// Whether transactions are carried out late, see [`state_service`].
+    /// Whether transactions are carried out late, see [`start_store`].
     pub late: Arc<AtomicBool>,
     /// Transactions that were over the limits.
     refused: Arc<AtomicU32>,
@@ -130,12 +132,12 @@
         let backs: Vec<SocketAddr> = (0..n).map(|_| free_port()).collect();
         let late = Arc::new(AtomicBool::new(false));
         let refused = Arc::new(AtomicU32::new(0));
-        let service = state_service(late.clone(), refused.clone());
+        let service = start_store(late.clone(), refused.clone());
         let state: Vec<Gate> = (0..n).map(|_| Gate::to(service)).collect();
         let links: Vec<Vec<Gate>> = (0..n)
             .map(|_| backs.iter().map(|b| Gate::to(*b)).collect())
             .collect();
-        let cloud = cloud(
+        let cloud = start_cloud(
             users.clone(),
             seen.clone(),
             Duration::from_secs(u64::from(options.lease_s)),
--- /dev/null
+++ b/tests/common/stand_ins/cloud.rs
@@ -0,0 +1,72 @@
+//! A cloud that lists, rents out and deletes machines.
+
+use super::json_server::serve_json;
+use super::worker::{start_worker, Seen};
+use super::{lock, Shared};
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tiny_http::Method;
+
+/// Starts a cloud whose machines are up at once; their workers report to `nodes`, and
+/// their leases last for `lease`. Tasks of jobs whose id ends in an even digit take a
+/// moment to complete.
+pub fn start_cloud(nodes: Vec<SocketAddr>, seen: Shared<Seen>, lease: Duration) -> SocketAddr {
+    let count = Shared::<u32>::default();
+    let machines: Shared<BTreeMap<String, Value>> = Shared::default();
+    serve_json(move |method, url, body| {
+        let path = url.split('?').next().unwrap_or_default();
+        match (method, path) {
+            (Method::Get, "/catalog") => {
+                let breed = json!({"name": "box", "cpus": 4, "accelerators": 0, "mem_gb": 16, "cache_gb": 20,
+                    "pull_gb_per_s": 1.0, "hourly": 1.0, "spot_price": 0.4, "ready_s": 2, "groves": ["e", "w"]});
+                (200, json!({"breeds": [breed]}))
+            }
+            (Method::Post, "/machines") => {
+                let mut names = Vec::new();
+                for _ in 0..body["number"].as_u64().unwrap_or(0) {
+                    *lock(&count) += 1;
+                    let name = format!("m-{:06}", *lock(&count));
+                    start_worker(
+                        &name,
+                        &body,
+                        nodes.clone(),
+                        seen.clone(),
+                        machines.clone(),
+                        lease,
+                    );
+                    names.push(name);
+                }
+                (200, json!({"perches": names}))
+            }
+            (Method::Post, "/machines/delete") => {
+                for machine in body["perches"]
+                    .as_array()
+                    .map(Vec::as_slice)
+                    .unwrap_or_default()
+                {
+                    let name = machine.as_str().unwrap_or_default();
+                    lock(&machines).remove(name);
+                    let mut seen = lock(&seen);
+                    if seen
+                        .on
+                        .values()
+                        .any(|on| on.iter().any(|machine| machine == name))
+                    {
+                        seen.deleted_in_use.push(name.into());
+                    }
+                    seen.on
+                        .values_mut()
+                        .for_each(|on| on.retain(|machine| machine != name));
+                }
+                (200, json!({}))
+            }
+            (Method::Get, "/machines") => {
+                let list: Vec<Value> = lock(&machines).values().cloned().collect();
+                (200, json!({"perches": list, "truncated": false}))
+            }
+            _ => (400, json!({})),
+        }
+    })
+}
--- a/tests/shared_machines.rs
+++ b/tests/shared_machines.rs
@@ -8,7 +8,7 @@
 mod common;
 
 use common::cluster::{job, lock, running, wait, Cluster, Options, PATIENCE};
-use common::Seen;
+use common::stand_ins::worker::Seen;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
