--- a/crates/reconciliation/tests/model.rs
+++ b/crates/reconciliation/tests/model.rs
@@ -5,7 +5,7 @@
 //! The new owner in here does nothing but what the package tells it. Whatever happens,
 //! in whatever order: it frees no task that is on a machine or may still come to be on
 //! one, it stops nothing healthy, it lets no worker forget a result that is not
-//! committed, and once all has been heard or is past its lease, nothing is in doubt.
+//! committed, and once all has been heard or is past its lease, nothing is unreconciled.
 
 use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffLimits, Situation};
 use finchwood_reconciliation::machine_state::{MachineEvent, MachineState};
@@ -92,8 +92,8 @@
 }
 
 impl World {
-    fn doubtful(&self) -> UnreconciledMachines {
-        let in_doubt = self
+    fn unreconciled_machines(&self) -> UnreconciledMachines {
+        let uncertain = self
             .machines
             .iter()
             .zip(&self.owner.states)
@@ -103,7 +103,7 @@
             zone: zone.into(),
             spot: false,
         };
-        in_doubt.map(|(machine, _)| class(machine.zone)).collect()
+        uncertain.map(|(machine, _)| class(machine.zone)).collect()
     }
 
     fn holding(&self, machine: usize, task: TaskId, attempt: u64) -> KnownAssignment {
@@ -234,7 +234,7 @@
 
     /// What the leader would free now must be nowhere, and must stay so.
     fn check(&self) {
-        let unreconciled = self.doubtful();
+        let unreconciled = self.unreconciled_machines();
         for (task, truth) in self.tasks.iter().enumerate() {
             let wanted = truth.stored == StoredTask::Unfinished;
             let held = self.owner.held.contains_key(&task) || self.owner.results.contains(&task);
@@ -359,7 +359,7 @@
             w.step(&Step::Ask(id));
             w.check();
         }
-        prop_assert!(w.doubtful().is_empty(), "doubt is left: {:?}", w.owner.states);
+        prop_assert!(w.unreconciled_machines().is_empty(), "not reconciled: {:?}", w.owner.states);
         // Whatever is wanted is held where it is, or is free: nothing is forgotten.
         for (task, truth) in w.tasks.iter().enumerate() {
             let on = w.machines.iter().position(|m| m.lines.contains_key(&task));
@@ -368,32 +368,32 @@
         }
     }
 
-    /// Whatever is held back is let go in time, and never for jobs that no machine in
-    /// doubt has room for.
+    /// Whatever is held back is let go in time, and never for jobs that no
+    /// unreconciled machine has room for.
     #[test]
-    fn caution_ends_in_time_and_holds_up_nobody_else(
+    fn the_hold_off_ends_in_time_and_holds_up_nobody_else(
         age_s in 0.0..60.0f64,
         zones in prop::collection::vec(0..2usize, 0..4),
         wanted in 0..3usize,
         all_shards_reported in any::<bool>(),
     ) {
         let limits = HoldOffLimits { answer_s: 6.0, lease_s: 30.0 };
-        let mut caution = HoldOff::new(limits);
+        let mut hold_off = HoldOff::new(limits);
         let class = |z: &usize| MachineClass { machine_type: "k".into(), zone: ZONES[*z].into(), spot: false };
         let unreconciled: UnreconciledMachines = zones.iter().map(class).collect();
         let at = Situation { now: 100.0 + age_s, all_shards_reported, unreconciled: &unreconciled };
         let pending_demand = spec((wanted < 2).then(|| ZONES[wanted]));
         let actions = [Action::Rent, Action::Preempt, Action::Consolidate, Action::EvictUnasked];
         for action in actions {
-            prop_assert_eq!(caution.hold_reason(action, Some(&pending_demand), at), None, "not begun");
+            prop_assert_eq!(hold_off.hold_reason(action, Some(&pending_demand), at), None, "not begun");
         }
-        caution.begin(100.0);
+        hold_off.begin(100.0);
         let may_have_room = wanted == 2 && !zones.is_empty() || zones.contains(&wanted);
-        let held = caution.hold_reason(Action::Rent, Some(&pending_demand), at).is_some();
+        let held = hold_off.hold_reason(Action::Rent, Some(&pending_demand), at).is_some();
         prop_assert_eq!(held, age_s < 6.0 && (!all_shards_reported || may_have_room));
-        prop_assert_eq!(caution.hold_reason(Action::EvictUnasked, None, at).is_some(), age_s < 30.0);
+        prop_assert_eq!(hold_off.hold_reason(Action::EvictUnasked, None, at).is_some(), age_s < 30.0);
         if age_s >= 30.0 || age_s >= 6.0 && all_shards_reported && zones.is_empty() {
-            prop_assert_eq!(caution.hold_reason(Action::Consolidate, None, at), None);
+            prop_assert_eq!(hold_off.hold_reason(Action::Consolidate, None, at), None);
         }
     }
 }
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -657,7 +657,7 @@
     assert_eq!(
         dealt(&mut l, &mut p, &m, 29.0),
         4,
-        "it is: the doubt has ended"
+        "it is: nothing is unreconciled any more"
     );
 }
 
--- a/tests/control_plane/many_small_jobs.rs
+++ b/tests/control_plane/many_small_jobs.rs
@@ -130,10 +130,10 @@
         self.ended[machine].extend(over);
         let running = self.running[machine]
             .iter()
-            .map(|(t, s)| (t.as_str(), s.0, TaskState::Running, None));
-        let ended = self.ended[machine]
-            .iter()
-            .map(|(t, s)| (t.as_str(), s.0, TaskState::Ended, Some(s.1)));
+            .map(|(task, (attempt, _))| (task.as_str(), *attempt, TaskState::Running, None));
+        let ended = self.ended[machine].iter().map(|(task, (attempt, cause))| {
+            (task.as_str(), *attempt, TaskState::Ended, Some(*cause))
+        });
         let lines: Vec<ReportedTask> = running.chain(ended).collect();
         let report = heartbeat_from(
             machine + 1,
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -330,7 +330,7 @@
         self.workers.values().map(|worker| worker.tasks.len()).sum()
     }
 
-    /// Asks until nothing is in doubt; returns the commands and in how many turns.
+    /// Asks until nothing is unreconciled; returns the commands and in how many turns.
     fn settle(&mut self, now: f64) -> (Given, usize) {
         let mut all = Given::default();
         for turn in 1..40 {
@@ -344,7 +344,7 @@
                 return (all, turn);
             }
         }
-        panic!("doubt remains: {:?}", self.leader.counts());
+        panic!("not reconciled: {:?}", self.leader.counts());
     }
 }
 
