--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -213,24 +213,42 @@
                 Verdict::Wait => continue,
                 Verdict::Keep => {}
             }
-            let drains = self.leader.draining.contains(id);
-            let is_proven_faulty = faults.get(id) == Some(&MachineFault::Proven);
-            let is_drained = machine.draining && machine.reconciled && drains;
-            // One that is cordoned for a while on suspicion is not returned.
-            if machine.tasks == 0 && (is_proven_faulty || is_drained) {
-                review.drained.push(id.clone());
-            }
-            if !machine.spot && machine.schedulable {
-                // Of the preemptible work there, half ends while a machine boots.
-                review.free_on_demand_cpus +=
-                    (machine.free.cpus + machine.preemptible.cpus / 2.0).max(0.0);
-            }
-            let schedulable = machine.schedulable && !drains && !faults.contains_key(id);
-            review
-                .in_use
-                .push(self.machine_usage(&machine, schedulable, catalog, wall_clock_ms));
+            self.record_responsive_machine(
+                &machine,
+                faults.get(id),
+                catalog,
+                wall_clock_ms,
+                &mut review,
+            );
+        }
+        review
+    }
+
+    /// Adds a machine that nothing speaks against to the review.
+    fn record_responsive_machine(
+        &self,
+        machine: &MachineSnapshot,
+        fault: Option<&MachineFault>,
+        catalog: &Catalog,
+        wall_clock_ms: u64,
+        review: &mut RunningMachines,
+    ) {
+        let drains = self.leader.draining.contains(&machine.id);
+        let is_proven_faulty = fault == Some(&MachineFault::Proven);
+        let is_drained = machine.draining && machine.reconciled && drains;
+        // One that is cordoned for a while on suspicion is not returned.
+        if machine.tasks == 0 && (is_proven_faulty || is_drained) {
+            review.drained.push(machine.id.clone());
+        }
+        if !machine.spot && machine.schedulable {
+            // Of the preemptible work there, half ends while a machine boots.
+            review.free_on_demand_cpus +=
+                (machine.free.cpus + machine.preemptible.cpus / 2.0).max(0.0);
         }
+        let schedulable = machine.schedulable && !drains && fault.is_none();
         review
+            .in_use
+            .push(self.machine_usage(machine, schedulable, catalog, wall_clock_ms));
     }
 
     /// What the planning of scale-in needs to know of a machine.
