--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -2,9 +2,10 @@
 //! redirected to another controller.
 
 use super::worker_redirects::OwnerAttempt;
-use super::Controller;
+use super::{Controller, RETRY_AFTER_S};
 use crate::api::relay_pool::RelayedHeartbeat;
 use crate::api::responder::Responder;
+use crate::api::status;
 use crate::clock::Seconds;
 use crate::cluster::membership;
 use crate::shard::HeartbeatReply;
@@ -30,11 +31,15 @@
     ) {
         self.shard.record_contact(&heartbeat.machine);
         let Some(epoch) = self.entered_epoch() else {
-            return responder.retry_later(503, 1, "not a member now");
+            return responder.retry_later(
+                status::SERVICE_UNAVAILABLE,
+                RETRY_AFTER_S,
+                "not a member now",
+            );
         };
         // Fenced: neither an answer nor a redirect could be trusted.
         let Some(until) = self.may_act_until().filter(|until| now < *until) else {
-            return responder.retry_later(503, 1, "fenced");
+            return responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "fenced");
         };
         let owner =
             membership::owner_by_shard_map(epoch, &self.cache.shard_map, &heartbeat.machine)
@@ -43,9 +48,11 @@
             Some(owner) if owner == self.settings.node_name => {
                 self.answer_heartbeat(&heartbeat, relayed, responder, until, now);
             }
-            _ if relayed => responder.retry_later(503, 1, "not the owner"),
+            _ if relayed => {
+                responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "not the owner")
+            }
             Some(owner) => self.forward_heartbeat(heartbeat, body, owner, responder, now),
-            None => responder.retry_later(503, 1, "no owner"),
+            None => responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "no owner"),
         }
     }
 
@@ -63,9 +70,15 @@
         {
             HeartbeatReply::Accepted { token, commands } => {
                 let body = HeartbeatResponse { token, commands };
-                responder.send_until(200, serde_json::to_vec(&body).unwrap_or_default(), until);
+                responder.send_until(
+                    status::OK,
+                    serde_json::to_vec(&body).unwrap_or_default(),
+                    until,
+                );
+            }
+            HeartbeatReply::Refuse => {
+                responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "an old report")
             }
-            HeartbeatReply::Refuse => responder.retry_later(503, 1, "an old report"),
         }
     }
 
@@ -131,5 +144,8 @@
     let body = Redirect {
         report_to: Some(target),
     };
-    responder.send(421, serde_json::to_vec(&body).unwrap_or_default());
+    responder.send(
+        status::MISDIRECTED_REQUEST,
+        serde_json::to_vec(&body).unwrap_or_default(),
+    );
 }
--- a/src/controller/job_requests.rs
+++ b/src/controller/job_requests.rs
@@ -3,8 +3,9 @@
 //! is to be kept.
 
 use super::writes::{put_record, put_value, to_value};
-use super::{Controller, WritePurpose};
+use super::{Controller, WritePurpose, RETRY_AFTER_S};
 use crate::api::responder::{error_body, Responder};
+use crate::api::status;
 use crate::clock::{self, Seconds};
 use crate::cluster::peer::CancellationNotice;
 use crate::config::settings::Settings;
@@ -19,12 +20,15 @@
 /// Bytes that a cancellation adds to a job's record, with room to spare.
 const CANCELLED_BYTES: usize = 48;
 
+/// When to come back with a job that can't be submitted at present, in seconds.
+const SUBMISSION_RETRY_AFTER_S: u32 = 2;
+
 /// When to come back with what needs all controllers to be upgraded, in seconds.
-const UPGRADE_RETRY_S: u32 = 5;
+const UPGRADE_RETRY_AFTER_S: u32 = 5;
 
 /// When to come back about a job whose record can't be read, in seconds: until an
 /// operator has seen to it, nothing else can be said.
-const UNREADABLE_RETRY_S: u32 = 30;
+const UNREADABLE_RETRY_AFTER_S: u32 = 30;
 
 /// How long a request may wait before it is given up: a fifth of the time after which
 /// users would give it up.
@@ -169,10 +173,18 @@
             return;
         };
         if !self.store_sync.is_synced() {
-            return responder.retry_later(503, 2, STORE_UNREACHABLE);
+            return responder.retry_later(
+                status::SERVICE_UNAVAILABLE,
+                SUBMISSION_RETRY_AFTER_S,
+                STORE_UNREACHABLE,
+            );
         }
         let Some(catalog) = self.cache.catalog.clone() else {
-            return responder.retry_later(503, 1, "the machine types are not known yet");
+            return responder.retry_later(
+                status::SERVICE_UNAVAILABLE,
+                RETRY_AFTER_S,
+                "the machine types are not known yet",
+            );
         };
         if let Err(reason) = self.can_run(&spec, &catalog) {
             return self.reject_unless_known(id, reason, responder, now);
@@ -180,13 +192,17 @@
         // Guard: a version without gangs would start their tasks one by one.
         if spec.job_kind == JobKind::Gang && !self.cache.all_run_gangs() {
             return responder.retry_later(
-                503,
-                UPGRADE_RETRY_S,
+                status::SERVICE_UNAVAILABLE,
+                UPGRADE_RETRY_AFTER_S,
                 "not all controllers run gangs yet",
             );
         }
         if self.job_requests.submissions.len() >= self.job_requests.max_waiting {
-            return responder.retry_later(429, 2, TOO_MANY_SUBMISSIONS);
+            return responder.retry_later(
+                status::TOO_MANY_REQUESTS,
+                SUBMISSION_RETRY_AFTER_S,
+                TOO_MANY_SUBMISSIONS,
+            );
         }
         self.write_submission(id, spec, responder, now);
     }
@@ -208,7 +224,11 @@
             purpose: WritePurpose::Submit(id.clone()),
         };
         if self.writer.send(WriteClass::Urgent, write).is_err() {
-            return responder.retry_later(429, 2, TOO_MANY_SUBMISSIONS);
+            return responder.retry_later(
+                status::TOO_MANY_REQUESTS,
+                SUBMISSION_RETRY_AFTER_S,
+                TOO_MANY_SUBMISSIONS,
+            );
         }
         let pending = PendingSubmission {
             record,
@@ -282,10 +302,10 @@
         match outcome {
             CommitOutcome::Committed(revision) => {
                 self.apply_submission(&id, &pending.record, revision, now);
-                let mut status = 201;
+                let mut code = status::CREATED;
                 for responder in pending.responders {
-                    send_job_status(status, &status_without_counts(&id, "pending"), responder);
-                    status = 200;
+                    send_job_status(code, &status_without_counts(&id, "pending"), responder);
+                    code = status::OK;
                 }
             }
             CommitOutcome::Conflict(_) => {
@@ -351,9 +371,11 @@
     fn wait_for_fresh_read(&mut self, request: ReadRequest, now: Seconds) {
         let full = self.job_requests.reads.len() >= self.job_requests.max_waiting;
         if full || !self.store_sync.is_synced() {
-            return request
-                .into_responder()
-                .retry_later(503, 1, STORE_UNREACHABLE);
+            return request.into_responder().retry_later(
+                status::SERVICE_UNAVAILABLE,
+                RETRY_AFTER_S,
+                STORE_UNREACHABLE,
+            );
         }
         self.job_requests.reads.push(WaitingRead {
             received_at: now,
@@ -364,7 +386,11 @@
 
     fn cancel(&mut self, id: JobId, responder: Responder, now: Seconds) {
         if self.store_sync.is_unreachable() {
-            return responder.retry_later(503, 1, STORE_UNREACHABLE);
+            return responder.retry_later(
+                status::SERVICE_UNAVAILABLE,
+                RETRY_AFTER_S,
+                STORE_UNREACHABLE,
+            );
         }
         let Some(responder) = self.job_requests.join_cancellation(&id, responder) else {
             return;
@@ -385,7 +411,11 @@
             purpose: WritePurpose::Withdraw(id.clone()),
         };
         if self.writer.send(WriteClass::Urgent, write).is_err() {
-            return responder.retry_later(429, 1, "too many requests");
+            return responder.retry_later(
+                status::TOO_MANY_REQUESTS,
+                RETRY_AFTER_S,
+                "too many requests",
+            );
         }
         let pending = PendingCancellation {
             cancelled_at_ms,
@@ -442,9 +472,11 @@
             if synced_at.is_some_and(|at| at >= read.received_at) {
                 self.serve_read(read.request, now);
             } else if store_unreachable || now - read.received_at > REQUEST_TIMEOUT {
-                read.request
-                    .into_responder()
-                    .retry_later(503, 1, STORE_UNREACHABLE);
+                read.request.into_responder().retry_later(
+                    status::SERVICE_UNAVAILABLE,
+                    RETRY_AFTER_S,
+                    STORE_UNREACHABLE,
+                );
             } else {
                 self.job_requests.reads.push(read);
             }
@@ -465,7 +497,10 @@
                 if self.is_known(&job) {
                     self.answer_status(&job, responder);
                 } else {
-                    responder.send(422, error_body(&reason.to_string()));
+                    responder.send(
+                        status::UNPROCESSABLE_CONTENT,
+                        error_body(&reason.to_string()),
+                    );
                 }
             }
             ReadRequest::Withdraw {
@@ -475,7 +510,9 @@
             } => match self.cache.jobs.get(&job) {
                 Some(known) if !known.live() => self.answer_final_state(&job, responder),
                 Some(_) if now < deadline => self.cancel(job, responder, now),
-                Some(_) => responder.retry_later(503, 1, NOT_COMMITTED),
+                Some(_) => {
+                    responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, NOT_COMMITTED)
+                }
                 None => self.answer_without_record(&job, responder),
             },
         }
@@ -484,7 +521,7 @@
     fn answer_final_state(&self, id: &JobId, responder: Responder) {
         let done = self.cache.jobs.get(id).is_some_and(|job| job.record.done);
         let state = if done { "done" } else { "cancelled" };
-        send_job_status(200, &status_without_counts(id, state), responder);
+        send_job_status(status::OK, &status_without_counts(id, state), responder);
     }
 
     /// Nothing can be said of a job without a readable record. Guard: one whose record
@@ -492,19 +529,19 @@
     fn answer_without_record(&self, id: &JobId, responder: Responder) {
         if self.cache.unreadable.contains(&job_key(id)) {
             return responder.retry_later(
-                503,
-                UNREADABLE_RETRY_S,
+                status::SERVICE_UNAVAILABLE,
+                UNREADABLE_RETRY_AFTER_S,
                 "the job's record can't be read",
             );
         }
-        responder.send(404, error_body("no such job"));
+        responder.send(status::NOT_FOUND, error_body("no such job"));
     }
 
     fn answer_status(&self, id: &JobId, responder: Responder) {
         match self.cache.jobs.get(id) {
             Some(job) => {
                 let running = self.job_requests.running_tasks(id);
-                send_job_status(200, &job_status(id, job, running), responder);
+                send_job_status(status::OK, &job_status(id, job, running), responder);
             }
             None => self.answer_without_record(id, responder),
         }
@@ -544,6 +581,6 @@
 
 fn send_not_committed(responders: Vec<Responder>) {
     for responder in responders {
-        responder.retry_later(503, 1, NOT_COMMITTED);
+        responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, NOT_COMMITTED);
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -27,6 +27,7 @@
 use crate::api::command_pool::CommandResult;
 use crate::api::responder::Responder;
 use crate::api::routes::Request;
+use crate::api::status;
 use crate::autoscaler::{cloud, Autoscaler};
 use crate::clock::{self, Moment, Seconds};
 use crate::config::policy::Policy;
@@ -52,6 +53,9 @@
 use store_sync::StoreSync;
 use worker_redirects::WorkerRedirects;
 
+/// When to come back with a request that can't be answered at present, in seconds.
+const RETRY_AFTER_S: u32 = 1;
+
 /// The most threads of one pool, and of all relays, however many sockets there
 /// are: a process stays far below the 2,000 that it may have.
 const MAX_POOL_THREADS: f64 = 300.0;
@@ -165,9 +169,13 @@
         match request {
             Request::HealthCheck => {
                 if self.accepts_users(now) {
-                    responder.send(200, b"{}".to_vec());
+                    responder.send(status::OK, b"{}".to_vec());
                 } else {
-                    responder.retry_later(503, 1, "no state service");
+                    responder.retry_later(
+                        status::SERVICE_UNAVAILABLE,
+                        RETRY_AFTER_S,
+                        "no state service",
+                    );
                 }
             }
             Request::Submit(spec) => self.submit(*spec, responder, now),
@@ -179,12 +187,12 @@
                 relayed,
             } => self.handle_heartbeat(*report, body, relayed, responder, now),
             Request::Peer(envelope) => {
-                responder.send(200, Vec::new());
+                responder.send(status::OK, Vec::new());
                 self.handle_envelope(*envelope, now);
             }
             // Answered by the listener, from what was published last.
             Request::RestartReport | Request::ShardMapReport => {
-                responder.retry_later(503, 1, "no report yet")
+                responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "no report yet")
             }
             Request::ShardMapPlan(plan) => self.set_transfer_plan(plan, responder),
         }
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -3,10 +3,11 @@
 
 use super::interval_timer::IntervalTimer;
 use super::writes::{put_record, to_value};
-use super::{Controller, WritePurpose};
+use super::{Controller, WritePurpose, RETRY_AFTER_S};
 use crate::api::published_report::PublishedReport;
 use crate::api::responder::{error_body, Responder};
 use crate::api::shard_map_report::{OwnedRange, ShardMapReport, TransfersReport};
+use crate::api::status;
 use crate::clock::Seconds;
 use crate::cluster::membership;
 use crate::config::features::SharedMachinesConfig;
@@ -21,6 +22,9 @@
 use finchwood_sharding::transfer::{TransferOrder, TransferReport, TransferState, Transfers};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// When to come back with a plan that needs all controllers to be upgraded, in seconds.
+const UPGRADE_RETRY_AFTER_S: u32 = 5;
+
 /// Bytes that a range takes in the stored shard map, with room to spare.
 const RANGE_BYTES: usize = 120;
 
@@ -320,23 +324,34 @@
     pub(super) fn set_transfer_plan(&mut self, plan: Plan, responder: Responder) {
         let is_leader = self.is_leader();
         let Some(epoch) = self.entered_epoch() else {
-            return responder.retry_later(503, 1, "not a member now");
+            return responder.retry_later(
+                status::SERVICE_UNAVAILABLE,
+                RETRY_AFTER_S,
+                "not a member now",
+            );
         };
         let members: BTreeSet<String> = epoch.members.keys().cloned().collect();
         if !is_leader {
-            return responder.send(421, error_body(&format!("plan: {} leads", epoch.leader)));
+            return responder.send(
+                status::MISDIRECTED_REQUEST,
+                error_body(&format!("plan: {} leads", epoch.leader)),
+            );
         }
         if !epoch.uses_shard_map {
-            return responder.retry_later(503, 5, "not all controllers go by the table of shares");
+            return responder.retry_later(
+                status::SERVICE_UNAVAILABLE,
+                UPGRADE_RETRY_AFTER_S,
+                "not all controllers go by the table of shares",
+            );
         }
         if let Err(error) = plan.check(&members) {
-            return responder.send(400, error_body(&error.to_string()));
+            return responder.send(status::BAD_REQUEST, error_body(&error.to_string()));
         }
         tracing::info!(?plan, "received a plan of transfers");
         if let Some(state) = &mut self.shard_transfers {
             state.planner.set_plan(plan);
         }
-        responder.send(200, b"{}".to_vec());
+        responder.send(status::OK, b"{}".to_vec());
     }
 
     /// Publishes the shard map report at its interval.
