--- a/tests/http_requests.rs
+++ b/tests/http_requests.rs
@@ -1,6 +1,6 @@
 //! Reading requests as their bytes come in.
 
-use finchwood::http_request::{read_request, Progress};
+use finchwood::api::http_request::{read_request, Progress};
 
 #[test]
 fn requests_are_read_as_they_come_in() {
--- a/tests/reachability.rs
+++ b/tests/reachability.rs
@@ -1,6 +1,6 @@
 //! Workers that are apart from their owner.
 
-use finchwood::reachability::*;
+use finchwood::cluster::reachability::*;
 
 /// A restart of all within a cut: told to go to owners they could not
 /// reach, workers spent their lease on the way.
--- a/tests/wire_format_controller.rs
+++ b/tests/wire_format_controller.rs
@@ -8,7 +8,7 @@
 mod raw_http;
 
 use common::cluster::{wait, Cluster, Options};
-use finchwood::membership::owner;
+use finchwood::cluster::membership::owner;
 use fixtures::Fixtures;
 use raw_http::ask;
 use serde_json::{json, Value};
@@ -55,7 +55,7 @@
         cluster.until(node, "GET", "/up", None, |status, _| status == 200);
     }
     compare(&cluster, &fixtures, "up");
-    // Both are members, and the catalogue is known.
+    // Both are members, and the catalog is known.
     wait_for(&cluster, 0, &fixtures, "unknown-team");
     wait_for(&cluster, 0, &fixtures, "beat-to-another");
     users(&cluster, &fixtures);
