--- a/crates/reconciliation/src/hold_off.rs
+++ b/crates/reconciliation/src/hold_off.rs
@@ -22,7 +22,8 @@
     /// To return idle machines, and to empty others or move their replicas.
     Consolidate,
     /// To delete a silent machine that was not asked in vain.
-    EvictUnasked,
+    #[serde(rename = "evict-unasked")]
+    DeleteUnprobed,
 }
 
 /// Why an action is held back.
@@ -31,12 +32,13 @@
 pub enum HoldReason {
     /// Not every controller has told what it holds.
     #[serde(rename = "parts-unheard")]
-    ShardsUnheard,
+    ShardReportsMissing,
     /// Machines that may have the room, or the work, have not answered yet.
     #[serde(rename = "machines-in-doubt")]
     MachinesUnreconciled,
     /// Its silence may only be that nobody was there to be told anything.
-    OwnAbsence,
+    #[serde(rename = "own-absence")]
+    ControllerDowntime,
 }
 
 /// How long actions are held back.
@@ -44,7 +46,7 @@
 pub struct HoldOffLimits {
     /// How long unreconciled machines are waited for before others are rented or lower
     /// work is stopped, in seconds.
-    pub answer_s: Seconds,
+    pub answer_timeout_s: Seconds,
     /// How long machines are neither returned, emptied nor deleted unasked, in seconds:
     /// a worker's lease, with its margin.
     pub lease_s: Seconds,
@@ -60,7 +62,7 @@
 
 /// What is known at the moment of a question.
 #[derive(Debug, Clone, Copy)]
-pub struct Situation<'a> {
+pub struct HoldOffContext<'a> {
     /// The present.
     pub now: Seconds,
     /// Every controller has told what it holds.
@@ -99,7 +101,7 @@
         &self,
         action: Action,
         spec: Option<&JobSpec>,
-        at: Situation,
+        at: HoldOffContext,
     ) -> Option<HoldReason> {
         let since = self.since?;
         let age_s = at.now - since;
@@ -107,26 +109,26 @@
             return None;
         }
         match action {
-            Action::EvictUnasked => Some(HoldReason::OwnAbsence),
+            Action::DeleteUnprobed => Some(HoldReason::ControllerDowntime),
             Action::Consolidate => self.hold_consolidation(age_s, at),
-            Action::Rent | Action::Preempt if age_s >= self.limits.answer_s => None,
+            Action::Rent | Action::Preempt if age_s >= self.limits.answer_timeout_s => None,
             Action::Rent | Action::Preempt => hold_for_room(spec, at),
         }
     }
 
-    fn hold_consolidation(&self, age_s: Seconds, at: Situation) -> Option<HoldReason> {
+    fn hold_consolidation(&self, age_s: Seconds, at: HoldOffContext) -> Option<HoldReason> {
         if !at.all_shards_reported {
-            return Some(HoldReason::ShardsUnheard);
+            return Some(HoldReason::ShardReportsMissing);
         }
-        let settling = age_s < self.limits.answer_s;
+        let settling = age_s < self.limits.answer_timeout_s;
         (settling || !at.unreconciled.is_empty()).then_some(HoldReason::MachinesUnreconciled)
     }
 }
 
 /// Room is looked for elsewhere only if no unreconciled machine may have it.
-fn hold_for_room(spec: Option<&JobSpec>, at: Situation) -> Option<HoldReason> {
+fn hold_for_room(spec: Option<&JobSpec>, at: HoldOffContext) -> Option<HoldReason> {
     if !at.all_shards_reported {
-        return Some(HoldReason::ShardsUnheard);
+        return Some(HoldReason::ShardReportsMissing);
     }
     let may_have_room = spec.map_or(!at.unreconciled.is_empty(), |spec| {
         at.unreconciled.may_hold(spec)
--- a/crates/reconciliation/src/machine_state.rs
+++ b/crates/reconciliation/src/machine_state.rs
@@ -14,14 +14,18 @@
     /// The machine registry says that nobody has started anything there: empty.
     Unused,
     /// Somebody has used it, and nothing was heard of it yet: unreconciled.
-    Unheard,
+    #[serde(rename = "unheard")]
+    NoHeartbeat,
     /// It has spoken, but not under its owner's token: what it says may be old, or
     /// may be added to by an earlier owner's command. Unreconciled, and being asked.
-    Heard,
+    #[serde(rename = "heard")]
+    Unconfirmed,
     /// A report under its owner's token has shown what is there.
-    Proven,
+    #[serde(rename = "proven")]
+    Confirmed,
     /// Its worker's lease is past: what it held is nowhere.
-    LeasePast,
+    #[serde(rename = "lease-past")]
+    LeaseExpired,
 }
 
 /// What its owner learns of a machine.
@@ -34,10 +38,10 @@
         /// The machine registry says that tasks may have been started there.
         used: bool,
         /// It shows its owner's token, or one above it.
-        shows_token: bool,
+        owner_token_seen: bool,
     },
     /// No answer of its owner's can have renewed its lease any more.
-    LeasePast,
+    LeaseExpired,
 }
 
 /// What follows from an event.
@@ -46,61 +50,66 @@
     /// The state from now on.
     pub state: MachineState,
     /// To be asked at once under its owner's token.
-    pub ask: bool,
+    pub probe: bool,
 }
 
 impl MachineState {
     /// The state of a machine that has come on the machine registry, or was taken over with it.
-    pub fn listed(used: bool) -> MachineState {
+    pub fn initial(used: bool) -> MachineState {
         if used {
-            MachineState::Unheard
+            MachineState::NoHeartbeat
         } else {
             MachineState::Unused
         }
     }
 
     /// Whether its content is known.
-    pub fn is_certain(self) -> bool {
+    pub fn is_reconciled(self) -> bool {
         match self {
-            MachineState::Unused | MachineState::Proven | MachineState::LeasePast => true,
-            MachineState::Unheard | MachineState::Heard => false,
+            MachineState::Unused | MachineState::Confirmed | MachineState::LeaseExpired => true,
+            MachineState::NoHeartbeat | MachineState::Unconfirmed => false,
         }
     }
 
     /// The state after an event.
     pub fn after(self, event: MachineEvent) -> Transition {
         match event {
-            MachineEvent::LeasePast => Transition {
-                state: MachineState::LeasePast,
-                ask: false,
+            MachineEvent::LeaseExpired => Transition {
+                state: MachineState::LeaseExpired,
+                probe: false,
             },
             MachineEvent::Heartbeat {
                 first_contact,
                 used,
-                shows_token,
-            } => self.after_heartbeat(first_contact, used, shows_token),
+                owner_token_seen,
+            } => self.after_heartbeat(first_contact, used, owner_token_seen),
         }
     }
 
-    fn after_heartbeat(self, first_contact: bool, used: bool, shows_token: bool) -> Transition {
-        if shows_token {
+    fn after_heartbeat(
+        self,
+        first_contact: bool,
+        used: bool,
+        owner_token_seen: bool,
+    ) -> Transition {
+        if owner_token_seen {
             return Transition {
-                state: MachineState::Proven,
-                ask: false,
+                state: MachineState::Confirmed,
+                probe: false,
             };
         }
         // Guard: one thought to be past its lease has spoken after all. Whatever it
         // says may be old until it has seen the token.
         let surprising = first_contact && used;
-        if self.is_certain() && !surprising {
+        if self.is_reconciled() && !surprising {
             return Transition {
                 state: self,
-                ask: false,
+                probe: false,
             };
         }
         Transition {
-            state: MachineState::Heard,
-            ask: true,
+            state: MachineState::Unconfirmed,
+            probe: true,
         }
     }
 }
--- a/crates/reconciliation/src/restart_record.rs
+++ b/crates/reconciliation/src/restart_record.rs
@@ -82,13 +82,15 @@
 #[serde(rename_all = "kebab-case")]
 pub enum StopCause {
     /// Its job is over or cancelled, or the task is.
-    Over,
+    #[serde(rename = "over")]
+    NoLongerNeeded,
     /// The leader has asked for it back.
     Recalled,
     /// It makes room for work of a higher priority.
     Preempted,
     /// Its machine will be taken away.
-    Notice,
+    #[serde(rename = "notice")]
+    MachineReclaimed,
     /// Its owner holds another start of it, or none.
     #[serde(rename = "not-held")]
     NotAssigned,
@@ -99,7 +101,7 @@
         match reason {
             StopReason::AssignedElsewhere => StopCause::NotAssigned,
             StopReason::JobCancelled | StopReason::JobDone | StopReason::TaskFinished => {
-                StopCause::Over
+                StopCause::NoLongerNeeded
             }
         }
     }
@@ -107,15 +109,17 @@
 
 /// Commands that were given, repetitions included.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderCounts {
+pub struct CommandCounts {
     /// Direct commands without any call: questions.
-    pub questions: u64,
+    #[serde(rename = "questions")]
+    pub probes: u64,
     /// Starts.
     pub starts: u64,
     /// Stops, by cause.
     pub stops: BTreeMap<StopCause, u64>,
     /// Reaps.
-    pub reaps: u64,
+    #[serde(rename = "reaps")]
+    pub forgets: u64,
 }
 
 /// The record as it grows.
@@ -132,7 +136,7 @@
     entries: QueueSync<DecisionEntry>,
     dropped_entries: u64,
     /// Commands given since the record began.
-    pub orders: OrderCounts,
+    pub commands: CommandCounts,
 }
 
 /// What the record says at a moment, for whoever asks.
@@ -155,7 +159,8 @@
     /// What was held back, by reason.
     pub holds: Vec<HoldCount>,
     /// Commands given.
-    pub orders: OrderCounts,
+    #[serde(rename = "orders")]
+    pub commands: CommandCounts,
     /// The latest decisions, the oldest first.
     pub entries: QueueSync<DecisionEntry>,
     /// Earlier decisions that are no longer kept.
@@ -175,12 +180,12 @@
             holds: BTreeMap::new(),
             entries: QueueSync::new_sync(),
             dropped_entries: 0,
-            orders: OrderCounts::default(),
+            commands: CommandCounts::default(),
         }
     }
 
     /// An epoch is entered, with all knowledge of the one before or with none.
-    pub fn enter(&mut self, epoch: u64, kept: bool, now: Seconds) {
+    pub fn enter_epoch(&mut self, epoch: u64, kept: bool, now: Seconds) {
         if !kept {
             *self = RestartRecord::new(self.max_entries);
             self.began = now;
@@ -259,7 +264,7 @@
                 .collect(),
             verdicts: verdicts.collect(),
             holds: holds.collect(),
-            orders: self.orders.clone(),
+            commands: self.commands.clone(),
             entries: self.entries.clone(),
             entries_left_out: self.dropped_entries,
         }
--- a/crates/reconciliation/src/unreconciled.rs
+++ b/crates/reconciliation/src/unreconciled.rs
@@ -61,20 +61,23 @@
 #[serde(rename_all = "kebab-case")]
 pub enum ReconciliationPhase {
     /// Nothing: it may run anywhere, or nowhere.
-    Awaiting,
+    #[serde(rename = "awaiting")]
+    Pending,
     /// Some tasks were found, others are unreconciled.
-    Partly,
+    #[serde(rename = "partly")]
+    Partial,
     /// Every task is held by somebody, finished, or proven to be nowhere.
-    Certain,
+    #[serde(rename = "certain")]
+    Complete,
 }
 
 impl ReconciliationPhase {
     /// The phase of a job with `in_doubt` unreconciled tasks and `found` held by somebody.
     pub fn of(in_doubt: u32, found: usize) -> ReconciliationPhase {
         match (in_doubt, found) {
-            (0, _) => ReconciliationPhase::Certain,
-            (_, 0) => ReconciliationPhase::Awaiting,
-            _ => ReconciliationPhase::Partly,
+            (0, _) => ReconciliationPhase::Complete,
+            (_, 0) => ReconciliationPhase::Pending,
+            _ => ReconciliationPhase::Partial,
         }
     }
 }
--- a/crates/reconciliation/src/verdict.rs
+++ b/crates/reconciliation/src/verdict.rs
@@ -77,7 +77,8 @@
     /// It runs, its job wants it, and nobody else holds it.
     Runs,
     /// It was planned for some machine, and is found to be here already.
-    FoundWhilePlanned,
+    #[serde(rename = "found-while-planned")]
+    FoundWhileUnplaced,
     /// The same as `Runs`, but its attempt is of an epoch that has not begun.
     AttemptOfLaterEpoch,
 }
@@ -138,7 +139,7 @@
     match (holding, reported.ended) {
         (KnownAssignment::Same, _) => Verdict::Known,
         (KnownAssignment::Unplaced, None | Some(TaskEnd::Completed)) => {
-            Verdict::Adopt(AdoptReason::FoundWhilePlanned)
+            Verdict::Adopt(AdoptReason::FoundWhileUnplaced)
         }
         (KnownAssignment::Elsewhere, None) => Verdict::Conflict(ConflictReason::RunsTwice),
         (KnownAssignment::Elsewhere, Some(TaskEnd::Completed)) if !stored.needs_no_run() => {
@@ -206,6 +207,6 @@
 /// Whether an attempt counts as the highest seen of its task, so that a late copy of an
 /// assignment with a lower one does nothing. Guard: one of an epoch that has not begun
 /// would block every later start.
-pub fn attempt_counts(attempt: u64, epoch: u64) -> bool {
+pub fn attempt_epoch_has_begun(attempt: u64, epoch: u64) -> bool {
     attempt_epoch(attempt) <= epoch
 }
--- a/crates/reconciliation/tests/model.rs
+++ b/crates/reconciliation/tests/model.rs
@@ -7,7 +7,7 @@
 //! one, it stops nothing healthy, it lets no worker forget a result that is not
 //! committed, and once all has been heard or is past its lease, nothing is unreconciled.
 
-use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffLimits, Situation};
+use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffContext, HoldOffLimits};
 use finchwood_reconciliation::machine_state::{MachineEvent, MachineState};
 use finchwood_reconciliation::stored_jobs::StoredTask;
 use finchwood_reconciliation::unreconciled::{
@@ -97,7 +97,7 @@
             .machines
             .iter()
             .zip(&self.owner.states)
-            .filter(|(_, state)| !state.is_certain());
+            .filter(|(_, state)| !state.is_reconciled());
         let class = |zone: &str| MachineClass {
             machine_type: "k".into(),
             zone: zone.into(),
@@ -120,16 +120,16 @@
         let event = MachineEvent::Heartbeat {
             first_contact: !self.owner.heard[id],
             used: self.machines[id].used,
-            shows_token: shown >= mine,
+            owner_token_seen: shown >= mine,
         };
         self.owner.heard[id] |= shown >= mine;
         let transition = self.owner.states[id].after(event);
         self.owner.states[id] = transition.state;
         assert!(
-            !transition.ask || !transition.state.is_certain(),
+            !transition.probe || !transition.state.is_reconciled(),
             "asked although certain"
         );
-        if !transition.state.is_certain() {
+        if !transition.state.is_reconciled() {
             return;
         }
         for (&task, &(attempt, runs)) in lines {
@@ -188,7 +188,7 @@
             // may be the first of all.
             Step::Release(n) => {
                 let id = pick(n);
-                let first = self.owner.states[id] == MachineState::Unheard;
+                let first = self.owner.states[id] == MachineState::NoHeartbeat;
                 if let Some((shown, lines)) = self.held_reports[id].take().filter(|_| first) {
                     self.take_in(id, shown, &lines);
                 }
@@ -214,7 +214,9 @@
                 self.machines[id].lines.clear();
                 // Its session is over: starts that are under way belong to it.
                 self.machines[id].under_way.clear();
-                self.owner.states[id] = self.owner.states[id].after(MachineEvent::LeasePast).state;
+                self.owner.states[id] = self.owner.states[id]
+                    .after(MachineEvent::LeaseExpired)
+                    .state;
                 self.owner.held.retain(|_, (machine, _)| *machine != id);
                 self.held_reports[id] = None;
                 self.owner.over[id] = true;
@@ -321,7 +323,7 @@
         }
     }
     let owner = Owner {
-        states: all.iter().map(|m| MachineState::listed(m.used)).collect(),
+        states: all.iter().map(|m| MachineState::initial(m.used)).collect(),
         heard: vec![false; machines],
         held: BTreeMap::new(),
         results: BTreeSet::new(),
@@ -377,13 +379,13 @@
         wanted in 0..3usize,
         all_shards_reported in any::<bool>(),
     ) {
-        let limits = HoldOffLimits { answer_s: 6.0, lease_s: 30.0 };
+        let limits = HoldOffLimits { answer_timeout_s: 6.0, lease_s: 30.0 };
         let mut hold_off = HoldOff::new(limits);
         let class = |z: &usize| MachineClass { machine_type: "k".into(), zone: ZONES[*z].into(), spot: false };
         let unreconciled: UnreconciledMachines = zones.iter().map(class).collect();
-        let at = Situation { now: 100.0 + age_s, all_shards_reported, unreconciled: &unreconciled };
+        let at = HoldOffContext { now: 100.0 + age_s, all_shards_reported, unreconciled: &unreconciled };
         let pending_demand = spec((wanted < 2).then(|| ZONES[wanted]));
-        let actions = [Action::Rent, Action::Preempt, Action::Consolidate, Action::EvictUnasked];
+        let actions = [Action::Rent, Action::Preempt, Action::Consolidate, Action::DeleteUnprobed];
         for action in actions {
             prop_assert_eq!(hold_off.hold_reason(action, Some(&pending_demand), at), None, "not begun");
         }
@@ -391,7 +393,7 @@
         let may_have_room = wanted == 2 && !zones.is_empty() || zones.contains(&wanted);
         let held = hold_off.hold_reason(Action::Rent, Some(&pending_demand), at).is_some();
         prop_assert_eq!(held, age_s < 6.0 && (!all_shards_reported || may_have_room));
-        prop_assert_eq!(hold_off.hold_reason(Action::EvictUnasked, None, at).is_some(), age_s < 30.0);
+        prop_assert_eq!(hold_off.hold_reason(Action::DeleteUnprobed, None, at).is_some(), age_s < 30.0);
         if age_s >= 30.0 || age_s >= 6.0 && all_shards_reported && zones.is_empty() {
             prop_assert_eq!(hold_off.hold_reason(Action::Consolidate, None, at), None);
         }
@@ -400,7 +402,7 @@
 
 #[test]
 fn phases_of_a_job() {
-    assert_eq!(ReconciliationPhase::of(3, 0), ReconciliationPhase::Awaiting);
-    assert_eq!(ReconciliationPhase::of(2, 1), ReconciliationPhase::Partly);
-    assert_eq!(ReconciliationPhase::of(0, 0), ReconciliationPhase::Certain);
+    assert_eq!(ReconciliationPhase::of(3, 0), ReconciliationPhase::Pending);
+    assert_eq!(ReconciliationPhase::of(2, 1), ReconciliationPhase::Partial);
+    assert_eq!(ReconciliationPhase::of(0, 0), ReconciliationPhase::Complete);
 }
--- a/crates/sharding/src/plan.rs
+++ b/crates/sharding/src/plan.rs
@@ -38,19 +38,19 @@
     UnknownController(String),
     /// It moves machines to their owner.
     #[error("plan: from {0} to itself")]
-    ToItself(String),
+    SourceIsTarget(String),
     /// It moves no machines.
     #[error("plan: no machines from {0} to {1}")]
     NoMachines(String, String),
     /// It names the same pair, or controller to be emptied, twice.
     #[error("plan: {0} is named twice")]
-    Twice(String),
+    Duplicate(String),
     /// It moves machines to a controller that it empties.
     #[error("plan: moves machines to {0}, which is to be emptied")]
-    ToDrained(String),
+    TargetDrained(String),
     /// It empties every controller.
     #[error("plan: nobody is left to take the machines")]
-    NobodyLeft,
+    NoControllerLeft,
 }
 
 impl Plan {
@@ -60,11 +60,11 @@
         for name in &self.drain {
             known(name, members)?;
             if !drained.insert(name) {
-                return Err(PlanError::Twice(name.clone()));
+                return Err(PlanError::Duplicate(name.clone()));
             }
         }
         if !drained.is_empty() && drained.len() >= members.len() {
-            return Err(PlanError::NobodyLeft);
+            return Err(PlanError::NoControllerLeft);
         }
         let mut pairs = BTreeSet::new();
         for planned in &self.moves {
@@ -76,16 +76,16 @@
             known(source, members)?;
             known(target, members)?;
             if source == target {
-                return Err(PlanError::ToItself(source.clone()));
+                return Err(PlanError::SourceIsTarget(source.clone()));
             }
             if *machines == 0 {
                 return Err(PlanError::NoMachines(source.clone(), target.clone()));
             }
             if drained.contains(target) {
-                return Err(PlanError::ToDrained(target.clone()));
+                return Err(PlanError::TargetDrained(target.clone()));
             }
             if !pairs.insert((source, target)) {
-                return Err(PlanError::Twice(format!("{source} to {target}")));
+                return Err(PlanError::Duplicate(format!("{source} to {target}")));
             }
         }
         Ok(())
--- a/crates/sharding/src/shard_map.rs
+++ b/crates/sharding/src/shard_map.rs
@@ -237,7 +237,7 @@
 
     /// Reads a stored shard map. Ranges that make no sense, or overlap, are left out: there the
     /// hash decides.
-    pub fn read(stored: &StoredShardMap) -> (ShardMap, Vec<ShardMapError>) {
+    pub fn from_stored(stored: &StoredShardMap) -> (ShardMap, Vec<ShardMapError>) {
         let (mut good, mut errors) = (Vec::new(), Vec::new());
         for (n, stored_range) in stored.ranges.iter().enumerate() {
             match stored_range.parse() {
--- a/crates/sharding/src/transfer_state.rs
+++ b/crates/sharding/src/transfer_state.rs
@@ -25,7 +25,8 @@
     #[serde(rename = "listed")]
     pub registered: bool,
     /// Marked there as used.
-    pub up: bool,
+    #[serde(rename = "up")]
+    pub used: bool,
     /// What is known of its content.
     pub state: MachineState,
     /// Its worker's session, and the number of its newest report.
@@ -44,7 +45,8 @@
     /// How long ago its present session was first seen.
     pub session_seen_ago_s: f64,
     /// In how many seconds it will be taken away, if that is known.
-    pub notice_in_s: Option<f64>,
+    #[serde(rename = "notice_in_s")]
+    pub reclaimed_in_s: Option<f64>,
     /// The tasks that it last showed.
     #[serde(rename = "lines")]
     pub reported_tasks: Vec<ReportedTaskState>,
@@ -65,7 +67,8 @@
     /// What it did.
     pub state: TaskState,
     /// Why it ended.
-    pub why: Option<String>,
+    #[serde(rename = "why")]
+    pub cause: Option<String>,
 }
 
 /// A task that the owner holds on a machine.
--- a/crates/sharding/tests/shard_map.rs
+++ b/crates/sharding/tests/shard_map.rs
@@ -61,7 +61,7 @@
         }
         let text = serde_json::to_string(&table.to_stored()).expect("text");
         let stored: StoredShardMap = serde_json::from_str(&text).expect("a table");
-        prop_assert_eq!(ShardMap::read(&stored), (table, Vec::new()));
+        prop_assert_eq!(ShardMap::from_stored(&stored), (table, Vec::new()));
     }
 
     /// Whatever the planner is asked, each move it wants has one owner, and carried out one
@@ -117,7 +117,7 @@
 fn stored_shares_that_make_no_sense_leave_the_decision_to_the_hash() {
     let text = r#"{"g": 7, "s": [["a", "0", "ff", "b"], ["a", "80", "1ff", "c"], ["b", "9", "3", "a"],
         ["c", "x", "1", "a"], ["", "0", "1", "a"], ["c", "0", "ffffffffffffffff", "a"]]}"#;
-    let (table, errors) = ShardMap::read(&serde_json::from_str(text).expect("a table"));
+    let (table, errors) = ShardMap::from_stored(&serde_json::from_str(text).expect("a table"));
     assert_eq!(table.generation, 7);
     assert_eq!(
         table.ranges().collect::<Vec<_>>(),
@@ -149,15 +149,15 @@
             r#"{"drain": ["x"]}"#,
             PlanError::UnknownController(text("x")),
         ),
-        (r#"{"drain": ["a", "a"]}"#, PlanError::Twice(text("a"))),
-        (r#"{"drain": ["a", "b", "c"]}"#, PlanError::NobodyLeft),
+        (r#"{"drain": ["a", "a"]}"#, PlanError::Duplicate(text("a"))),
+        (r#"{"drain": ["a", "b", "c"]}"#, PlanError::NoControllerLeft),
         (
             r#"{"moves": [{"from": "a", "to": "y", "machines": 1}]}"#,
             PlanError::UnknownController(text("y")),
         ),
         (
             r#"{"moves": [{"from": "a", "to": "a", "machines": 1}]}"#,
-            PlanError::ToItself(text("a")),
+            PlanError::SourceIsTarget(text("a")),
         ),
         (
             r#"{"moves": [{"from": "a", "to": "b", "machines": 0}]}"#,
@@ -165,7 +165,7 @@
         ),
         (
             r#"{"drain": ["b"], "moves": [{"from": "a", "to": "b", "machines": 3}]}"#,
-            PlanError::ToDrained(text("b")),
+            PlanError::TargetDrained(text("b")),
         ),
     ];
     for (text, error) in bad {
--- a/crates/types/src/clock.rs
+++ b/crates/types/src/clock.rs
@@ -59,6 +59,6 @@
 
 /// How long the holder of a lease of `span` seconds may rely on it, in seconds from the
 /// sending of the renewal.
-pub fn usable(span: Seconds) -> Seconds {
+pub fn usable_lease(span: Seconds) -> Seconds {
     span * USABLE_SHARE
 }
--- a/crates/types/src/cloud.rs
+++ b/crates/types/src/cloud.rs
@@ -85,7 +85,7 @@
 
 /// The machines of a rental, or of a deletion.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct MachineNames {
+pub struct MachineIds {
     /// The machines' ids.
     #[serde(rename = "perches")]
     pub machines: Vec<MachineId>,
--- a/crates/types/src/finished.rs
+++ b/crates/types/src/finished.rs
@@ -118,14 +118,14 @@
     Numbered(u32),
     /// `at/FIRST`: begins with that task, whatever the settings. Production ignores these
     /// keys.
-    From(u32),
+    StartingAt(u32),
 }
 
 impl fmt::Display for Chunk {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Chunk::Numbered(number) => write!(f, "{number}"),
-            Chunk::From(first) => write!(f, "at/{first}"),
+            Chunk::StartingAt(first) => write!(f, "at/{first}"),
         }
     }
 }
@@ -134,7 +134,7 @@
     /// Parses the last section of a key.
     pub fn parse(text: &str) -> Option<Chunk> {
         match text.strip_prefix("at/") {
-            Some(first) => first.parse().ok().map(Chunk::From),
+            Some(first) => first.parse().ok().map(Chunk::StartingAt),
             None => text.parse().ok().map(Chunk::Numbered),
         }
     }
@@ -143,7 +143,7 @@
     pub fn first_task(self, tasks_per_numbered_chunk: u32) -> Option<u32> {
         let first = match self {
             Chunk::Numbered(number) => number.checked_mul(tasks_per_numbered_chunk)?,
-            Chunk::From(first) => first,
+            Chunk::StartingAt(first) => first,
         };
         (first < MAX_TASKS).then_some(first)
     }
@@ -178,7 +178,7 @@
     let range = |number: u32| {
         let first = number * per_chunk;
         ChunkRange {
-            chunk: Chunk::From(first),
+            chunk: Chunk::StartingAt(first),
             first,
             len: per_chunk.min(total - first),
         }
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -112,9 +112,9 @@
 /// The most tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 /// The time within which a job of any size should start its first task, in seconds.
-pub const BEGIN_WITHIN_S: f64 = 240.0;
+pub const FIRST_START_TARGET_S: f64 = 240.0;
 /// The time that a task must run for its start to count, in seconds.
-pub const START_COUNTS_S: f64 = 30.0;
+pub const MIN_COUNTED_RUN_S: f64 = 30.0;
 
 /// Why a submission is refused. The words go to the user.
 #[derive(Debug, Error)]
--- a/crates/types/src/wire.rs
+++ b/crates/types/src/wire.rs
@@ -2,11 +2,11 @@
 //! terms. The protocol's own names stand in serde renames only.
 
 pub use crate::cloud::{
-    Catalog, ListedMachine, MachineId, MachineListPage, MachineNames, MachineType, RentalRequest,
+    Catalog, ListedMachine, MachineId, MachineIds, MachineListPage, MachineType, RentalRequest,
 };
 pub use crate::job::{
-    valid_job_id, JobId, JobKind, JobSpec, JobSpecError, JobStatus, Priority, BEGIN_WITHIN_S,
-    MAX_TASKS, START_COUNTS_S,
+    valid_job_id, JobId, JobKind, JobSpec, JobSpecError, JobStatus, Priority, FIRST_START_TARGET_S,
+    MAX_TASKS, MIN_COUNTED_RUN_S,
 };
 pub use crate::resources::Resources;
 pub use crate::task::{cause, Task, TaskReport, TaskState};
--- a/crates/types/src/worker.rs
+++ b/crates/types/src/worker.rs
@@ -33,7 +33,7 @@
     pub token: u64,
     /// The seconds until the cloud takes the machine back, once it has said so.
     #[serde(rename = "warning_s", default)]
-    pub notice_s: Option<f64>,
+    pub reclaimed_in_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "chicks", default)]
     pub tasks: Vec<TaskReport>,
--- a/src/api/restart_report.rs
+++ b/src/api/restart_report.rs
@@ -19,16 +19,19 @@
     pub leader: Option<ReconciliationProgress>,
     /// Unreadable records of the key-value store, which are left as they are: the first
     /// of them by key.
-    pub records_left_alone: Vec<RecordLeftAlone>,
+    #[serde(rename = "records_left_alone")]
+    pub invalid_records: Vec<InvalidRecordReport>,
     /// The number of all unreadable records.
-    pub records_left_alone_count: usize,
+    #[serde(rename = "records_left_alone_count")]
+    pub invalid_record_count: usize,
 }
 
 /// A stored record that can't be read, or refers to something unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct RecordLeftAlone {
+pub struct InvalidRecordReport {
     /// The key of the record.
     pub key: String,
     /// What is wrong with it.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
--- a/src/api/shard_map_report.rs
+++ b/src/api/shard_map_report.rs
@@ -20,7 +20,8 @@
     /// The number of changes of the shard map so far.
     pub generation: u64,
     /// The hash ranges that another controller than their hash owner owns.
-    pub shares: Vec<OwnedRange>,
+    #[serde(rename = "shares")]
+    pub ranges: Vec<OwnedRange>,
     /// The machines that this controller owns.
     pub machines: Vec<MachineId>,
     /// Those of its machines that get no orders, as they are being transferred.
--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -7,9 +7,7 @@
 use crate::config::settings::Settings;
 use crate::store::{CallError, HttpClient, TokenBucket};
 use crate::threads::spawn_detached;
-use crate::wire::{
-    Catalog, ListedMachine, MachineId, MachineListPage, MachineNames, RentalRequest,
-};
+use crate::wire::{Catalog, ListedMachine, MachineId, MachineIds, MachineListPage, RentalRequest};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use serde_json::json;
 use std::time::Duration;
@@ -144,7 +142,7 @@
 
 fn rent(http: &HttpClient, request: RentalRequest, bucket: &mut TokenBucket) -> CloudResponse {
     match http.call("POST", "/machines", Some(&json!(request))) {
-        Ok(names) => match serde_json::from_value::<MachineNames>(names) {
+        Ok(names) => match serde_json::from_value::<MachineIds>(names) {
             Ok(names) => CloudResponse::Rented {
                 request,
                 machines: names.machines,
@@ -180,7 +178,7 @@
 }
 
 fn delete(http: &HttpClient, machines: Vec<MachineId>) -> CloudResponse {
-    let names = MachineNames { machines };
+    let names = MachineIds { machines };
     let response = http.call("POST", "/machines/delete", Some(&json!(names)));
     match response {
         Ok(_) => CloudResponse::Deleted(names.machines),
--- a/src/cluster/member_lease.rs
+++ b/src/cluster/member_lease.rs
@@ -176,7 +176,7 @@
 
     /// Until when a lease can be relied upon that was requested or renewed at `sent_at`.
     fn usable_until(&self, sent_at: Seconds) -> Seconds {
-        sent_at + clock::usable(self.lease_s)
+        sent_at + clock::usable_lease(self.lease_s)
     }
 
     fn renewal_interval_s(&self) -> Seconds {
--- a/src/config/settings/timing.rs
+++ b/src/config/settings/timing.rs
@@ -24,7 +24,7 @@
     /// The greatest age of what a controller knows of jobs and of the epoch
     /// when it responds to a worker or commands it.
     pub fn max_knowledge_age_s(&self) -> Seconds {
-        clock::usable(self.member_lease_s())
+        clock::usable_lease(self.member_lease_s())
     }
 
     /// The longest that a task can outlive the confirmation of its job's
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -62,7 +62,7 @@
         let unreconciled = unreconciled.as_ref();
         self.leader.preemption_held = self.is_held_off(Action::Preempt, None, unreconciled, now);
         let consolidates = !self.is_held_off(Action::Consolidate, None, unreconciled, now);
-        let evicts_unasked = !self.is_held_off(Action::EvictUnasked, None, unreconciled, now);
+        let evicts_unasked = !self.is_held_off(Action::DeleteUnprobed, None, unreconciled, now);
         let mut running = self.review_running(&catalog, &detector, &health, evicts_unasked, now);
         if !consolidates {
             running.drained.clear();
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -4,13 +4,13 @@
 use super::interval_timer::IntervalTimer;
 use super::Controller;
 use crate::api::published_report::PublishedReport;
-use crate::api::restart_report::{RecordLeftAlone, RestartReport};
+use crate::api::restart_report::{InvalidRecordReport, RestartReport};
 use crate::clock::{self, Seconds};
 use crate::config::features::ColdRestartConfig;
 use crate::config::settings::Settings;
 use crate::store::consistency::misfit_records;
 use crate::wire::JobSpec;
-use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffLimits, Situation};
+use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffContext, HoldOffLimits};
 use finchwood_reconciliation::unreconciled::UnreconciledMachines;
 
 /// How often the report is published, as a share of a report interval.
@@ -37,7 +37,7 @@
     ) -> Restart {
         let workers = &settings.params.workers;
         let limits = HoldOffLimits {
-            answer_s: workers.report_s * config.answer_reports,
+            answer_timeout_s: workers.report_s * config.answer_reports,
             lease_s: clock::with_drift_margin(workers.lease_s),
         };
         Restart {
@@ -80,7 +80,7 @@
         let (Some(restart), Some(unreconciled)) = (&self.restart, unreconciled) else {
             return false;
         };
-        let situation = Situation {
+        let situation = HoldOffContext {
             now,
             all_shards_reported: self.leader.all_joined(),
             unreconciled,
@@ -127,7 +127,7 @@
     }
 
     fn restart_report(&mut self, now: Seconds) -> RestartReport {
-        let left_alone = self.records_left_alone();
+        let left_alone = self.invalid_records();
         let deletions = &self.autoscaler.deletions;
         let progress = || {
             self.leader
@@ -141,25 +141,25 @@
                 .and_then(|restart| restart.first_accepted_s),
             leader: self.is_leader().then(progress),
             machines: self.shard.restart_record(now),
-            records_left_alone_count: left_alone.len(),
-            records_left_alone: left_alone.into_iter().take(MAX_RECORDS_NAMED).collect(),
+            invalid_record_count: left_alone.len(),
+            invalid_records: left_alone.into_iter().take(MAX_RECORDS_NAMED).collect(),
         }
     }
 
-    fn records_left_alone(&self) -> Vec<RecordLeftAlone> {
+    fn invalid_records(&self) -> Vec<InvalidRecordReport> {
         let unreadable = self
             .cache
             .unreadable
             .iter()
-            .map(|(key, record)| RecordLeftAlone {
+            .map(|(key, record)| InvalidRecordReport {
                 key: key.clone(),
-                why: record.error.to_string(),
+                reason: record.error.to_string(),
             });
         let misfits = misfit_records(&self.cache, &self.settings)
             .into_iter()
-            .map(|misfit| RecordLeftAlone {
+            .map(|misfit| InvalidRecordReport {
                 key: misfit.key,
-                why: misfit.error.to_string(),
+                reason: misfit.error.to_string(),
             });
         unreadable.chain(misfits).collect()
     }
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -383,7 +383,7 @@
                 .entered_epoch()
                 .is_some_and(|epoch| epoch.uses_shard_map),
             generation: shard_map.generation,
-            shares: shard_map.ranges().map(owned_range).collect(),
+            ranges: shard_map.ranges().map(owned_range).collect(),
             machines: self.shard.registered_machines(),
             fenced: self.shard.fenced_machines(),
             leader: self
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -7,7 +7,7 @@
 use super::{JobEntry, Leader};
 use crate::clock::Seconds;
 use crate::store::cache::StoreCache;
-use crate::wire::{JobId, JobKind, MachineId, BEGIN_WITHIN_S};
+use crate::wire::{JobId, JobKind, MachineId, FIRST_START_TARGET_S};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// On how many machines a job without any success must have failed to be
@@ -67,7 +67,7 @@
         let wait = report_s * 2f64.powi(self.failed_tries.min(30) as i32);
         // A job may be right after all, and must not wait for minutes
         // while there is room.
-        self.retry_at = now + wait.min(BEGIN_WITHIN_S * LONGEST_WAIT_SHARE);
+        self.retry_at = now + wait.min(FIRST_START_TARGET_S * LONGEST_WAIT_SHARE);
     }
 
     /// Whether the job itself seems to be at fault.
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -4,13 +4,13 @@
 use crate::clock::Seconds;
 use crate::scheduler::capacity::{FreeCapacity, NameInterner, PlacementRequest, ZoneAllowance};
 use crate::store::cache::StoreCache;
-use crate::wire::{JobId, BEGIN_WITHIN_S};
+use crate::wire::{JobId, FIRST_START_TARGET_S};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// After how many seconds without room in its zone a service moves to another one:
 /// as long as several boots take.
-const ZONE_CHANGE_AFTER_S: Seconds = BEGIN_WITHIN_S / 6.0;
+const ZONE_CHANGE_AFTER_S: Seconds = FIRST_START_TARGET_S / 6.0;
 
 /// The free tasks of one job, with what each of them requires.
 #[derive(Debug, Clone, Copy)]
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -10,7 +10,7 @@
 use crate::scheduler::capacity::{FreeCapacity, PlacementRequest, Preempts};
 use crate::shard::TaskPhase;
 use crate::store::cache::{CachedJob, StoreCache};
-use crate::wire::{JobId, JobKind, Priority, Resources, BEGIN_WITHIN_S};
+use crate::wire::{JobId, JobKind, Priority, Resources, FIRST_START_TARGET_S};
 use finchwood_types::token;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -326,11 +326,11 @@
 const PREEMPTS_AFTER_REPORTS: f64 = 2.0;
 
 /// For how many seconds from its acceptance room is kept for a gang that waits.
-const KEEPS_ROOM_FOR_S: Seconds = BEGIN_WITHIN_S * 2.0;
+const KEEPS_ROOM_FOR_S: Seconds = FIRST_START_TARGET_S * 2.0;
 
 /// After how many seconds a job that has not begun comes before those whose teams are
 /// within their guarantee.
-const UNBEGUN_AFTER_S: Seconds = BEGIN_WITHIN_S / 3.0;
+const UNBEGUN_AFTER_S: Seconds = FIRST_START_TARGET_S / 3.0;
 
 /// What one round of assignment works with.
 struct Round<'a> {
--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -83,10 +83,10 @@
 impl From<Stop> for StopCause {
     fn from(stop: Stop) -> StopCause {
         match stop {
-            Stop::Cancelled => StopCause::Over,
+            Stop::Cancelled => StopCause::NoLongerNeeded,
             Stop::Recalled => StopCause::Recalled,
             Stop::Preempted => StopCause::Preempted,
-            Stop::Notice => StopCause::Notice,
+            Stop::Notice => StopCause::MachineReclaimed,
         }
     }
 }
@@ -125,8 +125,8 @@
         }
         machine.commands.in_flight |= direct;
         let token = token(epoch, machine.token.counter);
-        let counts = &mut self.restart_record.orders;
-        counts.reaps += reaps.len() as u64;
+        let counts = &mut self.restart_record.commands;
+        counts.forgets += reaps.len() as u64;
         *counts.stops.entry(StopCause::NotAssigned).or_default() += stops.len() as u64;
         let mut commands = reaps;
         commands.extend(stops);
@@ -151,7 +151,7 @@
             .map(|machine| (machine.session.id, machine.used))?;
         let attempt = self.assigned.get(task)?.attempt;
         let placement = self.assigned.place_mut(task)?;
-        let counts = &mut self.restart_record.orders;
+        let counts = &mut self.restart_record.commands;
         let Some(stop) = placement.stop else {
             if placement.confirmed || !up {
                 return None;
@@ -300,7 +300,7 @@
             self.commands_for(&id, cache, true)
         } else {
             machine.commands.in_flight = true;
-            self.restart_record.orders.questions += 1;
+            self.restart_record.commands.probes += 1;
             let token = token(self.epoch, machine.token.counter);
             (token, machine.cancelled_stops(cache))
         };
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -128,16 +128,16 @@
         let event = MachineEvent::Heartbeat {
             first_contact: machine.session.last_heartbeat_at.is_none(),
             used: machine.used,
-            shows_token: heartbeat.token >= token(self.epoch, machine.token.counter),
+            owner_token_seen: heartbeat.token >= token(self.epoch, machine.token.counter),
         };
         if machine.shows_life(heartbeat, self.epoch) {
             self.report_due |= machine.record_life(now);
         }
-        self.report_due |= machine.record_reclaim_notice(heartbeat.notice_s, now);
+        self.report_due |= machine.record_reclaim_notice(heartbeat.reclaimed_in_s, now);
         machine.record_reported_tasks(heartbeat);
         let transition = machine.state.after(event);
         machine.state = transition.state;
-        if transition.ask {
+        if transition.probe {
             // Its answer under our token is proof.
             machine.commands.probe_due = true;
         } else if !was_reconciled {
--- a/src/shard/leases.rs
+++ b/src/shard/leases.rs
@@ -44,7 +44,7 @@
         for id in silent {
             if let Some(machine) = self.machines.get_mut(&id) {
                 tracing::info!(machine = %id, session = machine.session.id, "a worker's lease is past");
-                machine.state = machine.state.after(MachineEvent::LeasePast).state;
+                machine.state = machine.state.after(MachineEvent::LeaseExpired).state;
                 machine.session.ended_up_to = machine.session.id;
                 machine.contents.tasks.clear();
                 let below = machine.session.id + 1;
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -231,7 +231,7 @@
             identity,
             registered: false,
             used: false,
-            state: MachineState::Unheard,
+            state: MachineState::NoHeartbeat,
             session: WorkerSession::default(),
             token: TokenAcknowledgement::default(),
             commands: CommandChannel::default(),
@@ -245,7 +245,7 @@
 
     /// Whether its content is known.
     pub(super) fn is_reconciled(&self) -> bool {
-        self.state.is_certain()
+        self.state.is_reconciled()
     }
 
     /// Whether an image is likely in its cache.
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -189,7 +189,7 @@
                 ..fresh
             };
         }
-        self.restart_record.enter(epoch, stays, now);
+        self.restart_record.enter_epoch(epoch, stays, now);
         // Whatever a transfer has reached: owners of the new epoch ask their machines.
         let members = cache.epoch.as_ref().map(|epoch| epoch.members.clone());
         self.transfers = TransferParticipant::new(members.unwrap_or_default());
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -6,7 +6,7 @@
 };
 use crate::clock::Seconds;
 use crate::store::cache::StoreCache;
-use crate::wire::{JobKind, Task, START_COUNTS_S};
+use crate::wire::{JobKind, Task, MIN_COUNTED_RUN_S};
 
 impl Shard {
     /// Carries out the leader's orders.
@@ -101,7 +101,7 @@
         let young = placement.is_some_and(|placement| {
             placement.phase == TaskPhase::Running
                 && placement.stop.is_none()
-                && now - placement.phase_since < START_COUNTS_S
+                && now - placement.phase_since < MIN_COUNTED_RUN_S
         });
         // The tasks of a gang are stopped together: one alone would lose their progress.
         let spec = cache
--- a/src/shard/preemption.rs
+++ b/src/shard/preemption.rs
@@ -3,7 +3,7 @@
 use super::placement::{PlacementRequest, PlacementRound};
 use super::{Placement, Shard, Stop, TaskPhase};
 use crate::clock::Seconds;
-use crate::wire::{JobKind, JobSpec, MachineId, Priority, Resources, Task, START_COUNTS_S};
+use crate::wire::{JobKind, JobSpec, MachineId, Priority, Resources, Task, MIN_COUNTED_RUN_S};
 use std::cmp::Ordering;
 
 /// On which machines tasks may be stopped.
@@ -75,7 +75,7 @@
             return false;
         }
         let stays = placement.phase != TaskPhase::Running || placement.stop.is_some();
-        let counts = !stays && now - placement.phase_since >= START_COUNTS_S;
+        let counts = !stays && now - placement.phase_since >= MIN_COUNTED_RUN_S;
         let borrows = spec.priority == Priority::Low && self.borrowing_teams.contains(&spec.team);
         priority == Priority::Prod || counts && borrows
     }
@@ -230,8 +230,8 @@
     /// users yet. As the youngest are stopped first, a job that had waited for minutes
     /// would otherwise lose its only task each time before it had begun.
     fn is_first_start(&self, task: &Task, placement: &Placement, now: Seconds) -> bool {
-        let young =
-            placement.phase != TaskPhase::Running || now - placement.phase_since < START_COUNTS_S;
+        let young = placement.phase != TaskPhase::Running
+            || now - placement.phase_since < MIN_COUNTED_RUN_S;
         young && self.assigned.of_job(&task.job).nth(1).is_none()
     }
 }
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -10,7 +10,7 @@
 use finchwood_reconciliation::restart_record::{DecisionEntry, RecordView};
 use finchwood_reconciliation::stored_jobs::StoredJobs;
 use finchwood_reconciliation::verdict::{
-    attempt_counts, decide, AdoptReason, KnownAssignment, Verdict,
+    attempt_epoch_has_begun, decide, AdoptReason, KnownAssignment, Verdict,
 };
 use std::collections::BTreeMap;
 
@@ -77,7 +77,7 @@
                     self.record_verdict(entry, first_sight);
                 }
             }
-            if attempt_counts(attempt, self.epoch) {
+            if attempt_epoch_has_begun(attempt, self.epoch) {
                 self.raise_highest_assignment(task, attempt);
             }
             let adopted = Placement::adopted(id, session, seen_token, now);
@@ -121,7 +121,7 @@
     ) {
         match verdict {
             Verdict::Known | Verdict::Forget(_) | Verdict::Conflict(_) => {}
-            Verdict::Adopt(AdoptReason::FoundWhilePlanned) => {
+            Verdict::Adopt(AdoptReason::FoundWhileUnplaced) => {
                 let stale = self.assigned.get(task).map(|assigned| assigned.attempt);
                 tracing::warn!(%task, stale, attempt, "queued task found on a machine");
                 self.assigned.place(task, attempt, placement);
--- a/src/shard/registration.rs
+++ b/src/shard/registration.rs
@@ -23,7 +23,7 @@
             };
             Machine {
                 // Never used by anybody: the machine registry would say so.
-                state: MachineState::listed(record.in_use),
+                state: MachineState::initial(record.in_use),
                 ..Machine::new(identity, now)
             }
         });
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -334,7 +334,7 @@
                     task: task.clone(),
                     attempt: observed.attempt,
                     state: observed.state,
-                    why: observed.cause.clone(),
+                    cause: observed.cause.clone(),
                 });
         Some(MachineTransferState {
             id: id.clone(),
@@ -343,7 +343,7 @@
             spot: machine.identity.spot,
             address: machine.identity.address.clone(),
             registered: machine.registered,
-            up: machine.used,
+            used: machine.used,
             state: machine.state,
             session: machine.session.id,
             seq: machine.session.sequence,
@@ -352,7 +352,7 @@
             last_heartbeat_ago_s: machine.session.last_heartbeat_at.map(|at| now - at),
             // On the wire, a session that was never seen began with the clock.
             session_seen_ago_s: now - machine.session.first_seen_at.unwrap_or(0.0),
-            notice_in_s: machine.reclaimed_at.map(|until| until - now),
+            reclaimed_in_s: machine.reclaimed_at.map(|until| until - now),
             reported_tasks: reported_tasks.collect(),
             assigned_tasks: assigned_tasks.collect(),
             images: machine.contents.images.iter().cloned().collect(),
@@ -374,7 +374,7 @@
         };
         let machine = Machine {
             registered: known.registered,
-            used: known.up,
+            used: known.used,
             state: known.state,
             session: WorkerSession {
                 id: known.session,
@@ -398,7 +398,7 @@
                 images: known.images.iter().cloned().collect(),
                 ..MachineContents::empty(now)
             },
-            reclaimed_at: known.notice_in_s.map(|in_s| now + in_s),
+            reclaimed_at: known.reclaimed_in_s.map(|in_s| now + in_s),
             ..Machine::new(identity, now)
         };
         self.machines.insert(known.id.clone(), machine);
@@ -447,7 +447,7 @@
         ObservedTask {
             attempt: known.attempt,
             state: known.state,
-            cause: known.why.clone(),
+            cause: known.cause.clone(),
         }
     }
 }
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -243,7 +243,7 @@
         }
         let stored: Result<StoredShardMap, RecordError> = from_value(value);
         let (shard_map, errors) = match &stored {
-            Ok(stored) => ShardMap::read(stored),
+            Ok(stored) => ShardMap::from_stored(stored),
             Err(_) => (ShardMap::default(), vec![ShardMapError::Malformed]),
         };
         self.shard_map = shard_map;
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -6,7 +6,7 @@
 #[test]
 fn holder_gives_up_before_others_take_over() {
     for span in [0.5, 8.8, 31.0, 600.0] {
-        assert!(usable(span) * (1.0 + DRIFT) < span);
+        assert!(usable_lease(span) * (1.0 + DRIFT) < span);
         assert!(with_drift_margin(span) > span * (1.0 + DRIFT));
     }
 }
--- a/tests/common/builders/heartbeats.rs
+++ b/tests/common/builders/heartbeats.rs
@@ -30,7 +30,7 @@
         session,
         seq: sequence,
         token,
-        notice_s: None,
+        reclaimed_in_s: None,
         tasks: tasks.iter().map(line).collect(),
     }
 }
--- a/tests/common/simulated_cluster/workers.rs
+++ b/tests/common/simulated_cluster/workers.rs
@@ -75,7 +75,7 @@
             session: self.session,
             seq: self.sequence,
             token: self.token,
-            notice_s: None,
+            reclaimed_in_s: None,
             tasks: self.tasks.iter().map(report).collect(),
         }
     }
--- a/tests/control_plane/cold_restart.rs
+++ b/tests/control_plane/cold_restart.rs
@@ -142,9 +142,9 @@
     );
     assert_eq!(
         (
-            record.orders.starts,
-            record.orders.reaps,
-            record.orders.stops.values().sum::<u64>()
+            record.commands.starts,
+            record.commands.forgets,
+            record.commands.stops.values().sum::<u64>()
         ),
         (0, 0, 0)
     );
@@ -463,7 +463,7 @@
     );
     // Nor does a notice that lies in the past close the machine.
     let mut odd = heartbeat_from(1, 1, 9, token(EPOCH, 1 << 10), &lines);
-    odd.notice_s = Some(-5.0);
+    odd.reclaimed_in_s = Some(-5.0);
     accepted(shard.apply_heartbeat(&odd, false, &cache, 1.0));
     assert!(!shard
         .snapshot(&cache, 1.0)
--- a/tests/control_plane/gangs.rs
+++ b/tests/control_plane/gangs.rs
@@ -104,7 +104,7 @@
             .collect();
         self.seq += 1;
         let mut r = heartbeat_from(machine + 1, 1, self.seq, self.tokens[machine], &lines);
-        r.notice_s = Some(8.0);
+        r.reclaimed_in_s = Some(8.0);
         let (token, calls) = accepted(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
         self.tokens[machine] = token;
         calls
--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -370,7 +370,7 @@
         session: 1,
         seq: worker.seq,
         token: worker.token,
-        notice_s: None,
+        reclaimed_in_s: None,
         tasks: worker.tasks.iter().map(line).collect(),
     }
 }
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -67,7 +67,7 @@
             session: self.session,
             seq: self.seq,
             token: self.token,
-            notice_s: None,
+            reclaimed_in_s: None,
             tasks: self.tasks.iter().map(line).collect(),
         }
     }
--- a/tests/store/keys.rs
+++ b/tests/store/keys.rs
@@ -36,7 +36,7 @@
 fn keys_of_finished_tasks_are_parsed_to_their_job_and_chunk() {
     let chunks = [
         (Chunk::Numbered(7), "fw/f/wk-1/7", "7"),
-        (Chunk::From(2048), "fw/f/wk-1/at/2048", "at/2048"),
+        (Chunk::StartingAt(2048), "fw/f/wk-1/at/2048", "at/2048"),
     ];
     for (chunk, key, section) in chunks {
         assert_eq!(chunk.key("wk-1"), key);
--- a/tests/wire_format.rs
+++ b/tests/wire_format.rs
@@ -8,7 +8,7 @@
 use finchwood::api::responder::error_body;
 use finchwood::wire::{
     cause, Catalog, Command, CommandBatch, Heartbeat, HeartbeatResponse, JobKind, JobSpec,
-    JobStatus, ListedMachine, MachineListPage, MachineNames, MachineType, Priority, Redirect,
+    JobStatus, ListedMachine, MachineIds, MachineListPage, MachineType, Priority, Redirect,
     RentalRequest, TaskReport, TaskState,
 };
 use fixtures::Fixtures;
@@ -125,7 +125,7 @@
     }
 }
 
-fn report(notice_s: Option<f64>, tasks: Vec<TaskReport>) -> Heartbeat {
+fn report(reclaimed_in_s: Option<f64>, tasks: Vec<TaskReport>) -> Heartbeat {
     Heartbeat {
         machine: "m-000231".into(),
         address: "10.1.0.232:9000".into(),
@@ -135,7 +135,7 @@
         session: 1,
         seq: 88,
         token: 41,
-        notice_s,
+        reclaimed_in_s,
         tasks,
     }
 }
@@ -287,7 +287,7 @@
         count: 12,
     };
     fixtures.both_ways("rental", &rental);
-    let names = MachineNames {
+    let names = MachineIds {
         machines: vec!["m-000231".into(), "m-000232".into()],
     };
     fixtures.both_ways("machine-names", &names);
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -4,7 +4,7 @@
 #[path = "common/fixtures.rs"]
 mod fixtures;
 
-use finchwood::api::restart_report::{RecordLeftAlone, RestartReport};
+use finchwood::api::restart_report::{InvalidRecordReport, RestartReport};
 use finchwood::api::shard_map_report::{OwnedRange, ShardMapReport, TransfersReport};
 use finchwood::config::features::{ColdRestartConfig, Features, SharedMachinesConfig};
 use finchwood::config::policy::Policy;
@@ -14,7 +14,7 @@
 use finchwood_reconciliation::hold_off::{Action, HoldReason};
 use finchwood_reconciliation::machine_state::MachineState;
 use finchwood_reconciliation::restart_record::{
-    DecisionEntry, OrderCounts, RestartRecord, StopCause,
+    CommandCounts, DecisionEntry, RestartRecord, StopCause,
 };
 use finchwood_reconciliation::unreconciled::ReconciliationPhase;
 use finchwood_reconciliation::verdict::{
@@ -40,7 +40,7 @@
     vec![
         Verdict::Known,
         Verdict::Adopt(AdoptReason::Runs),
-        Verdict::Adopt(AdoptReason::FoundWhilePlanned),
+        Verdict::Adopt(AdoptReason::FoundWhileUnplaced),
         Verdict::Adopt(AdoptReason::AttemptOfLaterEpoch),
         Verdict::RecordFinished,
         Verdict::Stop(StopReason::JobCancelled),
@@ -58,18 +58,18 @@
 
 /// Every action and every reason to hold one back.
 const HOLDS: [(Action, HoldReason); 4] = [
-    (Action::Rent, HoldReason::ShardsUnheard),
+    (Action::Rent, HoldReason::ShardReportsMissing),
     (Action::Preempt, HoldReason::MachinesUnreconciled),
-    (Action::Consolidate, HoldReason::OwnAbsence),
-    (Action::EvictUnasked, HoldReason::OwnAbsence),
+    (Action::Consolidate, HoldReason::ControllerDowntime),
+    (Action::DeleteUnprobed, HoldReason::ControllerDowntime),
 ];
 
 const STATES: [MachineState; 5] = [
     MachineState::Unused,
-    MachineState::Unheard,
-    MachineState::Heard,
-    MachineState::Proven,
-    MachineState::LeasePast,
+    MachineState::NoHeartbeat,
+    MachineState::Unconfirmed,
+    MachineState::Confirmed,
+    MachineState::LeaseExpired,
 ];
 
 fn entry(verdict: Verdict) -> DecisionEntry {
@@ -84,19 +84,19 @@
     }
 }
 
-fn orders() -> OrderCounts {
+fn orders() -> CommandCounts {
     let stops = [
-        (StopCause::Over, 1),
+        (StopCause::NoLongerNeeded, 1),
         (StopCause::Recalled, 2),
         (StopCause::Preempted, 3),
-        (StopCause::Notice, 4),
+        (StopCause::MachineReclaimed, 4),
         (StopCause::NotAssigned, 5),
     ];
-    OrderCounts {
-        questions: 6,
+    CommandCounts {
+        probes: 6,
         starts: 7,
         stops: stops.into_iter().collect(),
-        reaps: 8,
+        forgets: 8,
     }
 }
 
@@ -104,7 +104,7 @@
 fn full_record() -> RestartRecord {
     let all = verdicts();
     let mut record = RestartRecord::new(all.len());
-    record.enter(4, false, 10.0);
+    record.enter_epoch(4, false, 10.0);
     for verdict in [Verdict::Known].into_iter().chain(all) {
         record.record_decision(entry(verdict));
     }
@@ -112,15 +112,15 @@
         record.record_hold(action, reason);
     }
     record.record_unreconciled(0, 12.5);
-    record.orders = orders();
+    record.commands = orders();
     record
 }
 
 fn progress() -> ReconciliationProgress {
     let phases = [
-        (ReconciliationPhase::Awaiting, 1),
-        (ReconciliationPhase::Partly, 2),
-        (ReconciliationPhase::Certain, 3),
+        (ReconciliationPhase::Pending, 1),
+        (ReconciliationPhase::Partial, 2),
+        (ReconciliationPhase::Complete, 3),
     ];
     ReconciliationProgress {
         all_joined: true,
@@ -147,17 +147,17 @@
 #[test]
 fn reports_of_restarts_keep_their_bytes() {
     let fixtures = Fixtures::new(RESTARTS);
-    let left_alone = |why: RecordError| RecordLeftAlone {
+    let left_alone = |why: RecordError| InvalidRecordReport {
         key: "fw/j/wk-9".into(),
-        why: why.to_string(),
+        reason: why.to_string(),
     };
     let full = RestartReport {
         node: "a".into(),
         first_accepted_after_s: Some(3.5),
         machines: full_record().view(STATES.into_iter(), 20.0),
         leader: Some(progress()),
-        records_left_alone: RECORD_ERRORS.map(left_alone).to_vec(),
-        records_left_alone_count: 10,
+        invalid_records: RECORD_ERRORS.map(left_alone).to_vec(),
+        invalid_record_count: 10,
     };
     fixtures.written("restart", &full);
     let bare = RestartReport {
@@ -165,12 +165,12 @@
         first_accepted_after_s: None,
         machines: RestartRecord::new(0).view([].into_iter(), 0.0),
         leader: None,
-        records_left_alone: Vec::new(),
-        records_left_alone_count: 0,
+        invalid_records: Vec::new(),
+        invalid_record_count: 0,
     };
     fixtures.written("restart.bare", &bare);
     let mut kept = full_record();
-    kept.enter(5, true, 21.0);
+    kept.enter_epoch(5, true, 21.0);
     fixtures.written(
         "restart.kept",
         &kept.view([].into_iter(), 22.0).prior_knowledge,
@@ -274,7 +274,7 @@
         epoch: 4,
         in_use: true,
         generation: 6,
-        shares: vec![OwnedRange {
+        ranges: vec![OwnedRange {
             range: range("a"),
             owner: "b".into(),
         }],
@@ -287,7 +287,7 @@
         epoch: 0,
         in_use: false,
         generation: 0,
-        shares: Vec::new(),
+        ranges: Vec::new(),
         machines: Vec::new(),
         fenced: Vec::new(),
         leader: None,
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -129,7 +129,7 @@
         task: task(0),
         attempt: 70,
         state,
-        why: why.map(String::from),
+        cause: why.map(String::from),
     }
 }
 
@@ -144,15 +144,15 @@
         spot: true,
         address: Some("10.0.0.1:9000".into()),
         registered: true,
-        up: true,
-        state: MachineState::Proven,
+        used: true,
+        state: MachineState::Confirmed,
         session: 2,
         seq: 88,
         token_counter: 9,
         ended_session: 1,
         last_heartbeat_ago_s: Some(1.5),
         session_seen_ago_s: 100.25,
-        notice_in_s: Some(30.0),
+        reclaimed_in_s: Some(30.0),
         reported_tasks: lines.chain([known_line(Ended, Some("done"))]).collect(),
         assigned_tasks: vec![known_task()],
         images: vec![("img-1".into(), 6.2)],
@@ -165,10 +165,10 @@
         spot: false,
         address: None,
         registered: false,
-        up: false,
+        used: false,
         state,
         last_heartbeat_ago_s: None,
-        notice_in_s: None,
+        reclaimed_in_s: None,
         reported_tasks: Vec::new(),
         assigned_tasks: Vec::new(),
         images: Vec::new(),
@@ -178,8 +178,8 @@
 
 /// One machine with all that may be known, and one in each state.
 fn machines() -> Vec<MachineTransferState> {
-    use MachineState::{Heard, LeasePast, Proven, Unheard, Unused};
-    let bare = [Unused, Unheard, Heard, Proven, LeasePast].map(bare_machine);
+    use MachineState::{Confirmed, LeaseExpired, NoHeartbeat, Unconfirmed, Unused};
+    let bare = [Unused, NoHeartbeat, Unconfirmed, Confirmed, LeaseExpired].map(bare_machine);
     [known_machine()].into_iter().chain(bare).collect()
 }
 
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -190,7 +190,7 @@
     fixtures.stored_both_ways("shares", &table().to_stored());
     fixtures.stored_both_ways("shares.empty", &ShardMap::default().to_stored());
     assert_eq!(
-        ShardMap::read(&fixtures.read::<StoredShardMap>("shares")).0,
+        ShardMap::from_stored(&fixtures.read::<StoredShardMap>("shares")).0,
         table()
     );
     let mut finished = TaskSet::default();
@@ -221,7 +221,7 @@
         ("key.job", job_key("wk-1")),
         ("key.page", page_key("fw-7-1.0")),
         ("key.finished", Chunk::Numbered(0).key("wk-1")),
-        ("key.finished-from", Chunk::From(4096).key("wk-1")),
+        ("key.finished-from", Chunk::StartingAt(4096).key("wk-1")),
         ("key-prefix.all", KEY_PREFIX.to_string()),
         ("key-prefix.job", JOB_PREFIX.to_string()),
         ("key-prefix.page", REGISTRY_PREFIX.to_string()),
