--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -1,7 +1,8 @@
-//! A small HTTP/1.1 server on one thread: `mio` waits, `httparse` reads the heads.
+//! A small HTTP/1.1 server on one thread: `mio` waits for socket events, and `httparse` parses
+//! the heads of requests.
 //!
-//! Connections are cheap, and a client that sends half a request, or does not read its
-//! response, holds up nobody but itself, and not for long.
+//! Connections are cheap, and a client that sends only part of a request, or does not read its
+//! response, delays no other client and is disconnected after a few seconds.
 
 use crate::api::connection::{Connection, ConnectionState, NextRequest};
 use crate::api::http_request::HttpRequest;
@@ -18,26 +19,26 @@
 const LISTENER: Token = Token(usize::MAX);
 const WAKER: Token = Token(usize::MAX - 1);
 
-/// Events taken from the system at a time.
+/// The maximum number of events taken from the system at a time.
 const EVENTS_CAPACITY: usize = 256;
-/// The longest wait for events, and the least time between two sweeps.
+/// The maximum time to wait for events, and the minimum time between two sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// The pause after the system has failed to wait for events.
+/// The pause after waiting for events has failed.
 const POLL_FAILURE_PAUSE: Duration = Duration::from_millis(100);
-/// Room for responses beyond one for each connection: those to connections that were
-/// closed in the meantime.
+/// Capacity of the response queue in addition to one response for each connection: for
+/// responses to connections that were closed in the meantime.
 const SPARE_RESPONSES: usize = 64;
 
-/// What a server may use.
+/// The resources that a server may use.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Connections at a time.
+    /// The maximum number of simultaneous connections.
     pub connections: usize,
-    /// The size of a request's body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body: usize,
 }
 
-/// Starts a server on a detached thread, which hands each request to `on_request`.
+/// Starts a server on a detached thread, which passes each request to `on_request`.
 ///
 /// # Errors
 ///
@@ -76,11 +77,11 @@
     poll: Poll,
     listener: TcpListener,
     limits: Limits,
-    /// By slot, which is also the token of the connection's events.
+    /// The connections by slot, which is also the token of their events.
     connections: Vec<Option<Connection>>,
     free_slots: Vec<usize>,
     last_generation: u64,
-    /// Connections refused since that was last logged.
+    /// The number of connections refused since the last log message about them.
     refused: u64,
     response_queue: ResponseQueue,
     on_request: F,
@@ -105,7 +106,7 @@
     fn wait(&mut self, events: &mut Events) {
         if let Err(error) = self.poll.poll(events, Some(SWEEP_INTERVAL)) {
             if error.kind() != ErrorKind::Interrupted {
-                tracing::error!(%error, "cannot wait for connections");
+                tracing::error!(%error, "waiting for socket events failed");
                 std::thread::sleep(POLL_FAILURE_PAUSE);
             }
         }
@@ -135,14 +136,14 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => {
-                    tracing::warn!(%error, "cannot accept");
+                    tracing::warn!(%error, "accepting a connection failed");
                     return;
                 }
             }
         }
     }
 
-    /// Takes a connection into a slot, or refuses it at once if all are in use: the
+    /// Puts a connection into a slot. If all are in use, it is refused at once, so that the
     /// client tries another controller.
     fn admit(&mut self, mut stream: TcpStream, now: Seconds) {
         let in_use = self.connections.len() - self.free_slots.len();
@@ -172,8 +173,8 @@
         })
     }
 
-    /// Closes the connection that has been without a request for longest; false if none
-    /// has for long enough.
+    /// Closes the connection that has been idle for longest. Returns false if none has been
+    /// idle for long enough.
     fn close_idlest(&mut self, now: Seconds) -> bool {
         let idlest = self
             .connections
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Closes what has stalled, and accepts what could not be accepted before.
+    /// Closes expired connections, and retries failed accepts.
     fn sweep(&mut self, now: Seconds) {
         self.log_refused();
         for slot in 0..self.connections.len() {
@@ -206,7 +207,7 @@
                 self.close(slot);
             }
         }
-        // An accept that failed for lack of sockets gives no new event.
+        // No new event follows an accept that failed for lack of file descriptors.
         self.accept(now);
     }
 
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Sends and receives what a connection is ready for.
+    /// Sends and receives what the socket of a connection is ready for.
     fn serve(&mut self, slot: usize, now: Seconds) {
         let Some(Some(connection)) = self.connections.get_mut(slot) else {
             return;
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Hands on the next request of a connection, if it is complete.
+    /// Passes the next request of a connection on, if it is complete.
     fn next_request(&mut self, slot: usize, now: Seconds) {
         let Some(Some(connection)) = self.connections.get_mut(slot) else {
             return;
@@ -245,8 +246,8 @@
         match connection.next_request(self.limits.body, now) {
             NextRequest::None => {}
             NextRequest::Malformed(status) => {
-                let why = "the request can't be read or is too large";
-                self.respond(Response::error(id, status, why), now);
+                let message = "the request can't be read or is too large";
+                self.respond(Response::error(id, status, message), now);
             }
             NextRequest::Complete(request) => {
                 let responder = Responder::new(id, self.response_queue.clone());
@@ -255,10 +256,11 @@
         }
     }
 
-    /// Sends a response, unless its connection is gone.
+    /// Sends a response, unless its connection was closed.
     fn respond(&mut self, mut response: Response, now: Seconds) {
         let id = response.connection;
-        // The time of the loop's round is too old here: the process may have been paused.
+        // The time of this iteration of the event loop is too old here: the process may have
+        // been paused since.
         if response.deadline.is_some_and(|end| clock::now() >= end) {
             response = Response::too_late(id);
         }
--- a/src/api/shard_map_report.rs
+++ b/src/api/shard_map_report.rs
@@ -1,5 +1,5 @@
-//! The body of `GET /shares` on the internal listener: the shard map and the transfers
-//! under way.
+//! The body of `GET /shares` on the internal listener: the shard map and the transfers in
+//! progress.
 
 use crate::wire::MachineId;
 use finchwood_sharding::plan::Plan;
@@ -8,51 +8,52 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The shard map, as one controller knows it.
+/// The shard map in the copy of one controller, and the machines of that controller.
 #[derive(Debug, Clone, Serialize)]
 pub struct ShardMapReport {
     /// The name of the controller.
     pub node: String,
     /// The current epoch; 0 before the first.
     pub epoch: u64,
-    /// All members of the epoch follow the shard map.
+    /// Whether all members of the epoch use the shard map.
     pub in_use: bool,
     /// The number of changes of the shard map so far.
     pub generation: u64,
-    /// The hash ranges that another controller than their hash owner owns.
+    /// The hash ranges that belong to another controller than their hash owner.
     #[serde(rename = "shares")]
     pub ranges: Vec<OwnedRange>,
     /// The machines that this controller owns.
     pub machines: Vec<MachineId>,
-    /// Those of its machines that get no orders, as they are being transferred.
+    /// Its machines that are being transferred, and on which it starts no tasks.
     pub fenced: Vec<MachineId>,
-    /// The transfers of the cluster, if it leads.
+    /// The transfers of the cluster; `None` unless it leads.
     pub leader: Option<TransfersReport>,
 }
 
 /// A hash range and its owner.
 #[derive(Debug, Clone, Serialize)]
 pub struct OwnedRange {
-    /// The machines of the range.
+    /// The range.
     #[serde(flatten)]
     pub range: HashRange,
     /// The name of the controller that owns them.
     pub owner: String,
 }
 
-/// The transfers that the leader carries out.
+/// The transfers of the leader.
 #[derive(Debug, Clone, Serialize)]
 pub struct TransfersReport {
-    /// The transfers under way.
-    pub under_way: Vec<Transfer>,
-    /// The number of transfers that ended, by how they ended.
+    /// The transfers in progress.
+    #[serde(rename = "under_way")]
+    pub in_progress: Vec<Transfer>,
+    /// The number of transfers that ended, by outcome.
     pub ended: BTreeMap<TransferOutcome, u64>,
-    /// The number of machines that changed their owner.
+    /// The number of machines in completed transfers.
     pub machines_moved: u64,
-    /// The duration of the longest transfer that moved a hash range, in seconds.
+    /// The duration of the longest completed transfer, in seconds.
     pub longest_s: f64,
-    /// The number of registered machines that no controller has reported to own.
+    /// The number of machines in the registry that no controller has reported as its own.
     pub without_owner: usize,
-    /// What operators have requested and is not carried out yet.
+    /// The part of the operators' plan that is not carried out yet.
     pub plan: Plan,
 }
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -6,7 +6,7 @@
 pub const CREATED: u16 = 201;
 /// The request is malformed or invalid.
 pub const BAD_REQUEST: u16 = 400;
-/// Unknown path, job, or a report of a feature that is disabled.
+/// The path or job is unknown, or the report is of a feature that is disabled.
 pub const NOT_FOUND: u16 = 404;
 /// A worker refuses commands, and reports its state instead.
 pub const CONFLICT: u16 = 409;
@@ -14,14 +14,14 @@
 pub const CONTENT_TOO_LARGE: u16 = 413;
 /// Another controller is responsible.
 pub const MISDIRECTED_REQUEST: u16 = 421;
-/// The job is well-formed, but can never be run.
+/// The job is well-formed, but can never run.
 pub const UNPROCESSABLE_CONTENT: u16 = 422;
 /// The client exceeds a rate limit; it may retry later.
 pub const TOO_MANY_REQUESTS: u16 = 429;
-/// The request can't be answered now; the client may retry later.
+/// The request can't be served now; the client may retry later.
 pub const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// The reason phrase of a status line.
+/// Returns the reason phrase for a status line.
 pub(super) fn reason_phrase(status: u16) -> &'static str {
     match status {
         OK => "OK",
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -257,7 +257,7 @@
             self.run_leader_round(now, end);
         }
         self.shard
-            .place_queued(&self.cache, Moment::present(), || clock::now() < end);
+            .place_queued(&self.cache, Moment::now(), || clock::now() < end);
         self.send_due_commands(until, now);
         self.report_to_leader(now);
     }
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -81,7 +81,7 @@
     /// Where the transfers under way stand.
     fn states(&self) -> Vec<TransferState> {
         self.transfers
-            .under_way()
+            .in_progress()
             .map(|transfer| transfer.state)
             .collect()
     }
@@ -89,7 +89,7 @@
     /// The sources and targets of the transfers under way.
     fn participants(&self) -> BTreeSet<String> {
         self.transfers
-            .under_way()
+            .in_progress()
             .flat_map(|transfer| [&transfer.range_move.source, &transfer.range_move.target])
             .cloned()
             .collect()
@@ -169,7 +169,7 @@
         let position = position(machine);
         let in_transfer = state
             .transfers
-            .under_way()
+            .in_progress()
             .any(|transfer| transfer.range_move.range.contains(hash_owner, position));
         in_transfer || !self.leader.has_one_owner(machine)
     }
@@ -397,7 +397,7 @@
     fn transfers_report(&self, state: &ShardTransfers) -> TransfersReport {
         let reported: BTreeSet<&MachineId> = self.leader.machines().map(|m| &m.id).collect();
         TransfersReport {
-            under_way: state.transfers.under_way().cloned().collect(),
+            in_progress: state.transfers.in_progress().cloned().collect(),
             ended: state.transfers.ended.clone(),
             machines_moved: state.transfers.machines_moved,
             longest_s: state.transfers.longest_s,
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -85,8 +85,8 @@
             settings,
             listener,
             move |request, responder| match request {
-                Request::RestartReport => reports.restart.answer(responder),
-                Request::ShardMapReport => reports.shard_map.answer(responder),
+                Request::RestartReport => reports.restart.respond(responder),
+                Request::ShardMapReport => reports.shard_map.respond(responder),
                 // A full queue drops the responder, which then says 503.
                 request => drop(events.try_send(ControllerEvent::Request(request, responder))),
             },
--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -292,7 +292,7 @@
 
     fn state(&self) -> Option<TransferState> {
         self.transfers
-            .under_way()
+            .in_progress()
             .next()
             .map(|transfer| transfer.state)
     }
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -262,7 +262,7 @@
         TransferOutcome::NewEpoch,
     ];
     let leader = TransfersReport {
-        under_way: transfers().under_way().cloned().collect(),
+        in_progress: transfers().in_progress().cloned().collect(),
         ended: ends.into_iter().zip(1..).collect(),
         machines_moved: 12,
         longest_s: 3.5,
