--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -172,7 +172,7 @@
             CloudResponse::RentRefused(request)
         }
         CallError::Status(status::TOO_MANY_REQUESTS, _) => {
-            bucket.refused(clock::now());
+            bucket.record_refusal(clock::now());
             CloudResponse::RentOutcomeUnknown(request)
         }
         _ => CloudResponse::RentOutcomeUnknown(request),
--- a/src/cluster/failure_detection.rs
+++ b/src/cluster/failure_detection.rs
@@ -65,7 +65,7 @@
 
 /// A [`ZoneContactSpan`] as a shard reports it, in ages instead of times.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct ZoneContact {
+pub struct ZoneContactAges {
     /// How many seconds ago the span began.
     #[serde(rename = "since_s")]
     pub began_ago_s: f64,
@@ -80,21 +80,21 @@
     /// Its zone.
     pub zone: Arc<str>,
     /// Whether it is known which tasks it runs.
-    pub state_known: bool,
+    pub tasks_known: bool,
     /// For how many seconds it has not been heard from.
     pub silent_s: f64,
     /// For how many seconds it has left requests unanswered, while others of its zone
     /// were reached.
     pub unanswered_s: Option<f64>,
     /// Its owner's direct contact with its zone.
-    pub zone_contact: Option<ZoneContact>,
+    pub zone_contact: Option<ZoneContactAges>,
     /// Whether its worker has lately come to another controller than its owner.
     pub seen_by_other_controller: bool,
     /// Whether its reports arrive but commands do not reach it (unidirectional
     /// reachability).
     pub ignores_commands: bool,
     /// Whether commands do not reach a quarter of its owner's machines.
-    pub owner_unreachable: bool,
+    pub owner_responds_late: bool,
 }
 
 impl MachineHealth {
@@ -106,7 +106,7 @@
 
 /// What to do with a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum HealthVerdict {
     /// Nothing is wrong with it, or not for long enough.
     Keep,
     /// Silent and perhaps only unreachable, or its tasks are not known yet: kept, but
@@ -185,14 +185,14 @@
     }
 
     /// What to do with a machine that was in use.
-    pub fn verdict(&self, health: &MachineHealth) -> Verdict {
+    pub fn verdict(&self, health: &MachineHealth) -> HealthVerdict {
         // Reports that arrive while commands do not: this never condemns a whole zone,
         // or a shard whose owner is too slow to be heard.
         if health.ignores_commands
             && !self.is_partitioned(&health.zone)
-            && !health.owner_unreachable
+            && !health.owner_responds_late
         {
-            return Verdict::Replace;
+            return HealthVerdict::Replace;
         }
         // While no machine of the zone was reached, its silence says nothing.
         let contact_s = recent_contact(health, self.report_s)
@@ -201,13 +201,13 @@
         let silent_s =
             contact_s.map_or(health.silent_s, |contact_s| health.silent_s.min(contact_s));
         if silent_s > self.silence_limit_s(health) {
-            Verdict::Replace
-        } else if health.silent_s > self.report_s * SILENT_REPORTS || !health.state_known {
+            HealthVerdict::Replace
+        } else if health.silent_s > self.report_s * SILENT_REPORTS || !health.tasks_known {
             // One that has only just reported again looks idle in that moment, and would
             // be returned with all others of its zone.
-            Verdict::Wait
+            HealthVerdict::Wait
         } else {
-            Verdict::Keep
+            HealthVerdict::Keep
         }
     }
 
@@ -229,7 +229,7 @@
 }
 
 /// The owner's contact with a machine's zone, if it is no older than a report may be.
-fn recent_contact(health: &MachineHealth, report_s: Seconds) -> Option<ZoneContact> {
+fn recent_contact(health: &MachineHealth, report_s: Seconds) -> Option<ZoneContactAges> {
     health
         .zone_contact
         .filter(|contact| contact.last_ago_s <= report_s * SILENT_REPORTS)
--- a/src/cluster/member_lease.rs
+++ b/src/cluster/member_lease.rs
@@ -94,7 +94,7 @@
 
     /// Requests a new lease and attaches the member key to it.
     fn acquire(&self) -> Option<GrantedLease> {
-        self.budget.force_call();
+        self.budget.charge_call();
         let revision = self.store.get(&self.member_key).ok()?;
         let revision = revision.map_or(0, |entry| entry.revision);
         let lease = self.request_lease()?;
@@ -103,9 +103,9 @@
 
     /// Requests a lease from the store. It is counted from the sending of the request.
     fn request_lease(&self) -> Option<GrantedLease> {
-        self.budget.force_call();
+        self.budget.charge_call();
         let sent_at = clock::now();
-        match self.store.lease(self.lease_s) {
+        match self.store.create_lease(self.lease_s) {
             Ok(id) => Some(GrantedLease {
                 id,
                 until: self.usable_until(sent_at),
@@ -121,7 +121,7 @@
     /// Writes the member key, whose last known revision is `revision`; returns whether
     /// that has certainly succeeded.
     fn write_member_key(&self, lease: u64, revision: u64) -> bool {
-        self.budget.force_call();
+        self.budget.charge_call();
         let put = WriteOp::Put {
             key: self.member_key.clone(),
             value: json!(MemberRecord::new(lease, self.uses_shard_map)),
@@ -140,9 +140,9 @@
         let mut pause_s = self.renewal_interval_s();
         loop {
             sleep(pause_s);
-            self.budget.force_call();
+            self.budget.charge_call();
             let sent_at = clock::now();
-            match self.store.renew(lease.id) {
+            match self.store.renew_lease(lease.id) {
                 Ok(true) => {
                     pause_s = self.renewal_interval_s();
                     lease.until = lease.until.max(self.usable_until(sent_at));
--- a/src/cluster/membership.rs
+++ b/src/cluster/membership.rs
@@ -75,7 +75,7 @@
 }
 
 /// The live member that owns a machine: the highest hash of both names.
-pub fn owner<'a>(members: &'a BTreeMap<String, u64>, machine: &str) -> Option<&'a str> {
+pub fn owner_by_hash<'a>(members: &'a BTreeMap<String, u64>, machine: &str) -> Option<&'a str> {
     members
         .keys()
         .max_by_key(|name| (pair_hash(name, machine), std::cmp::Reverse(name.as_str())))
@@ -89,7 +89,7 @@
     shard_map: &'a ShardMap,
     machine: &str,
 ) -> Option<&'a str> {
-    let hash_owner = owner(&epoch.members, machine)?;
+    let hash_owner = owner_by_hash(&epoch.members, machine)?;
     if !epoch.uses_shard_map || shard_map.is_empty() {
         return Some(hash_owner);
     }
--- a/src/cluster/peer/transport.rs
+++ b/src/cluster/peer/transport.rs
@@ -56,7 +56,7 @@
     }
 
     /// The names of the other controllers.
-    pub fn names(&self) -> impl Iterator<Item = &String> {
+    pub fn peer_names(&self) -> impl Iterator<Item = &String> {
         self.mailboxes.keys()
     }
 }
--- a/src/config/settings/timing.rs
+++ b/src/config/settings/timing.rs
@@ -12,7 +12,7 @@
 impl Settings {
     /// The life of a member's lease on the key-value store, of which nine tenths
     /// are also the greatest age of the knowledge behind a response to a worker
-    /// ([`Settings::max_knowledge_age_s`]): two fifths of a worker's lease, so that a
+    /// ([`Settings::max_staleness_s`]): two fifths of a worker's lease, so that a
     /// successor has the rest of it to take over, but no more than `cancel_s`
     /// leaves beside a whole lease of the worker.
     pub fn member_lease_s(&self) -> Seconds {
@@ -23,7 +23,7 @@
 
     /// The greatest age of what a controller knows of jobs and of the epoch
     /// when it responds to a worker or commands it.
-    pub fn max_knowledge_age_s(&self) -> Seconds {
+    pub fn max_staleness_s(&self) -> Seconds {
         clock::usable(self.member_lease_s())
     }
 
@@ -32,7 +32,7 @@
     /// of it, then the whole lease that this response renewed. Below `cancel_s`
     /// for all settings that are accepted (`docs/design.md`).
     pub fn cancellation_bound_s(&self) -> Seconds {
-        self.max_knowledge_age_s() + clock::with_drift_margin(self.params.workers.lease_s)
+        self.max_staleness_s() + clock::with_drift_margin(self.params.workers.lease_s)
     }
 
     /// When a machine is deleted that has not been proven rid of a task of a
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -7,7 +7,7 @@
     self, BootProgress, BootingMachine, MachineOffer, MachineUsage, PendingDemand, MINIMUM_CHARGE_S,
 };
 use crate::clock::{self, Seconds};
-use crate::cluster::failure_detection::{FailureDetector, MachineHealth, Verdict};
+use crate::cluster::failure_detection::{FailureDetector, HealthVerdict, MachineHealth};
 use crate::config::settings::Workers;
 use crate::scheduler::{MachineFault, MachineSnapshot};
 use crate::store::records::MachineRecord;
@@ -202,16 +202,16 @@
                 continue;
             };
             match detector.verdict(health) {
-                Verdict::Replace if !evicts_unasked && health.is_only_silent() => continue,
-                Verdict::Replace => {
+                HealthVerdict::Replace if !evicts_unasked && health.is_only_silent() => continue,
+                HealthVerdict::Replace => {
                     tracing::debug!(machine = %id, ?health, "replacing machine");
                     review.dead.push(id.clone());
                     continue;
                 }
                 // Not idle: returned, all machines of the zone would be rented and
                 // booted anew once a partition is over.
-                Verdict::Wait => continue,
-                Verdict::Keep => {}
+                HealthVerdict::Wait => continue,
+                HealthVerdict::Keep => {}
             }
             self.record_responsive_machine(
                 &machine,
@@ -406,7 +406,7 @@
             .cache
             .jobs
             .values()
-            .filter(|job| job.live())
+            .filter(|job| job.is_live())
             .filter_map(|job| job.record.spec.as_ref())
             .find(|spec| spec.job_kind == JobKind::Service);
         demand.extend(service.and_then(|spec| PendingDemand::service_headroom(missing_cpus, spec)));
@@ -476,13 +476,13 @@
         let health = |machine: MachineSnapshot| {
             let health = MachineHealth {
                 zone: machine.zone.clone(),
-                state_known: machine.reconciled,
+                tasks_known: machine.reconciled,
                 silent_s: machine.silent_s,
                 unanswered_s: machine.unanswered_s,
                 zone_contact: machine.reached,
                 seen_by_other_controller: seen.contains(&machine.id),
                 ignores_commands: machine.ignores_commands,
-                owner_unreachable: machine.ignores_commands
+                owner_responds_late: machine.ignores_commands
                     && self.leader.owner_responds_late(&machine.id),
             };
             (machine.id.clone(), health)
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -41,7 +41,7 @@
         let max_commits = (limits.write_rps * BULK_SHARE / 2.0).max(MIN_CONCURRENT_COMMITS);
         let room = (max_commits as usize).saturating_sub(self.finishes.count());
         for finish in self.leader.completions_to_commit(now, room, &self.cache) {
-            let Some(job) = self.cache.jobs.get(&finish.job).filter(|job| job.live()) else {
+            let Some(job) = self.cache.jobs.get(&finish.job).filter(|job| job.is_live()) else {
                 self.leader.commit_answered(&finish.job, now, now);
                 continue;
             };
@@ -57,7 +57,7 @@
             if self.writer.send(WriteClass::Bulk, write).is_err() {
                 self.leader.commit_answered(&finish.job, now, now);
             } else {
-                self.finishes.sent(write_id, finish.job, ops);
+                self.finishes.insert(write_id, finish.job, ops);
             }
         }
     }
@@ -74,7 +74,7 @@
     ) {
         let ops = self
             .finishes
-            .answered(write_id)
+            .remove(write_id)
             .map(|write| write.1)
             .unwrap_or_default();
         let CommitOutcome::Committed(revision) = outcome else {
--- a/src/controller/job_requests.rs
+++ b/src/controller/job_requests.rs
@@ -190,7 +190,7 @@
             return self.reject_unless_known(id, reason, responder, now);
         }
         // Guard: a version without gangs would start their tasks one by one.
-        if spec.job_kind == JobKind::Gang && !self.cache.all_run_gangs() {
+        if spec.job_kind == JobKind::Gang && !self.cache.all_members_support_gangs() {
             return responder.retry_later(
                 status::SERVICE_UNAVAILABLE,
                 UPGRADE_RETRY_AFTER_S,
@@ -338,7 +338,7 @@
 
     /// Answers how a job stands: at once if that is final, else after a fresh reading.
     pub(super) fn query(&mut self, id: JobId, responder: Responder, now: Seconds) {
-        if self.cache.jobs.get(&id).is_some_and(|job| !job.live()) {
+        if self.cache.jobs.get(&id).is_some_and(|job| !job.is_live()) {
             return self.answer_status(&id, responder);
         }
         let request = ReadRequest::Query { job: id, responder };
@@ -348,7 +348,7 @@
     /// Cancels a job, unless it has ended.
     pub(super) fn withdraw(&mut self, id: JobId, responder: Responder, now: Seconds) {
         match self.cache.jobs.get(&id) {
-            Some(job) if !job.live() => self.answer_final_state(&id, responder),
+            Some(job) if !job.is_live() => self.answer_final_state(&id, responder),
             Some(_) => self.cancel(id, responder, now),
             None => self.withdraw_after_fresh_read(id, responder, now),
         }
@@ -365,7 +365,7 @@
 
     /// Whether some controller has accepted a job, even if its record can't be read.
     fn is_known(&self, id: &JobId) -> bool {
-        self.cache.jobs.contains_key(id) || self.cache.unreadable.contains(&job_key(id))
+        self.cache.jobs.contains_key(id) || self.cache.invalid_records.contains(&job_key(id))
     }
 
     fn wait_for_fresh_read(&mut self, request: ReadRequest, now: Seconds) {
@@ -508,7 +508,7 @@
                 responder,
                 deadline,
             } => match self.cache.jobs.get(&job) {
-                Some(known) if !known.live() => self.answer_final_state(&job, responder),
+                Some(known) if !known.is_live() => self.answer_final_state(&job, responder),
                 Some(_) if now < deadline => self.cancel(job, responder, now),
                 Some(_) => {
                     responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, NOT_COMMITTED)
@@ -527,7 +527,7 @@
     /// Nothing can be said of a job without a readable record. Guard: one whose record
     /// can't be read was accepted, and must not be called unknown.
     fn answer_without_record(&self, id: &JobId, responder: Responder) {
-        if self.cache.unreadable.contains(&job_key(id)) {
+        if self.cache.invalid_records.contains(&job_key(id)) {
             return responder.retry_later(
                 status::SERVICE_UNAVAILABLE,
                 UNREADABLE_RETRY_AFTER_S,
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -38,7 +38,8 @@
         let deletions = &self.autoscaler.deletions;
         self.leader
             .reconcile(&self.cache, &|id| deletions.is_gone(id));
-        self.leader.allow_gangs(self.cache.all_run_gangs());
+        self.leader
+            .allow_gangs(self.cache.all_members_support_gangs());
         let changed_shards = self
             .leader
             .assign_tasks(&self.cache, now, || clock::now() < end);
--- a/src/controller/member.rs
+++ b/src/controller/member.rs
@@ -44,7 +44,7 @@
         self.entered_epoch()?;
         let lease_valid_until = self.membership.lease_valid_until()?;
         let synced_at = self.store_sync.last_synced_at()?;
-        Some(lease_valid_until.min(synced_at + self.settings.max_knowledge_age_s()))
+        Some(lease_valid_until.min(synced_at + self.settings.max_staleness_s()))
     }
 
     /// Whether this node leads the epoch that it has entered.
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -170,7 +170,7 @@
         if !self.keepalive_timer.restart_if_due(interval, now) {
             return;
         }
-        for name in self.transport.names() {
+        for name in self.transport.peer_names() {
             self.send(name, PeerMessage::KeepAlive, store_synced);
         }
     }
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -10,7 +10,7 @@
 use crate::store::keys::page_key;
 use crate::store::pending_writes::{PendingWrites, WriteId};
 use crate::store::records::{MachineRecord, RegistryPage};
-use crate::store::registry_pages::{self, PageCopies, PageLimit, PageQueue, Pages};
+use crate::store::registry_pages::{self, DeletionConditions, PageLimit, PageQueue, Pages};
 use crate::store::{CommitOutcome, Condition, ConditionalWrite, WriteClass, WriteOp};
 use crate::wire::MachineId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -94,7 +94,7 @@
     /// Puts machines of one kind on their way to the registry, on pages named after
     /// `name`.
     pub(super) fn enlist(&mut self, ids: Vec<MachineId>, name: &str, record: &MachineRecord) {
-        for (number, page_ids) in ids.chunks(self.page_limit().machines()).enumerate() {
+        for (number, page_ids) in ids.chunks(self.page_limit().max_machines()).enumerate() {
             let page_key: Arc<str> = page_key(&format!("{name}.{number}")).into();
             for id in page_ids {
                 let machine = UnwrittenMachine {
@@ -140,7 +140,7 @@
         self.add_unwritten(&mut pages);
         self.remove_deleted(&mut pages);
         let stored = &self.cache.registry_pages;
-        let copies = registry_pages::split_long(&mut pages, stored, self.page_limit());
+        let copies = registry_pages::split_oversized_pages(&mut pages, stored, self.page_limit());
         self.write_pages(pages, &copies, now);
         self.forget_deleted(now);
     }
@@ -244,12 +244,12 @@
 
     /// Writes pages that have no write under way, as many at a time as half a
     /// transaction holds: the longer it takes, the more goes into the next.
-    fn write_pages(&mut self, pages: Pages, copies: &PageCopies, now: Seconds) {
+    fn write_pages(&mut self, pages: Pages, copies: &DeletionConditions, now: Seconds) {
         let half_transaction = self.settings.params.state.lowest_txn_ops() / 2;
         let max_writes = half_transaction.max(MIN_CONCURRENT_WRITES);
         let stored = &self.cache.registry_pages;
         let stored_len = |key: &Arc<str>| stored.get(key).map(|stored| stored.value.machines.len());
-        for (key, page) in self.registry.queue.in_turn(pages, stored_len, now) {
+        for (key, page) in self.registry.queue.write_order(pages, stored_len, now) {
             if self.registry.writing.count() >= max_writes {
                 return;
             }
@@ -299,8 +299,8 @@
         let machines = page.as_ref().map_or(0, |page| page.machines.len());
         tracing::debug!(%key, revision, machines, "writing a registry page");
         // What changes on it from now on waits anew.
-        self.registry.queue.written(&key);
-        self.registry.writing.sent(write_id, key, page);
+        self.registry.queue.record_write(&key);
+        self.registry.writing.insert(write_id, key, page);
         true
     }
 
@@ -312,7 +312,7 @@
         outcome: CommitOutcome,
         now: Seconds,
     ) {
-        let Some((key, page)) = self.registry.writing.answered(write_id) else {
+        let Some((key, page)) = self.registry.writing.remove(write_id) else {
             return;
         };
         tracing::debug!(%key, ?outcome, "the write of a registry page was answered");
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -8,7 +8,7 @@
 use crate::clock::{self, Seconds};
 use crate::config::features::ColdRestartConfig;
 use crate::config::settings::Settings;
-use crate::store::consistency::misfit_records;
+use crate::store::dangling_references::find_dangling_references;
 use crate::wire::JobSpec;
 use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffLimits, Situation};
 use finchwood_reconciliation::unreconciled::UnreconciledMachines;
@@ -105,7 +105,7 @@
 
     /// Logs stored records that name what the settings or the catalog don't have.
     pub(super) fn log_misfit_records(&self) {
-        for misfit in misfit_records(&self.cache, &self.settings) {
+        for misfit in find_dangling_references(&self.cache, &self.settings) {
             tracing::warn!(key = misfit.key, error = %misfit.error, "a stored record doesn't fit");
         }
     }
@@ -149,13 +149,13 @@
     fn records_left_alone(&self) -> Vec<RecordLeftAlone> {
         let unreadable = self
             .cache
-            .unreadable
+            .invalid_records
             .iter()
             .map(|(key, record)| RecordLeftAlone {
                 key: key.clone(),
                 why: record.error.to_string(),
             });
-        let misfits = misfit_records(&self.cache, &self.settings)
+        let misfits = find_dangling_references(&self.cache, &self.settings)
             .into_iter()
             .map(|misfit| RecordLeftAlone {
                 key: misfit.key,
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -163,7 +163,7 @@
         let (Some(state), Some(epoch)) = (&self.shard_transfers, self.entered_epoch()) else {
             return false;
         };
-        let Some(hash_owner) = membership::owner(&epoch.members, machine) else {
+        let Some(hash_owner) = membership::owner_by_hash(&epoch.members, machine) else {
             return false;
         };
         let position = position(machine);
@@ -309,7 +309,7 @@
     /// All machines of the registry, with their owners by hash and by shard map.
     fn owned_machines(&self, members: &BTreeMap<String, u64>) -> Vec<OwnedMachine> {
         let owned = |id: &MachineId| {
-            let hash_owner = membership::owner(members, id)?;
+            let hash_owner = membership::owner_by_hash(members, id)?;
             let owner = self.owner_of(id)?;
             Some(OwnedMachine {
                 hash_owner: hash_owner.into(),
--- a/src/controller/watch_events.rs
+++ b/src/controller/watch_events.rs
@@ -15,14 +15,18 @@
     pub(super) fn apply_watch_event(&mut self, event: WatchEvent, now: Seconds) {
         match event {
             WatchEvent::Snapshot {
-                began,
+                read_started_at,
                 revision,
                 entries,
             } => {
                 tracing::info!(revision, keys = entries.len(), "read the whole state");
-                self.apply_snapshot(began, entries, now);
+                self.apply_snapshot(read_started_at, entries, now);
             }
-            WatchEvent::Changes { began, events, .. } => self.apply_changes(began, events, now),
+            WatchEvent::Changes {
+                read_started_at,
+                changes,
+                ..
+            } => self.apply_changes(read_started_at, changes, now),
             WatchEvent::Unavailable => {
                 if !self.store_sync.is_unreachable() {
                     tracing::info!("the state service does not answer");
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -56,7 +56,7 @@
             .map(|machine| &machine.view.id)
             .collect();
         for (id, entry) in &mut self.jobs {
-            let Some(job) = cache.jobs.get(id).filter(|job| job.live()) else {
+            let Some(job) = cache.jobs.get(id).filter(|job| job.is_live()) else {
                 continue;
             };
             if entry.commit_in_flight || entry.completed.is_empty() || now < entry.commit_retry_at {
@@ -125,5 +125,5 @@
     cache
         .jobs
         .get(&task.job)
-        .is_some_and(|job| job.live() && !job.finished.contains(task.index))
+        .is_some_and(|job| job.is_live() && !job.finished.contains(task.index))
 }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -156,7 +156,7 @@
                 }
                 continue;
             }
-            let live = cache.jobs.get(id).is_some_and(|job| job.live());
+            let live = cache.jobs.get(id).is_some_and(|job| job.is_live());
             if !live
                 || !entry.unreconciled.is_empty()
                 || !entry.completed.is_empty()
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::clock::Seconds;
-use crate::cluster::failure_detection::ZoneContact;
+use crate::cluster::failure_detection::ZoneContactAges;
 use crate::scheduler::capacity::MachineSlot;
 use crate::shard::{MachineStatus, SilentMachine, TaskPhase};
 use crate::store::cache::StoreCache;
@@ -33,7 +33,7 @@
     pub idle_s: f64,
     /// How its owner reaches its zone. A report that came through a third
     /// controller shows nothing of that.
-    pub reached: Option<ZoneContact>,
+    pub reached: Option<ZoneContactAges>,
 }
 
 impl std::ops::Deref for MachineSnapshot<'_> {
@@ -51,7 +51,7 @@
     pub(super) seq: u64,
     pub(super) machines: BTreeMap<MachineId, TrackedMachine>,
     pub(super) silent_machines: HashMap<MachineId, SilentMachine>,
-    pub(super) zone_contacts: HashMap<Arc<str>, ZoneContact>,
+    pub(super) zone_contacts: HashMap<Arc<str>, ZoneContactAges>,
     pub(super) seen_elsewhere: HashMap<MachineId, f64>,
     /// The latest orders that were made.
     pub(super) orders_seq: u64,
@@ -102,7 +102,7 @@
                     reached: shard
                         .zone_contacts
                         .get(&machine.view.zone)
-                        .map(|r| ZoneContact {
+                        .map(|r| ZoneContactAges {
                             began_ago_s: r.began_ago_s + age,
                             last_ago_s: r.last_ago_s + age,
                         }),
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -67,7 +67,7 @@
         let Some(first_report_at) = self.epoch.first_report_at else {
             return true;
         };
-        cache.unreadable.any_registry_page()
+        cache.invalid_records.contains_registry_page()
             && self.epoch.last_report_at - first_report_at < self.policy.takeover_s
     }
 
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -102,7 +102,7 @@
     /// round stopped, if its time was over.
     fn jobs_in_order(&mut self, round: &Round) -> Vec<JobId> {
         let guaranteed = self.guaranteed_jobs(round.cache);
-        let live = |id: &JobId| round.cache.jobs.get(id).is_some_and(|job| job.live());
+        let live = |id: &JobId| round.cache.jobs.get(id).is_some_and(|job| job.is_live());
         let may_have_free = |entry: &JobEntry| {
             !entry.failures.backs_off(round.now) && entry.occupied_tasks() < entry.spec.task_count
         };
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -297,7 +297,7 @@
         self.jobs.retain(|id, entry| {
             !entry.assigned.is_empty()
                 || !entry.unreconciled.is_empty()
-                || cache.jobs.get(id).is_some_and(|job| job.live())
+                || cache.jobs.get(id).is_some_and(|job| job.is_live())
         });
     }
 }
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -34,7 +34,7 @@
             let Some(team) = self.policy.teams.get(&entry.spec.team) else {
                 continue;
             };
-            let Some(job) = cache.jobs.get(id).filter(|job| job.live()) else {
+            let Some(job) = cache.jobs.get(id).filter(|job| job.is_live()) else {
                 continue;
             };
             let unfinished = entry.spec.task_count.saturating_sub(job.finished.len());
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -1,7 +1,7 @@
 //! The messages between a shard and the leader. The names of fields and variants
 //! are read by other versions.
 
-use crate::cluster::failure_detection::ZoneContact;
+use crate::cluster::failure_detection::ZoneContactAges;
 use crate::wire::{JobId, MachineId, Resources, Task};
 use finchwood_sharding::transfer::{TransferOrder, TransferReport};
 use serde::{Deserialize, Serialize};
@@ -187,7 +187,7 @@
     pub silent_machines: Vec<SilentMachine>,
     /// How the shard's owner reaches each zone directly.
     #[serde(rename = "zones_met")]
-    pub zone_contacts: Vec<(Arc<str>, ZoneContact)>,
+    pub zone_contacts: Vec<(Arc<str>, ZoneContactAges)>,
     /// Machines of other shards whose workers reported here, and how many seconds ago.
     #[serde(rename = "met")]
     pub seen_elsewhere: Vec<(MachineId, f64)>,
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -68,7 +68,7 @@
                 last_reported: None,
             };
             self.assigned.insert(task.clone(), assigned);
-            if !known.live() {
+            if !known.is_live() {
                 self.remove_task(&task, RemovalReason::Stopped);
             }
         }
--- a/src/shard/removal.rs
+++ b/src/shard/removal.rs
@@ -122,7 +122,7 @@
         });
         let assigned = &self.assigned;
         self.highest_assignments.retain(|task, _| {
-            assigned.contains(task) || cache.jobs.get(&task.job).is_none_or(|job| job.live())
+            assigned.contains(task) || cache.jobs.get(&task.job).is_none_or(|job| job.is_live())
         });
     }
 }
--- a/src/shard/report.rs
+++ b/src/shard/report.rs
@@ -3,7 +3,7 @@
 use super::machine::Machine;
 use super::{MachineStatus, Shard, ShardReport, SilentMachine, LATE_REPORTS};
 use crate::clock::Seconds;
-use crate::cluster::failure_detection::{ZoneContact, ZoneContactSpan};
+use crate::cluster::failure_detection::{ZoneContactAges, ZoneContactSpan};
 use crate::store::cache::StoreCache;
 use crate::wire::{MachineId, Priority, Resources};
 use std::sync::Arc;
@@ -149,8 +149,8 @@
     }
 
     /// How long ago each zone was reached.
-    fn zone_contact_ages(&self, now: Seconds) -> Vec<(Arc<str>, ZoneContact)> {
-        let ages = |contact: &ZoneContactSpan| ZoneContact {
+    fn zone_contact_ages(&self, now: Seconds) -> Vec<(Arc<str>, ZoneContactAges)> {
+        let ages = |contact: &ZoneContactSpan| ZoneContactAges {
             began_ago_s: now - contact.began_at,
             last_ago_s: now - contact.last_at,
         };
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -67,7 +67,7 @@
 
     /// Whether a machine is in a range, by its hash owner and its position.
     fn is_in(&self, range: &HashRange, id: &str) -> bool {
-        let hash_owner = membership::owner(&self.members, id);
+        let hash_owner = membership::owner_by_hash(&self.members, id);
         hash_owner.is_some_and(|hash_owner| range.contains(hash_owner, position(id)))
     }
 
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -1,11 +1,11 @@
 //! The local cache of the key-value store.
 
+use super::invalid_records::{InvalidRecords, RecordError};
 use super::keys::{StoreKey, SHARD_MAP_KEY};
 use super::records::{
     from_value, Epoch, JobRecord, MachineRecord, MemberRecord, RegistryPage, Versioned,
     GANG_CAPABILITY,
 };
-use super::unreadable_records::{RecordError, UnreadableRecords};
 use super::{KeyChange, KeyValue};
 use crate::finished::{tasks_per_chunk, Chunk, TaskSet, FINISHED_PREFIX};
 use crate::wire::{Catalog, JobId, MachineId, Task};
@@ -39,7 +39,7 @@
     }
 
     /// Whether the job is neither done nor cancelled.
-    pub fn live(&self) -> bool {
+    pub fn is_live(&self) -> bool {
         !self.record.done && !self.record.cancelled
     }
 
@@ -107,7 +107,7 @@
     /// The revision of the shard map's key; zero if it is not known.
     pub shard_map_revision: u64,
     /// Invalid records, which are skipped and never overwritten.
-    pub unreadable: UnreadableRecords,
+    pub invalid_records: InvalidRecords,
     /// The number of tasks in each numbered chunk, as production counts them.
     tasks_per_numbered_chunk: u32,
 }
@@ -152,7 +152,7 @@
 
     /// Whether every live member can run gangs. It can change at any time: a process
     /// that ends may come back with the version of before.
-    pub fn all_run_gangs(&self) -> bool {
+    pub fn all_members_support_gangs(&self) -> bool {
         self.members
             .values()
             .all(|member| member.value.capability >= GANG_CAPABILITY)
@@ -177,7 +177,7 @@
             Ok(change) => {
                 // `put_shard_map` records itself whether the map is readable.
                 if change != CacheChange::ShardMap {
-                    self.unreadable.remove(key, revision);
+                    self.invalid_records.remove(key, revision);
                 }
                 change
             }
@@ -187,7 +187,7 @@
             }
             Err(error) => {
                 tracing::warn!(key, revision, %error, "skipped an invalid record");
-                self.unreadable.add(key, revision, error);
+                self.invalid_records.add(key, revision, error);
                 CacheChange::Nothing
             }
         }
@@ -249,7 +249,7 @@
         self.shard_map = shard_map;
         self.shard_map_revision = revision;
         if errors.is_empty() {
-            self.unreadable.remove(SHARD_MAP_KEY, revision);
+            self.invalid_records.remove(SHARD_MAP_KEY, revision);
         } else {
             tracing::warn!(
                 key = SHARD_MAP_KEY,
@@ -257,7 +257,7 @@
                 ?errors,
                 "skipped invalid entries of the shard map"
             );
-            self.unreadable
+            self.invalid_records
                 .add(SHARD_MAP_KEY, revision, RecordError::Malformed);
         }
         Ok(CacheChange::ShardMap)
@@ -333,7 +333,7 @@
     /// it can have on a live record. Returns whether the record has changed.
     pub fn apply_cancellation(&mut self, id: &JobId, revision: u64, cancelled_at_ms: u64) -> bool {
         match self.jobs.get_mut(id) {
-            Some(job) if job.live() && job.revision < revision => {
+            Some(job) if job.is_live() && job.revision < revision => {
                 job.record.cancelled = true;
                 job.record.cancelled_at_ms = Some(cancelled_at_ms);
                 job.revision = revision;
@@ -425,7 +425,7 @@
     }
 
     fn delete(&mut self, key: &str, revision: u64) -> CacheChange {
-        self.unreadable.remove(key, revision);
+        self.invalid_records.remove(key, revision);
         match StoreKey::parse(key) {
             Some(StoreKey::Member(name)) => self.delete_member(name, revision),
             Some(StoreKey::RegistryPage(_)) => self.delete_registry_page(key, revision),
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// The store refused the call, or its answer is missing or malformed.
-    pub fn page(&self, from: Option<&str>) -> Result<EntryPage, CallError> {
+    pub fn read_page(&self, from: Option<&str>) -> Result<EntryPage, CallError> {
         let from = from.map(|key| format!("&from={key}")).unwrap_or_default();
         let path = format!("/store?starts={KEY_PREFIX}{from}&most={ENTRIES_PER_PAGE}");
         let answer = self.http.call("GET", &path, None)?;
@@ -129,7 +129,7 @@
     /// # Errors
     /// The store refused the call (with status 410 if it no longer has those changes), or
     /// its answer is missing or malformed.
-    pub fn changes(&self, from: u64) -> Result<KeyChanges, CallError> {
+    pub fn read_changes(&self, from: u64) -> Result<KeyChanges, CallError> {
         let path = format!("/changes?starts={KEY_PREFIX}&from={from}&wait_ms=0");
         let answer = self.http.call("GET", &path, None)?;
         let revision = number(&answer, "ring")?;
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     /// The store refused the call, or its answer is missing or malformed.
-    pub fn lease(&self, life: Seconds) -> Result<u64, CallError> {
+    pub fn create_lease(&self, life: Seconds) -> Result<u64, CallError> {
         let body = json!({"life_ms": (life * 1000.0) as u64});
         let answer = self.http.call("POST", "/leases", Some(&body))?;
         number(&answer, "roost")
@@ -169,7 +169,7 @@
     ///
     /// # Errors
     /// The store refused the call, or did not answer.
-    pub fn renew(&self, lease: u64) -> Result<bool, CallError> {
+    pub fn renew_lease(&self, lease: u64) -> Result<bool, CallError> {
         let path = format!("/leases/{lease}/renew");
         match self.http.call("POST", &path, Some(&json!({}))) {
             Ok(_) => Ok(true),
--- a/src/store/consistency.rs
+++ b/src/store/dangling_references.rs
@@ -4,12 +4,12 @@
 
 use crate::config::settings::Settings;
 use crate::store::cache::StoreCache;
+use crate::store::invalid_records::RecordError;
 use crate::store::keys::job_key;
-use crate::store::unreadable_records::RecordError;
 
 /// A stored record that does not match the settings or the catalog.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MisfitRecord {
+pub struct DanglingReference {
     /// The record's key.
     pub key: String,
     /// What does not match.
@@ -17,15 +17,15 @@
 }
 
 /// All records that do not match the settings or the catalog, in the order of their keys.
-pub fn misfit_records(cache: &StoreCache, settings: &Settings) -> Vec<MisfitRecord> {
+pub fn find_dangling_references(cache: &StoreCache, settings: &Settings) -> Vec<DanglingReference> {
     let mut misfits = jobs_of_unknown_teams(cache, settings);
     misfits.extend(pages_of_unknown_types_or_zones(cache, settings));
     misfits.sort_by(|a, b| a.key.cmp(&b.key));
     misfits
 }
 
-fn jobs_of_unknown_teams(cache: &StoreCache, settings: &Settings) -> Vec<MisfitRecord> {
-    let live = cache.jobs.iter().filter(|(_, job)| job.live());
+fn jobs_of_unknown_teams(cache: &StoreCache, settings: &Settings) -> Vec<DanglingReference> {
+    let live = cache.jobs.iter().filter(|(_, job)| job.is_live());
     let unknown = live.filter(|(_, job)| {
         job.record
             .spec
@@ -33,14 +33,17 @@
             .is_some_and(|spec| settings.team(&spec.team).is_none())
     });
     unknown
-        .map(|(id, _)| MisfitRecord {
+        .map(|(id, _)| DanglingReference {
             key: job_key(id),
             error: RecordError::UnknownTeam,
         })
         .collect()
 }
 
-fn pages_of_unknown_types_or_zones(cache: &StoreCache, settings: &Settings) -> Vec<MisfitRecord> {
+fn pages_of_unknown_types_or_zones(
+    cache: &StoreCache,
+    settings: &Settings,
+) -> Vec<DanglingReference> {
     let mut misfits = Vec::new();
     for (key, page) in &cache.registry_pages {
         let zone_known = settings
@@ -57,7 +60,7 @@
             (true, false) => RecordError::UnknownMachineType,
             (true, true) => continue,
         };
-        misfits.push(MisfitRecord {
+        misfits.push(DanglingReference {
             key: key.to_string(),
             error,
         });
--- a/src/store/group_commit.rs
+++ b/src/store/group_commit.rs
@@ -167,7 +167,7 @@
                 }
                 // Certainly not applied: retried within the writes' deadlines.
                 CommitOutcome::RateLimited => {
-                    self.budget.rate_limited(self.class);
+                    self.budget.record_rate_limit(self.class);
                     let pause = rand::random::<f64>() * RATE_LIMIT_PAUSE_S;
                     std::thread::sleep(Duration::from_secs_f64(pause));
                 }
--- a/src/store/unreadable_records.rs
+++ b/src/store/invalid_records.rs
@@ -42,7 +42,7 @@
 
 /// A skipped record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UnreadableRecord {
+pub struct InvalidRecord {
     /// The revision of its key.
     pub revision: u64,
     /// Why it was skipped.
@@ -51,15 +51,15 @@
 
 /// All skipped records, by key.
 #[derive(Debug, Clone, Default)]
-pub struct UnreadableRecords {
-    by_key: BTreeMap<String, UnreadableRecord>,
+pub struct InvalidRecords {
+    by_key: BTreeMap<String, InvalidRecord>,
 }
 
-impl UnreadableRecords {
+impl InvalidRecords {
     /// Records that the record of a key was skipped.
     pub fn add(&mut self, key: &str, revision: u64, error: RecordError) {
         self.by_key
-            .insert(key.into(), UnreadableRecord { revision, error });
+            .insert(key.into(), InvalidRecord { revision, error });
     }
 
     /// Records that a key holds a valid record, or none, since `revision`.
@@ -79,7 +79,7 @@
     }
 
     /// Whether a page of the machine registry was skipped: its machines are not known.
-    pub fn any_registry_page(&self) -> bool {
+    pub fn contains_registry_page(&self) -> bool {
         self.by_key
             .keys()
             .any(|key| key.starts_with(REGISTRY_PREFIX))
@@ -96,7 +96,7 @@
     }
 
     /// All skipped records, in the order of their keys.
-    pub fn iter(&self) -> impl Iterator<Item = (&String, &UnreadableRecord)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &InvalidRecord)> {
         self.by_key.iter()
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -3,9 +3,10 @@
 
 pub mod cache;
 mod client;
-pub mod consistency;
+pub mod dangling_references;
 mod group_commit;
 mod http_client;
+pub mod invalid_records;
 pub mod keys;
 pub mod pending_writes;
 mod rate_budget;
@@ -13,7 +14,6 @@
 pub mod registry_pages;
 mod token_bucket;
 mod transaction;
-pub mod unreadable_records;
 mod watch;
 
 pub use client::{EntryPage, KeyChange, KeyChanges, KeyValue, StoreClient};
--- a/src/store/pending_writes.rs
+++ b/src/store/pending_writes.rs
@@ -33,12 +33,12 @@
     }
 
     /// Records that a write was sent.
-    pub fn sent(&mut self, id: WriteId, key: K, value: V) {
+    pub fn insert(&mut self, id: WriteId, key: K, value: V) {
         self.writes.insert(id, (key, value));
     }
 
     /// Records that a write was answered. Returns its key and value.
-    pub fn answered(&mut self, id: WriteId) -> Option<(K, V)> {
+    pub fn remove(&mut self, id: WriteId) -> Option<(K, V)> {
         self.writes.remove(&id)
     }
 
--- a/src/store/rate_budget.rs
+++ b/src/store/rate_budget.rs
@@ -67,7 +67,7 @@
     }
 
     /// Takes a call from the budget without waiting: lease renewals go first.
-    pub fn force_call(&self) {
+    pub fn charge_call(&self) {
         lock(&self.calls).reserve(1.0, clock::now());
     }
 
@@ -77,9 +77,9 @@
     }
 
     /// Records that the store refused writes of a class for their rate.
-    pub fn rate_limited(&self, class: WriteClass) {
+    pub fn record_rate_limit(&self, class: WriteClass) {
         let now = clock::now();
-        lock(self.writes(class)).refused(now);
+        lock(self.writes(class)).record_refusal(now);
     }
 
     fn writes(&self, class: WriteClass) -> &Mutex<TokenBucket> {
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,6 +1,6 @@
 //! The records that the key-value store holds, and their wire names.
 
-use super::unreadable_records::RecordError;
+use super::invalid_records::RecordError;
 use crate::wire::{JobSpec, MachineId};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/src/store/registry_pages.rs
+++ b/src/store/registry_pages.rs
@@ -22,7 +22,7 @@
 
 /// The conditions under which a split page may be deleted, by its key: that the pages
 /// that replace it are unchanged.
-pub type PageCopies = BTreeMap<Arc<str>, Vec<Condition>>;
+pub type DeletionConditions = BTreeMap<Arc<str>, Vec<Condition>>;
 
 /// A page with its key.
 pub type KeyedPage = (Arc<str>, RegistryPage);
@@ -40,7 +40,7 @@
     }
 
     /// The most machines of a new page.
-    pub fn machines(self) -> usize {
+    pub fn max_machines(self) -> usize {
         let bytes = self.bytes.min(LARGEST_PAGE_BYTES);
         (bytes.saturating_sub(PAGE_BYTES) / MACHINE_BYTES).max(1)
     }
@@ -60,21 +60,21 @@
 ///
 /// A leader of the version before may write the old page meanwhile: a replacement that
 /// differs from it is written again before anything is deleted.
-pub fn split_long(
+pub fn split_oversized_pages(
     to_write: &mut Pages,
     stored: &BTreeMap<Arc<str>, Versioned<RegistryPage>>,
     limit: PageLimit,
-) -> PageCopies {
+) -> DeletionConditions {
     let long: Vec<KeyedPage> = stored
         .iter()
         .map(|(key, stored)| (key, to_write.get(key).unwrap_or(&stored.value)))
         .filter(|(_, page)| limit.is_exceeded_by(page))
         .map(|(key, page)| (key.clone(), page.clone()))
         .collect();
-    let mut copies = PageCopies::new();
+    let mut copies = DeletionConditions::new();
     for (key, mut page) in long {
         to_write.remove(&key);
-        let replacements = split(&key, &page, limit.machines());
+        let replacements = split(&key, &page, limit.max_machines());
         match stored_as(&replacements, stored) {
             Some(conditions) => {
                 copies.insert(key.clone(), conditions);
@@ -128,7 +128,7 @@
     /// other decisions wait for such writes, then those that wait longest. In the order
     /// of their keys, the last would starve while there is much to write.
     /// `stored_machines` returns the number of machines of a stored page.
-    pub fn in_turn(
+    pub fn write_order(
         &mut self,
         pages: Pages,
         stored_machines: impl Fn(&Arc<str>) -> Option<usize>,
@@ -159,7 +159,7 @@
     }
 
     /// Records that a page is being written: later changes of it wait anew.
-    pub fn written(&mut self, key: &Arc<str>) {
+    pub fn record_write(&mut self, key: &Arc<str>) {
         self.waiting_since.remove(key);
     }
 }
--- a/src/store/token_bucket.rs
+++ b/src/store/token_bucket.rs
@@ -84,7 +84,7 @@
     }
 
     /// Records that the service refused for rate: empties the bucket, lowers the rate.
-    pub fn refused(&mut self, now: Timestamp) {
+    pub fn record_refusal(&mut self, now: Timestamp) {
         self.refill(now);
         self.level = self.level.min(0.0);
         self.rate = (self.rate * RATE_AFTER_REFUSAL).max(self.lowest_rate);
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -13,7 +13,7 @@
     /// All keys were read anew.
     Snapshot {
         /// When the read began: it shows every write committed before.
-        began: Timestamp,
+        read_started_at: Timestamp,
         /// The store's revision from which changes follow.
         revision: u64,
         /// All keys.
@@ -22,11 +22,11 @@
     /// The changes since the event before were read.
     Changes {
         /// When the read began: it shows every write committed before.
-        began: Timestamp,
+        read_started_at: Timestamp,
         /// The store's revision from which changes follow.
         revision: u64,
         /// The changes.
-        events: Vec<KeyChange>,
+        changes: Vec<KeyChange>,
     },
     /// A read failed.
     Unavailable,
@@ -104,11 +104,11 @@
         self.last_poll = clock::now();
         let event = match self.revision {
             None => self.read_snapshot(),
-            Some(from) => match self.store.changes(from) {
+            Some(from) => match self.store.read_changes(from) {
                 Ok(read) => Some(WatchEvent::Changes {
-                    began: self.last_poll,
+                    read_started_at: self.last_poll,
                     revision: read.revision,
-                    events: read.changes,
+                    changes: read.changes,
                 }),
                 Err(CallError::Status(GONE, _)) => {
                     self.revision = None;
@@ -145,7 +145,7 @@
         let mut first_revision = None;
         loop {
             let from = entries.last().map(|entry| entry.key.clone());
-            let page = self.store.page(from.as_deref()).ok()?;
+            let page = self.store.read_page(from.as_deref()).ok()?;
             // Later pages may be newer than the first: changes are read from the first
             // page's revision on, and applying some of them twice is harmless.
             let revision = *first_revision.get_or_insert(page.revision);
@@ -153,7 +153,7 @@
             entries.extend(page.entries);
             if is_last {
                 return Some(WatchEvent::Snapshot {
-                    began: self.last_poll,
+                    read_started_at: self.last_poll,
                     revision,
                     entries,
                 });
--- a/tests/cancel_bound.rs
+++ b/tests/cancel_bound.rs
@@ -165,7 +165,7 @@
             report_s,
             lease_s,
             cancel_s,
-            knowledge_s: s.max_knowledge_age_s(),
+            knowledge_s: s.max_staleness_s(),
         }
     })
 }
--- a/tests/common/simulated_cluster/membership.rs
+++ b/tests/common/simulated_cluster/membership.rs
@@ -62,7 +62,7 @@
     pub(super) fn may_act(&self, index: usize) -> bool {
         let controller = &self.controllers[index];
         let knowledge_age = self.now - controller.last_synced_at;
-        controller.alive && knowledge_age < self.settings.max_knowledge_age_s()
+        controller.alive && knowledge_age < self.settings.max_staleness_s()
     }
 
     /// Whether a controller reaches the other controllers.
--- a/tests/common/simulated_cluster/shard_transfers.rs
+++ b/tests/common/simulated_cluster/shard_transfers.rs
@@ -75,7 +75,7 @@
         let target = CONTROLLERS[self.rng.gen_range(0..CONTROLLERS.len())];
         let controller = &mut self.controllers[index];
         let epoch = controller.cache.epoch.as_ref().expect("an epoch");
-        let hash_owner = membership::owner(&epoch.members, machine).expect("a hash owner");
+        let hash_owner = membership::owner_by_hash(&epoch.members, machine).expect("a hash owner");
         let middle = position(machine);
         let reach = [0, u64::MAX / 4, u64::MAX][self.rng.gen_range(0..3)];
         let range = HashRange {
--- a/tests/control_plane/cold_restart.rs
+++ b/tests/control_plane/cold_restart.rs
@@ -524,7 +524,7 @@
         cache.registry.contains_key("m-2"),
         "what was known before stays"
     );
-    assert!(hidden.unreadable.any_registry_page() && hidden.registry.is_empty());
+    assert!(hidden.invalid_records.contains_registry_page() && hidden.registry.is_empty());
     hidden.put(
         "fw/c",
         serde_json::to_value(cache.catalog.as_deref()).expect("json"),
@@ -587,9 +587,9 @@
     ];
     for (i, (key, value)) in odd.iter().enumerate() {
         cache.put(key, value.clone(), 500 + i as u64);
-        assert!(cache.unreadable.contains(key), "{key}");
+        assert!(cache.invalid_records.contains(key), "{key}");
     }
-    assert_eq!(cache.unreadable.len(), odd.len());
+    assert_eq!(cache.invalid_records.len(), odd.len());
     assert_eq!(cache.jobs.len(), 1);
     assert_eq!(
         (
@@ -600,5 +600,5 @@
         "what was known stays"
     );
     cache.put("fw/j/wk-2", job_record(&job("wk-2", 1), false), 600);
-    assert!(!cache.unreadable.contains("fw/j/wk-2"), "mended");
+    assert!(!cache.invalid_records.contains("fw/j/wk-2"), "mended");
 }
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -338,7 +338,7 @@
     );
     assert!(m.apply_cancellation(&id, 200, 5));
     assert!(!m.apply_cancellation(&id, 200, 5), "said again");
-    assert!(!m.jobs["wk-1"].live());
+    assert!(!m.jobs["wk-1"].is_live());
     // The record as it was before comes from a slow reading.
     m.put("fw/j/wk-1", job_record(&s, false), 100);
     m.put("fw/j/wk-1", job_record(&s, true), 200);
@@ -416,7 +416,7 @@
             "{} of {cancel}",
             s.cancellation_bound_s()
         );
-        assert!(s.max_knowledge_age_s() > 0.0 && s.member_lease_s() <= lease * 0.4);
+        assert!(s.max_staleness_s() > 0.0 && s.member_lease_s() <= lease * 0.4);
         assert!(s.evict_after_s() < cancel);
     }
     for cancel in ["cancel_s = 10.0", "cancel_s = 20.0", "cancel_s = 23.0"] {
--- a/tests/control_plane/epochs.rs
+++ b/tests/control_plane/epochs.rs
@@ -1,6 +1,6 @@
 //! Who leads the next epoch, and which machines change owner with it.
 
-use finchwood::cluster::membership::{next_epoch, owner};
+use finchwood::cluster::membership::{next_epoch, owner_by_hash};
 use finchwood::store::records::{Epoch, MemberRecord, Versioned};
 use std::collections::BTreeMap;
 
@@ -33,13 +33,13 @@
     let moved = (0..300)
         .map(|i| format!("m-{i:06}"))
         .filter(|m| {
-            owner(&without.members, m) != Some("c")
-                && owner(&names, m) != owner(&without.members, m)
+            owner_by_hash(&without.members, m) != Some("c")
+                && owner_by_hash(&names, m) != owner_by_hash(&without.members, m)
         })
         .count();
     assert_eq!(moved, 0, "only the machines of one that left change hands");
     let share = (0..300)
-        .filter(|i| owner(&names, &format!("m-{i:06}")) == Some("a"))
+        .filter(|i| owner_by_hash(&names, &format!("m-{i:06}")) == Some("a"))
         .count();
     assert!((100..200).contains(&share), "{share} of 300");
 }
--- a/tests/control_plane/gangs.rs
+++ b/tests/control_plane/gangs.rs
@@ -460,10 +460,10 @@
         |revision: u64, value: Value, m: &mut StoreCache| drop(m.put("fw/m/b", value, revision));
     member(600, json!({"inc": 4}), &mut b.cache);
     assert!(
-        !b.cache.all_run_gangs(),
+        !b.cache.all_members_support_gangs(),
         "a member of the version before says nothing of gangs"
     );
-    b.leader.allow_gangs(b.cache.all_run_gangs());
+    b.leader.allow_gangs(b.cache.all_members_support_gangs());
     b.steps(2);
     assert!(b.on_machines().is_empty());
     member(
@@ -471,12 +471,12 @@
         json!(finchwood::store::records::MemberRecord::of_this_version(5)),
         &mut b.cache,
     );
-    b.leader.allow_gangs(b.cache.all_run_gangs());
+    b.leader.allow_gangs(b.cache.all_members_support_gangs());
     b.steps(2);
     b.shared_attempt(2);
     // Its process ends and comes back as it was before the upgrade.
     member(602, json!({"inc": 6}), &mut b.cache);
-    assert!(!b.cache.all_run_gangs());
+    assert!(!b.cache.all_members_support_gangs());
 }
 
 // A state that this version doesn't know: the task is on its machine, whatever it
--- a/tests/control_plane/versions.rs
+++ b/tests/control_plane/versions.rs
@@ -6,7 +6,7 @@
 //! [`production`] holds as much of its types as reading needs, as they were.
 
 use crate::builders::*;
-use finchwood::cluster::membership::{next_epoch, owner, owner_by_shard_map};
+use finchwood::cluster::membership::{next_epoch, owner_by_hash, owner_by_shard_map};
 use finchwood::cluster::peer::{CancellationNotice, Envelope, PeerMessage};
 use finchwood::finished::{chunks_covering, tasks_per_chunk, Chunk, ChunkRange};
 use finchwood::shard::{
@@ -180,7 +180,10 @@
             capability: 0
         }
     );
-    assert!(!m.all_run_gangs(), "production does not run gangs");
+    assert!(
+        !m.all_members_support_gangs(),
+        "production does not run gangs"
+    );
     assert_eq!(m.jobs["wk-1"].finished.iter().collect::<Vec<_>>(), [0, 2]);
     assert_eq!(
         m.jobs["wk-2"].record.spec.as_ref().map(|s| s.job_kind),
@@ -506,7 +509,7 @@
         .with_owner(&HashRange::whole("a"), "b")
         .with_owner(&HashRange::whole("b"), "a");
     for id in (0..20).map(|i| format!("m-{i}")) {
-        let hash_owner = owner(&all.members, &id).expect("a hash owner");
+        let hash_owner = owner_by_hash(&all.members, &id).expect("a hash owner");
         assert_eq!(owner_by_shard_map(&mixed, &table, &id), Some(hash_owner));
         assert_ne!(owner_by_shard_map(&all, &table, &id), Some(hash_owner));
     }
--- a/tests/failure_detection_model.rs
+++ b/tests/failure_detection_model.rs
@@ -2,7 +2,7 @@
 //! in any number and anywhere, zones are cut off and come back.
 
 use finchwood::cluster::failure_detection::{
-    FailureDetector, MachineHealth, Verdict, ZoneContact, ZoneContactSpan,
+    FailureDetector, HealthVerdict, MachineHealth, ZoneContactAges, ZoneContactSpan,
 };
 use proptest::prelude::*;
 use std::sync::Arc;
@@ -89,16 +89,16 @@
             .map(|(i, m)| MachineHealth {
                 zone: names[m.zone].clone(),
                 // Its first report after a while may say nothing new.
-                state_known: m.heard > 0.0 && now - m.heard >= STEP_S || i % 3 > 0,
+                tasks_known: m.heard > 0.0 && now - m.heard >= STEP_S || i % 3 > 0,
                 silent_s: now - m.heard,
                 unanswered_s: m.unanswered_since.map(|d| now - d),
-                zone_contact: reached[m.zone][i % OWNERS].map(|s| ZoneContact {
+                zone_contact: reached[m.zone][i % OWNERS].map(|s| ZoneContactAges {
                     began_ago_s: now - s.began_at,
                     last_ago_s: now - s.last_at,
                 }),
                 seen_by_other_controller: false,
                 ignores_commands: false,
-                owner_unreachable: false,
+                owner_responds_late: false,
             })
             .collect();
         let judge = FailureDetector::new(REPORT_S, LEASE_S, signs.iter());
@@ -117,11 +117,13 @@
         }
         for (i, s) in signs.iter().enumerate() {
             let verdict = judge.verdict(s);
-            if verdict == Verdict::Replace && !judged.iter().any(|(j, _)| *j == i) {
+            if verdict == HealthVerdict::Replace && !judged.iter().any(|(j, _)| *j == i) {
                 judged.push((i, now));
             }
             // Neither idle nor of use while it shows no sign.
-            assert!(verdict != Verdict::Keep || s.silent_s <= REPORT_S * 2.0 && s.state_known);
+            assert!(
+                verdict != HealthVerdict::Keep || s.silent_s <= REPORT_S * 2.0 && s.tasks_known
+            );
         }
         now += STEP_S;
     }
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -6,7 +6,7 @@
 mod base;
 
 use finchwood::clock::Moment;
-use finchwood::cluster::membership::owner;
+use finchwood::cluster::membership::owner_by_hash;
 use finchwood::cluster::peer::{Envelope, PeerMessage};
 use finchwood::config::settings::max_peer_message_bytes;
 use finchwood::config::settings::Settings;
@@ -134,7 +134,7 @@
         let mut workers = BTreeMap::new();
         let ids: Vec<Arc<str>> = (0..MACHINES).map(|i| format!("m-{i:06}").into()).collect();
         for (n, (zone, chunk)) in ids
-            .chunks(PageLimit::new(limit).machines().min(50))
+            .chunks(PageLimit::new(limit).max_machines().min(50))
             .enumerate()
             .map(|(n, c)| (n, (["e", "w"][n % 2], c)))
         {
@@ -223,7 +223,7 @@
             .collect();
         let members = self.epoch.members.clone();
         for (name, shard) in NODES.iter().zip(&mut self.shards) {
-            let owns = |id: &str| owner(&members, id) == Some(*name);
+            let owns = |id: &str| owner_by_hash(&members, id) == Some(*name);
             shard.start_epoch(self.epoch.number, members[*name], &self.cache, now, owns);
         }
         let _ = self
@@ -313,7 +313,7 @@
         let mut given = Given::default();
         let members = self.epoch.members.clone();
         for (id, worker) in &mut self.workers {
-            let name = owner(&members, id).expect("an owner");
+            let name = owner_by_hash(&members, id).expect("an owner");
             let shard = &mut self.shards[NODES.iter().position(|n| *n == name).expect("a node")];
             let report = worker.report(id);
             if let HeartbeatReply::Accepted { token, commands } =
--- a/tests/store/registry_pages.rs
+++ b/tests/store/registry_pages.rs
@@ -3,7 +3,7 @@
 
 use finchwood::store::cache::StoreCache;
 use finchwood::store::records::RegistryPage;
-use finchwood::store::registry_pages::{split_long, PageLimit, PageQueue, Pages};
+use finchwood::store::registry_pages::{split_oversized_pages, PageLimit, PageQueue, Pages};
 use serde_json::json;
 use std::sync::Arc;
 
@@ -31,12 +31,12 @@
             open.insert(name.into(), page(3));
         }
         for (key, _) in queue
-            .in_turn(open.clone(), |_| Some(3), f64::from(round))
+            .write_order(open.clone(), |_| Some(3), f64::from(round))
             .into_iter()
             .take(2)
         {
             open.remove(&key);
-            queue.written(&key);
+            queue.record_write(&key);
             written.push(key);
         }
     }
@@ -45,7 +45,7 @@
         "never written: {written:?}"
     );
     open.insert("y".into(), page(2));
-    let next = queue.in_turn(open, |_| Some(3), 9.0);
+    let next = queue.write_order(open, |_| Some(3), 9.0);
     assert_eq!(&*next[0].0, "y", "a machine is gone from it");
 }
 
@@ -62,7 +62,7 @@
     let mut deleted = false;
     for round in 0..20 {
         let mut to_write = Pages::new();
-        let copies = split_long(&mut to_write, &cache.registry_pages, limit);
+        let copies = split_oversized_pages(&mut to_write, &cache.registry_pages, limit);
         for (key, page) in to_write {
             revision += 1;
             if page.machines.is_empty() {
--- a/tests/wire_format_controller.rs
+++ b/tests/wire_format_controller.rs
@@ -8,7 +8,7 @@
 mod raw_http;
 
 use common::cluster::{wait, Cluster, Options};
-use finchwood::cluster::membership::owner;
+use finchwood::cluster::membership::owner_by_hash;
 use fixtures::Fixtures;
 use raw_http::ask;
 use serde_json::{json, Value};
@@ -98,9 +98,17 @@
         .map(|name| (name.to_string(), 1))
         .into_iter()
         .collect();
-    assert_eq!(owner(&members, "m-a"), Some("n0"), "the first node's own");
+    assert_eq!(
+        owner_by_hash(&members, "m-a"),
+        Some("n0"),
+        "the first node's own"
+    );
     for machine in ["m-b", "m-c"] {
-        assert_eq!(owner(&members, machine), Some("n1"), "the other node's");
+        assert_eq!(
+            owner_by_hash(&members, machine),
+            Some("n1"),
+            "the other node's"
+        );
     }
     fixtures.same(
         "relay-to-another.answer",
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -10,7 +10,7 @@
 use finchwood::config::policy::Policy;
 use finchwood::config::settings::Settings;
 use finchwood::scheduler::ReconciliationProgress;
-use finchwood::store::unreadable_records::RecordError;
+use finchwood::store::invalid_records::RecordError;
 use finchwood_reconciliation::hold_off::{Action, HoldReason};
 use finchwood_reconciliation::machine_state::MachineState;
 use finchwood_reconciliation::restart_record::{
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -4,7 +4,7 @@
 #[path = "common/fixtures.rs"]
 mod fixtures;
 
-use finchwood::cluster::failure_detection::ZoneContact;
+use finchwood::cluster::failure_detection::ZoneContactAges;
 use finchwood::cluster::peer::{CancellationNotice, Envelope, PeerMessage};
 use finchwood::shard::{
     AssignedTaskStatus, JobAssignment, MachineStatus, Orders, RemovalReason, RemovedTask,
@@ -219,7 +219,7 @@
         ],
         zone_contacts: vec![(
             "e".into(),
-            ZoneContact {
+            ZoneContactAges {
                 began_ago_s: 100.5,
                 last_ago_s: 0.25,
             },
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -254,7 +254,11 @@
             1 + at as u64,
         );
     }
-    assert!(cache.unreadable.is_empty(), "{:?}", cache.unreadable);
+    assert!(
+        cache.invalid_records.is_empty(),
+        "{:?}",
+        cache.invalid_records
+    );
     assert_eq!(cache.epoch, Some(epoch(true)));
     assert_eq!(cache.catalog.as_deref(), Some(&catalog()));
     assert_eq!(cache.shard_map, table());
@@ -318,7 +322,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 fn calls_of_the_state_service(fixtures: &Fixtures) {
-    let page = with_state(fixtures, "page", |store| store.page(None)).expect("a page");
+    let page = with_state(fixtures, "page", |store| store.read_page(None)).expect("a page");
     let entry = &page.entries[0];
     assert_eq!(
         (page.entries.len(), page.truncated, page.revision),
@@ -328,7 +332,8 @@
         (&*entry.key, &entry.value, entry.revision),
         ("fw/s", &json!(5), 412)
     );
-    let next = with_state(fixtures, "next-page", |store| store.page(Some("fw/s"))).expect("a page");
+    let next =
+        with_state(fixtures, "next-page", |store| store.read_page(Some("fw/s"))).expect("a page");
     assert_eq!(
         (next.entries.len(), next.truncated, next.revision),
         (0, false, 432)
@@ -342,7 +347,8 @@
             .expect("read")
             .is_none()
     );
-    let changes = with_state(fixtures, "changes", |store| store.changes(431)).expect("changes");
+    let changes =
+        with_state(fixtures, "changes", |store| store.read_changes(431)).expect("changes");
     let put = KeyChange::Put {
         key: "fw/r/9".into(),
         value: json!(5),
@@ -361,14 +367,14 @@
             revision: 433
         }
     );
-    let late = with_state(fixtures, "changes-too-old", |store| store.changes(1));
+    let late = with_state(fixtures, "changes-too-old", |store| store.read_changes(1));
     assert!(matches!(late, Err(CallError::Status(410, _))));
     assert_eq!(
-        with_state(fixtures, "lease", |store| store.lease(5.0)).expect("a lease"),
+        with_state(fixtures, "lease", |store| store.create_lease(5.0)).expect("a lease"),
         7
     );
-    assert!(with_state(fixtures, "renew", |store| store.renew(7)).expect("answered"));
-    assert!(!with_state(fixtures, "renew-ended", |store| store.renew(7)).expect("answered"));
+    assert!(with_state(fixtures, "renew", |store| store.renew_lease(7)).expect("answered"));
+    assert!(!with_state(fixtures, "renew-ended", |store| store.renew_lease(7)).expect("answered"));
 }
 
 fn transactions(fixtures: &Fixtures) {
