--- a/src/cluster/failure_detection.rs
+++ b/src/cluster/failure_detection.rs
@@ -197,8 +197,8 @@
 
     /// Returns what is to be done with a machine in use.
     pub fn verdict(&self, health: &MachineHealth) -> HealthVerdict {
-        // One-way reachability is held against a single machine only: not while its zone is
-        // partitioned, nor while its owner responds too late to many machines.
+        // One-way reachability counts against a machine, unless its whole zone is partitioned
+        // or its owner responds too late to many machines.
         if health.ignores_commands
             && !self.is_partitioned(&health.zone)
             && !health.owner_responds_late
--- a/src/cluster/reachability.rs
+++ b/src/cluster/reachability.rs
@@ -66,7 +66,7 @@
         self.reports.insert(peer.into(), report);
     }
 
-    /// The peers that this controller cannot reach directly.
+    /// Returns the names of the peers that this controller cannot reach directly.
     pub fn unreachable_peers(&self) -> Vec<String> {
         self.unreachable.iter().cloned().collect()
     }
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -62,7 +62,7 @@
     pub page_key: Arc<str>,
 }
 
-/// The part of the cache that has changed by applying a change of a key.
+/// The part of the cache that may have changed when a change of a key was applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CacheChange {
     /// The epoch.
@@ -159,7 +159,7 @@
             .all(|member| member.value.capability >= GANG_CAPABILITY)
     }
 
-    /// Applies a change of a key and returns what has changed in the cache.
+    /// Applies a change of a key. Returns the part of the cache that may have changed.
     pub fn apply(&mut self, change: KeyChange) -> CacheChange {
         match change {
             KeyChange::Put {
--- a/src/store/pending_writes.rs
+++ b/src/store/pending_writes.rs
@@ -2,8 +2,8 @@
 //!
 //! The outcome of a write must be applied to the value that was written, not to the latest
 //! value of the key: a leader that enters an epoch starts its writes again while outcomes of
-//! earlier ones are still pending. Applying such an outcome to a later value would report a
-//! job as done that is not.
+//! earlier ones are still pending. Applying such an outcome to a later value once reported
+//! a job as done that was not.
 
 use std::collections::HashMap;
 
--- a/src/store/registry_pages.rs
+++ b/src/store/registry_pages.rs
@@ -165,7 +165,8 @@
             .collect()
     }
 
-    /// Records that a page is being written. The waiting time of its next change starts at zero.
+    /// Records that a page is being written. The waiting time of its next change starts at
+    /// zero.
     pub fn record_write(&mut self, key: &Arc<str>) {
         self.waiting_since.remove(key);
     }
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -41,7 +41,7 @@
 /// a shorter delay than that of these polls, and each poll costs processor time.
 const MAX_POLLS_PER_HEARTBEAT: f64 = 50.0;
 
-/// The HTTP status for changes since a revision whose changes the store no longer has.
+/// The HTTP status of a request for changes that the store no longer has.
 const GONE: u16 = 410;
 
 /// Returns the interval between two polls of one controller, in seconds.
