--- a/src/autoscaler/rentals.rs
+++ b/src/autoscaler/rentals.rs
@@ -95,7 +95,7 @@
     }
 
     /// The machines to come of open rentals, each without a name yet.
-    pub fn machines_to_come(&self) -> impl Iterator<Item = BootingMachine> + '_ {
+    pub fn pending_machines(&self) -> impl Iterator<Item = BootingMachine> + '_ {
         self.open.values().flat_map(|rental| {
             let machine = BootingMachine {
                 id: "".into(),
--- a/src/autoscaler/state.rs
+++ b/src/autoscaler/state.rs
@@ -30,7 +30,7 @@
     /// Rentals without a certain answer.
     pub rentals: Rentals,
     /// Offers of which the cloud has too few machines.
-    pub capacity: CapacityBackoff,
+    pub capacity_backoff: CapacityBackoff,
     /// Deletions under way and done.
     pub deletions: Deletions,
     /// What the cloud's machine lists have shown.
@@ -56,7 +56,7 @@
     /// Whether this controller has led for so long that every machine that is up has
     /// reported. That a machine is up may not have been written before the leader
     /// changed.
-    pub fn has_heard_all(&self, report_s: Seconds, now: Seconds) -> bool {
+    pub fn initial_reports_complete(&self, report_s: Seconds, now: Seconds) -> bool {
         now - self.leading_since > report_s * FIRST_REPORTS
     }
 
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -60,7 +60,8 @@
         let mut booting = self.review_booting(&catalog, &detector, now);
         let unreconciled = self.unreconciled_machines(now);
         let unreconciled = unreconciled.as_ref();
-        self.leader.preemption_held = self.is_held_off(Action::Preempt, None, unreconciled, now);
+        self.leader.preemption_suspended =
+            self.is_held_off(Action::Preempt, None, unreconciled, now);
         let consolidates = !self.is_held_off(Action::Consolidate, None, unreconciled, now);
         let evicts_unasked = !self.is_held_off(Action::EvictUnasked, None, unreconciled, now);
         let mut running = self.review_running(&catalog, &detector, &health, evicts_unasked, now);
@@ -96,7 +97,7 @@
         let unanswered = self.autoscaler.rentals.awaiting_answer();
         self.autoscaler.may_scale_out(report_s, now)
             && !autoscaler::rental_backlog_is_full(unanswered, self.settings.params.cloud.rps)
-            && self.leader.all_joined()
+            && self.leader.all_shards_reported()
     }
 
     /// Sends what is due to the cloud: requests for the catalog and the machine list,
@@ -125,7 +126,7 @@
     ) -> BootingMachines {
         let wall_clock_ms = clock::wall_clock_ms();
         let report_s = self.settings.params.workers.report_s;
-        let has_heard_all = self.autoscaler.has_heard_all(report_s, now);
+        let initial_reports_complete = self.autoscaler.initial_reports_complete(report_s, now);
         let reported: HashSet<&MachineId> = self
             .leader
             .machines()
@@ -152,7 +153,7 @@
                 .get(&record.machine_type)
                 .map_or(MINIMUM_CHARGE_S, |machine_type| machine_type.boot_s);
             let progress = self.policy.scaling.boot_progress(age_s, boot_s);
-            if progress == BootProgress::TimedOut && has_heard_all {
+            if progress == BootProgress::TimedOut && initial_reports_complete {
                 review.timed_out.push(id.clone());
             } else {
                 review.booting.push(BootingMachine {
@@ -164,7 +165,7 @@
         }
         review
             .booting
-            .extend(self.autoscaler.rentals.machines_to_come());
+            .extend(self.autoscaler.rentals.pending_machines());
         review
     }
 
@@ -423,9 +424,9 @@
         now: Seconds,
     ) {
         self.autoscaler.record_scale_out(now);
-        let capacity = &self.autoscaler.capacity;
+        let capacity_backoff = &self.autoscaler.capacity_backoff;
         let is_blocked = |offer: &MachineOffer| {
-            detector.zone_unreachable(&offer.zone) || capacity.is_blocked(offer, now)
+            detector.zone_unreachable(&offer.zone) || capacity_backoff.is_blocked(offer, now)
         };
         let rentals = autoscaler::plan_scale_out(
             demand,
@@ -465,7 +466,7 @@
         let report_s = self.settings.params.workers.report_s;
         let seen = self
             .leader
-            .seen_by_other_shards(report_s * SEEN_ELSEWHERE_REPORTS);
+            .machines_seen_by_other_shards(report_s * SEEN_ELSEWHERE_REPORTS);
         let registry = &self.cache.registry;
         let is_in_use = |machine: &MachineSnapshot| {
             machine.has_reported
@@ -479,7 +480,7 @@
                 state_known: machine.reconciled,
                 silent_s: machine.silent_s,
                 unanswered_s: machine.unanswered_s,
-                zone_contact: machine.reached,
+                zone_contact: machine.zone_contact,
                 seen_by_other_controller: seen.contains(&machine.id),
                 ignores_commands: machine.ignores_commands,
                 owner_unreachable: machine.ignores_commands
--- a/src/controller/cloud_responses.rs
+++ b/src/controller/cloud_responses.rs
@@ -87,7 +87,7 @@
             self.capacity_short(request, now);
         } else {
             let offer = MachineOffer::from(request);
-            self.autoscaler.capacity.clear(&offer);
+            self.autoscaler.capacity_backoff.clear(&offer);
         }
         let record = MachineRecord {
             machine_type: request.machine_type.clone(),
@@ -103,9 +103,11 @@
     /// Backs off from an offer of which the cloud has too few machines.
     fn capacity_short(&mut self, request: &RentalRequest, now: Seconds) {
         let report_s = self.settings.params.workers.report_s;
-        self.autoscaler
-            .capacity
-            .record_shortage(MachineOffer::from(request), report_s, now);
+        self.autoscaler.capacity_backoff.record_shortage(
+            MachineOffer::from(request),
+            report_s,
+            now,
+        );
     }
 
     /// Applies a machine list that was requested at `requested_at`.
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -38,7 +38,7 @@
         let deletions = &self.autoscaler.deletions;
         self.leader
             .reconcile(&self.cache, &|id| deletions.is_gone(id));
-        self.leader.allow_gangs(self.cache.all_run_gangs());
+        self.leader.set_gangs_allowed(self.cache.all_run_gangs());
         let changed_shards = self
             .leader
             .assign_tasks(&self.cache, now, || clock::now() < end);
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -82,7 +82,7 @@
         };
         let situation = Situation {
             now,
-            all_shards_reported: self.leader.all_joined(),
+            all_shards_reported: self.leader.all_shards_reported(),
             unreconciled,
         };
         match restart.hold_off.hold_reason(action, spec, situation) {
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -274,7 +274,7 @@
             .shard_transfers
             .as_ref()
             .is_some_and(|state| state.plan_timer.is_due(interval, now));
-        if !due || self.store_sync.is_unreachable() || !self.leader.all_joined() {
+        if !due || self.store_sync.is_unreachable() || !self.leader.all_shards_reported() {
             return;
         }
         let Some(epoch) = self.entered_epoch() else {
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -19,11 +19,11 @@
     /// What no task uses.
     pub free: Resources,
     /// Whether the task's image is likely cached there.
-    pub cached: bool,
+    pub image_cached: bool,
     /// Tasks of the same job in the machine's zone.
-    pub zone_peers: u32,
+    pub job_tasks_in_zone: u32,
     /// Tasks of the same job on the machine.
-    pub machine_peers: u32,
+    pub job_tasks_on_machine: u32,
 }
 
 /// Whether a job is latency-sensitive for a fetch: its class has an aim
@@ -47,7 +47,7 @@
 
 /// The fragmentation cost: what is left of the resource that counts (HIOBS section
 /// 3.2.3, Equation 1, with GPUs or else CPUs in place of IOPS).
-pub fn cost(free: &Resources, ask: &Resources) -> f64 {
+pub fn fragmentation_cost(free: &Resources, ask: &Resources) -> f64 {
     if ask.gpus > 0.0 {
         free.gpus - ask.gpus
     } else {
@@ -56,7 +56,7 @@
 }
 
 /// A cost in steps of a hundredth of a CPU or GPU, within which costs count as equal.
-pub fn cost_steps(cost: f64) -> i64 {
+pub fn quantized_cost(cost: f64) -> i64 {
     (cost * 100.0).round() as i64
 }
 
@@ -83,12 +83,12 @@
         })
         .min_by_key(|machine| {
             (
-                latency_sensitive && !machine.cached,
+                latency_sensitive && !machine.image_cached,
                 spec.spot && !machine.spot,
-                cost_steps(cost(&machine.free, &ask)),
-                machine.zone_peers,
-                machine.machine_peers,
-                !machine.cached,
+                quantized_cost(fragmentation_cost(&machine.free, &ask)),
+                machine.job_tasks_in_zone,
+                machine.job_tasks_on_machine,
+                !machine.image_cached,
                 machine.id,
             )
         })
--- a/src/scheduler/capacity/machine_slot.rs
+++ b/src/scheduler/capacity/machine_slot.rs
@@ -1,6 +1,6 @@
 //! What a machine has free, as placement sees it.
 
-use super::{NameInterner, PlacementRequest, Preempts};
+use super::{NameInterner, PlacementRequest, PreemptionScope};
 use crate::shard::MachineStatus;
 use crate::wire::{MachineId, Resources};
 use std::sync::Arc;
@@ -49,16 +49,16 @@
     /// How many tasks of a request it has room for.
     pub(super) fn max_tasks(&self, request: &PlacementRequest) -> u32 {
         let mut free = self.free;
-        free.add(&self.preemptible_for(request.preempts));
+        free.add(&self.preemptible_for(request.preemption_scope));
         free.max_tasks(&request.task_resources)
     }
 
     /// What a request may preempt.
-    pub(super) fn preemptible_for(&self, preempts: Preempts) -> Resources {
-        match preempts {
-            Preempts::Nothing => Resources::default(),
-            Preempts::BorrowingLowWork => self.preemptible_low,
-            Preempts::AllLowerWork => self.preemptible,
+    pub(super) fn preemptible_for(&self, preemption_scope: PreemptionScope) -> Resources {
+        match preemption_scope {
+            PreemptionScope::Nothing => Resources::default(),
+            PreemptionScope::LowPriorityOfBorrowingTeams => self.preemptible_low,
+            PreemptionScope::AllLowerPriorities => self.preemptible,
         }
     }
 
--- a/src/scheduler/capacity/mod.rs
+++ b/src/scheduler/capacity/mod.rs
@@ -10,7 +10,7 @@
 
 pub use machine_slot::MachineSlot;
 pub use names::NameInterner;
-pub use placement_request::{PlacementRequest, Preempts};
+pub use placement_request::{PlacementRequest, PreemptionScope};
 pub use zones::{ZoneAllowance, ZoneCount};
 
 use crate::scheduler::bin_packing;
@@ -45,8 +45,8 @@
     preempts: bool,
     /// The job may run on spot machines, and this is an ordinary one.
     ordinary_for_spot: bool,
-    /// What is left over, in steps of [`bin_packing::cost_steps`].
-    cost_steps: i64,
+    /// What is left over, in steps of [`bin_packing::quantized_cost`].
+    quantized_cost: i64,
     /// The image isn't cached there.
     cold: bool,
 }
@@ -57,18 +57,18 @@
         let mut free = slot.free;
         let preempts = !free.fits(&request.task_resources);
         if preempts {
-            free.add(&slot.preemptible_for(request.preempts));
+            free.add(&slot.preemptible_for(request.preemption_scope));
         }
         if !free.fits(&request.task_resources) {
             return None;
         }
         let cold = !slot.has_image(request);
-        let cost = bin_packing::cost(&free, &request.task_resources);
+        let cost = bin_packing::fragmentation_cost(&free, &request.task_resources);
         Some(PlacementRank {
             slow_start: request.latency_sensitive && cold,
             preempts,
             ordinary_for_spot: request.spot && !slot.spot,
-            cost_steps: bin_packing::cost_steps(cost),
+            quantized_cost: bin_packing::quantized_cost(cost),
             cold,
         })
     }
@@ -136,7 +136,7 @@
     /// The machine with the lowest cost, of a shard or of all, among the zones that may
     /// take more; of several the first by name (HIOBS section 3.2 and Algorithm 1, with
     /// the exceptions that [`bin_packing::pick`] names).
-    pub fn best(
+    pub fn best_slot(
         &self,
         request: &PlacementRequest,
         shard: Option<u32>,
@@ -185,7 +185,7 @@
     }
 
     /// Takes the room of up to `count` tasks in these zones, machine by machine.
-    pub fn take_in_zones(
+    pub fn allocate_in_zones(
         &mut self,
         request: &PlacementRequest,
         zones: &[ZoneAllowance],
@@ -199,7 +199,7 @@
             let tasks = slot.max_tasks(request).min(count);
             count -= tasks;
             let (per_task, taken) = (request.task_resources, f64::from(tasks));
-            self.take(
+            self.allocate(
                 index,
                 &Resources {
                     cpus: per_task.cpus * taken,
@@ -225,11 +225,11 @@
     }
 
     /// Takes a task's room.
-    pub fn take(&mut self, slot: usize, resources: &Resources) {
+    pub fn allocate(&mut self, slot: usize, resources: &Resources) {
         self.change(slot, |free| free.subtract(resources));
     }
 
-    fn give_back(&mut self, slot: usize, resources: &Resources) {
+    fn release(&mut self, slot: usize, resources: &Resources) {
         self.change(slot, |free| free.add(resources));
     }
 
@@ -275,7 +275,7 @@
 
     /// The shard with the most room, of those not in `full`; the first by name
     /// of several.
-    pub fn roomiest(&self, full: &[u32], names: &NameInterner) -> Option<u32> {
+    pub fn shard_with_most_free_cpus(&self, full: &[u32], names: &NameInterner) -> Option<u32> {
         let open = self
             .shards
             .iter()
@@ -318,10 +318,10 @@
     ) -> Vec<usize> {
         let mut chosen = Vec::new();
         for _ in 0..count {
-            let Some(slot) = self.best(request, shard, Some(&zones)) else {
+            let Some(slot) = self.best_slot(request, shard, Some(&zones)) else {
                 break;
             };
-            self.take(slot, &request.task_resources);
+            self.allocate(slot, &request.task_resources);
             let zone = self.slots[slot].zone;
             if let Some(allowance) = zones.iter_mut().find(|allowance| allowance.zone == zone) {
                 allowance.tasks -= 1;
@@ -329,14 +329,14 @@
             chosen.push(slot);
         }
         for &slot in &chosen {
-            self.give_back(slot, &request.task_resources);
+            self.release(slot, &request.task_resources);
         }
         chosen
     }
 
     /// How many of the chosen machines have the image of a latency-sensitive job, and
     /// room for it without preemption; none for other jobs.
-    pub fn with_cached_image(&self, request: &PlacementRequest, chosen: &[usize]) -> usize {
+    pub fn count_with_cached_image(&self, request: &PlacementRequest, chosen: &[usize]) -> usize {
         if !request.latency_sensitive {
             return 0;
         }
--- a/src/scheduler/capacity/placement_request.rs
+++ b/src/scheduler/capacity/placement_request.rs
@@ -6,13 +6,13 @@
 
 /// What may be preempted to make room for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Preempts {
+pub enum PreemptionScope {
     /// Nothing: it waits until there is room.
     Nothing,
     /// Low arrays of teams that use more than they are guaranteed.
-    BorrowingLowWork,
+    LowPriorityOfBorrowingTeams,
     /// Every array of a lower priority.
-    AllLowerWork,
+    AllLowerPriorities,
 }
 
 /// What a task of a job requires of the machine that it is placed on. Names are
@@ -30,7 +30,7 @@
     /// first.
     pub latency_sensitive: bool,
     /// What may be preempted for it.
-    pub preempts: Preempts,
+    pub preemption_scope: PreemptionScope,
     /// It may take the room that is reserved for services.
     pub uses_reserve: bool,
 }
@@ -42,7 +42,7 @@
         names: &NameInterner,
         avoid: Vec<MachineId>,
         latency_sensitive: bool,
-        preempts: Preempts,
+        preemption_scope: PreemptionScope,
     ) -> PlacementRequest {
         // A name that no machine has gets a number that none has.
         let number = |name: &Arc<str>| names.lookup(name).unwrap_or(u32::MAX);
@@ -57,8 +57,8 @@
             image: names.lookup(&spec.image),
             avoid,
             latency_sensitive,
-            preempts,
-            uses_reserve: preempts == Preempts::AllLowerWork,
+            preemption_scope,
+            uses_reserve: preemption_scope == PreemptionScope::AllLowerPriorities,
         }
     }
 
@@ -86,7 +86,7 @@
         self.machine_types == other.machine_types
             && self.zone == other.zone
             && (!self.spot || other.spot)
-            && self.preempts <= other.preempts
+            && self.preemption_scope <= other.preemption_scope
             && (!self.uses_reserve || other.uses_reserve)
             && other.avoid.is_empty()
             && other.task_resources.cpus <= self.task_resources.cpus
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -52,8 +52,8 @@
             .shards
             .values()
             .flat_map(|shard| shard.machines.values())
-            .filter(|machine| machine.view.spot_notice || machine.view.draining)
-            .map(|machine| &machine.view.id)
+            .filter(|machine| machine.status.spot_notice || machine.status.draining)
+            .map(|machine| &machine.status.id)
             .collect();
         for (id, entry) in &mut self.jobs {
             let Some(job) = cache.jobs.get(id).filter(|job| job.live()) else {
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -195,7 +195,7 @@
         let reached: BTreeSet<&MachineId> = self
             .machines_at(now)
             .filter(|machine| machine.reconciled && machine.silent_s < silent)
-            .map(|machine| &machine.view.id)
+            .map(|machine| &machine.status.id)
             .collect();
         let on = |entry: &JobEntry, machines: &BTreeSet<&MachineId>| {
             entry
@@ -250,7 +250,7 @@
                 allowances
             };
             if keeps_room {
-                capacity.take_in_zones(tasks.request, &zones, count as u32);
+                capacity.allocate_in_zones(tasks.request, &zones, count as u32);
             }
             return Vec::new();
         };
@@ -263,7 +263,7 @@
 
     /// Whether gangs are assigned: not while a controller of a version without
     /// them may lead or own machines.
-    pub fn allow_gangs(&mut self, allowed: bool) {
+    pub fn set_gangs_allowed(&mut self, allowed: bool) {
         self.gangs_allowed = allowed;
     }
 }
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct TrackedMachine {
     /// The report.
-    pub view: MachineStatus,
+    pub status: MachineStatus,
     pub(super) slot: MachineSlot,
     /// Since when it holds nothing.
     pub(super) idle_since: Seconds,
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct MachineSnapshot<'a> {
     /// What its shard last reported.
-    pub view: &'a MachineStatus,
+    pub status: &'a MachineStatus,
     /// Since its last heartbeat; 0 if it is not silent.
     pub silent_s: f64,
     /// Since it has not answered commands, while others of its zone were reached.
@@ -33,13 +33,13 @@
     pub idle_s: f64,
     /// How its owner reaches its zone. A report that came through a third
     /// controller shows nothing of that.
-    pub reached: Option<ZoneContact>,
+    pub zone_contact: Option<ZoneContact>,
 }
 
 impl std::ops::Deref for MachineSnapshot<'_> {
     type Target = MachineStatus;
     fn deref(&self) -> &MachineStatus {
-        self.view
+        self.status
     }
 }
 
@@ -88,24 +88,23 @@
     pub fn machines_at(&self, now: Seconds) -> impl Iterator<Item = MachineSnapshot<'_>> {
         self.shards.values().flat_map(move |shard| {
             shard.machines.values().map(move |machine| {
-                let silent = shard.silent_machines.get(&machine.view.id);
+                let silent = shard.silent_machines.get(&machine.status.id);
                 let age = now - shard.last_report_at;
                 MachineSnapshot {
-                    view: &machine.view,
+                    status: &machine.status,
                     silent_s: silent.map_or(0.0, |q| q.silent_s + age),
                     unanswered_s: silent.and_then(|q| q.unanswered_s).map(|d| d + age),
-                    idle_s: if machine.view.tasks == 0 {
+                    idle_s: if machine.status.tasks == 0 {
                         now - machine.idle_since
                     } else {
                         0.0
                     },
-                    reached: shard
-                        .zone_contacts
-                        .get(&machine.view.zone)
-                        .map(|r| ZoneContact {
+                    zone_contact: shard.zone_contacts.get(&machine.status.zone).map(|r| {
+                        ZoneContact {
                             began_ago_s: r.began_ago_s + age,
                             last_ago_s: r.last_ago_s + age,
-                        }),
+                        }
+                    }),
                 }
             })
         })
@@ -125,12 +124,12 @@
     pub fn machines(&self) -> impl Iterator<Item = &MachineStatus> {
         self.shards
             .values()
-            .flat_map(|shard| shard.machines.values().map(|machine| &machine.view))
+            .flat_map(|shard| shard.machines.values().map(|machine| &machine.status))
     }
 
     /// Machines that may be silent for their owners only: their workers have reported to
     /// some other controller within the last `age` seconds.
-    pub fn seen_by_other_shards(&self, age: Seconds) -> HashSet<&MachineId> {
+    pub fn machines_seen_by_other_shards(&self, age: Seconds) -> HashSet<&MachineId> {
         let all = self
             .shards
             .values()
@@ -148,7 +147,7 @@
                 let ignores_commands = shard
                     .machines
                     .values()
-                    .filter(|machine| machine.view.ignores_commands)
+                    .filter(|machine| machine.status.ignores_commands)
                     .count();
                 ignores_commands >= 2 && ignores_commands * 4 >= shard.machines.len()
             })
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -28,7 +28,7 @@
 pub use failures::MachineFault;
 pub use machines::{MachineSnapshot, ShardView, TrackedMachine};
 pub use progress::{ReconciliationProgress, TableCounts};
-pub use urgency::ServiceObjectives;
+pub use urgency::CompletionObjectives;
 
 use crate::autoscaler::PendingDemand;
 use crate::clock::{self, Seconds};
@@ -49,7 +49,7 @@
     /// says so.
     start_objectives_s: HashMap<Arc<str>, f64>,
     classes_with_objectives: HashSet<Arc<str>>,
-    objectives: ServiceObjectives,
+    objectives: CompletionObjectives,
     /// How often workers and shards report.
     report_s: Seconds,
     /// How long the tasks of a gang wait for each other.
@@ -70,7 +70,7 @@
                 .collect(),
             start_objectives_s: settings.start_objectives(),
             classes_with_objectives: settings.classes_with_objectives(),
-            objectives: ServiceObjectives::new(settings),
+            objectives: CompletionObjectives::new(settings),
             report_s: workers.report_s,
             gang_wait_s: workers.gang_wait_s,
             takeover_s: clock::with_drift_margin(workers.lease_s)
@@ -102,7 +102,7 @@
     /// CPUs on ordinary machines that are kept free for services to come.
     pub reserved_cpus: f64,
     /// Nothing is preempted for now: unreconciled machines may have room.
-    pub preemption_held: bool,
+    pub preemption_suspended: bool,
     /// Tasks that had no room in the last round, for the autoscaler.
     pub pending_demand: Vec<PendingDemand>,
     /// Teams that use more than they are guaranteed.
@@ -127,7 +127,7 @@
             failed_jobs_by_machine: failures::FailedJobsByMachine::new(),
             faulty: BTreeSet::new(),
             reserved_cpus: 0.0,
-            preemption_held: false,
+            preemption_suspended: false,
             pending_demand: Vec::new(),
             borrowing: Vec::new(),
             resume_from: None,
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -70,7 +70,7 @@
         one_zone: bool,
     ) -> Vec<ShardAssignment> {
         for &slot in &fit.slots {
-            capacity.take(slot, &tasks.request.task_resources);
+            capacity.allocate(slot, &tasks.request.task_resources);
         }
         // A job for one zone is told which. Left to choose, the shard started it
         // where only some of its tasks had room.
@@ -195,7 +195,7 @@
                 Some((_, count)) => *count += 1,
                 None => told.push((zone.clone(), 1)),
             }
-            capacity.take(slot, &tasks.request.task_resources);
+            capacity.allocate(slot, &tasks.request.task_resources);
             by_shard.entry(shard).or_default().push(index);
         }
         shard_assignments(by_shard)
@@ -231,12 +231,14 @@
     }
     // No shard has room where the image is cached for all tasks of a latency-sensitive
     // job: several shards share it, each told how many a zone may take of it.
-    if !request.latency_sensitive || capacity.with_cached_image(request, slots) >= tasks.len() {
+    if !request.latency_sensitive || capacity.count_with_cached_image(request, slots) >= tasks.len()
+    {
         return None;
     }
     let spread = capacity.try_place(request, tasks.len(), None, allowances, false);
     let more_cached = || {
-        capacity.with_cached_image(request, &spread) > capacity.with_cached_image(request, slots)
+        capacity.count_with_cached_image(request, &spread)
+            > capacity.count_with_cached_image(request, slots)
     };
     (spread.len() >= slots.len() && more_cached()).then_some(spread)
 }
@@ -285,7 +287,7 @@
         );
         let rank = ShardRank {
             tasks: slots.len(),
-            cached: capacity.with_cached_image(tasks.request, &slots),
+            cached: capacity.count_with_cached_image(tasks.request, &slots),
             free_cpus: capacity.free_cpus(shard),
         };
         if !slots.is_empty() && best.as_ref().is_none_or(|best| rank > best.rank) {
@@ -306,7 +308,7 @@
         return Vec::new();
     };
     for &slot in &fit.slots {
-        capacity.take(slot, &tasks.request.task_resources);
+        capacity.allocate(slot, &tasks.request.task_resources);
     }
     vec![ShardAssignment {
         shard: names.name(fit.shard).clone(),
@@ -326,12 +328,12 @@
     let mut remaining = tasks.indexes.iter();
     let mut next = remaining.next();
     while let Some(&index) = next {
-        let Some(shard) = capacity.roomiest(&full, names) else {
+        let Some(shard) = capacity.shard_with_most_free_cpus(&full, names) else {
             break;
         };
-        match capacity.best(tasks.request, Some(shard), None) {
+        match capacity.best_slot(tasks.request, Some(shard), None) {
             Some(slot) => {
-                capacity.take(slot, &tasks.request.task_resources);
+                capacity.allocate(slot, &tasks.request.task_resources);
                 let of_shard = by_shard.entry(names.name(shard).clone()).or_default();
                 of_shard.push(index);
                 next = remaining.next();
--- a/src/scheduler/progress.rs
+++ b/src/scheduler/progress.rs
@@ -11,7 +11,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct ReconciliationProgress {
     /// Every member has reported what it holds.
-    pub all_joined: bool,
+    #[serde(rename = "all_joined")]
+    pub all_shards_reported: bool,
     /// Every task and every machine is reconciled.
     #[serde(rename = "resolved")]
     pub reconciled: bool,
@@ -45,7 +46,7 @@
         gone: &dyn Fn(&MachineId) -> bool,
     ) -> ReconciliationProgress {
         let mut progress = ReconciliationProgress {
-            all_joined: self.all_joined(),
+            all_shards_reported: self.all_shards_reported(),
             reconciled: self.epoch.reconciled,
             unreconciled_machines: self.unreconciled_machines(cache, gone).count(),
             ..ReconciliationProgress::default()
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -26,7 +26,7 @@
                         shard
                             .machines
                             .get(*id)
-                            .is_some_and(|machine| machine.view.reconciled)
+                            .is_some_and(|machine| machine.status.reconciled)
                     })
             })
     }
@@ -72,7 +72,7 @@
     }
 
     /// Whether every member has reported what it holds in this epoch.
-    pub fn all_joined(&self) -> bool {
+    pub fn all_shards_reported(&self) -> bool {
         self.epoch
             .members
             .keys()
@@ -93,7 +93,7 @@
     /// `gone` says whose deletion was answered: that is proof long before the machine
     /// registry shows it, which may be written late when there is much to write.
     pub fn reconcile(&mut self, cache: &StoreCache, gone: &dyn Fn(&MachineId) -> bool) {
-        if self.epoch.reconciled || !self.epoch.has_new_evidence || !self.all_joined() {
+        if self.epoch.reconciled || !self.epoch.has_new_evidence || !self.all_shards_reported() {
             return;
         }
         self.epoch.has_new_evidence = false;
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -7,7 +7,7 @@
 use crate::autoscaler::PendingDemand;
 use crate::clock::{self, Seconds};
 use crate::scheduler::bin_packing;
-use crate::scheduler::capacity::{FreeCapacity, PlacementRequest, Preempts};
+use crate::scheduler::capacity::{FreeCapacity, PlacementRequest, PreemptionScope};
 use crate::shard::TaskPhase;
 use crate::store::cache::{CachedJob, StoreCache};
 use crate::wire::{JobId, JobKind, Priority, Resources, BEGIN_WITHIN_S};
@@ -23,9 +23,9 @@
             .values()
             .flat_map(|shard| shard.machines.values());
         let open = open.filter(|machine| {
-            machine.view.schedulable
-                && !self.draining.contains(&machine.view.id)
-                && !self.faulty.contains(&machine.view.id)
+            machine.status.schedulable
+                && !self.draining.contains(&machine.status.id)
+                && !self.faulty.contains(&machine.status.id)
         });
         let mut capacity = FreeCapacity::new(
             open.map(|machine| machine.slot.clone()).collect(),
@@ -40,15 +40,15 @@
             {
                 let request = request.get_or_insert_with(|| {
                     let preempts = match self.preempts(entry, wall_clock_ms) {
-                        Preempts::AllLowerWork => Preempts::Nothing,
+                        PreemptionScope::AllLowerPriorities => PreemptionScope::Nothing,
                         others => others,
                     };
                     PlacementRequest::new(&entry.spec, &self.names, Vec::new(), false, preempts)
                 });
                 if let Some(slot) =
-                    capacity.best(request, self.names.lookup(&assignment.shard), None)
+                    capacity.best_slot(request, self.names.lookup(&assignment.shard), None)
                 {
-                    capacity.take(slot, &request.task_resources);
+                    capacity.allocate(slot, &request.task_resources);
                 }
             }
         }
@@ -181,7 +181,7 @@
         };
         let chosen = self.choose_shards(tasks, round);
         let placed: usize = chosen.iter().map(|assigned| assigned.tasks.len()).sum();
-        if placed == 0 && round.capacity.best(&request, None, None).is_none() {
+        if placed == 0 && round.capacity.best_slot(&request, None, None).is_none() {
             round.capacity.record_no_fit(&request);
         }
         if placed < free.len() {
@@ -201,18 +201,18 @@
     /// What may be preempted for the tasks of a job that have no room. Without it,
     /// guests' low arrays that run for minutes held the machines which a team's own
     /// work then waited for.
-    fn preempts(&self, entry: &JobEntry, wall_clock_ms: u64) -> Preempts {
+    fn preempts(&self, entry: &JobEntry, wall_clock_ms: u64) -> PreemptionScope {
         let waited_s = wall_clock_ms.saturating_sub(entry.accepted_at_ms) as f64 / 1000.0;
         match entry.spec.priority {
-            _ if self.preemption_held => Preempts::Nothing,
-            Priority::Prod => Preempts::AllLowerWork,
+            _ if self.preemption_suspended => PreemptionScope::Nothing,
+            Priority::Prod => PreemptionScope::AllLowerPriorities,
             Priority::Urgent | Priority::Standard
                 if !entry.spec.has_coupled_tasks()
                     && waited_s > self.policy.report_s * PREEMPTS_AFTER_REPORTS =>
             {
-                Preempts::BorrowingLowWork
+                PreemptionScope::LowPriorityOfBorrowingTeams
             }
-            Priority::Urgent | Priority::Standard | Priority::Low => Preempts::Nothing,
+            Priority::Urgent | Priority::Standard | Priority::Low => PreemptionScope::Nothing,
         }
     }
 
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -129,16 +129,16 @@
         for machine in machines {
             // One that takes tasks again is idle from now on: it was kept empty before.
             let before = view.machines.get(&machine.id).filter(|before| {
-                before.view.tasks == 0 && (before.view.schedulable || !machine.schedulable)
+                before.status.tasks == 0 && (before.status.schedulable || !machine.schedulable)
             });
             let before = before.map(|before| before.idle_since);
             let slot = MachineSlot::new(&machine, shard_number, &mut self.names);
             let tracked = TrackedMachine {
                 slot,
                 idle_since: before.unwrap_or(now),
-                view: machine,
+                status: machine,
             };
-            view.machines.insert(tracked.view.id.clone(), tracked);
+            view.machines.insert(tracked.status.id.clone(), tracked);
         }
     }
 
--- a/src/scheduler/urgency.rs
+++ b/src/scheduler/urgency.rs
@@ -8,14 +8,14 @@
 /// The longest time, of those that the aims name, within which jobs of a class
 /// should be finished.
 #[derive(Debug, Clone, Default)]
-pub struct ServiceObjectives {
+pub struct CompletionObjectives {
     /// By class, in seconds.
     within_s: HashMap<Arc<str>, f64>,
 }
 
-impl ServiceObjectives {
-    pub(super) fn new(settings: &Settings) -> ServiceObjectives {
-        let mut objectives = ServiceObjectives::default();
+impl CompletionObjectives {
+    pub(super) fn new(settings: &Settings) -> CompletionObjectives {
+        let mut objectives = CompletionObjectives::default();
         for o in &settings.params.objectives {
             let class: Arc<str> = o.class.as_str().into();
             if let (true, Some(w)) = (o.kind == "finished", o.within_s) {
@@ -66,7 +66,7 @@
     spec: &JobSpec,
     accepted_at_ms: u64,
     wall_clock_ms: u64,
-    objectives: &ServiceObjectives,
+    objectives: &CompletionObjectives,
 ) -> Urgency {
     let age_s = (wall_clock_ms as f64 - accepted_at_ms as f64) / 1000.0;
     let due_after = |span_s: f64| accepted_at_ms as i64 + (span_s * 1000.0) as i64;
--- a/src/shard/placement.rs
+++ b/src/shard/placement.rs
@@ -242,9 +242,9 @@
                 zone: &identity.zone,
                 spot: identity.spot,
                 free: *free,
-                cached: machine.has_image(&spec.image),
-                zone_peers: spread.by_zone.get(&*identity.zone).copied().unwrap_or(0),
-                machine_peers: spread.by_machine.get(&**id).copied().unwrap_or(0),
+                image_cached: machine.has_image(&spec.image),
+                job_tasks_in_zone: spread.by_zone.get(&*identity.zone).copied().unwrap_or(0),
+                job_tasks_on_machine: spread.by_machine.get(&**id).copied().unwrap_or(0),
             })
         });
         bin_packing::pick(spec, request.latency_sensitive, candidates)
--- a/tests/control_plane/gangs.rs
+++ b/tests/control_plane/gangs.rs
@@ -463,7 +463,7 @@
         !b.cache.all_run_gangs(),
         "a member of the version before says nothing of gangs"
     );
-    b.leader.allow_gangs(b.cache.all_run_gangs());
+    b.leader.set_gangs_allowed(b.cache.all_run_gangs());
     b.steps(2);
     assert!(b.on_machines().is_empty());
     member(
@@ -471,7 +471,7 @@
         json!(finchwood::store::records::MemberRecord::of_this_version(5)),
         &mut b.cache,
     );
-    b.leader.allow_gangs(b.cache.all_run_gangs());
+    b.leader.set_gangs_allowed(b.cache.all_run_gangs());
     b.steps(2);
     b.shared_attempt(2);
     // Its process ends and comes back as it was before the upgrade.
--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -181,7 +181,7 @@
                 self.transfers.apply_report(name, transfers, now);
             }
             self.leader.reconcile(&self.cache, &|_| false);
-            self.leader.allow_gangs(true);
+            self.leader.set_gangs_allowed(true);
             self.leader.assign_tasks(&self.cache, now, || true);
             if let Some(mut orders) = self.leader.orders(name) {
                 orders.transfers = self.transfers.orders_for(name);
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -2,7 +2,7 @@
 
 use finchwood::scheduler::bin_packing::{pick, Candidate};
 use finchwood::scheduler::capacity::{
-    FreeCapacity, MachineSlot, NameInterner, PlacementRequest, Preempts, ZoneAllowance,
+    FreeCapacity, MachineSlot, NameInterner, PlacementRequest, PreemptionScope, ZoneAllowance,
 };
 use finchwood::shard::MachineStatus;
 use finchwood::wire::{JobKind, JobSpec, Priority, Resources};
@@ -20,8 +20,8 @@
     spot: bool,
     free: [u32; 3],
     cached: bool,
-    zone_peers: u32,
-    machine_peers: u32,
+    job_tasks_in_zone: u32,
+    job_tasks_on_machine: u32,
 }
 
 fn spec(ask: [u32; 3], spot: bool, machine_type: Option<usize>, zone: Option<usize>) -> JobSpec {
@@ -81,8 +81,8 @@
             first,
             dear,
             leftover,
-            n.zone_peers,
-            n.machine_peers,
+            n.job_tasks_in_zone,
+            n.job_tasks_on_machine,
             cold,
             n.id.clone(),
         ));
@@ -128,7 +128,18 @@
                 .into_iter()
                 .enumerate()
                 .map(
-                    |(i, (machine_type, zone, spot, free, cached, zone_peers, machine_peers))| {
+                    |(
+                        i,
+                        (
+                            machine_type,
+                            zone,
+                            spot,
+                            free,
+                            cached,
+                            job_tasks_in_zone,
+                            job_tasks_on_machine,
+                        ),
+                    )| {
                         Node {
                             id: format!("m-{i:03}"),
                             machine_type,
@@ -136,8 +147,8 @@
                             spot,
                             free,
                             cached,
-                            zone_peers,
-                            machine_peers,
+                            job_tasks_in_zone,
+                            job_tasks_on_machine,
                         }
                     },
                 )
@@ -153,9 +164,9 @@
                     gpus: f64::from(n.free[1]),
                     mem_gb: f64::from(n.free[2]),
                 },
-                cached: n.cached,
-                zone_peers: n.zone_peers,
-                machine_peers: n.machine_peers,
+                image_cached: n.cached,
+                job_tasks_in_zone: n.job_tasks_in_zone,
+                job_tasks_on_machine: n.job_tasks_on_machine,
             });
             let real = pick(&spec, latency_sensitive, candidates).map(|c| c.id.to_string());
             prop_assert_eq!(
@@ -246,8 +257,8 @@
                     spot,
                     free,
                     cached,
-                    zone_peers: 0,
-                    machine_peers: 0,
+                    job_tasks_in_zone: 0,
+                    job_tasks_on_machine: 0,
                 }
             })
             .collect();
@@ -264,18 +275,18 @@
                 &names,
                 Vec::new(),
                 latency_sensitive,
-                Preempts::Nothing,
+                PreemptionScope::Nothing,
             );
             let expected = model(ask, spot, machine_type, zone, latency_sensitive, &nodes);
             if capacity.known_not_to_fit(&request) {
                 prop_assert_eq!(None, expected);
                 continue;
             }
-            let real = capacity.best(&request, None, None);
+            let real = capacity.best_slot(&request, None, None);
             prop_assert_eq!(real.map(|s| capacity.slots[s].id.to_string()), expected);
             match real {
                 Some(slot) => {
-                    capacity.take(slot, &request.task_resources);
+                    capacity.allocate(slot, &request.task_resources);
                     nodes[slot]
                         .free
                         .iter_mut()
@@ -333,8 +344,8 @@
                         spot,
                         free,
                         cached,
-                        zone_peers: 0,
-                        machine_peers: 0,
+                        job_tasks_in_zone: 0,
+                        job_tasks_on_machine: 0,
                     }
                 });
         let slots = nodes
@@ -342,7 +353,8 @@
             .collect();
         let mut capacity = FreeCapacity::new(slots, 0.0);
         let spec = spec([cpus, gpus, mem], spot, machine_type, None);
-        let request = PlacementRequest::new(&spec, &names, Vec::new(), true, Preempts::Nothing);
+        let request =
+            PlacementRequest::new(&spec, &names, Vec::new(), true, PreemptionScope::Nothing);
         let counts = capacity.count_by_zone(&request);
         for zone in ZONES.iter().filter_map(|z| names.lookup(z)) {
             let counted = counts.get(&zone).copied().unwrap_or_default();
@@ -356,10 +368,10 @@
             prop_assert_eq!(counted.tasks as usize, placed.len());
             prop_assert_eq!(
                 counted.with_image as usize,
-                capacity.with_cached_image(&request, &placed)
+                capacity.count_with_cached_image(&request, &placed)
             );
             let keep = counted.tasks / 2;
-            capacity.take_in_zones(&request, &[ZoneAllowance::unlimited(zone)], keep);
+            capacity.allocate_in_zones(&request, &[ZoneAllowance::unlimited(zone)], keep);
             let left = capacity
                 .count_by_zone(&request)
                 .get(&zone)
@@ -383,8 +395,8 @@
         spot,
         free: [8, 0, 8],
         cached: false,
-        zone_peers: 0,
-        machine_peers: 0,
+        job_tasks_in_zone: 0,
+        job_tasks_on_machine: 0,
     };
     let nodes = [node(0, false), node(1, false), node(2, true)];
     let mut names = NameInterner::default();
@@ -394,14 +406,21 @@
         .collect();
     let mut capacity = FreeCapacity::new(slots, 4.0);
     let array = spec([2, 0, 1], true, None, None);
-    let request = PlacementRequest::new(&array, &names, Vec::new(), false, Preempts::Nothing);
+    let request =
+        PlacementRequest::new(&array, &names, Vec::new(), false, PreemptionScope::Nothing);
     let mut taken = Vec::new();
-    while let Some(slot) = capacity.best(&request, None, None) {
-        capacity.take(slot, &request.task_resources);
+    while let Some(slot) = capacity.best_slot(&request, None, None) {
+        capacity.allocate(slot, &request.task_resources);
         taken.push(capacity.slots[slot].spot);
     }
     // All four on the spot machine, then four of eight on ordinary ones.
     assert_eq!(taken, [true, true, true, true, false, false, false, false]);
-    let service = PlacementRequest::new(&array, &names, Vec::new(), false, Preempts::AllLowerWork);
-    assert!(capacity.best(&service, None, None).is_some());
+    let service = PlacementRequest::new(
+        &array,
+        &names,
+        Vec::new(),
+        false,
+        PreemptionScope::AllLowerPriorities,
+    );
+    assert!(capacity.best_slot(&service, None, None).is_some());
 }
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -123,7 +123,7 @@
         (ReconciliationPhase::Certain, 3),
     ];
     ReconciliationProgress {
-        all_joined: true,
+        all_shards_reported: true,
         reconciled: false,
         jobs: phases.into_iter().collect(),
         unreconciled_tasks: 5,
