--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -1,6 +1,5 @@
-//! The actor that calls the cloud's API: rentals, deletions, the machine list and the
-//! catalog, within the cloud's rate limit. Only the leader sends it requests that cost
-//! money.
+//! The actor that calls the cloud's API within its rate limit: rentals, deletions, the
+//! machine list and the catalog. Only the leader sends it requests that cost money.
 
 use crate::api::status;
 use crate::clock::{self, Seconds};
@@ -14,41 +13,42 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// How many requests may wait for the actor.
+/// The capacity of the actor's request queue.
 const QUEUE_CAPACITY: usize = 64;
 
 /// The share of the cloud's rate limit that the leader uses. The rest is left to a
-/// controller that led a moment ago.
+/// controller that led until a moment ago.
 const RATE_SHARE: f64 = 0.75;
 
-/// The least rate of requests, in requests per second.
+/// The lowest request rate, in requests per second.
 const MIN_RATE: f64 = 0.2;
 
-/// The least number of requests that may be sent at once.
+/// The lowest number of requests that may be sent in a burst.
 const MIN_BURST: f64 = 1.0;
 
-/// The shortest time that a response may take, in seconds.
+/// The lowest timeout for a response, in seconds.
 const MIN_TIMEOUT_S: Seconds = 1.0;
 
-/// The shortest pause before a request that the rate limit holds back, in seconds.
+/// The shortest pause before a request that the rate limit delays, in seconds.
 const MIN_RATE_PAUSE_S: Seconds = 0.01;
 
-/// The most machines in a page of the machine list.
+/// The number of machines requested for a page of the machine list.
 const LIST_PAGE_SIZE: usize = 500;
 
-/// The error of a refused rental by which the cloud says that it has no such machine.
+/// The error text with which the cloud refuses a rental because it has no such machine.
 const NO_CAPACITY_ERROR: &str = "no capacity";
 
 /// A request to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudRequest {
-    /// For the catalog of machine types.
+    /// Get the catalog of machine types.
     Catalog,
-    /// To rent machines. Repeating it under the same identifier rents no others.
+    /// Rent machines. Repeating a request with the same identifier does not rent further
+    /// machines.
     Rent(RentalRequest),
-    /// To delete machines.
+    /// Delete machines.
     Delete(Vec<MachineId>),
-    /// For the list of all rented machines.
+    /// List all rented machines.
     List,
 }
 
@@ -57,26 +57,26 @@
 pub enum CloudResponse {
     /// The catalog of machine types.
     Catalog(Catalog),
-    /// Machines were rented, perhaps fewer than were requested.
+    /// Machines were rented, possibly fewer than requested.
     Rented {
         /// The request.
         request: RentalRequest,
         /// The names of the machines.
         machines: Vec<MachineId>,
     },
-    /// The cloud has no machine of this offer at present.
+    /// The cloud currently has no machine of this offer.
     NoCapacity(RentalRequest),
-    /// The outcome of a rental is unknown: the same request is to be sent again.
+    /// The outcome of a rental is unknown: the same request has to be sent again.
     RentOutcomeUnknown(RentalRequest),
-    /// The cloud refuses a rental as malformed.
+    /// The cloud rejects a rental as malformed.
     RentRefused(RentalRequest),
     /// The machines are deleted.
     Deleted(Vec<MachineId>),
     /// A deletion has failed, or its outcome is unknown.
     DeleteUnconfirmed(Vec<MachineId>),
-    /// The list of all rented machines.
+    /// All rented machines.
     List {
-        /// When it was requested, on the steady clock.
+        /// When the list was requested, on the monotonic clock.
         requested_at: Seconds,
         /// The machines.
         machines: Vec<ListedMachine>,
@@ -85,9 +85,9 @@
     ReadFailed,
 }
 
-/// Starts the actor in a detached thread; `on_response` takes its responses and returns
-/// false once nobody takes them any more. The channel is bounded: when it is full, the
-/// request is to be sent again later.
+/// Starts the actor in a detached thread. `on_response` receives its responses and returns
+/// false once nobody receives them any more, which ends the thread. The queue is bounded:
+/// when it is full, the caller has to send the request again later.
 pub fn start<F>(settings: &Settings, on_response: F) -> Sender<CloudRequest>
 where
     F: Fn(CloudResponse) -> bool + Send + Clone + 'static,
@@ -102,6 +102,7 @@
     sender
 }
 
+/// Executes requests until the queue or the receiver of responses is closed.
 fn run(
     http: &HttpClient,
     requests: &Receiver<CloudRequest>,
@@ -118,13 +119,15 @@
     }
 }
 
-/// Waits until the rate limit allows a request, at least `min_pause_s` seconds at a time.
+/// Waits until the rate limit allows a request, sleeping at least `min_pause_s` seconds at
+/// a time.
 fn wait_for_token(bucket: &mut TokenBucket, min_pause_s: Seconds) {
     while let Err(wait_s) = bucket.take(1.0, clock::now()) {
         std::thread::sleep(Duration::from_secs_f64(wait_s.max(min_pause_s)));
     }
 }
 
+/// Sends a request and waits for its outcome.
 fn execute(http: &HttpClient, request: CloudRequest, bucket: &mut TokenBucket) -> CloudResponse {
     match request {
         CloudRequest::Catalog => get_catalog(http),
@@ -155,7 +158,7 @@
     }
 }
 
-/// What a failed call says of the rental.
+/// Converts the error of a failed rental.
 fn rental_error(
     error: CallError,
     request: RentalRequest,
@@ -168,7 +171,7 @@
             CloudResponse::NoCapacity(request)
         }
         CallError::Status(status::BAD_REQUEST, body) => {
-            tracing::warn!(%body, "the cloud calls a rental malformed");
+            tracing::warn!(%body, "cloud rejected a rental as malformed");
             CloudResponse::RentRefused(request)
         }
         CallError::Status(status::TOO_MANY_REQUESTS, _) => {
--- a/src/autoscaler/consolidation.rs
+++ b/src/autoscaler/consolidation.rs
@@ -1,22 +1,22 @@
-//! Consolidation: moving the replicas of half-empty machines to others, so that these
-//! machines can be returned.
+//! Consolidation: moving the service replicas of partly used machines to other machines, so
+//! that the emptied machines can be returned.
 
 use super::machines::MachineUsage;
 use super::policy::MINIMUM_CHARGE_S;
 use crate::wire::Catalog;
 use std::collections::HashMap;
 
-/// How many times over the capacity must be free that replicas move to, and so must be
-/// the headroom afterwards: a move must not lead to a new machine.
+/// How many times the required capacity must be free, both for the replicas to move and for
+/// the headroom afterwards: moving replicas must not cause a machine to be rented.
 const FREE_CAPACITY_FACTOR: f64 = 2.0;
 
-/// A machine is not consolidated before this many minimum charges.
-const MINIMUM_CHARGES: f64 = 2.0;
+/// The age from which a machine may be consolidated, in minimum charges.
+const MIN_AGE_IN_MINIMUM_CHARGES: f64 = 2.0;
 
-/// Selects the machine whose replicas to move next: the most expensive per CPU, then
-/// the one with the least to move, of the on-demand machines whose replicas fit into
-/// what other on-demand machines of their zone have free. Twice `headroom_cpus` CPUs
-/// stay free besides.
+/// Selects the machine whose replicas are moved next, among the on-demand machines whose
+/// replicas fit into the free capacity of other on-demand machines in their zone while
+/// twice `headroom_cpus` CPUs stay free: the one with the highest price per CPU, and of
+/// several the one with the fewest CPUs to move.
 pub fn select_for_consolidation<'a>(
     machines: &'a [MachineUsage],
     catalog: &Catalog,
@@ -33,7 +33,7 @@
         *free_in_zone.entry(&machine.offer.zone).or_default() += machine.free.cpus.max(0.0);
     }
     let has_replicas = |machine: &&MachineUsage| {
-        machine.pinned_cpus > 0.0 && machine.age_s > MINIMUM_CHARGES * MINIMUM_CHARGE_S
+        machine.pinned_cpus > 0.0 && machine.age_s > MIN_AGE_IN_MINIMUM_CHARGES * MINIMUM_CHARGE_S
     };
     let fits_elsewhere = |machine: &&MachineUsage| {
         let own_free_cpus = machine.free.cpus.max(0.0);
--- a/src/autoscaler/deletions.rs
+++ b/src/autoscaler/deletions.rs
@@ -1,24 +1,25 @@
-//! The bookkeeping of machines that are deleted, and of those that are gone for certain.
+//! Tracks machines whose deletion was requested, and machines that are gone: known to no
+//! longer exist.
 
 use crate::clock::Seconds;
 use crate::wire::MachineId;
 use std::collections::HashMap;
 
-/// The most machines that one deletion may name.
+/// The most machines per deletion request.
 const MAX_MACHINES_PER_REQUEST: usize = 100;
 
-/// Deletions under way and done.
+/// Deletions in progress, and machines that are gone.
 #[derive(Debug, Default)]
 pub struct Deletions {
-    /// When a deletion without an answer is requested again.
+    /// When the deletion of a machine is requested again, unless it is confirmed before.
     retry_at: HashMap<MachineId, Seconds>,
-    /// Machines that are gone for certain, and since when that is known.
+    /// Machines that are gone, and since when that is known.
     gone_since: HashMap<MachineId, Seconds>,
 }
 
 impl Deletions {
-    /// Those of `machines` whose deletion is to be requested now, as many as one
-    /// request may name: neither gone nor being deleted.
+    /// Selects the machines whose deletion has to be requested now, up to the limit of one
+    /// request: those that are neither gone nor waiting for the result of a deletion.
     pub fn due(&self, machines: Vec<MachineId>, now: Seconds) -> Vec<MachineId> {
         let is_due = |id: &MachineId| {
             !self.is_gone(id)
@@ -34,14 +35,14 @@
             .collect()
     }
 
-    /// A deletion was requested, or has failed: unless it is confirmed, it is requested
-    /// again at `retry_at`.
+    /// Records that a deletion was requested or has failed. Unless it is confirmed before,
+    /// it is requested again at `retry_at`.
     pub fn retry(&mut self, machines: Vec<MachineId>, retry_at: Seconds) {
         self.retry_at
             .extend(machines.into_iter().map(|id| (id, retry_at)));
     }
 
-    /// The cloud has confirmed a deletion.
+    /// Records that the cloud has confirmed a deletion.
     pub fn confirm(&mut self, machines: Vec<MachineId>, now: Seconds) {
         for id in machines {
             self.retry_at.remove(&id);
@@ -49,27 +50,27 @@
         }
     }
 
-    /// A machine is gone, whoever ended it.
+    /// Records that a machine is gone, whether it was deleted, was reclaimed or has failed.
     pub fn record_gone(&mut self, id: MachineId, now: Seconds) {
         self.gone_since.insert(id, now);
     }
 
-    /// Whether a machine is gone for certain.
+    /// Whether a machine is known to no longer exist.
     pub fn is_gone(&self, id: &MachineId) -> bool {
         self.gone_since.contains_key(id)
     }
 
-    /// The machines that are gone for certain.
+    /// The machines that are known to no longer exist.
     pub fn gone(&self) -> impl Iterator<Item = &MachineId> {
         self.gone_since.keys()
     }
 
-    /// A machine is off the machine registry.
+    /// Removes the retry for a machine that was removed from the machine registry.
     pub fn forget_request(&mut self, id: &MachineId) {
         self.retry_at.remove(id);
     }
 
-    /// Forgets machines that have been gone for `after_s` seconds and are off the
+    /// Removes machines that have been gone for `after_s` seconds and are not in the
     /// machine registry.
     pub fn forget_gone(
         &mut self,
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -1,38 +1,38 @@
-//! Demand for capacity that the fleet does not have.
+//! Pending demand: tasks for which the fleet has no capacity.
 
 use crate::clock::Seconds;
 use crate::wire::{JobKind, JobSpec, Priority, Resources};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Tasks of one job that no machine has room for.
+/// Tasks of one job that fit on no machine at present.
 #[derive(Debug, Clone)]
 pub struct PendingDemand {
-    /// What each of the tasks needs.
+    /// The resources that each of the tasks needs.
     pub task_resources: Resources,
     /// The number of tasks.
     pub count: u32,
-    /// The job.
+    /// The specification of the job.
     pub spec: Arc<JobSpec>,
-    /// For how many seconds it has waited.
+    /// For how many seconds the job has waited.
     pub age_s: Seconds,
-    /// Whether no on-demand machine is rented for it: it waits for spot machines or for
-    /// capacity that becomes free.
+    /// Whether no on-demand machine is rented for the tasks: they wait for spot machines or
+    /// for capacity that becomes free.
     pub spot_only: bool,
-    /// Where other tasks of the job are, by zone, if the zones of its tasks depend on
-    /// each other.
+    /// The number of other tasks of the job in each zone, if the job is zone-constrained;
+    /// empty otherwise.
     pub tasks_in_zone: BTreeMap<Arc<str>, u32>,
 }
 
 impl PendingDemand {
-    /// The CPUs that all of the tasks need.
+    /// The CPUs that all of the tasks need together.
     pub fn cpus(&self) -> f64 {
         self.task_resources.cpus * f64::from(self.count)
     }
 
-    /// The demand that stands for headroom, so that services to come start at once:
-    /// `missing_cpus` CPUs in on-demand machines, in tasks like those of `service`.
-    /// `None` if nothing is missing.
+    /// Returns demand that represents headroom, so that future services start at once:
+    /// `missing_cpus` CPUs on on-demand machines, in tasks like those of `service`. `None`
+    /// if no headroom is missing or `service` needs no CPUs.
     pub fn service_headroom(missing_cpus: f64, service: &JobSpec) -> Option<PendingDemand> {
         if missing_cpus <= 0.0 || service.cpus <= 0.0 {
             return None;
--- a/src/autoscaler/machine_list.rs
+++ b/src/autoscaler/machine_list.rs
@@ -1,68 +1,69 @@
-//! What the cloud's machine lists have shown: which machines are gone, and which run
-//! though no controller knows them.
+//! Evaluates the cloud's machine lists: which registered machines are gone, and which
+//! machines run without being known to any controller.
 
 use crate::clock::Seconds;
 use crate::wire::MachineId;
 use std::collections::{HashMap, HashSet};
 
-/// A list may be up to this many times the cloud's stated lag old.
+/// A list may be outdated by up to this multiple of the cloud's stated lag.
 const LAG_FACTOR: f64 = 2.0;
 
-/// Slack for the way of a request for a list, in seconds.
+/// Allowance for the transmission of a request for a list, in seconds.
 const REQUEST_SLACK_S: Seconds = 0.5;
 
-/// Slack for a machine that no controller knows, in seconds.
+/// Allowance before a machine that no controller knows counts as running, in seconds.
 const UNKNOWN_SLACK_S: Seconds = 1.0;
 
-/// The shortest time between two requests for a list, in seconds.
+/// The shortest interval between requests for a list, in seconds.
 const MIN_INTERVAL_S: Seconds = 1.0;
 
-/// What lists have shown so far, and when the next is due.
+/// The evaluation of the lists received so far, and when the next one is due.
 #[derive(Debug, Default)]
 pub struct MachineListTracker {
-    /// When the next list is requested; `None`: at once.
+    /// When the next list is requested; `None` for as soon as possible.
     due_at: Option<Seconds>,
-    /// A list was requested and has not come.
+    /// Whether a requested list has not arrived yet.
     pending: bool,
-    /// When a machine of the machine registry was last listed.
+    /// When each registered machine was last listed.
     listed_at: HashMap<MachineId, Seconds>,
     /// Since when a machine that no controller knows has been listed.
     unknown_since: HashMap<MachineId, Seconds>,
 }
 
 impl MachineListTracker {
-    /// This controller leads from now on: a list is due at once.
+    /// Makes a list due at once, as this controller has become the leader.
     pub fn start_leading(&mut self) {
         self.due_at = None;
         self.pending = false;
     }
 
-    /// A machine is off the machine registry.
+    /// Removes a machine that was removed from the machine registry.
     pub fn forget(&mut self, id: &MachineId) {
         self.listed_at.remove(id);
     }
 
-    /// Whether to request a list now.
+    /// Whether a list should be requested now.
     pub fn is_due(&self, now: Seconds) -> bool {
         self.due_at.is_none_or(|due_at| now >= due_at) && !self.pending
     }
 
-    /// A list was requested; `lag_s` is the cloud's stated lag in seconds.
+    /// Records that a list was requested; `lag_s` is the cloud's stated lag in seconds.
     pub fn record_request(&mut self, now: Seconds, lag_s: Seconds) {
         self.pending = true;
         self.due_at = Some(now + lag_s.max(MIN_INTERVAL_S));
     }
 
-    /// The request has been answered, or has failed.
+    /// Records that the request was answered or has failed.
     pub fn record_answer(&mut self) {
         self.pending = false;
     }
 
-    /// Records which machines of the registry a list requested at `requested_at` has;
-    /// returns those that are gone.
+    /// Records which machines of the machine registry are in a list that was requested at
+    /// `requested_at`, and returns those that are gone.
     ///
-    /// The list may be up to twice the lag old: that a machine is gone is certain only
-    /// if an earlier list, received before this one can have been made, had it.
+    /// The list may be outdated by up to twice the lag. A machine that is missing from it
+    /// is certain to be gone only if an earlier list contained it, and that list was
+    /// received before this one can have been made.
     pub fn record_registered<'a>(
         &mut self,
         registered: impl Iterator<Item = &'a MachineId>,
@@ -83,19 +84,20 @@
         gone
     }
 
-    /// A listed machine is known.
+    /// Records that a listed machine is known to a controller.
     pub fn record_known(&mut self, id: &MachineId) {
         self.unknown_since.remove(id);
     }
 
-    /// A listed machine is unknown. Whether it certainly runs: it has been listed for so
-    /// long that the lists cannot show one that was deleted meanwhile.
+    /// Records that no controller knows a listed machine. Returns whether the machine is
+    /// certain to run: it has been listed for so long that this cannot be due to outdated
+    /// lists which still contain a deleted machine.
     pub fn record_unknown(&mut self, id: &MachineId, lag_s: Seconds, now: Seconds) -> bool {
         let since = *self.unknown_since.entry(id.clone()).or_insert(now);
         now - since > LAG_FACTOR * lag_s + UNKNOWN_SLACK_S
     }
 
-    /// Forgets unknown machines that the newest list no longer has.
+    /// Removes unknown machines that are not in the latest list.
     pub fn retain_unknown(&mut self, listed: &HashSet<&MachineId>) {
         self.unknown_since.retain(|id, _| listed.contains(id));
     }
--- a/src/autoscaler/machines.rs
+++ b/src/autoscaler/machines.rs
@@ -1,19 +1,19 @@
-//! The machines that the autoscaler plans with: what the cloud offers, what boots and
-//! what is in use.
+//! The machines that the autoscaler plans with: those that the cloud offers, those that
+//! boot and those in use.
 
 use crate::clock::Seconds;
 use crate::store::records::MachineRecord;
 use crate::wire::{Catalog, MachineId, MachineType, RentalRequest, Resources};
 use std::sync::Arc;
 
-/// What the cloud rents out: machines of a type in a zone, as spot or on-demand ones.
+/// Machines that the cloud rents out: of one type, in one zone, either spot or on-demand.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineOffer {
     /// The name of the machine type in the catalog.
     pub machine_type: Arc<str>,
     /// The zone of the machines.
     pub zone: Arc<str>,
-    /// Whether they are spot machines, which the cloud may take back, or on-demand ones.
+    /// Whether they are spot machines, which the cloud may reclaim, or on-demand machines.
     pub spot: bool,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl MachineOffer {
-    /// Every offer of a catalog, spot before on-demand for each type and zone.
+    /// All offers of a catalog; for each type and zone, spot before on-demand machines.
     pub(super) fn all_in(catalog: &Catalog) -> impl Iterator<Item = MachineOffer> + '_ {
         catalog.types.iter().flat_map(|machine_type| {
             machine_type.zones.iter().flat_map(move |zone| {
@@ -64,24 +64,24 @@
 /// A machine that was rented and has not sent a heartbeat yet.
 #[derive(Debug, Clone)]
 pub struct BootingMachine {
-    /// Its name; empty as long as the cloud has not answered the rental.
+    /// The name of the machine; empty until the cloud has answered the rental.
     pub id: MachineId,
-    /// What it was rented as.
+    /// The offer that it was rented from.
     pub offer: MachineOffer,
     /// Seconds since it was rented.
     pub age_s: Seconds,
 }
 
-/// A machine in use, as far as giving it up is concerned.
+/// The data of a machine in use that decides whether it can be given up.
 #[derive(Debug, Clone)]
 pub struct MachineUsage {
-    /// Its name.
+    /// The name of the machine.
     pub id: MachineId,
-    /// What it was rented as.
+    /// The offer that it was rented from.
     pub offer: MachineOffer,
-    /// What no task takes.
+    /// The resources that no task uses.
     pub free: Resources,
-    /// For how many seconds it has run nothing.
+    /// For how many seconds it has had no task.
     pub idle_s: Seconds,
     /// Seconds since it was rented.
     pub age_s: Seconds,
@@ -89,19 +89,19 @@
     pub tasks: u32,
     /// Whether new tasks may be assigned to it.
     pub schedulable: bool,
-    /// CPUs of its tasks that do not end by themselves, such as replicas of services.
+    /// The CPUs of its tasks that do not end by themselves, such as service replicas.
     pub pinned_cpus: f64,
 }
 
 impl MachineUsage {
-    /// The CPUs of its type; zero if the catalog lacks the type.
+    /// The CPUs of its machine type; zero if the type is not in the catalog.
     pub(super) fn cpus(&self, catalog: &Catalog) -> f64 {
         catalog
             .get(&self.offer.machine_type)
             .map_or(0.0, |machine_type| machine_type.cpus)
     }
 
-    /// What a CPU of it costs per hour; zero if the catalog lacks its type.
+    /// Its price per CPU and hour; zero if its type is not in the catalog.
     pub(super) fn price_per_cpu(&self, catalog: &Catalog) -> f64 {
         catalog
             .get(&self.offer.machine_type)
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -1,7 +1,7 @@
-//! Scaling the fleet out and in: what to rent, drain, consolidate and return, the
-//! bookkeeping of requests to the cloud, and the client that sends them.
+//! Scales the fleet: plans which machines to rent, drain, consolidate and return, tracks
+//! requests to the cloud and contains the client that sends them.
 //!
-//! Planning is pure: demand and machines in, actions out.
+//! The planning functions are pure: they compute actions from the demand and the machines.
 
 mod capacity_backoff;
 pub mod cloud;
--- a/src/autoscaler/rentals.rs
+++ b/src/autoscaler/rentals.rs
@@ -1,40 +1,41 @@
-//! The bookkeeping of rentals that the cloud has not answered for certain.
+//! Tracks rentals whose outcome is not known yet.
 
 use super::machines::{BootingMachine, MachineOffer};
 use crate::clock::Seconds;
 use crate::wire::RentalRequest;
 use std::collections::HashMap;
 
-/// The most machines that one request may name.
+/// The most machines per rental request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// Where an open rental stands.
+/// The state of an open rental.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum RentalState {
-    /// The request was sent and has no answer yet.
+    /// The request was sent and not answered yet.
     AwaitingAnswer,
     /// The outcome is unknown: the same request is sent again at this time.
     RetryAt(Seconds),
 }
 
-/// A rental without a certain answer yet.
+/// A rental whose outcome is not known yet.
 #[derive(Debug)]
 struct OpenRental {
     request: RentalRequest,
     state: RentalState,
 }
 
-/// Rentals under way, by the identifier of their request, which makes repeating them
-/// harmless.
+/// The open rentals, by the identifier of their request. The cloud recognizes a repeated
+/// request by it, so that a retry does not rent further machines.
 #[derive(Debug, Default)]
 pub struct Rentals {
+    /// The number of requests made by this process, which numbers them.
     requests_made: u64,
     open: HashMap<String, OpenRental>,
 }
 
 impl Rentals {
-    /// A new request for machines of an offer: `count` of them, or as many as one
-    /// request may name. `incarnation` is this controller's, so that identifiers are
+    /// Creates a request for `count` machines of an offer, or for as many as the limit of
+    /// one request allows. `incarnation` is this controller's, which makes the identifiers
     /// unique in the cluster.
     pub fn next_request(
         &mut self,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A new request was sent.
+    /// Records that a new request was sent.
     pub fn record_sent(&mut self, request: RentalRequest) {
         let rental = OpenRental {
             request: request.clone(),
@@ -61,7 +62,8 @@
         self.open.insert(request.request, rental);
     }
 
-    /// Sends the requests again whose retry is due; `send` says whether it could.
+    /// Sends the requests again whose retry is due; `send` returns whether the request was
+    /// sent.
     pub fn resend_due(&mut self, now: Seconds, send: impl Fn(RentalRequest) -> bool) {
         for rental in self.open.values_mut() {
             let is_due = matches!(rental.state, RentalState::RetryAt(at) if now >= at);
@@ -71,12 +73,13 @@
         }
     }
 
-    /// A request has got its final answer.
+    /// Removes a request that has got its final answer.
     pub fn close(&mut self, request: &RentalRequest) {
         self.open.remove(&request.request);
     }
 
-    /// A request has got no certain answer: the same is sent again at `retry_at`.
+    /// Schedules the same request to be sent again at `retry_at`, as its outcome is
+    /// unknown.
     pub fn retry(&mut self, request: RentalRequest, retry_at: Seconds) {
         if let Some(rental) = self.open.get_mut(&request.request) {
             *rental = OpenRental {
@@ -86,7 +89,7 @@
         }
     }
 
-    /// The number of requests that were sent and have no answer yet.
+    /// The number of requests that were sent and not answered yet.
     pub fn awaiting_answer(&self) -> usize {
         self.open
             .values()
@@ -94,7 +97,7 @@
             .count()
     }
 
-    /// The machines to come of open rentals, each without a name yet.
+    /// The machines that the open rentals may still yield, without names.
     pub fn pending_machines(&self) -> impl Iterator<Item = BootingMachine> + '_ {
         self.open.values().flat_map(|rental| {
             let machine = BootingMachine {
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -1,23 +1,23 @@
-//! Planning which machines to give up: idle ones, and expensive ones that are drained
+//! Plans which machines to give up: idle machines are returned, expensive ones are drained
 //! first.
 
 use super::machines::MachineUsage;
 use super::policy::{ScalingPolicy, MINIMUM_CHARGE_S};
 use crate::wire::{Catalog, MachineId};
 
-/// The share of the fleet that may begin to drain in one report interval.
+/// The share of the fleet that may start to drain in one report interval.
 const DRAINED_SHARE: f64 = 0.04;
 
-/// A machine is returned from this share of the minimum charge on: what is left of it
-/// passes until the cloud has carried out the deletion.
+/// The share of the minimum charge after which a machine is returned: the rest passes until
+/// the cloud has carried out the deletion.
 const MINIMUM_CHARGE_SHARE: f64 = 0.9;
 
-/// CPUs below which a machine counts as holding nothing that is pinned to it.
+/// A machine with fewer pinned CPUs than this counts as having none.
 const NO_PINNED_CPUS: f64 = 1e-6;
 
-/// Plans which idle machines to return: those idle for long enough and past their
-/// minimum charge, as long as `headroom_cpus` CPUs stay free on on-demand machines,
-/// which the start-time objectives of services need.
+/// Plans which idle machines to return: those that have been idle for long enough and are
+/// past their minimum charge, as long as `headroom_cpus` CPUs stay free on on-demand
+/// machines, which the start objectives of services require.
 pub fn plan_scale_in(
     machines: &[MachineUsage],
     catalog: &Catalog,
@@ -50,6 +50,7 @@
     returned
 }
 
+/// Whether a machine has been idle for long enough and is past its minimum charge.
 fn is_idle_long_enough(machine: &MachineUsage, catalog: &Catalog, policy: &ScalingPolicy) -> bool {
     let boot_s = catalog
         .get(&machine.offer.machine_type)
@@ -58,12 +59,12 @@
         && machine.age_s >= MINIMUM_CHARGE_S * MINIMUM_CHARGE_SHARE
 }
 
-/// Plans which machines to drain next: the most expensive per CPU of those that hold
-/// nothing pinned, as long as the others have capacity for what these run, for
-/// `headroom_cpus` CPUs and for a share of all work besides.
+/// Plans which machines to drain next: those with the highest price per CPU that have no
+/// pinned tasks, as long as the other machines have enough free capacity for the tasks that
+/// these run, for `headroom_cpus` CPUs and for a share of all tasks.
 ///
-/// A draining machine takes no new tasks and is returned once its last task has ended;
-/// no task is stopped for it. A large fleet drains several at a time.
+/// A draining machine takes no new tasks and is returned once its last task has ended; no
+/// task is stopped for it. In a large fleet several machines start to drain at a time.
 pub fn plan_draining(
     machines: &[MachineUsage],
     catalog: &Catalog,
@@ -87,7 +88,7 @@
     let limit = ((schedulable.len() as f64 * DRAINED_SHARE) as usize).max(1);
     let mut drained = Vec::new();
     for machine in most_expensive_first(schedulable, catalog) {
-        // Its work needs capacity elsewhere as its tasks end.
+        // As its tasks end, the next tasks of their jobs need capacity on other machines.
         if drained.len() >= limit || free_cpus - machine.cpus(catalog) < reserved_cpus {
             break;
         }
@@ -97,7 +98,8 @@
     drained
 }
 
-/// The machines that may drain, the most expensive per CPU first, then the emptiest.
+/// The machines that may drain, those with the highest price per CPU first, then those with
+/// the most free CPUs.
 fn most_expensive_first<'a>(
     mut machines: Vec<&'a MachineUsage>,
     catalog: &Catalog,
--- a/src/scheduler/capacity/machine_slot.rs
+++ b/src/scheduler/capacity/machine_slot.rs
@@ -1,4 +1,4 @@
-//! What a machine has free, as placement sees it.
+//! The free capacity of one machine, as placement sees it.
 
 use super::{NameInterner, PlacementRequest, PreemptionScope};
 use crate::shard::MachineStatus;
@@ -8,7 +8,7 @@
 /// A machine that takes new tasks. Its names are interned.
 #[derive(Debug, Clone)]
 pub struct MachineSlot {
-    /// The machine.
+    /// The name of the machine.
     pub id: MachineId,
     /// The shard that owns it.
     pub shard: u32,
@@ -16,22 +16,28 @@
     pub machine_type: u32,
     /// Its zone.
     pub zone: u32,
-    /// Whether the cloud may take it back at short notice.
+    /// Whether it is a spot machine, which the cloud may reclaim at short notice.
     pub spot: bool,
-    /// What no task uses.
+    /// The resources that no task uses.
     pub free: Resources,
-    /// What tasks of lower priority use, which the highest priority may preempt.
+    /// What tasks below the highest priority use, which jobs of the highest priority may
+    /// preempt.
     pub preemptible: Resources,
-    /// What low tasks of borrowing teams use, which the priorities between may preempt.
+    /// What low-priority tasks of borrowing teams use, which urgent and standard jobs may
+    /// preempt.
     pub preemptible_low: Resources,
     /// The images cached there, in ascending order.
     pub images: Arc<[u32]>,
 }
 
 impl MachineSlot {
-    /// The slot of a machine of `shard`, from its report.
+    /// Converts the reported status of a machine of `shard`.
     pub fn new(status: &MachineStatus, shard: u32, names: &mut NameInterner) -> MachineSlot {
-        let mut images: Vec<u32> = status.images.iter().map(|i| names.intern(i)).collect();
+        let mut images: Vec<u32> = status
+            .images
+            .iter()
+            .map(|image| names.intern(image))
+            .collect();
         images.sort_unstable();
         MachineSlot {
             id: status.id.clone(),
@@ -46,14 +52,14 @@
         }
     }
 
-    /// How many tasks of a request it has room for.
+    /// How many tasks of a request fit, including what the request may preempt.
     pub(super) fn max_tasks(&self, request: &PlacementRequest) -> u32 {
         let mut free = self.free;
         free.add(&self.preemptible_for(request.preemption_scope));
         free.max_tasks(&request.task_resources)
     }
 
-    /// What a request may preempt.
+    /// The resources that may be preempted within a scope.
     pub(super) fn preemptible_for(&self, preemption_scope: PreemptionScope) -> Resources {
         match preemption_scope {
             PreemptionScope::Nothing => Resources::default(),
--- a/src/scheduler/capacity/mod.rs
+++ b/src/scheduler/capacity/mod.rs
@@ -1,7 +1,7 @@
-//! The free room of all shards during one round of assignment: each open machine as a
-//! few small numbers, so that choosing among a thousand costs microseconds. It chooses
-//! what [`crate::scheduler::bin_packing::pick`] would; `tests/placement_model.rs`
-//! compares the two.
+//! The free capacity of all shards during one round of assignment. Each schedulable machine
+//! is represented by a few small numbers, so that selecting one of a thousand takes
+//! microseconds. The selection is the same as that of
+//! [`crate::scheduler::bin_packing::pick`]; `tests/placement_model.rs` compares the two.
 
 mod machine_slot;
 mod names;
@@ -17,42 +17,43 @@
 use crate::wire::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a shard's machines have free.
+/// The free CPUs of a shard's machines.
 #[derive(Debug)]
 struct ShardCapacity {
     shard: u32,
     free_cpus: f64,
-    /// Of these, on ordinary machines.
-    ordinary_cpus: f64,
+    /// The part of these on on-demand machines.
+    on_demand_cpus: f64,
 }
 
 impl ShardCapacity {
-    /// Counts CPUs that come free, or with a negative number are taken.
+    /// Adds CPUs that become free; a negative number is allocated.
     fn add(&mut self, spot: bool, cpus: f64) {
         self.free_cpus += cpus;
         if !spot {
-            self.ordinary_cpus += cpus;
+            self.on_demand_cpus += cpus;
         }
     }
 }
 
-/// What decides between machines, the lowest first.
+/// The criteria for selecting a machine, the most important first; the lowest rank wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PlacementRank {
-    /// The job is latency-sensitive, and its image isn't cached there.
+    /// The job is latency-sensitive, and its image is not cached there.
     slow_start: bool,
     /// Other tasks would be preempted.
     preempts: bool,
-    /// The job may run on spot machines, and this is an ordinary one.
-    ordinary_for_spot: bool,
-    /// What is left over, in steps of [`bin_packing::quantized_cost`].
+    /// The job allows spot machines, and this is an on-demand machine.
+    on_demand_for_spot_job: bool,
+    /// The resources that would remain free, as returned by
+    /// [`bin_packing::quantized_cost`].
     quantized_cost: i64,
-    /// The image isn't cached there.
-    cold: bool,
+    /// The image is not cached there.
+    cold_image: bool,
 }
 
 impl PlacementRank {
-    /// The rank of a machine; none if it lacks the room.
+    /// The rank of a machine; `None` if the request does not fit.
     fn of(slot: &MachineSlot, request: &PlacementRequest) -> Option<PlacementRank> {
         let mut free = slot.free;
         let preempts = !free.fits(&request.task_resources);
@@ -62,40 +63,42 @@
         if !free.fits(&request.task_resources) {
             return None;
         }
-        let cold = !slot.has_image(request);
+        let cold_image = !slot.has_image(request);
         let cost = bin_packing::fragmentation_cost(&free, &request.task_resources);
         Some(PlacementRank {
-            slow_start: request.latency_sensitive && cold,
+            slow_start: request.latency_sensitive && cold_image,
             preempts,
-            ordinary_for_spot: request.spot && !slot.spot,
+            on_demand_for_spot_job: request.spot && !slot.spot,
             quantized_cost: bin_packing::quantized_cost(cost),
-            cold,
+            cold_image,
         })
     }
 }
 
+/// Whether a zone may take another task.
 fn has_allowance(zones: &[ZoneAllowance], zone: u32) -> bool {
     zones
         .iter()
         .any(|allowance| allowance.zone == zone && allowance.tasks > 0)
 }
 
-/// The free room of all shards.
+/// The free capacity of all shards.
 #[derive(Debug, Default)]
 pub struct FreeCapacity {
     /// The machines that take new tasks.
     pub slots: Vec<MachineSlot>,
     shards: Vec<ShardCapacity>,
-    /// CPUs on each shard's ordinary machines that only work which may preempt takes:
-    /// tasks that it would otherwise preempt lose their progress.
+    /// CPUs on each shard's on-demand machines that only requests with access to the
+    /// reserve use: such requests would otherwise preempt tasks, which lose their progress.
     reserved_cpus: f64,
-    /// Requests that nothing had room for in this round: room only shrinks.
+    /// Requests for which no machine had capacity in this round. They stay valid, since
+    /// free capacity only shrinks during a round.
     known_not_to_fit: Vec<PlacementRequest>,
 }
 
 impl FreeCapacity {
-    /// The free room of these machines, of which `reserved_cpus` on ordinary ones are
-    /// kept for the highest priority.
+    /// The free capacity of these machines. Of the CPUs on on-demand machines,
+    /// `reserved_cpus` are kept for requests with access to the reserve.
     pub fn new(slots: Vec<MachineSlot>, reserved_cpus: f64) -> FreeCapacity {
         let mut shards: Vec<ShardCapacity> = Vec::new();
         for slot in &slots {
@@ -103,7 +106,7 @@
                 shards.push(ShardCapacity {
                     shard: slot.shard,
                     free_cpus: 0.0,
-                    ordinary_cpus: 0.0,
+                    on_demand_cpus: 0.0,
                 });
             }
             if let Some(capacity) = shards
@@ -122,20 +125,22 @@
         }
     }
 
-    /// The shards whose ordinary machines this request must leave alone.
+    /// The shards on whose on-demand machines this request may not be placed, as it would
+    /// use reserved CPUs.
     fn shards_at_reserve(&self, request: &PlacementRequest) -> Vec<u32> {
-        if request.uses_reserve || self.reserved_cpus <= 0.0 {
+        if request.may_use_reserve || self.reserved_cpus <= 0.0 {
             return Vec::new();
         }
         let at_reserve = self.shards.iter().filter(|capacity| {
-            capacity.ordinary_cpus - request.task_resources.cpus < self.reserved_cpus
+            capacity.on_demand_cpus - request.task_resources.cpus < self.reserved_cpus
         });
         at_reserve.map(|capacity| capacity.shard).collect()
     }
 
-    /// The machine with the lowest cost, of a shard or of all, among the zones that may
-    /// take more; of several the first by name (HIOBS section 3.2 and Algorithm 1, with
-    /// the exceptions that [`bin_packing::pick`] names).
+    /// The machine with the lowest rank, among those of `shard` (`None`: of all shards) in
+    /// zones whose allowance is not used up (`None`: in all zones); of several, the first
+    /// by name (HIOBS section 3.2 and Algorithm 1, with the exceptions described at
+    /// [`bin_packing::pick`]).
     pub fn best_slot(
         &self,
         request: &PlacementRequest,
@@ -165,15 +170,15 @@
         best.map(|(_, index)| index)
     }
 
-    /// How many tasks each zone has room for, and on how many of these their image
-    /// is: one look at each machine, however many tasks there are.
+    /// How many tasks fit in each zone, and how many of these on machines with their image.
+    /// Each machine is looked at once, regardless of the number of tasks.
     pub fn count_by_zone(&self, request: &PlacementRequest) -> BTreeMap<u32, ZoneCount> {
         let at_reserve = self.shards_at_reserve(request);
         let mut zones: BTreeMap<u32, ZoneCount> = BTreeMap::new();
-        let open = |slot: &&MachineSlot| {
+        let is_eligible = |slot: &&MachineSlot| {
             request.allows(slot) && (slot.spot || !at_reserve.contains(&slot.shard))
         };
-        for slot in self.slots.iter().filter(open) {
+        for slot in self.slots.iter().filter(is_eligible) {
             let tasks = slot.max_tasks(request);
             let zone = zones.entry(slot.zone).or_default();
             zone.tasks = zone.tasks.saturating_add(tasks);
@@ -184,7 +189,8 @@
         zones
     }
 
-    /// Takes the room of up to `count` tasks in these zones, machine by machine.
+    /// Allocates capacity for up to `count` tasks in these zones, machine by machine,
+    /// regardless of the number of tasks that the zones' allowances permit.
     pub fn allocate_in_zones(
         &mut self,
         request: &PlacementRequest,
@@ -210,54 +216,57 @@
         }
     }
 
-    /// Whether nothing can have room for a request, as far as that is known.
+    /// Whether no machine can fit a request, judging by the requests that did not fit in
+    /// this round.
     pub fn known_not_to_fit(&self, request: &PlacementRequest) -> bool {
         self.known_not_to_fit
             .iter()
             .any(|known| request.is_at_least_as_demanding_as(known))
     }
 
-    /// Records that nothing anywhere had room for one task of this request.
+    /// Records that no machine had capacity for one task of this request.
     pub fn record_no_fit(&mut self, request: &PlacementRequest) {
         if request.avoid.is_empty() {
             self.known_not_to_fit.push(request.clone());
         }
     }
 
-    /// Takes a task's room.
+    /// Allocates resources of a machine.
     pub fn allocate(&mut self, slot: usize, resources: &Resources) {
         self.change(slot, |free| free.subtract(resources));
     }
 
+    /// Releases resources that were allocated.
     fn release(&mut self, slot: usize, resources: &Resources) {
         self.change(slot, |free| free.add(resources));
     }
 
+    /// Changes the free resources of a machine, and updates the total of its shard.
     fn change(&mut self, slot: usize, change: impl Fn(&mut Resources)) {
         let slot = &mut self.slots[slot];
         let before = slot.free.cpus.max(0.0);
         change(&mut slot.free);
-        let more = slot.free.cpus.max(0.0) - before;
+        let freed_cpus = slot.free.cpus.max(0.0) - before;
         if let Some(capacity) = self
             .shards
             .iter_mut()
             .find(|capacity| capacity.shard == slot.shard)
         {
-            capacity.add(slot.spot, more);
+            capacity.add(slot.spot, freed_cpus);
         }
     }
 
-    /// The shards that have open machines.
+    /// The shards that have schedulable machines.
     pub fn shards(&self) -> Vec<u32> {
         self.shards.iter().map(|capacity| capacity.shard).collect()
     }
 
-    /// The zones that have open machines, in the order of their numbers.
+    /// The zones that have schedulable machines, in ascending order of their numbers.
     pub fn zones(&self) -> BTreeSet<u32> {
         self.slots.iter().map(|slot| slot.zone).collect()
     }
 
-    /// The same, each allowed to take any number of tasks.
+    /// The zones that have schedulable machines, each with an unlimited allowance.
     pub fn unlimited_zones(&self) -> Vec<ZoneAllowance> {
         self.zones()
             .into_iter()
@@ -265,7 +274,7 @@
             .collect()
     }
 
-    /// CPUs that are free on a shard's machines.
+    /// The free CPUs of a shard's machines.
     pub fn free_cpus(&self, shard: u32) -> f64 {
         self.shards
             .iter()
@@ -273,24 +282,25 @@
             .map_or(0.0, |capacity| capacity.free_cpus)
     }
 
-    /// The shard with the most room, of those not in `full`; the first by name
-    /// of several.
+    /// The shard with the most free CPUs, of those not in `full`; of several, the first by
+    /// name.
     pub fn shard_with_most_free_cpus(&self, full: &[u32], names: &NameInterner) -> Option<u32> {
-        let open = self
+        let candidates = self
             .shards
             .iter()
             .filter(|capacity| !full.contains(&capacity.shard));
-        open.max_by(|a, b| {
-            a.free_cpus
-                .total_cmp(&b.free_cpus)
-                .then(names.name(b.shard).cmp(names.name(a.shard)))
-        })
-        .map(|capacity| capacity.shard)
+        candidates
+            .max_by(|a, b| {
+                a.free_cpus
+                    .total_cmp(&b.free_cpus)
+                    .then(names.name(b.shard).cmp(names.name(a.shard)))
+            })
+            .map(|capacity| capacity.shard)
     }
 
-    /// Machines for as many of `count` tasks as fit one after another within the zones'
-    /// allowances, with `one_zone` all in the zone that takes the most. Nothing is
-    /// taken.
+    /// Selects machines for as many of `count` tasks as fit one after another within the
+    /// zones' allowances; with `one_zone`, all in the zone that fits the most. Nothing
+    /// stays allocated.
     pub fn try_place(
         &mut self,
         request: &PlacementRequest,
@@ -300,23 +310,24 @@
         one_zone: bool,
     ) -> Vec<usize> {
         if !one_zone {
-            return self.try_zones(request, count, shard, zones.to_vec());
+            return self.try_place_in_zones(request, count, shard, zones.to_vec());
         }
         zones
             .iter()
-            .map(|zone| self.try_zones(request, count, shard, vec![*zone]))
+            .map(|zone| self.try_place_in_zones(request, count, shard, vec![*zone]))
             .max_by_key(Vec::len)
             .unwrap_or_default()
     }
 
-    fn try_zones(
+    /// Selects machines as [`FreeCapacity::try_place`] does without `one_zone`.
+    fn try_place_in_zones(
         &mut self,
         request: &PlacementRequest,
         count: usize,
         shard: Option<u32>,
         mut zones: Vec<ZoneAllowance>,
     ) -> Vec<usize> {
-        let mut chosen = Vec::new();
+        let mut selected = Vec::new();
         for _ in 0..count {
             let Some(slot) = self.best_slot(request, shard, Some(&zones)) else {
                 break;
@@ -326,25 +337,25 @@
             if let Some(allowance) = zones.iter_mut().find(|allowance| allowance.zone == zone) {
                 allowance.tasks -= 1;
             }
-            chosen.push(slot);
+            selected.push(slot);
         }
-        for &slot in &chosen {
+        for &slot in &selected {
             self.release(slot, &request.task_resources);
         }
-        chosen
+        selected
     }
 
-    /// How many of the chosen machines have the image of a latency-sensitive job, and
-    /// room for it without preemption; none for other jobs.
-    pub fn count_with_cached_image(&self, request: &PlacementRequest, chosen: &[usize]) -> usize {
+    /// How many of the selected machines have the image of a latency-sensitive job and fit
+    /// a task of it without preemption; 0 for other jobs.
+    pub fn count_with_cached_image(&self, request: &PlacementRequest, selected: &[usize]) -> usize {
         if !request.latency_sensitive {
             return 0;
         }
-        let ready =
+        let is_ready =
             |slot: &MachineSlot| slot.has_image(request) && slot.free.fits(&request.task_resources);
-        chosen
+        selected
             .iter()
-            .filter(|&&slot| ready(&self.slots[slot]))
+            .filter(|&&slot| is_ready(&self.slots[slot]))
             .count()
     }
 }
--- a/src/scheduler/capacity/names.rs
+++ b/src/scheduler/capacity/names.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Numbers for the names of machine types, zones, shards and images.
+/// Maps the names of machine types, zones, shards and images to numbers.
 #[derive(Debug, Default)]
 pub struct NameInterner {
     numbers: HashMap<Arc<str>, u32>,
@@ -11,7 +11,7 @@
 }
 
 impl NameInterner {
-    /// The number of a name, a new one if need be.
+    /// The number of a name; assigns the next number to a new name.
     pub fn intern(&mut self, name: &Arc<str>) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -22,12 +22,12 @@
         number
     }
 
-    /// The number of a name that has one.
+    /// The number of a name; `None` if the name was never interned.
     pub fn lookup(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
 
-    /// The name that `number` was given to by [`NameInterner::intern`].
+    /// The name that [`NameInterner::intern`] assigned `number` to.
     pub fn name(&self, number: u32) -> &Arc<str> {
         &self.names[number as usize]
     }
--- a/src/scheduler/capacity/placement_request.rs
+++ b/src/scheduler/capacity/placement_request.rs
@@ -1,42 +1,47 @@
-//! What the tasks of a job require of a machine.
+//! The requirements that the tasks of a job place on a machine.
 
 use super::{MachineSlot, NameInterner};
 use crate::wire::{JobSpec, MachineId, Resources};
 use std::sync::Arc;
 
-/// What may be preempted to make room for a job.
+/// Which tasks may be preempted to make room for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PreemptionScope {
-    /// Nothing: it waits until there is room.
+    /// None: the job waits for free capacity.
     Nothing,
-    /// Low arrays of teams that use more than they are guaranteed.
+    /// Low-priority arrays of teams that use more than they are guaranteed.
     LowPriorityOfBorrowingTeams,
-    /// Every array of a lower priority.
+    /// Arrays of every lower priority.
     AllLowerPriorities,
 }
 
-/// What a task of a job requires of the machine that it is placed on. Names are
-/// interned.
+/// The requirements that a task of a job places on its machine. Names are interned.
 #[derive(Debug, Clone)]
 pub struct PlacementRequest {
-    /// What the task takes of a machine.
+    /// The resources that the task needs.
     pub task_resources: Resources,
+    /// The machine types that the job allows; `None` for all.
     machine_types: Option<Vec<u32>>,
+    /// The only zone that the job allows, if any.
     zone: Option<u32>,
+    /// Whether the job allows spot machines.
     pub(super) spot: bool,
+    /// The image of the task; `None` if no machine has it cached.
     pub(super) image: Option<u32>,
+    /// Machines on which the task must not be placed, since the job failed there.
     pub(super) avoid: Vec<MachineId>,
-    /// It should start before its image could be fetched, so that cached images count
-    /// first.
+    /// Whether fetching the image would delay the start too much, so that cached images
+    /// come first; see [`crate::scheduler::bin_packing::is_latency_sensitive`].
     pub latency_sensitive: bool,
-    /// What may be preempted for it.
+    /// Which tasks may be preempted for it.
     pub preemption_scope: PreemptionScope,
-    /// It may take the room that is reserved for services.
-    pub uses_reserve: bool,
+    /// Whether it may use the capacity that is reserved for services.
+    pub may_use_reserve: bool,
 }
 
 impl PlacementRequest {
-    /// The request of a job's tasks, which avoid some machines.
+    /// Creates the request of a job's tasks, which are not to be placed on the machines in
+    /// `avoid`.
     pub fn new(
         spec: &JobSpec,
         names: &NameInterner,
@@ -44,7 +49,7 @@
         latency_sensitive: bool,
         preemption_scope: PreemptionScope,
     ) -> PlacementRequest {
-        // A name that no machine has gets a number that none has.
+        // A name that was never interned belongs to no machine; `u32::MAX` matches none.
         let number = |name: &Arc<str>| names.lookup(name).unwrap_or(u32::MAX);
         PlacementRequest {
             task_resources: spec.task_resources(),
@@ -58,19 +63,19 @@
             avoid,
             latency_sensitive,
             preemption_scope,
-            uses_reserve: preemption_scope == PreemptionScope::AllLowerPriorities,
+            may_use_reserve: preemption_scope == PreemptionScope::AllLowerPriorities,
         }
     }
 
-    /// The same request, also for the room that is reserved for services.
-    pub fn with_reserve(self) -> PlacementRequest {
+    /// The same request with access to the capacity that is reserved for services.
+    pub fn with_reserve_access(self) -> PlacementRequest {
         PlacementRequest {
-            uses_reserve: true,
+            may_use_reserve: true,
             ..self
         }
     }
 
-    /// Whether its job may run on a machine, and has not failed there.
+    /// Whether the job allows a machine, and has not failed there.
     pub(super) fn allows(&self, slot: &MachineSlot) -> bool {
         (self.spot || !slot.spot)
             && self.zone.is_none_or(|zone| zone == slot.zone)
@@ -81,13 +86,13 @@
             && !self.avoid.contains(&slot.id)
     }
 
-    /// Whether what doesn't fit for `other` can't fit for this one either.
+    /// Whether a machine that does not fit `other` cannot fit this request either.
     pub(super) fn is_at_least_as_demanding_as(&self, other: &PlacementRequest) -> bool {
         self.machine_types == other.machine_types
             && self.zone == other.zone
             && (!self.spot || other.spot)
             && self.preemption_scope <= other.preemption_scope
-            && (!self.uses_reserve || other.uses_reserve)
+            && (!self.may_use_reserve || other.may_use_reserve)
             && other.avoid.is_empty()
             && other.task_resources.cpus <= self.task_resources.cpus
             && other.task_resources.gpus <= self.task_resources.gpus
--- a/src/scheduler/capacity/zones.rs
+++ b/src/scheduler/capacity/zones.rs
@@ -1,11 +1,11 @@
-//! Zones, by what they may take and by what they have room for.
+//! The zones as placement sees them: their allowances and their capacity.
 
-/// How many more tasks of a job a zone may take.
+/// How many further tasks of a job a zone may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneAllowance {
     /// The interned name of the zone.
     pub zone: u32,
-    /// Tasks that it may still take.
+    /// The number of tasks.
     pub tasks: u32,
 }
 
@@ -19,11 +19,11 @@
     }
 }
 
-/// What a zone has room for.
+/// How many tasks of a request a zone has capacity for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ZoneCount {
-    /// Tasks that fit.
+    /// The number of tasks that fit.
     pub tasks: u32,
-    /// Of these, on machines that have their image.
+    /// The number of these that fit on machines with their image.
     pub with_image: u32,
 }
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -1,4 +1,4 @@
-//! Which finished tasks are to be committed next.
+//! The selection of the finished tasks to commit next.
 
 use super::{JobEntry, Leader};
 use crate::clock::Seconds;
@@ -12,14 +12,15 @@
 pub struct FinishedTasks {
     /// The job.
     pub job: JobId,
-    /// Indexes of its tasks.
+    /// The indexes of the tasks.
     pub tasks: Vec<u32>,
 }
 
-/// A job whose progress may be committed, the first to be committed first.
+/// A job with progress that may be committed, in the order of commits.
 #[derive(Debug)]
 struct ProgressCandidate {
-    /// Some task's machine is about to go, with the result that its worker keeps.
+    /// The machine of a completed task is draining or about to be reclaimed, and with it
+    /// the result that its worker keeps.
     urgent: bool,
     /// Since when the progress may be committed.
     due_at: Seconds,
@@ -27,6 +28,7 @@
 }
 
 impl ProgressCandidate {
+    /// Orders urgent candidates first, then those that are due the longest.
     fn order(&self, other: &ProgressCandidate) -> Ordering {
         let urgent_first = other.urgent.cmp(&self.urgent);
         let oldest_first = self.due_at.total_cmp(&other.due_at);
@@ -35,11 +37,11 @@
 }
 
 impl Leader {
-    /// Tasks that are reported as done and not committed, job by job; each job once at
-    /// a time. The ends of jobs come first, as users wait for them. Then comes the
-    /// progress of others, as long as there are fewer than `max_commits` in all: a
-    /// worker keeps a result until it is committed, so that this can wait, unless its
-    /// machine is about to go.
+    /// Selects completed tasks to commit, grouped by job; a job has at most one commit in
+    /// flight. Commits that end a job come first, since users wait for them, and are not
+    /// limited in number. Progress of other jobs follows, up to `max_commits` in total: it
+    /// can wait, as a worker keeps a result until it is committed, unless the worker's
+    /// machine is about to be returned or reclaimed.
     pub fn completions_to_commit(
         &mut self,
         now: Seconds,
@@ -85,8 +87,8 @@
         commits
     }
 
-    /// Records that a commit of finished tasks was answered. The job's next progress
-    /// follows after a report interval, a refused commit again from `retry_at` on.
+    /// Records that a commit of finished tasks was answered. Further progress of the job is
+    /// committed after a report interval; a refused commit is retried from `retry_at` on.
     pub fn commit_answered(&mut self, job: &JobId, now: Seconds, retry_at: Seconds) {
         if let Some(entry) = self.jobs.get_mut(job) {
             entry.commit_in_flight = false;
@@ -97,7 +99,7 @@
 }
 
 impl JobEntry {
-    /// The completed tasks, whose commit is in flight from now on.
+    /// Marks the commit of the completed tasks as in flight, and returns them.
     fn start_commit(&mut self, id: &JobId) -> FinishedTasks {
         self.commit_in_flight = true;
         FinishedTasks {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Whether some completed task is on one of these machines.
+    /// Whether a completed task is on one of these machines.
     fn has_completed_on(&self, machines: &HashSet<&MachineId>) -> bool {
         self.completed.iter().any(|index| {
             self.assigned
@@ -117,10 +119,10 @@
     }
 }
 
-/// Whether a task's completion is still to be committed. Not once its job is
-/// cancelled, which a shard may learn later than the leader: the completion of a job's
-/// last task, reported in between, made a job done that its user had been told is
-/// cancelled.
+/// Whether a task's completion still has to be committed. It has not once its job is
+/// cancelled, which a shard may learn later than the leader: otherwise the last task of a
+/// job, reported as done in between, would turn the job to done after its user was told
+/// that it is cancelled.
 pub(super) fn needs_commit(cache: &StoreCache, task: &Task) -> bool {
     cache
         .jobs
--- a/src/scheduler/epoch.rs
+++ b/src/scheduler/epoch.rs
@@ -1,4 +1,4 @@
-//! The start of an epoch: what of the leader's table is still known.
+//! The start of an epoch, and which parts of the leader's state remain valid in it.
 
 use super::job_entry::JobEntry;
 use super::Leader;
@@ -7,26 +7,27 @@
 use crate::wire::JobId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The epoch that the leader leads, and what has been reported in it.
+/// The epoch that the leader leads, and the reports received in it.
 #[derive(Debug)]
 pub(super) struct LeaderEpoch {
     pub(super) number: u64,
     /// The incarnation of the leader's own process.
     pub(super) incarnation: u64,
-    /// The controllers of the epoch with their incarnations.
+    /// The controllers that are members of the epoch, with their incarnations.
     pub(super) members: BTreeMap<String, u64>,
-    /// Shards that have reported what they hold since the last task became
-    /// unreconciled.
+    /// Shards that have reported in this epoch since the last job with unreconciled tasks
+    /// became known.
     pub(super) reported_shards: BTreeSet<String>,
     /// Every task and every machine is reconciled.
     pub(super) reconciled: bool,
-    /// Something was reported that may prove where tasks are.
+    /// A report has arrived since the last reconciliation, so that another one may
+    /// reconcile tasks.
     pub(super) has_new_evidence: bool,
-    /// When the first report of this epoch came.
+    /// When the first report of this epoch arrived.
     pub(super) first_report_at: Option<Seconds>,
-    /// When the latest report of any epoch came.
+    /// When the latest report of any epoch arrived.
     pub(super) last_report_at: Seconds,
-    /// Attempt numbers used in this epoch.
+    /// The number of attempts made in this epoch.
     pub(super) attempts_used: u64,
 }
 
@@ -47,9 +48,9 @@
 }
 
 impl Leader {
-    /// Starts an epoch as its leader. The table is kept if this incarnation led the
-    /// epoch just before; what was assigned is unreconciled until it is reported.
-    /// Returns whether the table is kept.
+    /// Starts an epoch as its leader. The state is kept if this incarnation also led the
+    /// previous epoch; assigned tasks become unreconciled until they are reported again.
+    /// Returns whether the state was kept.
     pub fn start_epoch(&mut self, epoch: &Epoch, incarnation: u64, cache: &StoreCache) -> bool {
         let kept = self.epoch.incarnation == incarnation && self.epoch.number + 1 == epoch.number;
         if !kept {
@@ -59,7 +60,7 @@
             self.failed_jobs_by_machine.clear();
             self.faulty.clear();
         }
-        let steady = self.steady_members(epoch, kept, cache);
+        let unchanged = self.unchanged_members(epoch, kept, cache);
         self.epoch = LeaderEpoch {
             number: epoch.number,
             incarnation,
@@ -70,7 +71,7 @@
         };
         self.shards.clear();
         for entry in self.jobs.values_mut() {
-            entry.unreconcile(&steady);
+            entry.unreconcile(&unchanged);
         }
         let ids: Vec<JobId> = cache.jobs.keys().cloned().collect();
         for id in ids {
@@ -79,42 +80,44 @@
         kept
     }
 
-    /// Members that live on and hand no machine over, as nobody is new: what was
-    /// assigned to their shards is theirs still, or nowhere. Without this, the
-    /// return of one controller left all that a partitioned zone had lost
-    /// unreconciled until the last machine of the zone had reported.
-    fn steady_members(&self, epoch: &Epoch, kept: bool, cache: &StoreCache) -> BTreeSet<String> {
-        // Where the shard map has entries, a member that lives on may have handed
-        // machines over.
-        let hashed_only = cache.shard_map.is_empty();
+    /// Members whose incarnation has not changed and which have handed no machine over,
+    /// since the epoch has no new member: what was assigned to their shards still is, or
+    /// does not run anywhere. Without this rule, when one controller came back, all tasks
+    /// that a partitioned zone had lost stayed unreconciled until the last machine of the
+    /// zone had reported.
+    fn unchanged_members(&self, epoch: &Epoch, kept: bool, cache: &StoreCache) -> BTreeSet<String> {
+        // If the shard map has entries, an unchanged member may have handed machines over.
+        let owners_by_hash_only = cache.shard_map.is_empty();
         let members = &self.epoch.members;
-        let nobody_new =
-            kept && hashed_only && epoch.members.keys().all(|name| members.contains_key(name));
-        let steady = |name: &&String| nobody_new && members.get(*name) == epoch.members.get(*name);
-        epoch.members.keys().filter(steady).cloned().collect()
+        let no_new_members = kept
+            && owners_by_hash_only
+            && epoch.members.keys().all(|name| members.contains_key(name));
+        let is_unchanged =
+            |name: &&String| no_new_members && members.get(*name) == epoch.members.get(*name);
+        epoch.members.keys().filter(is_unchanged).cloned().collect()
     }
 
-    /// Whether half of the epoch's attempt numbers are used up: the next epoch has all
-    /// of them anew. At a thousand starts a second that takes more than two hours.
+    /// Whether half of the epoch's attempt numbers are used up; a new epoch starts with all
+    /// of them unused. At a thousand starts a second this takes more than two hours.
     pub fn needs_new_epoch(&self) -> bool {
         self.epoch.attempts_used > self.attempt_limit / 2
     }
 }
 
 impl JobEntry {
-    /// Makes every assigned task unreconciled. Those of `steady` members can be with
-    /// these only.
-    fn unreconcile(&mut self, steady: &BTreeSet<String>) {
+    /// Makes every assigned task unreconciled. Those of unchanged members can only run in
+    /// the shards of these members.
+    fn unreconcile(&mut self, unchanged: &BTreeSet<String>) {
         let assigned = std::mem::take(&mut self.assigned);
         self.unacknowledged.clear();
         self.sole_holders
-            .retain(|_, shard| steady.contains(&**shard));
+            .retain(|_, shard| unchanged.contains(&**shard));
         if let Some(attempt) = self.attempt.as_mut() {
             attempt.mark_unreconciled();
         }
         for (index, assignment) in assigned {
             self.unreconciled.add(index);
-            if steady.contains(&*assignment.shard) {
+            if unchanged.contains(&*assignment.shard) {
                 self.sole_holders.insert(index, assignment.shard);
             }
         }
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -1,8 +1,8 @@
 //! Failed tasks: whether the job or the machine is at fault.
 //!
-//! A job that was submitted with a mistake fails on every machine; a faulty
-//! machine fails the tasks of every job. A failure alone does not tell which it
-//! was: the other failures of the same job, and its successes, do.
+//! A job that was submitted with a mistake fails on every machine; a faulty machine fails
+//! the tasks of every job. A single failure does not tell which it was, but the other
+//! failures and the successes of the same job do.
 
 use super::{JobEntry, Leader};
 use crate::clock::Seconds;
@@ -10,34 +10,34 @@
 use crate::wire::{JobId, JobKind, MachineId, BEGIN_WITHIN_S};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// On how many machines a job without any success must have failed to be
-/// suspected itself.
-const MACHINES_OF_SUSPECTED_JOB: usize = 2;
+/// On how many machines a job without any success must have failed to be suspected itself.
+const SUSPECTED_JOB_MIN_MACHINES: usize = 2;
 
-/// Of how many jobs tasks must have failed on a machine for it to be suspected.
-const JOBS_OF_SUSPECTED_MACHINE: usize = 2;
+/// How many jobs must have failed on a machine for the machine to be suspected.
+const SUSPECTED_MACHINE_MIN_JOBS: usize = 2;
 
-/// How many of the latest machines a suspected job avoids. Not all: one that avoided
-/// all machines on which it has failed would soon have machines rented for it.
-const AVOIDED_BY_SUSPECTED_JOB: usize = 2;
+/// A suspected job avoids only this many of the machines on which it failed last. If it
+/// avoided all of them, new machines would soon be rented for it.
+const SUSPECTED_JOB_MAX_AVOIDED: usize = 2;
 
-/// The most machines that any job avoids, as each assignment names them.
+/// The most machines that any job avoids; bounds the size of assignment messages, which
+/// list them.
 const MAX_AVOIDED: usize = 16;
 
-/// The longest wait of a job between two tries, as a share of the time in which
-/// users expect a job to begin.
-const LONGEST_WAIT_SHARE: f64 = 0.25;
+/// The longest wait of a suspected job between two retries, as a share of the time within
+/// which a job should start.
+const MAX_BACKOFF_SHARE: f64 = 0.25;
 
 /// The failures of one job's tasks.
 #[derive(Debug, Default)]
 pub(super) struct JobFailures {
-    /// Machines on which tasks failed, the latest last.
+    /// The machines on which tasks failed, the latest last.
     machines: Vec<MachineId>,
-    /// How many tries, of one task or of many at once, have failed.
-    failed_tries: u32,
+    /// The number of failed retries, each of one task or of many at once.
+    failed_retries: u32,
     /// No task is started before this time.
     retry_at: Seconds,
-    /// Some task has completed: the job has no mistake.
+    /// A task has completed, so that the job itself is not at fault.
     succeeded: bool,
 }
 
@@ -48,8 +48,8 @@
         self.retry_at = 0.0;
     }
 
-    /// Records that a task has failed. All that fail until the next try is due belong to the
-    /// same try, so that a large job doesn't wait longer than a small one.
+    /// Records that a task has failed. All failures until the next retry is due count as
+    /// one, so that a large job does not wait longer than a small one.
     pub(super) fn record_failure(
         &mut self,
         machine: Option<MachineId>,
@@ -60,88 +60,94 @@
             self.machines.retain(|known| *known != machine);
             self.machines.push(machine);
         }
-        if !self.suspected() || now < self.retry_at {
+        if !self.is_suspected() || now < self.retry_at {
             return;
         }
-        self.failed_tries += 1;
-        let wait = report_s * 2f64.powi(self.failed_tries.min(30) as i32);
-        // A job may be right after all, and must not wait for minutes
-        // while there is room.
-        self.retry_at = now + wait.min(BEGIN_WITHIN_S * LONGEST_WAIT_SHARE);
+        self.failed_retries += 1;
+        let wait_s = report_s * 2f64.powi(self.failed_retries.min(30) as i32);
+        // The job may be correct after all, and must not wait for minutes while there is
+        // free capacity.
+        self.retry_at = now + wait_s.min(BEGIN_WITHIN_S * MAX_BACKOFF_SHARE);
     }
 
     /// Whether the job itself seems to be at fault.
-    pub(super) fn suspected(&self) -> bool {
-        !self.succeeded && self.machines.len() >= MACHINES_OF_SUSPECTED_JOB
+    pub(super) fn is_suspected(&self) -> bool {
+        !self.succeeded && self.machines.len() >= SUSPECTED_JOB_MIN_MACHINES
     }
 
-    /// Whether its tasks must wait for the next try.
-    pub(super) fn backs_off(&self, now: Seconds) -> bool {
+    /// Whether its tasks have to wait for the next retry.
+    pub(super) fn is_backing_off(&self, now: Seconds) -> bool {
         now < self.retry_at
     }
 
-    /// Machines on which its tasks are not tried again for now.
-    pub(super) fn avoided(&self) -> &[MachineId] {
-        let most = if self.suspected() {
-            AVOIDED_BY_SUSPECTED_JOB
+    /// The machines on which its tasks are not started for now.
+    pub(super) fn avoided_machines(&self) -> &[MachineId] {
+        let max_avoided = if self.is_suspected() {
+            SUSPECTED_JOB_MAX_AVOIDED
         } else {
             MAX_AVOIDED
         };
-        &self.machines[self.machines.len().saturating_sub(most)..]
+        &self.machines[self.machines.len().saturating_sub(max_avoided)..]
     }
 }
 
 impl JobEntry {
-    /// How many of `free` tasks may be started. A suspected job is tried with one
-    /// task, since all of them would take the same room again and again. As
-    /// many more follow as are seen to run, or one long task would hold up a job
-    /// that only met faulty machines.
-    pub(super) fn tries_allowed(&self, free: usize) -> usize {
-        if !self.failures.suspected() || self.spec.job_kind == JobKind::Gang {
-            return free;
+    /// How many tasks of the job may be started, up to `limit`. A suspected job starts with
+    /// one task, since all of its tasks together would occupy capacity at every retry only
+    /// to fail. After that, it may have twice as many tasks assigned as are running. If it
+    /// had to wait for a success instead, one long task would hold up a job that has only
+    /// been placed on faulty machines.
+    pub(super) fn startable_tasks(&self, limit: usize) -> usize {
+        if !self.failures.is_suspected() || self.spec.job_kind == JobKind::Gang {
+            return limit;
         }
-        let at_once = (self.running_tasks() * 2).max(1);
-        free.min(at_once.saturating_sub(self.assigned.len()))
+        let max_assigned = (self.running_tasks() * 2).max(1);
+        limit.min(max_assigned.saturating_sub(self.assigned.len()))
     }
 }
 
-/// What failures say about a machine.
+/// What failures indicate about a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineFault {
-    /// Tasks of several jobs failed there, and nothing shows yet whether the jobs
-    /// are at fault: it gets no new tasks.
+    /// Tasks of several jobs failed there, and it is not known yet whether the jobs are at
+    /// fault: the machine gets no new tasks.
     Suspected,
-    /// They have succeeded elsewhere: it is replaced.
+    /// Tasks of several jobs that succeeded elsewhere failed there: the machine is
+    /// replaced.
     Proven,
 }
 
-/// Jobs with tasks that failed on each machine.
+/// The jobs whose tasks failed on each machine.
 pub(super) type FailedJobsByMachine = BTreeMap<MachineId, BTreeSet<JobId>>;
 
-/// What a failure says about the machine it happened on.
+/// What the failure of a job indicates about the machine on which it happened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Evidence {
-    /// Nothing: the job is at fault, or nobody will know.
+    /// Nothing: the job is at fault, or has ended without a result that could tell.
     None,
-    /// The job has succeeded nowhere yet.
+    /// The machine may be at fault; the job has not succeeded on any machine yet.
     Weak,
-    /// The job has succeeded elsewhere.
+    /// The machine is likely at fault: the job has succeeded elsewhere.
     Strong,
 }
 
 impl Leader {
-    /// Machines that failures speak against. Jobs that fail everywhere say
-    /// nothing about the machines, or each broken job would take away those that
-    /// it was tried on.
+    /// The machines that are suspected or proven to be faulty. Jobs that fail everywhere do
+    /// not count against a machine; otherwise each broken job would take every machine on
+    /// which it was started out of service.
     pub fn machine_faults(&self, cache: &StoreCache) -> BTreeMap<MachineId, MachineFault> {
         let fault = |jobs: &BTreeSet<JobId>| {
             let evidence = || jobs.iter().map(|job| self.evidence(job, cache));
-            let strong = evidence().filter(|e| *e == Evidence::Strong).count();
-            let any = evidence().filter(|e| *e != Evidence::None).count();
-            if strong >= JOBS_OF_SUSPECTED_MACHINE {
+            let strong = evidence()
+                .filter(|evidence| *evidence == Evidence::Strong)
+                .count();
+            let any = evidence()
+                .filter(|evidence| *evidence != Evidence::None)
+                .count();
+            if strong >= SUSPECTED_MACHINE_MIN_JOBS {
                 Some(MachineFault::Proven)
             } else {
-                (any >= JOBS_OF_SUSPECTED_MACHINE).then_some(MachineFault::Suspected)
+                (any >= SUSPECTED_MACHINE_MIN_JOBS).then_some(MachineFault::Suspected)
             }
         };
         self.failed_jobs_by_machine
@@ -150,18 +156,18 @@
             .collect()
     }
 
-    /// What the failures of a job say about the machines it failed on.
+    /// What the failures of a job indicate about the machines on which it failed.
     fn evidence(&self, job: &JobId, cache: &StoreCache) -> Evidence {
         match self.jobs.get(job) {
             Some(entry) if entry.failures.succeeded => Evidence::Strong,
-            Some(entry) if entry.failures.suspected() => Evidence::None,
+            Some(entry) if entry.failures.is_suspected() => Evidence::None,
             Some(_) => Evidence::Weak,
-            None if cache.jobs.get(job).is_some_and(|j| j.record.done) => Evidence::Strong,
+            None if cache.jobs.get(job).is_some_and(|job| job.record.done) => Evidence::Strong,
             None => Evidence::None,
         }
     }
 
-    /// Cordons the machines that failures speak against: they get no new tasks.
+    /// Cordons the faulty machines, which get no new tasks from now on, and returns them.
     pub fn cordon_faulty_machines(
         &mut self,
         cache: &StoreCache,
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -1,12 +1,13 @@
-//! Gangs: jobs whose tasks run all together or not at all. Only the leader
-//! assigns them: every task at once, all under one attempt number.
+//! Gangs: jobs whose tasks run all together or not at all. Only the leader assigns them:
+//! all tasks at once, under one attempt number.
 //!
-//! An attempt gathers, runs and is over. While it gathers, a task that its shard
-//! could not start is replaced under the same attempt. Whatever else becomes of
-//! one task ends the attempt: all others are stopped, and the next attempt
-//! begins when every task of this one is proven to be nowhere.
+//! An attempt first waits until all of its tasks have started, and then runs until it ends.
+//! Before it runs, a task that its shard or worker turned down is assigned again under the
+//! same attempt. If a task is removed for any other reason, the attempt is over: all its
+//! other tasks are stopped, and the next attempt begins once every task of this one is
+//! confirmed to have stopped.
 
-use super::placement::FreeTasks;
+use super::placement::UnassignedTasks;
 use super::{JobEntry, Leader, ShardAssignment};
 use crate::clock::Seconds;
 use crate::scheduler::capacity::{FreeCapacity, ZoneAllowance, ZoneCount};
@@ -16,32 +17,33 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The share of the time that tasks wait for each other after which an attempt
-/// that isn't complete gives its room back.
-const INCOMPLETE_SHARE: f64 = 1.0 / 3.0;
+/// After this share of the time that tasks wait for each other, an attempt with unassigned
+/// tasks is withdrawn and its capacity released.
+const INCOMPLETE_ATTEMPT_SHARE: f64 = 1.0 / 3.0;
 
-/// For how many report intervals a machine may have been silent to count as
-/// one that a stop reaches at once.
-const REACHED_REPORTS: f64 = 1.3;
+/// For how many report intervals a machine may have been silent to count as one that
+/// receives a stop at once.
+const REACHABLE_REPORTS: f64 = 1.3;
 
-/// The present attempt of a gang.
+/// The current attempt of a gang. The log shows it with the names of its fields.
 #[derive(Debug, Clone)]
 pub(super) struct Attempt {
-    /// Shared by all tasks, never used for another attempt.
+    /// Shared by all tasks of the attempt, and never used for another attempt.
     pub(super) number: u64,
+    /// When its first task was assigned.
     since: Seconds,
-    /// Some task has been seen to run.
+    /// A task has been reported as running or further.
     started: bool,
-    /// Some task was lost after it may have had its image: the attempt may
-    /// have run, and can't any more.
+    /// A task was removed when the attempt may already have been running: the attempt can
+    /// no longer complete.
     broken: bool,
-    /// Where some task was has not been known for a while: if it turns out to
-    /// be nowhere, it may have been lost like that.
+    /// The location of a task has been unknown for some time: if the task turns out not to
+    /// run anywhere, the attempt may already have been running when it was lost.
     unreconciled: bool,
 }
 
 impl Attempt {
-    /// An attempt that begins.
+    /// Creates an attempt whose first task is assigned now.
     pub(super) fn new(number: u64, now: Seconds) -> Attempt {
         Attempt {
             number,
@@ -52,45 +54,49 @@
         }
     }
 
-    /// Records that some task may be anywhere.
+    /// Records that the location of a task is unknown.
     pub(super) fn mark_unreconciled(&mut self) {
         self.unreconciled = true;
     }
 
-    /// Records that a task left its machine, other than by being refused.
+    /// Records that a task was removed from its shard for another reason than being turned
+    /// down.
     pub(super) fn mark_broken(&mut self) {
         self.broken = true;
     }
 }
 
-/// What is to be done about a gang.
+/// What to do about a gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Step {
-    /// Nothing: it gathers, runs or ends. What it lacks may be assigned.
-    KeepGoing,
-    /// The attempt is over: all its tasks are to be stopped.
+enum GangAction {
+    /// Leave the gang alone; unassigned tasks may be assigned.
+    Continue,
+    /// Stop all tasks of the attempt, which is over.
     Withdraw,
 }
 
 impl JobEntry {
-    /// Whether the tasks that a gang lacks may be assigned now, of which `free`
-    /// are within the team's limit.
-    pub(super) fn gang_may_start(&self, free: usize) -> bool {
-        // Where the team's limit leaves room for some only, or some may be
-        // anywhere yet, none starts.
-        let whole = self.assigned.len() + free == self.spec.task_count as usize;
-        // A shard is told how many tasks a zone may take of all that it hasn't listed.
-        whole && !self.withdrawing && self.unacknowledged.is_empty()
+    /// Whether the unassigned tasks of a gang may be assigned now; `unassigned` of them are
+    /// within its team's limit.
+    pub(super) fn can_assign_gang(&self, unassigned: usize) -> bool {
+        // None is assigned if the team's limit allows only some, or if some are
+        // unreconciled.
+        let all_assignable = self.assigned.len() + unassigned == self.spec.task_count as usize;
+        // The allowances that a shard is sent apply to all tasks that it has not
+        // acknowledged, so that these must not come from two rounds.
+        all_assignable && !self.withdrawing && self.unacknowledged.is_empty()
     }
 
-    /// The attempt number for a task of a gang that is assigned now.
+    /// The attempt number for a task that is assigned now; `new_number` if it is the first
+    /// of its attempt.
     pub(super) fn gang_attempt(&mut self, new_number: u64, now: Seconds) -> u64 {
         self.attempt
             .get_or_insert_with(|| Attempt::new(new_number, now))
             .number
     }
 
-    /// Takes the attempt from what shards hold, after a change of leader.
+    /// After a change of the leader, takes the attempt number from the assignments that
+    /// shards reported.
     fn adopt_attempt(&mut self, now: Seconds) {
         if self.attempt.is_none() {
             let number = self
@@ -105,14 +111,14 @@
         }
     }
 
-    /// What is to be done about the attempt now.
-    fn next_step(&mut self, gang_wait_s: Seconds, now: Seconds) -> Step {
+    /// Decides what to do about the attempt now.
+    fn next_action(&mut self, gang_wait_s: Seconds, now: Seconds) -> GangAction {
         self.adopt_attempt(now);
         let complete = self.assigned.len() == self.spec.task_count as usize;
         let Some(attempt) = self.attempt.as_mut() else {
-            return Step::KeepGoing;
+            return GangAction::Continue;
         };
-        let runs = |phase: TaskPhase| {
+        let has_run = |phase: TaskPhase| {
             matches!(
                 phase,
                 TaskPhase::Running | TaskPhase::Saving | TaskPhase::Done
@@ -121,28 +127,28 @@
         attempt.started |= self
             .assigned
             .values()
-            .any(|assignment| runs(assignment.phase));
-        let mixed = self
+            .any(|assignment| has_run(assignment.phase));
+        let has_mixed_attempts = self
             .assigned
             .values()
             .any(|assignment| assignment.numbers.attempt != attempt.number);
-        let waits_too_long = now - attempt.since > gang_wait_s * INCOMPLETE_SHARE;
+        let waits_too_long = now - attempt.since > gang_wait_s * INCOMPLETE_ATTEMPT_SHARE;
         let over = attempt.started || attempt.unreconciled || waits_too_long;
-        if attempt.broken || mixed || over && !complete {
-            Step::Withdraw
+        if attempt.broken || has_mixed_attempts || over && !complete {
+            GangAction::Withdraw
         } else {
-            Step::KeepGoing
+            GangAction::Continue
         }
     }
 }
 
 impl Leader {
-    /// Updates all gangs: withdraws attempts that can't run any more and
-    /// those whose machine is about to be taken. Returns the shards that have
-    /// new orders: a stop must reach all tasks within `gang_peer_s`.
+    /// Updates all gangs: withdraws attempts that can no longer run and those with a
+    /// machine that is about to be reclaimed. Returns the shards that have new orders,
+    /// since a stop must reach all tasks within `gang_peer_s`.
     pub(super) fn update_gangs(&mut self, cache: &StoreCache, now: Seconds) -> BTreeSet<String> {
         let mut shards_with_new_orders = BTreeSet::new();
-        let to_be_taken = self.gangs_to_be_taken(now);
+        let facing_reclamation = self.gangs_facing_reclamation(now);
         let gang_wait_s = self.policy.gang_wait_s;
         let gangs = self
             .jobs
@@ -164,8 +170,8 @@
             {
                 continue;
             }
-            let step = entry.next_step(gang_wait_s, now);
-            if step == Step::Withdraw || to_be_taken.contains(id) {
+            let action = entry.next_action(gang_wait_s, now);
+            if action == GangAction::Withdraw || facing_reclamation.contains(id) {
                 tracing::info!(job = %id, attempt = ?entry.attempt, assigned = entry.assigned.len(), "gang attempt withdrawn");
                 entry.withdrawing = true;
                 shards_with_new_orders.extend(
@@ -179,25 +185,25 @@
         shards_with_new_orders
     }
 
-    /// Gangs with a task on a machine that will be taken before they end, all of
-    /// whose machines a stop reaches now: they save together. Of the others the
-    /// progress since their last checkpoint is lost with the machine.
-    fn gangs_to_be_taken(&self, now: Seconds) -> BTreeSet<JobId> {
-        let noticed: BTreeSet<&MachineId> = self
+    /// Gangs with a task on a machine that will be reclaimed before they end, if a stop
+    /// reaches all of their machines now, so that they save a checkpoint together. The
+    /// other gangs lose their progress since the last checkpoint with the machine.
+    fn gangs_facing_reclamation(&self, now: Seconds) -> BTreeSet<JobId> {
+        let reclaimed_soon: BTreeSet<&MachineId> = self
             .machines()
             .filter(|machine| machine.spot_notice)
             .map(|machine| &machine.id)
             .collect();
-        if noticed.is_empty() {
+        if reclaimed_soon.is_empty() {
             return BTreeSet::new();
         }
-        let silent = self.policy.report_s * REACHED_REPORTS;
-        let reached: BTreeSet<&MachineId> = self
+        let max_silent_s = self.policy.report_s * REACHABLE_REPORTS;
+        let reachable: BTreeSet<&MachineId> = self
             .machines_at(now)
-            .filter(|machine| machine.reconciled && machine.silent_s < silent)
+            .filter(|machine| machine.reconciled && machine.silent_s < max_silent_s)
             .map(|machine| &machine.status.id)
             .collect();
-        let on = |entry: &JobEntry, machines: &BTreeSet<&MachineId>| {
+        let count_on = |entry: &JobEntry, machines: &BTreeSet<&MachineId>| {
             entry
                 .assigned
                 .values()
@@ -209,30 +215,35 @@
                 })
                 .count()
         };
-        let saves = |entry: &JobEntry| {
-            entry.spec.checkpoint_s > 0.0 || !entry.attempt.as_ref().is_some_and(|a| a.started)
+        let loses_no_progress = |entry: &JobEntry| {
+            entry.spec.checkpoint_s > 0.0
+                || !entry
+                    .attempt
+                    .as_ref()
+                    .is_some_and(|attempt| attempt.started)
         };
         let gangs = self.jobs.iter().filter(|(_, entry)| {
             entry.spec.job_kind == JobKind::Gang && !entry.assigned.is_empty()
         });
         gangs
-            .filter(|(_, entry)| saves(entry))
+            .filter(|(_, entry)| loses_no_progress(entry))
             .filter(|(_, entry)| {
-                on(entry, &noticed) > 0 && on(entry, &reached) == entry.assigned.len()
+                count_on(entry, &reclaimed_soon) > 0
+                    && count_on(entry, &reachable) == entry.assigned.len()
             })
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// Assigns every free task of a gang, or none. With `keeps_room`, room that
-    /// isn't enough yet is kept from the jobs that come after it in this round:
-    /// taken by smaller ones as it comes free, it would never be enough.
+    /// Assigns every unassigned task of a gang, or none. With `reserves_capacity`, capacity
+    /// that is not sufficient yet is withheld from the jobs that come later in this round:
+    /// if smaller jobs took it whenever it becomes free, it would never be sufficient.
     pub(super) fn assign_gang(
         &mut self,
-        tasks: FreeTasks,
+        tasks: UnassignedTasks,
         capacity: &mut FreeCapacity,
         cache: &StoreCache,
-        keeps_room: bool,
+        reserves_capacity: bool,
     ) -> Vec<ShardAssignment> {
         let Some(entry) = self.jobs.get(tasks.job) else {
             return Vec::new();
@@ -242,14 +253,15 @@
             return Vec::new();
         };
         let count = tasks.indexes.len();
-        let room = capacity.count_by_zone(tasks.request);
-        let Some(zones) = zones_for(count as u32, &allowances, &room, one_zone) else {
+        let capacity_by_zone = capacity.count_by_zone(tasks.request);
+        let Some(zones) = select_zones(count as u32, &allowances, &capacity_by_zone, one_zone)
+        else {
             let zones = if one_zone {
-                roomiest(&allowances, &room)
+                zone_with_most_capacity(&allowances, &capacity_by_zone)
             } else {
                 allowances
             };
-            if keeps_room {
+            if reserves_capacity {
                 capacity.allocate_in_zones(tasks.request, &zones, count as u32);
             }
             return Vec::new();
@@ -261,37 +273,40 @@
         self.spread_over_shards(tasks, &slots, capacity)
     }
 
-    /// Whether gangs are assigned: not while a controller of a version without
-    /// them may lead or own machines.
+    /// Sets whether gangs are assigned. They are not while a controller of a version
+    /// without gangs may lead or own machines.
     pub fn set_gangs_allowed(&mut self, allowed: bool) {
         self.gangs_allowed = allowed;
     }
 }
 
-/// The zones that take `count` tasks of a gang; none if they have not the room.
+/// Selects the zones that take `count` tasks of a gang; `None` if they lack the capacity.
 ///
-/// Of a gang for one zone it is a single one: where the most tasks find their
-/// image, then the one with the least room. This looks once at each
-/// machine. A large gang that waits would else be placed in vain, task by task, in
-/// every round, and hold up all else.
-fn zones_for(
+/// For a gang that must run in one zone this is a single zone: the one with the most
+/// capacity on machines with a cached image, and of several the one with the least
+/// capacity. Counting capacity looks at each machine once. Placing a large waiting gang
+/// task by task, in vain and in every round, would delay all other jobs.
+fn select_zones(
     count: u32,
     allowances: &[ZoneAllowance],
-    room: &BTreeMap<u32, ZoneCount>,
+    capacity_by_zone: &BTreeMap<u32, ZoneCount>,
     one_zone: bool,
 ) -> Option<Vec<ZoneAllowance>> {
     if !one_zone {
         let total = allowances
             .iter()
-            .map(|allowance| tasks_in(allowance, room))
+            .map(|allowance| placeable_tasks(allowance, capacity_by_zone))
             .fold(0, u32::saturating_add);
         return (total >= count).then(|| allowances.to_vec());
     }
     let fitting = allowances
         .iter()
-        .filter(|allowance| tasks_in(allowance, room) >= count);
+        .filter(|allowance| placeable_tasks(allowance, capacity_by_zone) >= count);
     let best = fitting.max_by_key(|allowance| {
-        let zone = room.get(&allowance.zone).copied().unwrap_or_default();
+        let zone = capacity_by_zone
+            .get(&allowance.zone)
+            .copied()
+            .unwrap_or_default();
         (
             zone.with_image.min(count),
             Reverse(zone.tasks),
@@ -301,18 +316,22 @@
     best.map(|allowance| vec![*allowance])
 }
 
-/// The zone that has room for the most tasks.
-fn roomiest(allowances: &[ZoneAllowance], room: &BTreeMap<u32, ZoneCount>) -> Vec<ZoneAllowance> {
+/// The zone with capacity for the most tasks.
+fn zone_with_most_capacity(
+    allowances: &[ZoneAllowance],
+    capacity_by_zone: &BTreeMap<u32, ZoneCount>,
+) -> Vec<ZoneAllowance> {
     allowances
         .iter()
-        .max_by_key(|allowance| tasks_in(allowance, room))
+        .max_by_key(|allowance| placeable_tasks(allowance, capacity_by_zone))
         .copied()
         .into_iter()
         .collect()
 }
 
-/// How many tasks a zone has room for and may take.
-fn tasks_in(allowance: &ZoneAllowance, room: &BTreeMap<u32, ZoneCount>) -> u32 {
-    room.get(&allowance.zone)
+/// How many tasks a zone has capacity for within its allowance.
+fn placeable_tasks(allowance: &ZoneAllowance, capacity_by_zone: &BTreeMap<u32, ZoneCount>) -> u32 {
+    capacity_by_zone
+        .get(&allowance.zone)
         .map_or(0, |zone| zone.tasks.min(allowance.tasks))
 }
--- a/src/scheduler/job_changes.rs
+++ b/src/scheduler/job_changes.rs
@@ -1,4 +1,5 @@
-//! Changes of jobs in the store: accepted, cancelled, tasks committed as finished.
+//! Changes of jobs in the key-value store: jobs are accepted and cancelled, tasks are
+//! committed as finished.
 
 use super::job_entry::JobEntry;
 use super::Leader;
@@ -41,10 +42,11 @@
         }
     }
 
-    /// Adds a job, unless it was cancelled before any task could start.
+    /// Adds a job, unless it was cancelled before any of its tasks could start.
     fn add_job(&mut self, id: &JobId, job: &CachedJob, spec: Arc<JobSpec>) {
         let mut unreconciled = TaskSet::default();
-        // Accepted in this epoch: nobody can have assigned it before us.
+        // The tasks of a job that was accepted in this epoch cannot have been assigned by
+        // an earlier leader.
         if job.record.epoch < self.epoch.number {
             for index in (0..spec.task_count).filter(|&i| !job.finished.contains(i)) {
                 unreconciled.add(index);
@@ -54,7 +56,8 @@
             return;
         }
         if !unreconciled.is_empty() {
-            // Reports applied before this job was known said nothing of it.
+            // Tasks of this job in the reports that were applied so far were ignored, since
+            // it was not known.
             self.epoch.reconciled = false;
             self.epoch.reported_shards.clear();
         }
--- a/src/scheduler/job_entry.rs
+++ b/src/scheduler/job_entry.rs
@@ -1,4 +1,4 @@
-//! One unfinished job in the leader's table.
+//! The leader's state of one unfinished job.
 
 use super::failures::JobFailures;
 use super::gang::Attempt;
@@ -9,25 +9,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The numbers that tell one assignment of a task from every other, in the order
-/// in which assignments are made.
+/// The numbers that distinguish an assignment of a task from all others, ordered by when
+/// assignments are made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AssignmentNumbers {
     /// The attempt that the task runs under; all tasks of a gang share one.
     pub(super) attempt: u64,
-    /// Tells one assignment of an attempt from the next; 0 if its shard doesn't say.
+    /// Distinguishes the assignments of one attempt; 0 if the version of the shard does not
+    /// report it.
     pub(super) assignment: u64,
 }
 
-/// A task that one shard answers for.
+/// The assignment of a task to a shard.
 #[derive(Debug, Clone)]
 pub(super) struct TaskAssignment {
     pub(super) shard: Arc<str>,
     pub(super) numbers: AssignmentNumbers,
-    /// The shard has listed it in a report: it need not be sent again.
+    /// Whether the shard has listed the task in a report, so that it need not be sent
+    /// again.
     pub(super) acknowledged: bool,
     pub(super) phase: TaskPhase,
-    /// The machine that its shard placed it on, once that is reported.
+    /// The machine that the shard has placed the task on, once that is reported.
     pub(super) machine: Option<MachineId>,
 }
 
@@ -37,35 +39,37 @@
     pub(super) spec: Arc<JobSpec>,
     /// When the job was accepted, in milliseconds of the wall clock.
     pub(super) accepted_at_ms: u64,
-    /// Tasks that nobody has proven to be anywhere, or nowhere.
+    /// Tasks whose location is unknown: they may be running somewhere or not at all.
     pub(super) unreconciled: TaskSet,
-    /// Unreconciled tasks that a single shard only can hold. It has kept all that
-    /// it knew, so that its report alone proves where they are.
+    /// Unreconciled tasks that can only run in one particular shard. That shard has kept
+    /// all of its state, so that its report alone establishes where they are.
     pub(super) sole_holders: BTreeMap<u32, Arc<str>>,
+    /// The assigned tasks, by index.
     pub(super) assigned: BTreeMap<u32, TaskAssignment>,
     /// Assigned tasks that their shard has not listed in a report yet.
     pub(super) unacknowledged: BTreeSet<u32>,
-    /// Tasks that a shard reported as done, not yet committed.
+    /// Tasks that a shard has reported as done and that are not committed yet.
     pub(super) completed: TaskSet,
+    /// Whether a commit of completed tasks has been sent and not answered yet.
     pub(super) commit_in_flight: bool,
     /// The job's progress is not committed before this time.
     pub(super) next_commit_at: Seconds,
-    /// After a refused commit nothing of the job is committed before this time.
+    /// After a refused commit, nothing of the job is committed before this time.
     pub(super) commit_retry_at: Seconds,
     pub(super) failures: JobFailures,
-    /// The attempt that the tasks of a gang share.
+    /// The attempt that the tasks of a gang share; `None` for other jobs.
     pub(super) attempt: Option<Attempt>,
-    /// Since when a service that is bound to the zone of its tasks has had no
-    /// room there.
-    pub(super) no_room_since: Option<Seconds>,
-    /// All its tasks are being stopped, to start together again.
+    /// Since when a service that must run in the zone of its assigned tasks has had no
+    /// capacity there.
+    pub(super) no_capacity_since: Option<Seconds>,
+    /// All its tasks are being stopped, to be assigned again together.
     pub(super) withdrawing: bool,
-    /// How many more tasks each zone may take, as each shard was told.
+    /// The allowances that each shard was sent: how many further tasks each zone may take.
     pub(super) zone_allowances: BTreeMap<Arc<str>, Vec<(Arc<str>, u32)>>,
 }
 
 impl JobEntry {
-    /// A job of which `unreconciled` tasks may be anywhere.
+    /// Creates the entry of a job with these unreconciled tasks.
     pub(super) fn new(spec: Arc<JobSpec>, accepted_at_ms: u64, unreconciled: TaskSet) -> JobEntry {
         JobEntry {
             spec,
@@ -80,18 +84,18 @@
             commit_retry_at: 0.0,
             failures: JobFailures::default(),
             attempt: None,
-            no_room_since: None,
+            no_capacity_since: None,
             withdrawing: false,
             zone_allowances: BTreeMap::new(),
         }
     }
 
-    /// How many tasks are assigned or may be anywhere.
+    /// The number of tasks that are assigned or unreconciled.
     pub(super) fn occupied_tasks(&self) -> u32 {
         self.assigned.len() as u32 + self.unreconciled.len()
     }
 
-    /// The unacknowledged tasks of a shard.
+    /// The tasks that are assigned to a shard and not acknowledged by it.
     pub(super) fn unacknowledged_in<'a>(
         &'a self,
         shard: &'a str,
@@ -102,9 +106,9 @@
             .filter(move |(_, assigned)| &*assigned.shard == shard)
     }
 
-    /// The assignments of a shard's unacknowledged tasks that differ from their
-    /// attempts.
-    pub(super) fn assignments_unlike_attempts(&self, shard: &str) -> Vec<(u32, u64)> {
+    /// The assignment numbers of a shard's unacknowledged tasks, where they differ from the
+    /// attempt numbers.
+    pub(super) fn assignments_differing_from_attempts(&self, shard: &str) -> Vec<(u32, u64)> {
         self.unacknowledged_in(shard)
             .map(|(index, assigned)| (index, assigned.numbers))
             .filter(|(_, numbers)| numbers.assignment != numbers.attempt)
@@ -112,7 +116,7 @@
             .collect()
     }
 
-    /// How many tasks are seen to run.
+    /// The number of tasks that are reported as running.
     pub(super) fn running_tasks(&self) -> usize {
         self.assigned
             .values()
@@ -120,13 +124,13 @@
             .count()
     }
 
-    /// Records that a task is no longer assigned.
+    /// Removes the assignment of a task.
     pub(super) fn unassign(&mut self, index: u32) -> Option<TaskAssignment> {
         self.unacknowledged.remove(&index);
         self.assigned.remove(&index)
     }
 
-    /// Records an assignment in place of any earlier one.
+    /// Records the assignment of a task, replacing any earlier one.
     pub(super) fn assign(&mut self, index: u32, assigned: TaskAssignment) {
         if assigned.acknowledged {
             self.unacknowledged.remove(&index);
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -1,4 +1,4 @@
-//! The machines of all shards, as their latest reports describe them.
+//! The machines of all shards, as described by the shards' latest reports.
 
 use super::Leader;
 use crate::clock::Seconds;
@@ -13,26 +13,30 @@
 /// A machine as its shard last reported it.
 #[derive(Debug)]
 pub struct TrackedMachine {
-    /// The report.
+    /// The status in the report.
     pub status: MachineStatus,
+    /// The status in the form that placement uses.
     pub(super) slot: MachineSlot,
-    /// Since when it holds nothing.
+    /// Since when no task has been assigned to it, or since when it has been schedulable
+    /// again.
     pub(super) idle_since: Seconds,
 }
 
-/// A machine at one point in time, with how many seconds ago things were.
+/// The status of a machine at a point in time, with durations. Reports list the durations
+/// separately, so that an unchanged machine need not be reported again.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineSnapshot<'a> {
     /// What its shard last reported.
     pub status: &'a MachineStatus,
-    /// Since its last heartbeat; 0 if it is not silent.
+    /// Seconds since its last heartbeat; 0 if it is not silent.
     pub silent_s: f64,
-    /// Since it has not answered commands, while others of its zone were reached.
+    /// For how many seconds it has not answered commands while other machines of its zone
+    /// were reachable; `None` if it has not failed to answer.
     pub unanswered_s: Option<f64>,
-    /// Since it holds nothing; 0 if it holds something.
+    /// For how many seconds it has had no task; 0 if it has one.
     pub idle_s: f64,
-    /// How its owner reaches its zone. A report that came through a third
-    /// controller shows nothing of that.
+    /// Its owner's direct contact with its zone. Reports that another controller relayed do
+    /// not count as contact.
     pub zone_contact: Option<ZoneContact>,
 }
 
@@ -46,20 +50,27 @@
 /// A shard as its reports describe it.
 #[derive(Debug)]
 pub struct ShardView {
+    /// The incarnation of the controller that owns the shard.
     pub(super) incarnation: u64,
-    /// The latest report that was applied.
+    /// The number of the latest report that was applied.
     pub(super) seq: u64,
+    /// The machines that the shard owns.
     pub(super) machines: BTreeMap<MachineId, TrackedMachine>,
+    /// The machines that have sent no heartbeat for a while.
     pub(super) silent_machines: HashMap<MachineId, SilentMachine>,
+    /// The owner's direct contact with each zone.
     pub(super) zone_contacts: HashMap<Arc<str>, ZoneContact>,
+    /// Machines of other shards whose workers reported here, and how many seconds before
+    /// the report.
     pub(super) seen_elsewhere: HashMap<MachineId, f64>,
-    /// The latest orders that were made.
+    /// The number of the latest orders that were made.
     pub(super) orders_seq: u64,
+    /// When the latest report was applied.
     pub(super) last_report_at: Seconds,
 }
 
 impl ShardView {
-    /// A shard that has only just come.
+    /// Creates the view of a shard that has not reported yet.
     pub(super) fn new(incarnation: u64, now: Seconds) -> ShardView {
         ShardView {
             incarnation,
@@ -73,7 +84,7 @@
         }
     }
 
-    /// Replaces the machines that are silent now.
+    /// Replaces the set of silent machines.
     pub(super) fn set_silent_machines(&mut self, silent: Vec<SilentMachine>) {
         self.silent_machines = silent
             .into_iter()
@@ -83,35 +94,38 @@
 }
 
 impl Leader {
-    /// Every machine that some shard reports, as of `now`. A shard tells only
-    /// of machines that are its own in this epoch.
+    /// The machines of all shards, as of `now`. A shard reports only machines that it owns
+    /// in this epoch.
     pub fn machines_at(&self, now: Seconds) -> impl Iterator<Item = MachineSnapshot<'_>> {
         self.shards.values().flat_map(move |shard| {
             shard.machines.values().map(move |machine| {
                 let silent = shard.silent_machines.get(&machine.status.id);
-                let age = now - shard.last_report_at;
+                let report_age_s = now - shard.last_report_at;
                 MachineSnapshot {
                     status: &machine.status,
-                    silent_s: silent.map_or(0.0, |q| q.silent_s + age),
-                    unanswered_s: silent.and_then(|q| q.unanswered_s).map(|d| d + age),
+                    silent_s: silent.map_or(0.0, |machine| machine.silent_s + report_age_s),
+                    unanswered_s: silent
+                        .and_then(|machine| machine.unanswered_s)
+                        .map(|unanswered_s| unanswered_s + report_age_s),
                     idle_s: if machine.status.tasks == 0 {
                         now - machine.idle_since
                     } else {
                         0.0
                     },
-                    zone_contact: shard.zone_contacts.get(&machine.status.zone).map(|r| {
-                        ZoneContact {
-                            began_ago_s: r.began_ago_s + age,
-                            last_ago_s: r.last_ago_s + age,
-                        }
-                    }),
+                    zone_contact: shard
+                        .zone_contacts
+                        .get(&machine.status.zone)
+                        .map(|contact| ZoneContact {
+                            began_ago_s: contact.began_ago_s + report_age_s,
+                            last_ago_s: contact.last_ago_s + report_age_s,
+                        }),
                 }
             })
         })
     }
 
-    /// Whether a single shard reports a machine. For a moment of a transfer two do, and
-    /// the source's last report may contradict the target's.
+    /// Whether exactly one shard reports a machine. During a transfer two may, and the last
+    /// report of the source may contradict that of the target.
     pub fn has_one_owner(&self, id: &MachineId) -> bool {
         self.shards
             .values()
@@ -120,25 +134,29 @@
             == 1
     }
 
-    /// Every machine that some shard reports.
+    /// The machines of all shards, as last reported.
     pub fn machines(&self) -> impl Iterator<Item = &MachineStatus> {
         self.shards
             .values()
             .flat_map(|shard| shard.machines.values().map(|machine| &machine.status))
     }
 
-    /// Machines that may be silent for their owners only: their workers have reported to
-    /// some other controller within the last `age` seconds.
-    pub fn machines_seen_by_other_shards(&self, age: Seconds) -> HashSet<&MachineId> {
+    /// Machines whose workers have reported to a controller other than their owner within
+    /// the last `max_age_s` seconds: they may be silent only from the point of view of
+    /// their owners.
+    pub fn machines_seen_by_other_shards(&self, max_age_s: Seconds) -> HashSet<&MachineId> {
         let all = self
             .shards
             .values()
             .flat_map(|shard| shard.seen_elsewhere.iter());
-        all.filter(|(_, &a)| a < age).map(|(id, _)| id).collect()
+        all.filter(|(_, &age_s)| age_s < max_age_s)
+            .map(|(id, _)| id)
+            .collect()
     }
 
-    /// Whether a quarter of the machines of this one's owner ignore commands: then the
-    /// owner's answers come too late, and the machines are not at fault.
+    /// Whether at least two and at least a quarter of the machines of the shard that owns
+    /// `id` ignore commands. Then the responses of the owner arrive too late, and the
+    /// machines are not at fault.
     pub fn owner_responds_late(&self, id: &MachineId) -> bool {
         self.shards
             .values()
@@ -153,15 +171,16 @@
             })
     }
 
-    /// For how many seconds a shard has not reported.
+    /// For how many seconds a shard has not reported; `None` if it has not reported in this
+    /// epoch.
     pub fn shard_silence(&self, node: &str, now: Seconds) -> Option<Seconds> {
         self.shards
             .get(node)
             .map(|shard| now - shard.last_report_at)
     }
 
-    /// Machines that may still run tasks of jobs cancelled more than `after_s` ago:
-    /// stops were sent there, and none is proven to have been carried out.
+    /// Machines that may still run tasks of jobs cancelled more than `after_s` seconds ago:
+    /// stops were sent to them, and none is confirmed.
     pub fn machines_with_cancelled_tasks(
         &self,
         cache: &StoreCache,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,10 +1,16 @@
-//! The leader's table: which tasks wait, which shard holds which, and which
-//! completions are to be committed. Like [`crate::shard`] it does no input or
-//! output: time and reports are handed in.
+//! The scheduler that the leader runs: it keeps track of which tasks are unassigned, which
+//! shard each assigned task belongs to and which completions have to be committed. Like
+//! [`crate::shard`] it performs no I/O: the time and the shards' reports are passed in.
 //!
-//! Every unfinished task of a job is in one of three conditions: free (certainly
-//! nowhere), assigned (one shard answers for it) or unreconciled (since the epoch
-//! started nobody has proven where it is). Only free tasks are assigned.
+//! Every unfinished task of a job is in one of three states: unassigned (confirmed not to
+//! run anywhere), assigned (one shard is responsible for it) or unreconciled (its location
+//! has not been established since the epoch started). Unreconciled tasks are never
+//! assigned.
+//!
+//! Terms: a job is zone-constrained if all its tasks must run in one zone (`one_zone`) or
+//! one zone may take at most half of them (`scatter`). An allowance is the number of
+//! further tasks of such a job that a zone may take. A team borrows when it uses more than
+//! its guaranteed resources.
 
 pub mod bin_packing;
 pub mod capacity;
@@ -41,20 +47,25 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// What the settings say about assigning tasks.
+/// The settings that the assignment of tasks depends on.
 #[derive(Debug)]
 struct AssignmentPolicy {
+    /// The teams by name. A team that is not in the settings has a guarantee and a limit of
+    /// zero.
     teams: HashMap<Arc<str>, Team>,
-    /// Seconds within which tasks of a class should start, where an objective
-    /// says so.
+    /// The number of seconds within which tasks of a class should start. Classes without a
+    /// start objective are absent.
     start_objectives_s: HashMap<Arc<str>, f64>,
+    /// Classes with an objective of any kind.
     classes_with_objectives: HashSet<Arc<str>>,
-    objectives: CompletionObjectives,
-    /// How often workers and shards report.
+    completion_objectives: CompletionObjectives,
+    /// The interval at which workers and shards report.
     report_s: Seconds,
-    /// How long the tasks of a gang wait for each other.
+    /// How long the tasks of a gang wait for each other to start.
     gang_wait_s: Seconds,
-    /// After how long whatever an earlier owner renewed has expired.
+    /// The time after which every lease that a machine's previous owner may have renewed
+    /// has expired: the workers' lease and the members' lease, both with a margin for clock
+    /// drift.
     takeover_s: Seconds,
 }
 
@@ -70,7 +81,7 @@
                 .collect(),
             start_objectives_s: settings.start_objectives(),
             classes_with_objectives: settings.classes_with_objectives(),
-            objectives: CompletionObjectives::new(settings),
+            completion_objectives: CompletionObjectives::new(settings),
             report_s: workers.report_s,
             gang_wait_s: workers.gang_wait_s,
             takeover_s: clock::with_drift_margin(workers.lease_s)
@@ -79,40 +90,47 @@
     }
 }
 
-/// The leader's table.
+/// The scheduling state of the leader. It is kept from the previous epoch if the same
+/// process led that one too, and is rebuilt from the key-value store and the shards'
+/// reports otherwise.
 #[derive(Debug)]
 pub struct Leader {
     epoch: LeaderEpoch,
     policy: AssignmentPolicy,
     jobs: BTreeMap<JobId, JobEntry>,
-    /// The shards that have reported in this epoch, by the controller's name.
+    /// The shards that have reported in this epoch, by the name of their controller.
     pub shards: BTreeMap<String, ShardView>,
+    /// Numbers for the names of machine types, zones, shards and images.
     names: NameInterner,
-    /// No attempt number above this one is used in an epoch.
+    /// The highest attempt counter that may be used in an epoch.
     pub attempt_limit: u64,
+    /// Whether gangs are assigned; see [`Leader::set_gangs_allowed`].
     gangs_allowed: bool,
-    /// Machines that take no more tasks, so that they can be returned.
+    /// Machines that take no new tasks because they are to be returned to the cloud.
     pub draining: BTreeSet<MachineId>,
-    /// Machines whose replicas are moved to others, so that they become empty.
+    /// Machines whose service replicas are being moved to other machines, so that they can
+    /// be returned.
     pub consolidating: BTreeSet<MachineId>,
-    /// Jobs with tasks that failed on each machine.
+    /// The jobs whose tasks failed on each machine.
     failed_jobs_by_machine: failures::FailedJobsByMachine,
-    /// Machines that task failures speak against: they take no more tasks.
+    /// Machines that are suspected or proven to be faulty: they take no new tasks.
     faulty: BTreeSet<MachineId>,
-    /// CPUs on ordinary machines that are kept free for services to come.
+    /// CPUs on on-demand machines that are kept free for future services.
     pub reserved_cpus: f64,
-    /// Nothing is preempted for now: unreconciled machines may have room.
+    /// Nothing is preempted for now, since unreconciled machines may turn out to have free
+    /// capacity.
     pub preemption_suspended: bool,
-    /// Tasks that had no room in the last round, for the autoscaler.
+    /// Tasks for which the last round found no capacity; the autoscaler rents machines for
+    /// them.
     pub pending_demand: Vec<PendingDemand>,
-    /// Teams that use more than they are guaranteed.
+    /// Teams that use more than they are guaranteed, in ascending order of name.
     borrowing: Vec<Arc<str>>,
-    /// The job at which the last round ran out of time.
+    /// The job at which the last round ran out of time; the next round starts there.
     resume_from: Option<JobId>,
 }
 
 impl Leader {
-    /// A leader of no epoch yet.
+    /// Creates the state of a leader that has not started an epoch yet.
     pub fn new(settings: &Settings) -> Leader {
         Leader {
             epoch: LeaderEpoch::default(),
@@ -135,7 +153,7 @@
     }
 }
 
-/// The tasks that go to one shard.
+/// Tasks of one job that are assigned to the same shard.
 #[derive(Debug)]
 struct ShardAssignment {
     shard: Arc<str>,
--- a/src/scheduler/orders.rs
+++ b/src/scheduler/orders.rs
@@ -1,16 +1,17 @@
-//! What the leader sends to each shard, repeated until the shard reports it.
+//! The orders that the leader sends to each shard. Their contents are repeated until the
+//! shard's reports acknowledge them.
 
 use super::{JobEntry, Leader};
 use crate::shard::{JobAssignment, Orders, TaskPhase};
 use crate::wire::{JobId, JobKind, Task};
 
-/// Running tasks of all jobs, which are for display only, come with every so many
-/// orders.
+/// Every how many orders include the number of running tasks of each job, which is for
+/// display only.
 const RUNNING_COUNTS_EVERY: u64 = 8;
 
 impl Leader {
-    /// The next orders for a shard, with every assignment that it has not listed in a
-    /// report yet; none if it has not reported in this epoch.
+    /// The next orders for a shard, with every assignment that the shard has not listed in
+    /// a report yet. `None` if the shard has not reported in this epoch.
     pub fn orders(&mut self, node: &str) -> Option<Orders> {
         let view = self.shards.get_mut(node)?;
         view.orders_seq += 1;
@@ -29,6 +30,7 @@
         })
     }
 
+    /// The assignments that a shard has not listed in a report yet, by job.
     fn unacknowledged_assignments(&self, shard: &str) -> Vec<JobAssignment> {
         self.jobs
             .iter()
@@ -37,7 +39,7 @@
             .collect()
     }
 
-    /// Running tasks of each job that has any, for display.
+    /// The number of running tasks of each job that has any, for display.
     fn running_counts(&self) -> Vec<(JobId, u32)> {
         let running = |entry: &JobEntry| {
             entry
@@ -53,17 +55,17 @@
             .collect()
     }
 
-    /// Tasks that a shard is to give back, with their attempts: those of jobs that are
-    /// withdrawn, and replicas on machines that are being consolidated.
+    /// The tasks that a shard has to stop, with their attempts: those of jobs that are
+    /// being withdrawn, and replicas on machines that are being consolidated.
     fn recalled_tasks(&self, shard: &str) -> Vec<(Task, u64)> {
         let mut recalled = Vec::new();
         for (id, entry) in self.jobs.iter().filter(|(_, entry)| entry.withdrawing) {
-            let theirs = entry
+            let shard_tasks = entry
                 .assigned
                 .iter()
                 .filter(|(_, assigned)| &*assigned.shard == shard);
             recalled.extend(
-                theirs.map(|(index, assigned)| (task(id, *index), assigned.numbers.attempt)),
+                shard_tasks.map(|(index, assigned)| (task(id, *index), assigned.numbers.attempt)),
             );
         }
         if self.consolidating.is_empty() {
@@ -71,10 +73,10 @@
         }
         let is_service = |entry: &JobEntry| entry.spec.job_kind == JobKind::Service;
         for (id, entry) in self.jobs.iter().filter(|(_, entry)| is_service(entry)) {
-            let theirs = entry.assigned.iter().filter(|(_, assigned)| {
+            let shard_tasks = entry.assigned.iter().filter(|(_, assigned)| {
                 &*assigned.shard == shard && assigned.phase == TaskPhase::Running
             });
-            let moved = theirs.filter(|(_, assigned)| {
+            let moved = shard_tasks.filter(|(_, assigned)| {
                 let machine = assigned.machine.as_ref();
                 machine.is_some_and(|machine| self.consolidating.contains(machine))
             });
@@ -94,7 +96,8 @@
 }
 
 impl JobEntry {
-    /// What a shard is told of the job's unacknowledged tasks, if it has any.
+    /// The unacknowledged assignments of the job's tasks to a shard; `None` if there are
+    /// none.
     fn unacknowledged_assignment(&self, id: &JobId, shard: &str) -> Option<JobAssignment> {
         let tasks: Vec<(u32, u64)> = self
             .unacknowledged_in(shard)
@@ -103,7 +106,7 @@
         if tasks.is_empty() {
             return None;
         }
-        let zone_bound = self.spec.one_zone || self.spec.scatter;
+        let is_zone_constrained = self.spec.one_zone || self.spec.scatter;
         Some(JobAssignment {
             job: id.clone(),
             tasks,
@@ -111,9 +114,9 @@
                 .zone_allowances
                 .get(shard)
                 .cloned()
-                .filter(|_| zone_bound),
-            avoid: self.failures.avoided().to_vec(),
-            assignments: self.assignments_unlike_attempts(shard),
+                .filter(|_| is_zone_constrained),
+            avoid: self.failures.avoided_machines().to_vec(),
+            assignments: self.assignments_differing_from_attempts(shard),
         })
     }
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,4 +1,5 @@
-//! Which shards the free tasks of one job go to, by its kind and its zones.
+//! Selects the shards for the unassigned tasks of one job, by its kind and its zone
+//! constraints.
 
 use super::{JobEntry, Leader, ShardAssignment};
 use crate::clock::Seconds;
@@ -8,32 +9,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// After how many seconds without room in its zone a service moves to another one:
-/// as long as several boots take.
+/// After how many seconds without capacity in its zone a service moves to another one: the
+/// time that several boots of a machine take.
 const ZONE_CHANGE_AFTER_S: Seconds = BEGIN_WITHIN_S / 6.0;
 
-/// The free tasks of one job, with what each of them requires.
+/// The unassigned tasks of one job, with the requirements that each of them has.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct FreeTasks<'a> {
+pub(super) struct UnassignedTasks<'a> {
     pub(super) job: &'a JobId,
     pub(super) request: &'a PlacementRequest,
     pub(super) indexes: &'a [u32],
 }
 
-impl FreeTasks<'_> {
+impl UnassignedTasks<'_> {
     fn len(&self) -> usize {
         self.indexes.len()
     }
 }
 
 impl Leader {
-    /// Assigns tasks whose zones depend on each other. The leader counts the zones, so
-    /// nothing is assigned while any task's zone isn't known, and what is assigned
-    /// goes whole to one shard with what each zone may still take, unless several
-    /// shards together fit it better.
-    pub(super) fn assign_zone_bound(
+    /// Assigns tasks of a zone-constrained job. The leader counts the tasks in each zone,
+    /// so nothing is assigned while the zone of any task is unknown. The tasks go to one
+    /// shard, together with the allowances of the zones, unless several shards together fit
+    /// them better.
+    pub(super) fn assign_zone_constrained(
         &mut self,
-        tasks: FreeTasks,
+        tasks: UnassignedTasks,
         capacity: &mut FreeCapacity,
         cache: &StoreCache,
     ) -> Vec<ShardAssignment> {
@@ -50,7 +51,8 @@
         let Some(fit) = best_shard(tasks, capacity, &allowances, one_zone, &self.names) else {
             return Vec::new();
         };
-        if let Some(slots) = better_spread(entry, tasks, &fit.slots, capacity, &allowances) {
+        if let Some(slots) = better_multi_shard_fit(entry, tasks, &fit.slots, capacity, &allowances)
+        {
             return self.spread_over_shards(tasks, &slots, capacity);
         }
         if one_zone && fit.slots.len() < tasks.len() && entry.assigned.is_empty() {
@@ -59,11 +61,11 @@
         self.assign_to_shard(tasks, &fit, capacity, &allowances, one_zone)
     }
 
-    /// Assigns as many tasks as fit to one shard, and records what it is told of the
-    /// zones.
+    /// Assigns as many tasks as fit to one shard, and records the allowances that the shard
+    /// is sent.
     fn assign_to_shard(
         &mut self,
-        tasks: FreeTasks,
+        tasks: UnassignedTasks,
         fit: &ShardFit,
         capacity: &mut FreeCapacity,
         allowances: &[ZoneAllowance],
@@ -72,21 +74,22 @@
         for &slot in &fit.slots {
             capacity.allocate(slot, &tasks.request.task_resources);
         }
-        // A job for one zone is told which. Left to choose, the shard started it
-        // where only some of its tasks had room.
+        // A job that must run in one zone is sent that zone alone. When the shard was free
+        // to choose, it started the job in a zone that had capacity for only some of its
+        // tasks.
         let chosen_zones: BTreeSet<u32> = fit
             .slots
             .iter()
             .map(|&slot| capacity.slots[slot].zone)
             .collect();
-        let told = allowances
+        let allowances_by_zone = allowances
             .iter()
             .filter(|allowance| !one_zone || chosen_zones.contains(&allowance.zone))
             .map(|allowance| (self.names.name(allowance.zone).clone(), allowance.tasks))
             .collect();
         let shard = self.names.name(fit.shard).clone();
         if let Some(entry) = self.jobs.get_mut(tasks.job) {
-            entry.zone_allowances = [(shard.clone(), told)].into_iter().collect();
+            entry.zone_allowances = [(shard.clone(), allowances_by_zone)].into_iter().collect();
         }
         vec![ShardAssignment {
             shard,
@@ -94,8 +97,8 @@
         }]
     }
 
-    /// How many more tasks of a job each zone may take, by where its other tasks are;
-    /// none while that isn't known of all.
+    /// How many further tasks of a job each zone may take, given the zones of its assigned
+    /// tasks. `None` while the zone of an assigned task is unknown.
     pub(super) fn zone_allowances(
         &self,
         entry: &JobEntry,
@@ -120,13 +123,13 @@
         Some(zones.filter(allowed).map(allowance).collect())
     }
 
-    /// How many of a job's tasks are in each zone, as far as that is known and
-    /// matters for the rest of them.
+    /// The number of tasks of a zone-constrained job in each zone, as far as it is known;
+    /// empty for other jobs.
     pub(super) fn tasks_by_zone(&self, id: &JobId, cache: &StoreCache) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
-        let bound =
+        let is_zone_constrained =
             |entry: &&JobEntry| (entry.spec.one_zone || entry.spec.scatter) && !entry.withdrawing;
-        let Some(entry) = self.jobs.get(id).filter(bound) else {
+        let Some(entry) = self.jobs.get(id).filter(is_zone_constrained) else {
             return zones;
         };
         for assignment in entry.assigned.values() {
@@ -138,25 +141,26 @@
         zones
     }
 
-    /// Moves a service as a whole whose zone has had no room for the rest of it for
-    /// [`ZONE_CHANGE_AFTER_S`], if another zone has room for all of it: its tasks are
-    /// stopped, and assigned anew once all are proven to be nowhere.
+    /// Moves a service that must run in one zone to another one, if its zone has had no
+    /// capacity for its unassigned tasks for [`ZONE_CHANGE_AFTER_S`] and another zone has
+    /// capacity for all of its tasks. All tasks are stopped, and assigned again once all
+    /// are confirmed to have stopped.
     pub(super) fn consider_zone_change(
         &mut self,
-        tasks: FreeTasks,
-        has_room: bool,
+        tasks: UnassignedTasks,
+        has_capacity: bool,
         capacity: &mut FreeCapacity,
         now: Seconds,
     ) {
         let Some(entry) = self.jobs.get_mut(tasks.job) else {
             return;
         };
-        if has_room || entry.assigned.is_empty() {
-            entry.no_room_since = None;
+        if has_capacity || entry.assigned.is_empty() {
+            entry.no_capacity_since = None;
             entry.withdrawing = false;
             return;
         }
-        let since = *entry.no_room_since.get_or_insert(now);
+        let since = *entry.no_capacity_since.get_or_insert(now);
         let all_placed = entry.unreconciled.is_empty()
             && entry
                 .assigned
@@ -174,11 +178,11 @@
         }
     }
 
-    /// Assigns tasks to the shards of the chosen machines, and records how many of
-    /// them each shard may place in a zone.
+    /// Assigns tasks to the shards of the selected machines, and records how many of them
+    /// each shard may place in each zone.
     pub(super) fn spread_over_shards(
         &mut self,
-        tasks: FreeTasks,
+        tasks: UnassignedTasks,
         slots: &[usize],
         capacity: &mut FreeCapacity,
     ) -> Vec<ShardAssignment> {
@@ -190,10 +194,10 @@
         for (&slot, &index) in slots.iter().zip(tasks.indexes) {
             let shard = self.names.name(capacity.slots[slot].shard).clone();
             let zone = self.names.name(capacity.slots[slot].zone);
-            let told = entry.zone_allowances.entry(shard.clone()).or_default();
-            match told.iter_mut().find(|(name, _)| name == zone) {
+            let allowances_by_zone = entry.zone_allowances.entry(shard.clone()).or_default();
+            match allowances_by_zone.iter_mut().find(|(name, _)| name == zone) {
                 Some((_, count)) => *count += 1,
-                None => told.push((zone.clone(), 1)),
+                None => allowances_by_zone.push((zone.clone(), 1)),
             }
             capacity.allocate(slot, &tasks.request.task_resources);
             by_shard.entry(shard).or_default().push(index);
@@ -202,6 +206,7 @@
     }
 }
 
+/// Converts tasks by shard to assignments, in ascending order of the shards' names.
 fn shard_assignments(by_shard: BTreeMap<Arc<str>, Vec<u32>>) -> Vec<ShardAssignment> {
     by_shard
         .into_iter()
@@ -209,28 +214,29 @@
         .collect()
 }
 
-/// The machines of several shards, if together they fit zone-bound tasks better than
-/// `slots`, which are those of the best single shard.
-fn better_spread(
+/// Machines of several shards that together fit the tasks of a zone-constrained job better
+/// than `slots`, the machines of the best single shard. `None` if there are none.
+fn better_multi_shard_fit(
     entry: &JobEntry,
-    tasks: FreeTasks,
+    tasks: UnassignedTasks,
     slots: &[usize],
     capacity: &mut FreeCapacity,
     allowances: &[ZoneAllowance],
 ) -> Option<Vec<usize>> {
     let request = tasks.request;
     if entry.spec.one_zone {
-        // One shard's machines of one zone may be too few for a job that the zone
-        // has room for.
+        // A single shard may own too few machines of a zone that has capacity for the whole
+        // job.
         if slots.len() >= tasks.len() {
             return None;
         }
         let spread = capacity.try_place(request, tasks.len(), None, allowances, true);
-        let worthwhile = spread.len() == tasks.len() || !entry.assigned.is_empty();
-        return (spread.len() > slots.len() && worthwhile).then_some(spread);
+        let is_worthwhile = spread.len() == tasks.len() || !entry.assigned.is_empty();
+        return (spread.len() > slots.len() && is_worthwhile).then_some(spread);
     }
-    // No shard has room where the image is cached for all tasks of a latency-sensitive
-    // job: several shards share it, each told how many a zone may take of it.
+    // No single shard has enough machines with a cached image for all tasks of a
+    // latency-sensitive job: they are divided among several shards, each with its own
+    // allowances.
     if !request.latency_sensitive || capacity.count_with_cached_image(request, slots) >= tasks.len()
     {
         return None;
@@ -243,32 +249,34 @@
     (spread.len() >= slots.len() && more_cached()).then_some(spread)
 }
 
-/// What one shard offers to the tasks of a job.
+/// The machines that one shard has for the tasks of a job.
 #[derive(Debug)]
 struct ShardFit {
     rank: ShardRank,
     /// The interned name of the shard.
     shard: u32,
-    /// A machine for each task that fits.
+    /// One machine for each task that fits.
     slots: Vec<usize>,
 }
 
-/// What decides between shards, the highest first.
+/// The criteria for selecting a shard, the most important first; the highest rank wins.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct ShardRank {
-    /// Tasks that fit.
+    /// The number of tasks that fit.
     tasks: usize,
-    /// Of these, on machines that have the image of a latency-sensitive job.
+    /// The number of these that go to machines with the cached image of a latency-sensitive
+    /// job.
     cached: usize,
     /// Free CPUs of the whole shard.
     free_cpus: f64,
 }
 
-/// The shard that takes the most of the tasks; of several, the one with more machines
-/// that have the image of a latency-sensitive job, then the one with the most room
-/// (design, "Division": other jobs than arrays go to the roomiest shard).
+/// Selects the shard that fits the most of the tasks; of several, the one that has more
+/// machines with the cached image of a latency-sensitive job, then the one with the most
+/// free CPUs (design, "Division": jobs other than arrays go to the shard with the most free
+/// capacity).
 fn best_shard(
-    tasks: FreeTasks,
+    tasks: UnassignedTasks,
     capacity: &mut FreeCapacity,
     allowances: &[ZoneAllowance],
     one_zone: bool,
@@ -297,9 +305,9 @@
     best
 }
 
-/// Assigns as many tasks as fit to the one shard that takes the most of them.
-pub(super) fn assign_whole(
-    tasks: FreeTasks,
+/// Assigns as many tasks as fit to the one shard that fits the most of them.
+pub(super) fn assign_to_best_shard(
+    tasks: UnassignedTasks,
     capacity: &mut FreeCapacity,
     names: &NameInterner,
 ) -> Vec<ShardAssignment> {
@@ -316,10 +324,10 @@
     }]
 }
 
-/// Assigns an array's tasks one by one, each to the shard with the most room left
-/// (design, "Division": an array's tasks are divided by free room).
+/// Assigns the tasks of an array one by one, each to the shard with the most free CPUs left
+/// (design, "Division": the tasks of an array are divided by free capacity).
 pub(super) fn assign_array(
-    tasks: FreeTasks,
+    tasks: UnassignedTasks,
     capacity: &mut FreeCapacity,
     names: &NameInterner,
 ) -> Vec<ShardAssignment> {
@@ -334,8 +342,8 @@
         match capacity.best_slot(tasks.request, Some(shard), None) {
             Some(slot) => {
                 capacity.allocate(slot, &tasks.request.task_resources);
-                let of_shard = by_shard.entry(names.name(shard).clone()).or_default();
-                of_shard.push(index);
+                let shard_tasks = by_shard.entry(names.name(shard).clone()).or_default();
+                shard_tasks.push(index);
                 next = remaining.next();
             }
             None => full.push(shard),
--- a/src/scheduler/progress.rs
+++ b/src/scheduler/progress.rs
@@ -1,4 +1,4 @@
-//! How far the leader has reconciled its table, for operators and the log.
+//! How far the leader has established the location of all tasks, for operators and the log.
 
 use super::Leader;
 use crate::store::cache::StoreCache;
@@ -7,39 +7,39 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How far a leader that started without knowledge has found out where tasks are.
+/// How far a new leader has established where tasks run.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct ReconciliationProgress {
-    /// Every member has reported what it holds.
+    /// Whether every member of the epoch has reported the tasks assigned to its shard.
     #[serde(rename = "all_joined")]
     pub all_shards_reported: bool,
-    /// Every task and every machine is reconciled.
+    /// Whether every task and every machine is reconciled.
     #[serde(rename = "resolved")]
     pub reconciled: bool,
-    /// Unfinished jobs, by what is known of their tasks.
+    /// The number of unfinished jobs in each phase of reconciliation.
     pub jobs: BTreeMap<ReconciliationPhase, u32>,
-    /// Tasks that nobody has proven to be anywhere, or nowhere.
+    /// The number of tasks whose location is unknown.
     #[serde(rename = "tasks_in_doubt")]
     pub unreconciled_tasks: u32,
-    /// Machines whose content is not known.
+    /// The number of machines of which it is unknown what they run.
     #[serde(rename = "machines_in_doubt")]
     pub unreconciled_machines: u32,
 }
 
-/// The size of the leader's table.
+/// The number of entries in the leader's scheduling state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TableCounts {
     /// Unfinished jobs.
     pub jobs: usize,
-    /// Tasks that a shard answers for.
+    /// Tasks that are assigned to a shard.
     pub assigned_tasks: usize,
-    /// Tasks that nobody has proven to be anywhere, or nowhere.
+    /// Tasks whose location is unknown.
     pub unreconciled_tasks: u32,
 }
 
 impl Leader {
-    /// How far the table is reconciled; `gone` says which machines are known to be
-    /// deleted.
+    /// Returns how far tasks and machines are reconciled; `gone` tells which machines are
+    /// known to no longer exist.
     pub fn reconciliation_progress(
         &self,
         cache: &StoreCache,
@@ -60,7 +60,7 @@
         progress
     }
 
-    /// The size of the table.
+    /// Counts the entries of the scheduling state.
     pub fn counts(&self) -> TableCounts {
         let entries = self.jobs.values();
         TableCounts {
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -1,4 +1,5 @@
-//! Which tasks are proven to be nowhere, since no machine can hold them.
+//! Reconciliation: confirming which tasks do not run anywhere, since no machine can run
+//! them.
 
 use super::Leader;
 use crate::finished::TaskSet;
@@ -7,9 +8,9 @@
 use finchwood_reconciliation::unreconciled::{MachineClass, UnreconciledMachines};
 
 impl Leader {
-    /// Machines whose content nobody knows yet under this epoch, apart from
-    /// those that `gone` says are deleted.
-    pub(super) fn unreconciled_registered<'a>(
+    /// Registered machines of which it is not known in this epoch what they run, without
+    /// those for which `gone` returns true.
+    pub(super) fn unreconciled_registered_machines<'a>(
         &'a self,
         cache: &'a StoreCache,
         gone: &'a dyn Fn(&MachineId) -> bool,
@@ -20,7 +21,7 @@
             .filter(|(_, machine)| machine.record.in_use)
             .map(|(id, _)| id)
             .filter(move |id| {
-                // A shard tells only of machines that are its own in this epoch.
+                // A shard reports only machines that it owns in this epoch.
                 !gone(id)
                     && !self.shards.values().any(|shard| {
                         shard
@@ -39,7 +40,7 @@
         gone: &dyn Fn(&MachineId) -> bool,
     ) -> UnreconciledMachines {
         let registered = self
-            .unreconciled_registered(cache, gone)
+            .unreconciled_registered_machines(cache, gone)
             .filter_map(|id| cache.registry.get(id));
         let registered = registered.map(|machine| MachineClass {
             machine_type: machine.record.machine_type.clone(),
@@ -60,9 +61,9 @@
         registered.chain(unregistered).collect()
     }
 
-    /// Whether machines that no readable page of the machine registry names may hold
-    /// tasks. Such a machine reports to its owner before its worker's lease expires, or
-    /// that has expired.
+    /// Whether machines that are missing from the readable pages of the machine registry
+    /// may run tasks. Such a machine reports to its owner before its worker's lease
+    /// expires, so that none can be left once a lease has passed.
     fn unregistered_machines_may_hold_tasks(&self, cache: &StoreCache) -> bool {
         let Some(first_report_at) = self.epoch.first_report_at else {
             return true;
@@ -71,7 +72,7 @@
             && self.epoch.last_report_at - first_report_at < self.policy.takeover_s
     }
 
-    /// Whether every member has reported what it holds in this epoch.
+    /// Whether every member of the epoch has reported the tasks assigned to its shard.
     pub fn all_shards_reported(&self) -> bool {
         self.epoch
             .members
@@ -79,19 +80,20 @@
             .all(|member| self.epoch.reported_shards.contains(member))
     }
 
-    /// Frees unreconciled tasks once they are proven to be nowhere: every shard has
-    /// reported what it holds, and the owner of every machine that may run them knows
-    /// what is on it (design, "Division": a controller that takes over rebuilds its
-    /// table from reports and waits out the workers' leases). Only the owner can say
-    /// that a worker's lease must have expired, since it knows whether it has answered
-    /// it: by the age of the epoch alone, a worker answered a moment ago would count
-    /// as empty.
+    /// Turns unreconciled tasks into unassigned ones once they are confirmed not to run
+    /// anywhere. That requires reports of all shards, and that the owner of every machine
+    /// that may run the tasks knows what the machine runs (design, "Division": a controller
+    /// that takes over rebuilds its state from reports and waits until the workers' leases
+    /// have expired). Only the owner can tell that a worker's lease must have expired,
+    /// since it knows when it last responded to the worker. Judged by the age of the epoch
+    /// alone, a machine whose worker received a response a moment ago would count as empty.
     ///
-    /// A machine that stays silent holds up only the jobs that may be on it: those
-    /// allowed on its type, in its zone and on its kind.
+    /// A machine that stays silent delays only the jobs that may run on it, by its type,
+    /// its zone and whether it is a spot machine.
     ///
-    /// `gone` says whose deletion was answered: that is proof long before the machine
-    /// registry shows it, which may be written late when there is much to write.
+    /// `gone` tells which machines are known to no longer exist. This is known long before
+    /// the machine registry shows it, which may be written late when many writes are
+    /// pending.
     pub fn reconcile(&mut self, cache: &StoreCache, gone: &dyn Fn(&MachineId) -> bool) {
         if self.epoch.reconciled || !self.epoch.has_new_evidence || !self.all_shards_reported() {
             return;
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -1,6 +1,7 @@
-//! One round of assignment: which jobs come first, and what each may take.
+//! A round of assignment: the order in which jobs are served, and how many tasks each may
+//! start.
 
-use super::placement::{assign_array, assign_whole, FreeTasks};
+use super::placement::{assign_array, assign_to_best_shard, UnassignedTasks};
 use super::urgency::{urgency, Urgency};
 use super::usage::add_tasks;
 use super::{AssignmentNumbers, JobEntry, Leader, ShardAssignment, TaskAssignment};
@@ -16,19 +17,20 @@
 use std::sync::Arc;
 
 impl Leader {
-    /// The free room of every schedulable machine, less what is assigned and not placed yet.
+    /// The free capacity of every schedulable machine, minus that of tasks which are
+    /// assigned to a shard and have no machine yet.
     pub(super) fn capacity(&self, wall_clock_ms: u64) -> FreeCapacity {
-        let open = self
+        let schedulable = self
             .shards
             .values()
             .flat_map(|shard| shard.machines.values());
-        let open = open.filter(|machine| {
+        let schedulable = schedulable.filter(|machine| {
             machine.status.schedulable
                 && !self.draining.contains(&machine.status.id)
                 && !self.faulty.contains(&machine.status.id)
         });
         let mut capacity = FreeCapacity::new(
-            open.map(|machine| machine.slot.clone()).collect(),
+            schedulable.map(|machine| machine.slot.clone()).collect(),
             self.reserved_cpus,
         );
         for entry in self.jobs.values() {
@@ -39,11 +41,17 @@
                 .filter(|assignment| assignment.machine.is_none())
             {
                 let request = request.get_or_insert_with(|| {
-                    let preempts = match self.preempts(entry, wall_clock_ms) {
+                    let preemption_scope = match self.preemption_scope(entry, wall_clock_ms) {
                         PreemptionScope::AllLowerPriorities => PreemptionScope::Nothing,
-                        others => others,
+                        scope => scope,
                     };
-                    PlacementRequest::new(&entry.spec, &self.names, Vec::new(), false, preempts)
+                    PlacementRequest::new(
+                        &entry.spec,
+                        &self.names,
+                        Vec::new(),
+                        false,
+                        preemption_scope,
+                    )
                 });
                 if let Some(slot) =
                     capacity.best_slot(request, self.names.lookup(&assignment.shard), None)
@@ -55,9 +63,9 @@
         capacity
     }
 
-    /// One round of assignment: as many free tasks as fit, in order of priority and
-    /// age, until `has_time` says that the time is over; the next round goes on
-    /// from there. Returns the shards that have new orders.
+    /// Runs one round of assignment: assigns as many unassigned tasks as fit, job by job in
+    /// the order of `RankedJob`, until `has_time` returns false; the next round continues
+    /// at that job. Returns the shards that have new orders.
     pub fn assign_tasks(
         &mut self,
         cache: &StoreCache,
@@ -77,7 +85,7 @@
             used,
             capacity: self.capacity(wall_clock_ms),
             pending_demand: Vec::new(),
-            gang_waits: false,
+            gang_has_reservation: false,
             shards_with_new_orders,
         };
         for id in self.jobs_in_order(&round) {
@@ -92,33 +100,35 @@
             .iter()
             .filter(|demand| demand.spec.priority == Priority::Prod)
         {
-            tracing::debug!(job = %demand.spec.id, tasks = demand.count, "no room");
+            tracing::debug!(job = %demand.spec.id, tasks = demand.count, "tasks do not fit");
         }
         self.pending_demand = round.pending_demand;
         round.shards_with_new_orders
     }
 
-    /// Jobs that may have free tasks, the most pressing first; from where the last
-    /// round stopped, if its time was over.
+    /// The jobs that may have unassigned tasks, in the order in which they are served. The
+    /// order is rotated to start at the job where the last round ran out of time, if it
+    /// did.
     fn jobs_in_order(&mut self, round: &Round) -> Vec<JobId> {
         let guaranteed = self.guaranteed_jobs(round.cache);
         let live = |id: &JobId| round.cache.jobs.get(id).is_some_and(|job| job.live());
-        let may_have_free = |entry: &JobEntry| {
-            !entry.failures.backs_off(round.now) && entry.occupied_tasks() < entry.spec.task_count
+        let may_have_unassigned = |entry: &JobEntry| {
+            !entry.failures.is_backing_off(round.now)
+                && entry.occupied_tasks() < entry.spec.task_count
         };
-        let waiting = self
+        let candidates = self
             .jobs
             .iter()
-            .filter(|(id, entry)| live(id) && may_have_free(entry));
-        let mut order: Vec<RankedJob> = waiting
+            .filter(|(id, entry)| live(id) && may_have_unassigned(entry));
+        let mut order: Vec<RankedJob> = candidates
             .map(|(id, entry)| RankedJob {
-                stage: stage(id, entry, guaranteed.contains(id), round),
+                precedence: precedence(id, entry, guaranteed.contains(id), round),
                 priority: entry.spec.priority,
                 urgency: urgency(
                     &entry.spec,
                     entry.accepted_at_ms,
                     round.wall_clock_ms,
-                    &self.policy.objectives,
+                    &self.policy.completion_objectives,
                 ),
                 id: id.clone(),
             })
@@ -132,8 +142,8 @@
         order.into_iter().map(|job| job.id).collect()
     }
 
-    /// The free tasks of a job, as many as its team's limit allows.
-    fn free_tasks(&self, entry: &JobEntry, job: &CachedJob, used: &Resources) -> Vec<u32> {
+    /// The unassigned tasks of a job, as many as its team's limit and its failures allow.
+    fn unassigned_tasks(&self, entry: &JobEntry, job: &CachedJob, used: &Resources) -> Vec<u32> {
         let team = self.policy.teams.get(&entry.spec.team);
         let left = Resources {
             cpus: team.map_or(0.0, |team| team.cpu_cap()) - used.cpus,
@@ -144,17 +154,21 @@
             mem_gb: 0.0,
             ..entry.spec.task_resources()
         }) as usize;
-        let most = entry.tries_allowed(quota);
-        let free = |i: &u32| {
+        let max_tasks = entry.startable_tasks(quota);
+        let is_unassigned = |i: &u32| {
             !job.finished.contains(*i)
                 && !entry.completed.contains(*i)
                 && !entry.unreconciled.contains(*i)
                 && !entry.assigned.contains_key(i)
         };
-        (0..entry.spec.task_count).filter(free).take(most).collect()
+        (0..entry.spec.task_count)
+            .filter(is_unassigned)
+            .take(max_tasks)
+            .collect()
     }
 
-    /// Assigns the free tasks of one job; those without room become pending demand.
+    /// Assigns the unassigned tasks of one job; those for which there is no capacity become
+    /// pending demand.
     fn assign_job(&mut self, id: &JobId, round: &mut Round) {
         let Some(job) = round.cache.jobs.get(id) else {
             return;
@@ -164,28 +178,29 @@
         };
         let spec = entry.spec.clone();
         let used = round.used.entry(spec.team.clone()).or_default();
-        let free = self.free_tasks(entry, job, used);
+        let unassigned = self.unassigned_tasks(entry, job, used);
         let gang_must_wait = spec.job_kind == JobKind::Gang
-            && !(self.gangs_allowed && entry.gang_may_start(free.len()));
-        // A number beyond the limit would be one of a later epoch.
-        let numbers_left = self.epoch.attempts_used + free.len() as u64 <= self.attempt_limit;
-        if free.is_empty() || gang_must_wait || !numbers_left {
+            && !(self.gangs_allowed && entry.can_assign_gang(unassigned.len()));
+        // A counter above the limit would run into the numbers of a later epoch.
+        let numbers_left = self.epoch.attempts_used + unassigned.len() as u64 <= self.attempt_limit;
+        if unassigned.is_empty() || gang_must_wait || !numbers_left {
             return;
         }
         let age_s = round.age_s(entry);
         let request = self.request(entry, round);
-        let tasks = FreeTasks {
+        let tasks = UnassignedTasks {
             job: id,
             request: &request,
-            indexes: &free,
+            indexes: &unassigned,
         };
         let chosen = self.choose_shards(tasks, round);
         let placed: usize = chosen.iter().map(|assigned| assigned.tasks.len()).sum();
         if placed == 0 && round.capacity.best_slot(&request, None, None).is_none() {
             round.capacity.record_no_fit(&request);
         }
-        if placed < free.len() {
-            let demand = self.pending_demand_of(id, (free.len() - placed) as u32, age_s, round);
+        if placed < unassigned.len() {
+            let demand =
+                self.pending_demand_of(id, (unassigned.len() - placed) as u32, age_s, round);
             round.pending_demand.extend(demand);
         }
         let used = round.used.entry(spec.team.clone()).or_default();
@@ -198,17 +213,18 @@
         }
     }
 
-    /// What may be preempted for the tasks of a job that have no room. Without it,
-    /// guests' low arrays that run for minutes held the machines which a team's own
-    /// work then waited for.
-    fn preempts(&self, entry: &JobEntry, wall_clock_ms: u64) -> PreemptionScope {
+    /// What may be preempted for tasks of a job that do not fit. Besides production jobs,
+    /// jobs that have waited for a while may preempt low-priority arrays of borrowing
+    /// teams: such arrays, with tasks that run for minutes, otherwise occupied the machines
+    /// that a team's own jobs were waiting for.
+    fn preemption_scope(&self, entry: &JobEntry, wall_clock_ms: u64) -> PreemptionScope {
         let waited_s = wall_clock_ms.saturating_sub(entry.accepted_at_ms) as f64 / 1000.0;
         match entry.spec.priority {
             _ if self.preemption_suspended => PreemptionScope::Nothing,
             Priority::Prod => PreemptionScope::AllLowerPriorities,
             Priority::Urgent | Priority::Standard
                 if !entry.spec.has_coupled_tasks()
-                    && waited_s > self.policy.report_s * PREEMPTS_AFTER_REPORTS =>
+                    && waited_s > self.policy.report_s * PREEMPTION_WAIT_REPORTS =>
             {
                 PreemptionScope::LowPriorityOfBorrowingTeams
             }
@@ -216,10 +232,11 @@
         }
     }
 
-    /// What to rent for `count` tasks of a job that have no room. For low work
-    /// that no objective names and that its team only borrows room for, no
-    /// ordinary machine is rented but the first, so that it begins: the cloud has
-    /// too few of them for all.
+    /// The demand for new machines of `count` tasks that do not fit. No on-demand machine
+    /// is rented for opportunistic jobs: low-priority jobs that allow spot machines, have
+    /// no objective and belong to a borrowing team. The cloud has too few on-demand
+    /// machines for all of them. Once the start of such a job is overdue, a machine of any
+    /// kind is rented for one of its tasks.
     fn pending_demand_of(
         &self,
         id: &JobId,
@@ -229,22 +246,26 @@
     ) -> Option<PendingDemand> {
         let entry = self.jobs.get(id)?;
         let spec = &entry.spec;
-        let idle_work = spec.spot
+        let is_opportunistic = spec.spot
             && spec.priority == Priority::Low
             && !self.policy.classes_with_objectives.contains(&spec.class)
             && self.borrowing.contains(&spec.team);
-        let is_late = stage(id, entry, false, round) == Stage::Unbegun;
+        let start_overdue = precedence(id, entry, false, round) == Precedence::StartOverdue;
         Some(PendingDemand {
             tasks_in_zone: self.tasks_by_zone(id, round.cache),
             task_resources: spec.task_resources(),
-            count: if idle_work && is_late { 1 } else { count },
+            count: if is_opportunistic && start_overdue {
+                1
+            } else {
+                count
+            },
             spec: spec.clone(),
             age_s,
-            spot_only: idle_work && !is_late,
+            spot_only: is_opportunistic && !start_overdue,
         })
     }
 
-    /// What the tasks of a job require of a machine in this round.
+    /// The requirements that the tasks of a job place on a machine in this round.
     fn request(&self, entry: &JobEntry, round: &Round) -> PlacementRequest {
         let spec = &entry.spec;
         let latency_sensitive = bin_packing::is_latency_sensitive(
@@ -252,21 +273,28 @@
             &self.policy.start_objectives_s,
             round.cache.catalog.as_deref(),
         );
-        let avoid = entry.failures.avoided().to_vec();
-        let preempts = self.preempts(entry, round.wall_clock_ms);
-        let request = PlacementRequest::new(spec, &self.names, avoid, latency_sensitive, preempts);
-        // The start of a gang with an aim needs room at once in a single zone.
+        let avoid = entry.failures.avoided_machines().to_vec();
+        let preemption_scope = self.preemption_scope(entry, round.wall_clock_ms);
+        let request = PlacementRequest::new(
+            spec,
+            &self.names,
+            avoid,
+            latency_sensitive,
+            preemption_scope,
+        );
+        // A gang with a start objective needs capacity for all of its tasks at once, so
+        // that it may use the capacity that is reserved for services.
         if spec.job_kind == JobKind::Gang
             && self.policy.start_objectives_s.contains_key(&spec.class)
         {
-            request.with_reserve()
+            request.with_reserve_access()
         } else {
             request
         }
     }
 
-    /// The shards that take free tasks of a job, by its kind.
-    fn choose_shards(&mut self, tasks: FreeTasks, round: &mut Round) -> Vec<ShardAssignment> {
+    /// Selects the shards for unassigned tasks of a job, by the kind of job.
+    fn choose_shards(&mut self, tasks: UnassignedTasks, round: &mut Round) -> Vec<ShardAssignment> {
         let Some(entry) = self
             .jobs
             .get(tasks.job)
@@ -276,27 +304,31 @@
         };
         let spec = &entry.spec;
         if spec.job_kind == JobKind::Gang {
-            // The first of those that wait; for the others its room comes later.
-            let keeps_room = !round.gang_waits && round.age_s(entry) < KEEPS_ROOM_FOR_S;
-            let chosen = self.assign_gang(tasks, &mut round.capacity, round.cache, keeps_room);
-            round.gang_waits |= chosen.is_empty() && keeps_room;
+            // Capacity is reserved for the first waiting gang only; the others wait for
+            // later rounds.
+            let reserves_capacity =
+                !round.gang_has_reservation && round.age_s(entry) < CAPACITY_RESERVATION_S;
+            let chosen =
+                self.assign_gang(tasks, &mut round.capacity, round.cache, reserves_capacity);
+            round.gang_has_reservation |= chosen.is_empty() && reserves_capacity;
             chosen
         } else if spec.one_zone || spec.scatter {
-            let moves = spec.one_zone && spec.job_kind == JobKind::Service;
-            let chosen = self.assign_zone_bound(tasks, &mut round.capacity, round.cache);
-            if moves {
-                let has_room = !chosen.is_empty();
-                self.consider_zone_change(tasks, has_room, &mut round.capacity, round.now);
+            let may_change_zone = spec.one_zone && spec.job_kind == JobKind::Service;
+            let chosen = self.assign_zone_constrained(tasks, &mut round.capacity, round.cache);
+            if may_change_zone {
+                let has_capacity = !chosen.is_empty();
+                self.consider_zone_change(tasks, has_capacity, &mut round.capacity, round.now);
             }
             chosen
         } else if spec.has_coupled_tasks() {
-            assign_whole(tasks, &mut round.capacity, &self.names)
+            assign_to_best_shard(tasks, &mut round.capacity, &self.names)
         } else {
             assign_array(tasks, &mut round.capacity, &self.names)
         }
     }
 
-    /// Assigns a task to a shard, under an attempt of its own or that of its gang.
+    /// Assigns a task to a shard, under a new attempt or, for a gang, under that of the
+    /// gang.
     fn assign_task(&mut self, id: &JobId, index: u32, shard: &Arc<str>, now: Seconds) {
         self.epoch.attempts_used += 1;
         let assignment = token::attempt(self.epoch.number, self.epoch.attempts_used);
@@ -321,60 +353,64 @@
     }
 }
 
-/// For how many report intervals a job waits for room before low arrays are stopped
-/// for it: often some comes free by itself.
-const PREEMPTS_AFTER_REPORTS: f64 = 2.0;
+/// How many report intervals a job waits for free capacity before low-priority arrays are
+/// preempted for it: often capacity becomes free without preemption.
+const PREEMPTION_WAIT_REPORTS: f64 = 2.0;
 
-/// For how many seconds from its acceptance room is kept for a gang that waits.
-const KEEPS_ROOM_FOR_S: Seconds = BEGIN_WITHIN_S * 2.0;
+/// For how many seconds after its acceptance capacity is reserved for a waiting gang.
+const CAPACITY_RESERVATION_S: Seconds = BEGIN_WITHIN_S * 2.0;
 
-/// After how many seconds a job that has not begun comes before those whose teams are
-/// within their guarantee.
-const UNBEGUN_AFTER_S: Seconds = BEGIN_WITHIN_S / 3.0;
+/// After how many seconds a job that has not started takes precedence over jobs within
+/// their team's guarantee.
+const START_OVERDUE_AFTER_S: Seconds = BEGIN_WITHIN_S / 3.0;
 
-/// What one round of assignment works with.
+/// The state of one round of assignment.
 struct Round<'a> {
     cache: &'a StoreCache,
     now: Seconds,
     wall_clock_ms: u64,
-    /// What each team uses, with what was assigned in this round.
+    /// What each team uses, including the assignments of this round.
     used: HashMap<Arc<str>, Resources>,
     capacity: FreeCapacity,
     pending_demand: Vec<PendingDemand>,
-    /// A gang waits for which room is kept.
-    gang_waits: bool,
-    /// Shards that have new orders.
+    /// Capacity is already reserved for a gang that does not fit.
+    gang_has_reservation: bool,
+    /// The shards that have new orders.
     shards_with_new_orders: BTreeSet<String>,
 }
 
 impl Round<'_> {
+    /// The time since the job was accepted, in seconds.
     fn age_s(&self, entry: &JobEntry) -> Seconds {
         self.wall_clock_ms.saturating_sub(entry.accepted_at_ms) as f64 / 1000.0
     }
 }
 
-/// A job in the order in which jobs are assigned.
+/// The rank of a job in a round; jobs are served in ascending order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RankedJob {
-    stage: Stage,
+    precedence: Precedence,
     priority: Priority,
     urgency: Urgency,
     id: JobId,
 }
 
-/// What comes before priority in the order of jobs, the most pressing first.
+/// What counts before the priority in the order of jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Stage {
+enum Precedence {
+    /// Production jobs.
     HighestPriority,
-    /// Not begun for long. Large jobs come late in every order: whatever is said
-    /// against it, a job begins while users still wait for it.
-    Unbegun,
+    /// Jobs that have not started for long. Large jobs come late by every other criterion,
+    /// so that without this one they would not start within the time that users accept.
+    StartOverdue,
+    /// Jobs within the guarantee of their team.
     Guaranteed,
+    /// Jobs that exceed the guarantee of their team.
     Borrowed,
 }
 
-fn stage(id: &JobId, entry: &JobEntry, guaranteed: bool, round: &Round) -> Stage {
-    let begun = !entry.assigned.is_empty()
+fn precedence(id: &JobId, entry: &JobEntry, guaranteed: bool, round: &Round) -> Precedence {
+    let started = !entry.assigned.is_empty()
         || !entry.unreconciled.is_empty()
         || round
             .cache
@@ -382,9 +418,9 @@
             .get(id)
             .is_some_and(|job| !job.finished.is_empty());
     match entry.spec.priority {
-        Priority::Prod => Stage::HighestPriority,
-        _ if !begun && round.age_s(entry) > UNBEGUN_AFTER_S => Stage::Unbegun,
-        _ if guaranteed => Stage::Guaranteed,
-        _ => Stage::Borrowed,
+        Priority::Prod => Precedence::HighestPriority,
+        _ if !started && round.age_s(entry) > START_OVERDUE_AFTER_S => Precedence::StartOverdue,
+        _ if guaranteed => Precedence::Guaranteed,
+        _ => Precedence::Borrowed,
     }
 }
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -1,4 +1,4 @@
-//! Shards' reports: what they say of machines and of tasks.
+//! Applies the shards' reports about their machines and tasks.
 
 use super::completions::needs_commit;
 use super::{AssignmentNumbers, Leader, ShardView, TaskAssignment, TrackedMachine};
@@ -12,7 +12,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// Tasks that a report lists.
+/// The tasks that a report lists.
 type ListedTasks = HashSet<(JobId, u32)>;
 
 fn listed_tasks(statuses: &[AssignedTaskStatus]) -> ListedTasks {
@@ -23,9 +23,9 @@
 }
 
 impl Leader {
-    /// Applies a shard's report. Returns false if it is none of this epoch's, or builds
-    /// on one that was never applied: the shard, whose report is not acknowledged then,
-    /// sends all that is missing again.
+    /// Applies a shard's report. Returns false if the report is of another epoch, or builds
+    /// on one that was never applied: such a report is not acknowledged, so that the shard
+    /// sends the missing changes again.
     pub fn apply_shard_report(
         &mut self,
         report: ShardReport,
@@ -73,8 +73,8 @@
         true
     }
 
-    /// Marks tasks as unreconciled that a shard lists no more, and removes jobs of
-    /// which nothing is left.
+    /// Marks tasks that a shard no longer lists as unreconciled, and removes jobs that have
+    /// ended.
     fn mark_missing(&mut self, missing: &[Task], cache: &StoreCache) {
         for task in missing {
             self.mark_unreconciled(task, cache);
@@ -82,8 +82,8 @@
         self.remove_ended_jobs(cache);
     }
 
-    /// Whether a report is of this epoch and builds on what was applied; records that
-    /// it came, if so.
+    /// Whether a report is of this epoch and builds on those that were applied; if so,
+    /// records its arrival.
     fn is_next_report(&mut self, report: &ShardReport, now: Seconds) -> bool {
         if report.epoch != self.epoch.number
             || self.epoch.members.get(&report.node) != Some(&report.incarnation)
@@ -105,7 +105,7 @@
         true
     }
 
-    /// Applies what a report says of machines; a full one names all of them.
+    /// Applies the machines of a report; a full report lists all machines of the shard.
     fn apply_machines(
         &mut self,
         shard: &Arc<str>,
@@ -127,22 +127,23 @@
             view.machines.remove(id);
         }
         for machine in machines {
-            // One that takes tasks again is idle from now on: it was kept empty before.
-            let before = view.machines.get(&machine.id).filter(|before| {
-                before.status.tasks == 0 && (before.status.schedulable || !machine.schedulable)
+            // A machine that has become schedulable again counts as idle from now on, since
+            // it was kept empty before.
+            let previous = view.machines.get(&machine.id).filter(|previous| {
+                previous.status.tasks == 0 && (previous.status.schedulable || !machine.schedulable)
             });
-            let before = before.map(|before| before.idle_since);
+            let previous = previous.map(|previous| previous.idle_since);
             let slot = MachineSlot::new(&machine, shard_number, &mut self.names);
             let tracked = TrackedMachine {
                 slot,
-                idle_since: before.unwrap_or(now),
+                idle_since: previous.unwrap_or(now),
                 status: machine,
             };
             view.machines.insert(tracked.status.id.clone(), tracked);
         }
     }
 
-    /// Applies that a shard holds a task.
+    /// Applies that a task is assigned to a shard.
     fn apply_assigned_task(
         &mut self,
         shard: &Arc<str>,
@@ -153,13 +154,13 @@
         let Some(entry) = self.jobs.get_mut(&status.task.job) else {
             return;
         };
-        // A task that the job doesn't have would count towards its end.
+        // A task that the job does not have would count towards its completion.
         if index >= entry.spec.task_count {
             return;
         }
         if status.phase == TaskPhase::Done && needs_commit(cache, &status.task) {
-            // The tasks of a gang complete together: if one is done, all are,
-            // also those that are lost since.
+            // The tasks of a gang complete together: if one is done, all are, including
+            // those that were lost since.
             let gang = entry.spec.job_kind == JobKind::Gang;
             let done = if gang {
                 0..entry.spec.task_count
@@ -183,21 +184,21 @@
             machine: status.machine,
         };
         match entry.assigned.get(&index) {
-            // Two shards list it after a transfer of its machine: the later assignment
-            // stands until one of them reports it removed.
+            // After a transfer of the machine two shards list the task: the later
+            // assignment counts until one of the shards reports the task as removed.
             Some(old) if old.shard != assigned.shard && old.numbers > assigned.numbers => {}
             _ => entry.assign(index, assigned),
         }
     }
 
-    /// Applies that a task is certainly nowhere in a shard any more.
+    /// Applies that a task certainly no longer runs in a shard.
     fn apply_removed_task(&mut self, shard: &Arc<str>, removed: RemovedTask, now: Seconds) {
         let report_s = self.policy.report_s;
         let Some(entry) = self.jobs.get_mut(&removed.task.job) else {
             return;
         };
-        // A shard repeats that a task is removed, also after it was assigned there anew
-        // under the same attempt.
+        // A shard repeats the removal of a task in its reports, also after the task was
+        // assigned to it again under the same attempt.
         let is_same = |assigned: &TaskAssignment| {
             assigned.shard == *shard
                 && assigned.numbers.attempt == removed.attempt
@@ -225,20 +226,21 @@
         }
     }
 
-    /// Frees the tasks that only this shard can hold and that its full report doesn't
-    /// list: it has kept all that it knew, so that its report is proof.
+    /// Confirms that tasks which can only run in this shard, and which its full report does
+    /// not list, do not run anywhere: the shard has kept all of its state, so that its
+    /// report is sufficient evidence.
     fn reconcile_retained_shard(&mut self, shard: &Arc<str>, listed: &ListedTasks) {
         for (id, entry) in self
             .jobs
             .iter_mut()
             .filter(|(_, entry)| !entry.sole_holders.is_empty())
         {
-            let theirs = entry
+            let shard_tasks = entry
                 .sole_holders
                 .iter()
                 .filter(|(_, holder)| *holder == shard)
                 .map(|(index, _)| *index);
-            for index in theirs.collect::<Vec<u32>>() {
+            for index in shard_tasks.collect::<Vec<u32>>() {
                 entry.sole_holders.remove(&index);
                 if !listed.contains(&(id.clone(), index)) {
                     entry.unreconciled.remove(index);
@@ -247,16 +249,18 @@
         }
     }
 
-    /// Tasks that a shard had listed and doesn't list any more, with no reason given.
+    /// The tasks that a shard has listed before and no longer lists, without a reported
+    /// removal.
     fn missing_tasks(&self, shard: &Arc<str>, listed: &ListedTasks) -> Vec<Task> {
         let mut missing = Vec::new();
         for (id, entry) in &self.jobs {
-            let theirs = entry
+            let shard_tasks = entry
                 .assigned
                 .iter()
                 .filter(|(_, assigned)| assigned.shard == *shard && assigned.acknowledged);
-            let lost = theirs.filter(|(index, _)| !listed.contains(&(id.clone(), **index)));
-            missing.extend(lost.map(|(index, _)| Task {
+            let unlisted =
+                shard_tasks.filter(|(index, _)| !listed.contains(&(id.clone(), **index)));
+            missing.extend(unlisted.map(|(index, _)| Task {
                 job: id.clone(),
                 index: *index,
             }));
@@ -264,7 +268,7 @@
         missing
     }
 
-    /// Whether a shard is known to list a task under this attempt.
+    /// Whether a shard has listed a task under this attempt.
     fn has_acknowledged(&self, shard: &Arc<str>, task: &Task, attempt: u64) -> bool {
         let assigned = self
             .jobs
@@ -275,7 +279,8 @@
         })
     }
 
-    /// Records that a task may be anywhere, unless it needs no more runs.
+    /// Records that the location of a task is unknown, unless the task does not have to run
+    /// again.
     fn mark_unreconciled(&mut self, task: &Task, cache: &StoreCache) {
         let Some(entry) = self.jobs.get_mut(&task.job) else {
             return;
@@ -292,7 +297,7 @@
         self.epoch.reconciled = false;
     }
 
-    /// Removes jobs that have ended and of which no task may be anywhere.
+    /// Removes jobs that have ended and have no assigned and no unreconciled tasks.
     pub(super) fn remove_ended_jobs(&mut self, cache: &StoreCache) {
         self.jobs.retain(|id, entry| {
             !entry.assigned.is_empty()
--- a/src/scheduler/urgency.rs
+++ b/src/scheduler/urgency.rs
@@ -1,12 +1,12 @@
-//! The order among jobs of a priority.
+//! The order of jobs that have the same priority.
 
 use crate::config::settings::Settings;
 use crate::wire::JobSpec;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The longest time, of those that the aims name, within which jobs of a class
-/// should be finished.
+/// The time within which jobs of a class should be finished. If several objectives name a
+/// class, the longest time counts.
 #[derive(Debug, Clone, Default)]
 pub struct CompletionObjectives {
     /// By class, in seconds.
@@ -16,52 +16,54 @@
 impl CompletionObjectives {
     pub(super) fn new(settings: &Settings) -> CompletionObjectives {
         let mut objectives = CompletionObjectives::default();
-        for o in &settings.params.objectives {
-            let class: Arc<str> = o.class.as_str().into();
-            if let (true, Some(w)) = (o.kind == "finished", o.within_s) {
-                let known = objectives.within_s.entry(class).or_insert(w);
-                *known = known.max(w);
+        for objective in &settings.params.objectives {
+            let class: Arc<str> = objective.class.as_str().into();
+            if let (true, Some(within_s)) = (objective.kind == "finished", objective.within_s) {
+                let longest = objectives.within_s.entry(class).or_insert(within_s);
+                *longest = longest.max(within_s);
             }
         }
         objectives
     }
 
-    /// Within how many seconds jobs of a class should be finished.
+    /// Within how many seconds jobs of a class should be finished; `None` without an
+    /// objective.
     fn finished_within_s(&self, class: &str) -> Option<f64> {
         self.within_s.get(class).copied()
     }
 }
 
-/// The place of a job among those of its priority, the most urgent first.
+/// The rank of a job among those of its priority, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Urgency {
-    tier: Tier,
-    /// When it should be done, in milliseconds of the wall clock.
+    timeliness: Timeliness,
+    /// When the job should be done, in milliseconds of the wall clock.
     due_ms: i64,
 }
 
 /// Whether a job can still meet its objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Tier {
-    /// It can, has none, or has waited so long that it goes first all the same.
+enum Timeliness {
+    /// It can, it has no objective, or it has waited so long that it would starve if it
+    /// counted as late.
     InTime,
-    /// It can't any more.
+    /// It cannot any more.
     Late,
 }
 
-/// After how many times the span of its objective a late job goes before all others,
-/// so that none starves.
-const STARVING_AFTER_SPANS: f64 = 4.0;
+/// A late job whose age exceeds this multiple of its objective counts as in time again, so
+/// that it does not starve.
+const STARVATION_FACTOR: f64 = 4.0;
 
-/// The share of a job's total work, in seconds of one task after the other, that
-/// counts as its due time.
-const WORK_SHARE: f64 = 0.1;
+/// A job with a completion objective is due after this share of its total work, the running
+/// time of all its tasks one after the other, but no later than its objective.
+const DUE_AFTER_WORK_SHARE: f64 = 0.1;
 
-/// The urgency of a job: by deadline where
-/// there is one. Where the aim is a time to be finished within, who can still
-/// be in time goes before who can't, since under overload the order of arrival
-/// makes everybody late. A job that has waited four times as long goes before
-/// all, so that none starves.
+/// The urgency of a job. A job with a deadline is due at its deadline. Of the jobs with a
+/// completion objective, those that can still meet it come before those that cannot, since
+/// under overload the order of arrival would make all of them late. A job that has waited
+/// for four times its objective counts as in time again: its due time is long past by then,
+/// so that it comes ahead of almost all others and does not starve.
 pub(super) fn urgency(
     spec: &JobSpec,
     accepted_at_ms: u64,
@@ -71,7 +73,7 @@
     let age_s = (wall_clock_ms as f64 - accepted_at_ms as f64) / 1000.0;
     let due_after = |span_s: f64| accepted_at_ms as i64 + (span_s * 1000.0) as i64;
     let in_time = |span_s: f64| Urgency {
-        tier: Tier::InTime,
+        timeliness: Timeliness::InTime,
         due_ms: due_after(span_s),
     };
     if let Some(deadline_s) = spec.deadline_s {
@@ -80,16 +82,17 @@
     let Some(within_s) = objectives.finished_within_s(&spec.class) else {
         return in_time(0.0);
     };
-    let reachable = age_s + spec.estimate_s <= within_s;
-    let starving = age_s > within_s * STARVING_AFTER_SPANS;
-    // Small jobs first, as more of them are in time so; large ones catch up with age.
+    let can_meet_objective = age_s + spec.estimate_s <= within_s;
+    let is_starving = age_s > within_s * STARVATION_FACTOR;
+    // Small jobs come first, since more jobs are in time that way; large jobs catch up as
+    // they age.
     let work_s = spec.estimate_s * f64::from(spec.task_count);
     Urgency {
-        tier: if reachable || starving {
-            Tier::InTime
+        timeliness: if can_meet_objective || is_starving {
+            Timeliness::InTime
         } else {
-            Tier::Late
+            Timeliness::Late
         },
-        due_ms: due_after((work_s * WORK_SHARE).min(within_s)),
+        due_ms: due_after((work_s * DUE_AFTER_WORK_SHARE).min(within_s)),
     }
 }
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -1,4 +1,4 @@
-//! What teams and services use, and what their teams are guaranteed.
+//! What teams and services use, compared with what the teams are guaranteed.
 
 use super::Leader;
 use crate::store::cache::StoreCache;
@@ -13,18 +13,18 @@
 }
 
 impl Leader {
-    /// What each team uses: tasks that are assigned or may be anywhere.
+    /// What each team uses, counting the tasks that are assigned or unreconciled.
     pub(super) fn used_by_team(&self) -> HashMap<Arc<str>, Resources> {
         let mut used: HashMap<Arc<str>, Resources> = HashMap::new();
         for entry in self.jobs.values() {
-            let of_team = used.entry(entry.spec.team.clone()).or_default();
-            add_tasks(of_team, &entry.spec, f64::from(entry.occupied_tasks()));
+            let team_usage = used.entry(entry.spec.team.clone()).or_default();
+            add_tasks(team_usage, &entry.spec, f64::from(entry.occupied_tasks()));
         }
         used
     }
 
-    /// Jobs that fit their team's guarantee together with the team's earlier
-    /// unfinished jobs: they need not wait for what others borrow.
+    /// Jobs that fit into their team's guarantee together with all earlier unfinished jobs
+    /// of the team. They take precedence over jobs for which a team borrows.
     pub(super) fn guaranteed_jobs(&self, cache: &StoreCache) -> HashSet<JobId> {
         let mut by_age: Vec<_> = self.jobs.iter().collect();
         by_age.sort_by_key(|(id, entry)| (entry.accepted_at_ms, *id));
@@ -38,18 +38,18 @@
                 continue;
             };
             let unfinished = entry.spec.task_count.saturating_sub(job.finished.len());
-            let of_team = used.entry(&entry.spec.team).or_default();
-            add_tasks(of_team, &entry.spec, f64::from(unfinished));
-            if of_team.cpus <= team.cpus && of_team.gpus <= team.gpus {
+            let team_usage = used.entry(&entry.spec.team).or_default();
+            add_tasks(team_usage, &entry.spec, f64::from(unfinished));
+            if team_usage.cpus <= team.cpus && team_usage.gpus <= team.gpus {
                 guaranteed.insert(id.clone());
             }
         }
         guaranteed
     }
 
-    /// Teams that use more than they are guaranteed, by name.
+    /// Teams that use more than they are guaranteed, in ascending order of name.
     pub(super) fn borrowing_teams(&self, used: &HashMap<Arc<str>, Resources>) -> Vec<Arc<str>> {
-        let borrows = |name: &Arc<str>, used: &Resources| {
+        let is_borrowing = |name: &Arc<str>, used: &Resources| {
             self.policy
                 .teams
                 .get(name)
@@ -57,14 +57,14 @@
         };
         let mut teams: Vec<Arc<str>> = used
             .iter()
-            .filter(|(name, used)| borrows(name, used))
+            .filter(|(name, used)| is_borrowing(name, used))
             .map(|(name, _)| name.clone())
             .collect();
         teams.sort();
         teams
     }
 
-    /// CPUs that replicas of services take now.
+    /// The CPUs of all assigned service replicas.
     pub fn service_cpus(&self) -> f64 {
         self.jobs
             .values()
