--- a/src/autoscaler/policy.rs
+++ b/src/autoscaler/policy.rs
@@ -6,7 +6,8 @@
 pub const MINIMUM_CHARGE_S: f64 = 60.0;
 
 /// The time that a machine may need for its first heartbeat after it has booted, in
-/// seconds. The boot timeout includes twice this time.
+/// seconds. The boot timeout includes it twice, so that half of the timeout, when a machine
+/// becomes overdue, includes it once.
 const FIRST_HEARTBEAT_S: Seconds = 5.0;
 
 /// The settings of the autoscaler; each is a ratio to a value of the settings or of the
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -12,7 +12,7 @@
 /// before further rentals wait.
 const MAX_BACKLOG_S: Seconds = 0.75;
 
-/// The lowest share of a machine that its price is divided among.
+/// In the price per task, a machine counts as used to at least this share.
 const MINIMUM_USED_SHARE: f64 = 0.5;
 
 /// Whether further rentals wait until the cloud has answered more of the earlier ones.
--- a/src/scheduler/orders.rs
+++ b/src/scheduler/orders.rs
@@ -5,7 +5,7 @@
 use crate::shard::{JobAssignment, Orders, TaskPhase};
 use crate::wire::{JobId, JobKind, Task};
 
-/// Every how many orders include the number of running tasks of each job, which is for
+/// One in this many orders includes the number of running tasks of each job, which is for
 /// display only.
 const RUNNING_COUNTS_EVERY: u64 = 8;
 
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -62,8 +62,8 @@
     }
 
     /// Whether machines that are missing from the readable pages of the machine registry
-    /// may run tasks. Such a machine reports to its owner before its worker's lease
-    /// expires, so that none can be left once a lease has passed.
+    /// may run tasks. Once reports have arrived for `takeover_s` in this epoch, every such
+    /// machine has reported to its owner, or its worker's lease has expired.
     fn unregistered_machines_may_hold_tasks(&self, cache: &StoreCache) -> bool {
         let Some(first_report_at) = self.epoch.first_report_at else {
             return true;
