--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -39,7 +39,7 @@
         self.leader
             .reconcile(&self.cache, &|id| deletions.is_gone(id));
         self.leader
-            .allow_gangs(self.cache.all_members_support_gangs());
+            .set_gangs_allowed(self.cache.all_members_support_gangs());
         let changed_shards = self
             .leader
             .assign_tasks(&self.cache, now, || clock::now() < end);
