--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -29,7 +29,7 @@
         responder: Responder,
         now: Seconds,
     ) {
-        self.shard.record_contact(&heartbeat.machine);
+        self.shard.record_heartbeat_received(&heartbeat.machine);
         let Some(epoch) = self.entered_epoch() else {
             return responder.retry_later(
                 status::SERVICE_UNAVAILABLE,
@@ -76,7 +76,7 @@
                     until,
                 );
             }
-            HeartbeatReply::Refuse => {
+            HeartbeatReply::Refused => {
                 responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "an old report")
             }
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -252,7 +252,7 @@
     fn run_shard_round(&mut self, until: Seconds, now: Seconds) {
         let end = now + self.round_time_budget();
         self.shard.expire_leases(now);
-        self.shard.stop_for_notices(&self.cache, now);
+        self.shard.stop_tasks_before_reclaim(&self.cache, now);
         if self.is_leader() {
             self.run_leader_round(now, end);
         }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -86,8 +86,8 @@
             return;
         };
         self.leader_report_timer.restart(now);
-        let mut report = self.shard.snapshot(&self.cache, now);
-        report.seen_elsewhere = self.redirects.verified_workers(now);
+        let mut report = self.shard.next_report(&self.cache, now);
+        report.foreign_workers = self.redirects.verified_workers(now);
         if leader == self.settings.node_name {
             self.apply_shard_report(report, now);
         } else {
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -186,7 +186,7 @@
     };
     let mut shard = Shard::new(&settings.node_name, timing, settings.start_objectives());
     if let Some(config) = &features.cold_restart {
-        shard.set_record_limit(config.entries);
+        shard.set_restart_record_limit(config.entries);
     }
     shard
 }
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -52,7 +52,7 @@
             .shards
             .values()
             .flat_map(|shard| shard.machines.values())
-            .filter(|machine| machine.view.spot_notice || machine.view.draining)
+            .filter(|machine| machine.view.reclaim_notice || machine.view.draining)
             .map(|machine| &machine.view.id)
             .collect();
         for (id, entry) in &mut self.jobs {
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -185,7 +185,7 @@
     fn gangs_to_be_taken(&self, now: Seconds) -> BTreeSet<JobId> {
         let noticed: BTreeSet<&MachineId> = self
             .machines()
-            .filter(|machine| machine.spot_notice)
+            .filter(|machine| machine.reclaim_notice)
             .map(|machine| &machine.id)
             .collect();
         if noticed.is_empty() {
--- a/src/scheduler/orders.rs
+++ b/src/scheduler/orders.rs
@@ -107,7 +107,7 @@
         Some(JobAssignment {
             job: id.clone(),
             tasks,
-            zone_room: self
+            zone_capacity: self
                 .zone_allowances
                 .get(shard)
                 .cloned()
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -43,7 +43,7 @@
         let full = report.since == 0;
         self.apply_machines(&shard, full, &report.unregistered, report.machines, now);
         if let Some(view) = self.shards.get_mut(&report.node) {
-            view.seen_elsewhere = report.seen_elsewhere.into_iter().collect();
+            view.seen_elsewhere = report.foreign_workers.into_iter().collect();
             view.zone_contacts = report.zone_contacts.into_iter().collect();
             view.set_silent_machines(report.silent_machines);
         }
@@ -207,7 +207,7 @@
             return;
         }
         entry.unassign(removed.task.index);
-        if removed.reason != RemovalReason::Passed {
+        if removed.reason != RemovalReason::Rejected {
             if let Some(attempt) = entry.attempt.as_mut() {
                 attempt.mark_broken();
             }
--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -25,7 +25,7 @@
     },
     /// 503: this controller is not entitled to answer, or the heartbeat is older than one
     /// already seen.
-    Refuse,
+    Refused,
 }
 
 /// Commands to send to a worker directly.
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -14,7 +14,7 @@
 impl Shard {
     /// A heartbeat came, even if this controller has no right to answer it: its machine
     /// has not stopped reporting.
-    pub fn record_contact(&mut self, id: &MachineId) {
+    pub fn record_heartbeat_received(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.commands.without_heartbeat = None;
         }
@@ -33,7 +33,7 @@
         // A controller with a later epoch commands it: an answer of ours would only be
         // dropped. Or what its source knows of it is still to come.
         if token_epoch(heartbeat.token) > self.epoch || self.transfers.is_awaited(id) {
-            return HeartbeatReply::Refuse;
+            return HeartbeatReply::Refused;
         }
         if self.transfers.is_fenced(id) {
             return self.answer_fenced(heartbeat, cache, now);
@@ -41,7 +41,7 @@
         let (epoch, timing) = (self.epoch, self.timing);
         let machine = self.machine_of(heartbeat, cache, now);
         if machine.session.is_outdated(heartbeat) {
-            return HeartbeatReply::Refuse;
+            return HeartbeatReply::Refused;
         }
         machine.session.last_answered_at = Some(now);
         machine.commands.without_heartbeat = None;
--- a/src/shard/leases.rs
+++ b/src/shard/leases.rs
@@ -55,7 +55,7 @@
     }
 
     /// Stops the tasks that have to move off machines which the cloud will reclaim.
-    pub fn stop_for_notices(&mut self, cache: &StoreCache, now: Seconds) {
+    pub fn stop_tasks_before_reclaim(&mut self, cache: &StoreCache, now: Seconds) {
         let mut moving = Vec::new();
         let noticed = self
             .machines
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -17,7 +17,8 @@
     /// Gone with its machine or session.
     Lost,
     /// Nothing here could take it, or the worker refused it.
-    Passed,
+    #[serde(rename = "Passed")]
+    Rejected,
 }
 
 /// A task that is certainly nowhere in this shard any more.
@@ -116,7 +117,7 @@
     pub schedulable: bool,
     /// The cloud has given notice that it takes the machine back.
     #[serde(rename = "noticed")]
-    pub spot_notice: bool,
+    pub reclaim_notice: bool,
     /// Tasks of two jobs failed there. Read by earlier versions only: the leader of this
     /// one judges by the failures of all machines.
     pub faulty: bool,
@@ -190,7 +191,7 @@
     pub zone_contacts: Vec<(Arc<str>, ZoneContact)>,
     /// Machines of other shards whose workers reported here, and how many seconds ago.
     #[serde(rename = "met")]
-    pub seen_elsewhere: Vec<(MachineId, f64)>,
+    pub foreign_workers: Vec<(MachineId, f64)>,
     /// The hash ranges that are being transferred.
     #[serde(default, skip_serializing_if = "TransferReport::is_empty")]
     #[serde(rename = "handovers")]
@@ -205,7 +206,8 @@
     /// Number and attempt.
     pub tasks: Vec<(u32, u64)>,
     /// For jobs whose tasks depend on each other: how many more each zone may take.
-    pub zone_room: Option<Vec<(Arc<str>, u32)>>,
+    #[serde(rename = "zone_room")]
+    pub zone_capacity: Option<Vec<(Arc<str>, u32)>>,
     /// Machines on which its tasks are not to be started.
     pub avoid: Vec<MachineId>,
     /// Number and assignment of tasks whose attempt is older than their
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -156,7 +156,7 @@
     }
 
     /// Keeps the latest `most` decisions of a restart, for whoever asks.
-    pub fn set_record_limit(&mut self, most: usize) {
+    pub fn set_restart_record_limit(&mut self, most: usize) {
         self.restart_record = RestartRecord::new(most);
     }
 
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -72,7 +72,7 @@
                 self.remove_task(&task, RemovalReason::Stopped);
             }
         }
-        if let Some(room) = job.zone_room.as_ref().filter(|_| fresh) {
+        if let Some(room) = job.zone_capacity.as_ref().filter(|_| fresh) {
             self.zone_capacities.insert(
                 job.job.clone(),
                 ZoneCapacity {
--- a/src/shard/placement.rs
+++ b/src/shard/placement.rs
@@ -207,7 +207,7 @@
             }
             None => {
                 if !self.preempt_for(request, round, VictimMachines::Any) {
-                    self.remove_task(request.task, RemovalReason::Passed);
+                    self.remove_task(request.task, RemovalReason::Rejected);
                 }
             }
         }
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -302,7 +302,7 @@
                 }
                 // Refused: it can't have had its image under this assignment.
                 Some(cause::NO_ROOM | cause::BUSY | cause::UNKNOWN) | None => {
-                    return self.remove_task(task, RemovalReason::Passed)
+                    return self.remove_task(task, RemovalReason::Rejected)
                 }
                 // The attempt of its gang is over, or something this version
                 // doesn't know: neither is the fault of the machine or the job.
--- a/src/shard/report.rs
+++ b/src/shard/report.rs
@@ -38,7 +38,7 @@
             preemptible,
             preemptible_low,
             schedulable: self.is_schedulable(machine, now) && !self.transfers.is_fenced(id),
-            spot_notice: machine.reclaimed_at.is_some(),
+            reclaim_notice: machine.reclaimed_at.is_some(),
             faulty: machine.is_faulty(),
             ignores_commands: machine.ignores_commands(self.timing.report_s, now)
                 || machine.stopped_reporting(self.timing.report_s, now)
@@ -77,7 +77,7 @@
     }
 
     /// The report of all that has changed since the last one that the leader acknowledged.
-    pub fn snapshot(&mut self, cache: &StoreCache, now: Seconds) -> ShardReport {
+    pub fn next_report(&mut self, cache: &StoreCache, now: Seconds) -> ShardReport {
         self.report_seq += 1;
         self.report_due = false;
         let (seq, since) = (self.report_seq, self.acknowledged_seq);
@@ -100,7 +100,7 @@
                 .collect(),
             silent_machines: self.silent_machines(now),
             zone_contacts: self.zone_contact_ages(now),
-            seen_elsewhere: Vec::new(),
+            foreign_workers: Vec::new(),
             transfers: self.transfers.report(),
         }
     }
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -180,7 +180,7 @@
             if placement
                 .is_some_and(|placement| !placement.confirmed && placement.start_token.is_none())
             {
-                self.remove_task(&task, RemovalReason::Passed);
+                self.remove_task(&task, RemovalReason::Rejected);
             }
         }
     }
@@ -204,10 +204,10 @@
     ) -> HeartbeatReply {
         let epoch = self.epoch;
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
-            return HeartbeatReply::Refuse;
+            return HeartbeatReply::Refused;
         };
         if machine.session.is_outdated(heartbeat) {
-            return HeartbeatReply::Refuse;
+            return HeartbeatReply::Refused;
         }
         machine.session.last_answered_at = Some(now);
         // Otherwise it would look silent for as long as the shard map can't be written.
--- a/tests/common/builders/controllers.rs
+++ b/tests/common/builders/controllers.rs
@@ -74,7 +74,7 @@
         .map(|i| reconcile_machine(&mut shard, cache, i, 0.2))
         .collect();
     let mut leader = new_leader(cache);
-    assert!(leader.apply_shard_report(shard.snapshot(cache, 0.3), cache, 0.3));
+    assert!(leader.apply_shard_report(shard.next_report(cache, 0.3), cache, 0.3));
     leader.reconcile(cache, &|_| false);
     (leader, shard, tokens)
 }
@@ -98,11 +98,11 @@
     cache: &StoreCache,
     now: f64,
 ) {
-    leader.apply_shard_report(shard.snapshot(cache, now), cache, now);
+    leader.apply_shard_report(shard.next_report(cache, now), cache, now);
     leader.reconcile(cache, &|_| false);
     leader.assign_tasks(cache, now, || true);
     let orders = leader.orders("a").expect("orders");
     shard.apply_orders(&orders, cache, now);
     place_tasks(shard, cache, now);
-    leader.apply_shard_report(shard.snapshot(cache, now), cache, now);
+    leader.apply_shard_report(shard.next_report(cache, now), cache, now);
 }
--- a/tests/common/builders/heartbeats.rs
+++ b/tests/common/builders/heartbeats.rs
@@ -39,6 +39,6 @@
 pub(crate) fn accepted(reply: HeartbeatReply) -> (u64, Vec<Command>) {
     match reply {
         HeartbeatReply::Accepted { token, commands } => (token, commands),
-        HeartbeatReply::Refuse => panic!("refused"),
+        HeartbeatReply::Refused => panic!("refused"),
     }
 }
--- a/tests/common/simulated_cluster/checks.rs
+++ b/tests/common/simulated_cluster/checks.rs
@@ -151,7 +151,7 @@
             .map(|worker| worker.id.as_str())
             .collect();
         for controller in &mut self.controllers {
-            let report = controller.shard.snapshot(&controller.cache, self.now);
+            let report = controller.shard.next_report(&controller.cache, self.now);
             assert!(
                 !report
                     .machines
--- a/tests/common/simulated_cluster/controllers.rs
+++ b/tests/common/simulated_cluster/controllers.rs
@@ -185,7 +185,7 @@
         self.shard.place_queued(&self.cache, moment, || true);
         self.shard.forget_finished(&self.cache, now);
         let commands = self.shard.due_commands(&self.cache, now);
-        (commands, self.shard.snapshot(&self.cache, now))
+        (commands, self.shard.next_report(&self.cache, now))
     }
 
     /// Assigns tasks; commits and deletes only while the key-value store is reached.
--- a/tests/control_plane/cold_restart.rs
+++ b/tests/control_plane/cold_restart.rs
@@ -24,7 +24,7 @@
 /// A shard and a leader that have just come back, and know nothing.
 fn restarted(cache: &StoreCache) -> (Leader, Shard) {
     let mut shard = Shard::new("a", TIMING, Default::default());
-    shard.set_record_limit(100);
+    shard.set_restart_record_limit(100);
     shard.start_epoch(EPOCH, 7, cache, 0.0, |_| true);
     (new_leader(cache), shard)
 }
@@ -71,7 +71,7 @@
     cache: &StoreCache,
     now: f64,
 ) -> Vec<(Arc<str>, u32)> {
-    leader.apply_shard_report(shard.snapshot(cache, now), cache, now);
+    leader.apply_shard_report(shard.next_report(cache, now), cache, now);
     leader.reconcile(cache, &|_| false);
     leader.assign_tasks(cache, now, || true);
     let orders = leader.orders("a").expect("orders");
@@ -260,7 +260,7 @@
     );
     assert_eq!(
         shard.apply_heartbeat(&late, false, &cache, 29.3),
-        HeartbeatReply::Refuse,
+        HeartbeatReply::Refused,
         "its session is over"
     );
     let (new_token, _) =
@@ -426,7 +426,7 @@
     let orders = leader.orders("a").expect("orders");
     shard.apply_orders(&orders, &cache, 1.2);
     assert_eq!(
-        shard.snapshot(&cache, 1.3).assigned.len(),
+        shard.next_report(&cache, 1.3).assigned.len(),
         1,
         "it is held again"
     );
@@ -466,10 +466,10 @@
     odd.notice_s = Some(-5.0);
     accepted(shard.apply_heartbeat(&odd, false, &cache, 1.0));
     assert!(!shard
-        .snapshot(&cache, 1.0)
+        .next_report(&cache, 1.0)
         .machines
         .iter()
-        .any(|machine| machine.spot_notice));
+        .any(|machine| machine.reclaim_notice));
 }
 
 #[test]
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -50,11 +50,11 @@
     );
     // The epoch and a lease are long past, but not this session's lease.
     p.expire_leases(29.0);
-    let told = p.snapshot(&m, 29.0);
+    let told = p.next_report(&m, 29.0);
     assert!(told.removed.is_empty(), "it runs there: {:?}", told.removed);
     p.expire_leases(46.0);
     assert_eq!(
-        p.snapshot(&m, 46.0).removed.len(),
+        p.next_report(&m, 46.0).removed.len(),
         1,
         "now its worker has killed it"
     );
@@ -79,7 +79,7 @@
                 now,
             );
         }
-        let told = p.snapshot(&m, now);
+        let told = p.next_report(&m, now);
         let view = told.machines.iter().find(|v| &*v.id == "m-1");
         if view.is_some_and(|v| v.schedulable) {
             open_until = now;
@@ -96,7 +96,7 @@
     assert!(found < TIMING.lease_s, "only after its lease: {found}");
     // It reports again: nothing is wrong with it.
     p.apply_heartbeat(&heartbeat_from(1, 1, seq + 1, t, &[]), false, &m, 31.0);
-    let told = p.snapshot(&m, 31.0);
+    let told = p.next_report(&m, 31.0);
     assert!(told
         .machines
         .iter()
@@ -123,7 +123,7 @@
                 now,
             );
         }
-        p.snapshot(&m, now)
+        p.next_report(&m, now)
             .machines
             .iter()
             .any(|v| v.ignores_commands)
@@ -132,7 +132,7 @@
     assert!(!obeys(&mut p, 65.0), "nothing was sent to it for a minute");
     let looks_unidirectional = (0..24).any(|i| {
         // Its reports come, and are refused.
-        p.record_contact(&"m-1".into());
+        p.record_heartbeat_received(&"m-1".into());
         obeys(&mut p, 66.0 + f64::from(i))
     });
     assert!(!looks_unidirectional);
@@ -157,7 +157,7 @@
     l.job_changed(&"wk-1".into(), &m);
     let ended = [("wk-1/0", attempt, TaskState::Ended, Some("done"))];
     p.apply_heartbeat(&heartbeat_from(1, 1, 4, t, &ended), false, &behind, 0.7);
-    let told = p.snapshot(&behind, 0.8);
+    let told = p.next_report(&behind, 0.8);
     assert!(
         told.assigned.iter().any(|h| h.phase == TaskPhase::Done),
         "the part reports its end"
@@ -260,7 +260,7 @@
             p.command_completed(&d.machine, &d.body, None, &m, now + 0.05);
         }
     }
-    let told = p.snapshot(&m, 16.0);
+    let told = p.next_report(&m, 16.0);
     assert!(told.machines[0].reconciled, "{:?}", told.machines[0]);
 }
 
@@ -285,7 +285,7 @@
         .iter()
         .all(|d| d.body.commands.is_empty()));
     assert!(
-        p.snapshot(&m, 0.7).machines[0].ignores_commands,
+        p.next_report(&m, 0.7).machines[0].ignores_commands,
         "it is to be replaced"
     );
 }
@@ -369,7 +369,7 @@
     m.put("fw/j/wk-1", job_record(&s, true), 200);
     l.job_changed(&"wk-1".into(), &m);
     p.job_changed(&"wk-1".into(), &m);
-    assert!(l.apply_shard_report(p.snapshot(&m, 1.0), &m, 1.0));
+    assert!(l.apply_shard_report(p.next_report(&m, 1.0), &m, 1.0));
     let at_ms = 10_000;
     let later = |s: f64| at_ms + (s * 1000.0) as u64;
     assert!(
@@ -390,7 +390,7 @@
         .next()
         .expect("a machine");
     p.unregister_machine(&gone);
-    assert!(l.apply_shard_report(p.snapshot(&m, 2.0), &m, 2.0));
+    assert!(l.apply_shard_report(p.next_report(&m, 2.0), &m, 2.0));
     assert!(l
         .machines_with_cancelled_tasks(&m, later(after + 1.0), after)
         .is_empty());
@@ -486,7 +486,7 @@
         for i in (1..=machines).filter(|i| owns(&format!("m-{i}"))) {
             reconcile_machine(&mut p, cache, i, 0.2);
         }
-        assert!(l.apply_shard_report(p.snapshot(cache, 0.3), cache, 0.3));
+        assert!(l.apply_shard_report(p.next_report(cache, 0.3), cache, 0.3));
     }
     l.reconcile(cache, &|_| false);
     l
@@ -513,7 +513,7 @@
         let room = o
             .assignments
             .iter()
-            .filter_map(|d| d.zone_room.clone())
+            .filter_map(|d| d.zone_capacity.clone())
             .flatten();
         zones.extend(room.map(|(z, _)| z));
     }
@@ -622,7 +622,7 @@
             .0;
         }
         p.expire_leases(now);
-        assert!(l.apply_shard_report(p.snapshot(m, now), m, now));
+        assert!(l.apply_shard_report(p.next_report(m, now), m, now));
         l.reconcile(m, &|_| false);
         l.assign_tasks(m, now, || true);
         let o = l.orders("a").expect("orders");
@@ -673,7 +673,7 @@
     let mut shard = new_shard(&cache);
     let token = reconcile_machine(&mut shard, &cache, 1, 0.2);
     assert!(
-        !shard.snapshot(&cache, 0.3).machines[0].schedulable,
+        !shard.next_report(&cache, 0.3).machines[0].schedulable,
         "it reports, and takes nothing yet"
     );
     shard.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &cache, 0.4);
--- a/tests/control_plane/gangs.rs
+++ b/tests/control_plane/gangs.rs
@@ -219,7 +219,7 @@
     for machine in 1..=6 {
         reconcile_machine(&mut p, &m, machine, 0.2);
     }
-    assert!(l.apply_shard_report(p.snapshot(&m, 0.3), &m, 0.3));
+    assert!(l.apply_shard_report(p.next_report(&m, 0.3), &m, 0.3));
     l.reconcile(&m, &|_| false);
     l.assign_tasks(&m, 0.5, || true);
     let deals = l.orders("a").expect("orders").assignments;
@@ -241,7 +241,7 @@
         .values_mut()
         .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("no_room")));
     b.step();
-    let told = b.shard.snapshot(&b.cache, b.now);
+    let told = b.shard.next_report(&b.cache, b.now);
     let gone = told.removed.clone();
     assert_eq!(gone.len(), 1, "it is told as gone");
     b.steps(3);
@@ -251,7 +251,7 @@
         "on another machine"
     );
     // The report about the first assignment comes once more.
-    let mut again = b.shard.snapshot(&b.cache, b.now);
+    let mut again = b.shard.next_report(&b.cache, b.now);
     again.removed = gone;
     assert!(b.leader.apply_shard_report(again, &b.cache, b.now));
     b.leader.assign_tasks(&b.cache, b.now, || true);
@@ -289,7 +289,7 @@
         .values()
         .all(|s| s.1 == TaskState::Ended || s.0 == second));
     // `peers` is neither the machines' fault nor the job's.
-    let told = b.shard.snapshot(&b.cache, b.now);
+    let told = b.shard.next_report(&b.cache, b.now);
     assert!(!told.machines.iter().any(|m| m.faulty));
 }
 
@@ -357,7 +357,7 @@
     b.step();
     let noticed = b.on_machines()[0].0;
     b.notice(noticed);
-    b.shard.stop_for_notices(&b.cache, b.now);
+    b.shard.stop_tasks_before_reclaim(&b.cache, b.now);
     assert!(
         b.notice(noticed).is_empty(),
         "the shard alone stops none of it"
@@ -490,7 +490,7 @@
     b.all_show(TaskState::Other, None);
     b.steps(2);
     assert_eq!(b.shared_attempt(2), first);
-    let told = b.shard.snapshot(&b.cache, b.now);
+    let told = b.shard.next_report(&b.cache, b.now);
     assert!(told.assigned.iter().all(|h| h.phase == TaskPhase::Running));
 }
 
@@ -508,7 +508,7 @@
     assert!(b.shared_attempt(2) > first);
     assert!(!b
         .shard
-        .snapshot(&b.cache, b.now)
+        .next_report(&b.cache, b.now)
         .machines
         .iter()
         .any(|m| m.faulty));
@@ -526,7 +526,7 @@
     let deals = assignments("wk-1", &[(0, 50), (1, 50)]);
     p.apply_orders(&Orders { ..orders(1, deals) }, &m, 0.4);
     place_tasks(&mut p, &m, 0.5);
-    let held = p.snapshot(&m, 0.6).assigned;
+    let held = p.next_report(&m, 0.6).assigned;
     assert_eq!(
         held.iter()
             .map(|h| (h.attempt, h.assignment))
--- a/tests/control_plane/incremental_reports.rs
+++ b/tests/control_plane/incremental_reports.rs
@@ -95,7 +95,7 @@
                 fleet.report(i, now, &lines);
                 on[i].retain(|t| !ended.contains(t));
             }
-            let report = fleet.shard.snapshot(&fleet.cache, now);
+            let report = fleet.shard.next_report(&fleet.cache, now);
             sent += 1;
             small += usize::from(report.since > 0 && report.machines.len() < MACHINES / 2);
             match rng.gen_range(0..10) {
@@ -122,7 +122,7 @@
             small * 2 > sent,
             "only {small} of {sent} messages were small"
         );
-        let last = fleet.shard.snapshot(&fleet.cache, 20.0);
+        let last = fleet.shard.next_report(&fleet.cache, 20.0);
         assert!(
             leader.apply_shard_report(last, &fleet.cache, 20.0),
             "the last is whole enough to be taken"
@@ -131,7 +131,7 @@
         fleet
             .shard
             .apply_orders(&orders(u64::MAX, Vec::new()), &fleet.cache, 20.0);
-        let whole = fleet.shard.snapshot(&fleet.cache, 20.0);
+        let whole = fleet.shard.next_report(&fleet.cache, 20.0);
         assert_eq!(whole.since, 0);
         let mut fresh = new_leader(&fleet.cache);
         assert!(fresh.apply_shard_report(whole, &fleet.cache, 20.0));
@@ -152,7 +152,7 @@
 fn an_incremental_report_on_an_unknown_base_is_dropped() {
     let mut fleet = Fleet::new();
     fleet.report(0, 1.0, &[(1, false)]);
-    let first = fleet.shard.snapshot(&fleet.cache, 1.0);
+    let first = fleet.shard.next_report(&fleet.cache, 1.0);
     let mut leader = new_leader(&fleet.cache);
     let gap = ShardReport {
         since: first.seq,
@@ -211,7 +211,7 @@
         leader.start_epoch(&epoch(EPOCH, &[("a", 7), ("b", 8)]), 9, &fleet.cache);
         fleet.report(0, 1.0, &[(1, false)]);
         assert!(leader.apply_shard_report(
-            fleet.shard.snapshot(&fleet.cache, 1.0),
+            fleet.shard.next_report(&fleet.cache, 1.0),
             &fleet.cache,
             1.0
         ));
@@ -230,7 +230,7 @@
         fleet
             .shard
             .start_epoch(EPOCH + 1, a, &fleet.cache, 2.1, |_| true);
-        let report = fleet.shard.snapshot(&fleet.cache, 2.2);
+        let report = fleet.shard.next_report(&fleet.cache, 2.2);
         assert!(report.since == 0 && report.assigned.is_empty());
         assert!(leader.apply_shard_report(
             ShardReport {
--- a/tests/control_plane/preemption.rs
+++ b/tests/control_plane/preemption.rs
@@ -59,7 +59,7 @@
             7,
             &cache,
         );
-        leader.apply_shard_report(shard.snapshot(&cache, 0.3), &cache, 0.3);
+        leader.apply_shard_report(shard.next_report(&cache, 0.3), &cache, 0.3);
         leader.reconcile(&cache, &|_| false);
         let running = vec![BTreeMap::new(); machines];
         Fleet {
@@ -94,7 +94,7 @@
     fn step(&mut self) {
         self.now += 0.5;
         self.leader.apply_shard_report(
-            self.shard.snapshot(&self.cache, self.now),
+            self.shard.next_report(&self.cache, self.now),
             &self.cache,
             self.now,
         );
--- a/tests/control_plane/proof_of_removal.rs
+++ b/tests/control_plane/proof_of_removal.rs
@@ -27,10 +27,10 @@
         panic!("refused")
     };
     assert!(raised > commands[0].body.token, "the late start must die");
-    assert!(shard.snapshot(&cache, 1.0).removed.is_empty());
+    assert!(shard.next_report(&cache, 1.0).removed.is_empty());
     // A report under the raised token is proof.
     shard.apply_heartbeat(&heartbeat(1, 4, raised, &[]), false, &cache, 0.8);
-    let report = shard.snapshot(&cache, 1.0);
+    let report = shard.next_report(&cache, 1.0);
     assert_eq!((report.removed.len(), report.assigned.len()), (1, 0));
 }
 
@@ -40,9 +40,9 @@
     let (mut shard, _) = reconciled_shard(&cache);
     assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
     recall(&mut shard, &cache, "wk-1/0", 50, 2);
-    assert_eq!(shard.snapshot(&cache, 1.0).removed.len(), 1);
+    assert_eq!(shard.next_report(&cache, 1.0).removed.len(), 1);
     assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
-    assert!(shard.snapshot(&cache, 1.0).assigned.is_empty());
+    assert!(shard.next_report(&cache, 1.0).assigned.is_empty());
 }
 
 #[test]
@@ -95,7 +95,7 @@
     };
     assert!(commands.is_empty(), "not committed, not forgotten");
     assert_eq!(
-        shard.snapshot(&cache, 1.0).assigned[0].phase,
+        shard.next_report(&cache, 1.0).assigned[0].phase,
         TaskPhase::Done
     );
     cache.put("fw/f/wk-1/0", "4".into(), 99);
@@ -106,7 +106,7 @@
         panic!("refused")
     };
     assert!(matches!(commands[0], Command::Forget { .. }));
-    assert!(shard.snapshot(&cache, 1.0).assigned.is_empty());
+    assert!(shard.next_report(&cache, 1.0).assigned.is_empty());
 }
 
 #[test]
@@ -126,7 +126,7 @@
     };
     assert!(matches!(commands[0], Command::Stop { .. }));
     assert_eq!(
-        shard.snapshot(&cache, 1.0).assigned.len(),
+        shard.next_report(&cache, 1.0).assigned.len(),
         1,
         "the team's room is still taken"
     );
@@ -140,16 +140,16 @@
     // Heard once, under an old token, just before the epoch is a lease old.
     shard.apply_heartbeat(&heartbeat(1, 1, token(2, 5), &[]), false, &cache, 27.0);
     shard.expire_leases(29.0);
-    assert!(!shard.snapshot(&cache, 29.0).machines[0].reconciled);
+    assert!(!shard.next_report(&cache, 29.0).machines[0].reconciled);
     shard.expire_leases(27.0 + 21.0);
-    assert!(shard.snapshot(&cache, 48.0).machines[0].reconciled);
+    assert!(shard.next_report(&cache, 48.0).machines[0].reconciled);
     // Its session is over for good, whatever arrives late.
     assert_eq!(
         shard.apply_heartbeat(&heartbeat(1, 2, token(2, 5), &[]), false, &cache, 49.0),
-        HeartbeatReply::Refuse
+        HeartbeatReply::Refused
     );
     assert!(
         shard.apply_heartbeat(&heartbeat(2, 1, token(2, 5), &[]), false, &cache, 49.0)
-            != HeartbeatReply::Refuse
+            != HeartbeatReply::Refused
     );
 }
--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -159,7 +159,7 @@
                 .shards
                 .get_mut(name)
                 .expect("a part")
-                .snapshot(&self.cache, now);
+                .next_report(&self.cache, now);
             let size = |message| {
                 let (from, to) = (String::new(), String::new());
                 let (heard_peers, unreachable_peers, cancellation_notices) = Default::default();
@@ -578,7 +578,7 @@
         .shards
         .get_mut("a")
         .expect("a part")
-        .snapshot(&two.cache, now);
+        .next_report(&two.cache, now);
     assert!(
         told.silent_machines.is_empty(),
         "{:?}",
@@ -596,7 +596,7 @@
         .shards
         .get_mut("b")
         .expect("a part")
-        .snapshot(&two.cache, now);
+        .next_report(&two.cache, now);
     assert!(two.leader.apply_shard_report(report, &two.cache, now));
     assert!(
         moving.iter().all(|id| !two.leader.has_one_owner(id)),
--- a/tests/control_plane/stale_heartbeats.rs
+++ b/tests/control_plane/stale_heartbeats.rs
@@ -14,7 +14,7 @@
     let cache = cache_with(&[]);
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     shard.apply_heartbeat(&heartbeat(1, 3, fencing_token, &[]), true, &cache, 9.0);
-    let report = shard.snapshot(&cache, 9.0);
+    let report = shard.next_report(&cache, 9.0);
     assert!(report.silent_machines.is_empty(), "it is alive");
     assert!(
         report.zone_contacts[0].1.last_ago_s > 8.0,
@@ -44,7 +44,7 @@
     };
     assert!(commands.is_empty());
     assert_eq!(shard.due_commands(&cache, 12.1).len(), 1, "it is asked");
-    let report = shard.snapshot(&cache, 13.0);
+    let report = shard.next_report(&cache, 13.0);
     assert!(
         !report.machines[0].has_reported && report.assigned.is_empty(),
         "not alive, and its task not found"
@@ -60,7 +60,7 @@
     shard.apply_heartbeat(&heartbeat(1, 91, token(2, 5), &[]), false, &gone, 14.0);
     shard.apply_heartbeat(&heartbeat(1, 92, token(2, 5), &[]), false, &gone, 15.0);
     assert!(!shard
-        .snapshot(&gone, 15.0)
+        .next_report(&gone, 15.0)
         .machines
         .iter()
         .any(|machine| machine.has_reported || machine.registered || machine.schedulable));
@@ -83,16 +83,16 @@
     // Sent before the task came; it must not count as seen without it.
     assert_eq!(
         shard.apply_heartbeat(&heartbeat(1, 2, fencing_token + 9, &[]), false, &cache, 9.0),
-        HeartbeatReply::Refuse
+        HeartbeatReply::Refused
     );
     assert_eq!(
         shard.apply_heartbeat(&running, false, &cache, 9.0),
-        HeartbeatReply::Refuse
+        HeartbeatReply::Refused
     );
-    let report = shard.snapshot(&cache, 9.0);
+    let report = shard.next_report(&cache, 9.0);
     assert_eq!(report.assigned.len(), 1);
     assert!(report.silent_machines[0].silent_s > 7.9, "no sign of life");
     // Nor does it move the view of the lease: that ends when it ends.
     shard.expire_leases(1.0 + 20.5);
-    assert_eq!(shard.snapshot(&cache, 21.5).removed.len(), 1);
+    assert_eq!(shard.next_report(&cache, 21.5).removed.len(), 1);
 }
--- a/tests/control_plane/unresponsive_machines.rs
+++ b/tests/control_plane/unresponsive_machines.rs
@@ -32,7 +32,7 @@
             &cache,
             now,
         );
-        let machine = shard.snapshot(&cache, now).machines.pop();
+        let machine = shard.next_report(&cache, now).machines.pop();
         if i == 1 {
             assert!(
                 machine.is_some_and(|machine| !machine.schedulable && !machine.ignores_commands),
@@ -42,7 +42,7 @@
     }
     let after_orders = |shard: &mut Shard, now| {
         shard.apply_orders(&orders(now as u64 + 100, Vec::new()), &cache, now);
-        shard.snapshot(&cache, now).machines.remove(0)
+        shard.next_report(&cache, now).machines.remove(0)
     };
     assert!(after_orders(&mut shard, 13.0).ignores_commands);
     // Whoever shows the token has heard, and is trusted again.
--- a/tests/control_plane/versions.rs
+++ b/tests/control_plane/versions.rs
@@ -246,7 +246,7 @@
     assert_eq!(
         gone,
         [
-            (72, RemovalReason::Passed, 0),
+            (72, RemovalReason::Rejected, 0),
             (71, RemovalReason::Error, 0)
         ]
     );
@@ -257,7 +257,7 @@
     assert_eq!(
         (
             deal.tasks.len(),
-            deal.zone_room.is_some(),
+            deal.zone_capacity.is_some(),
             deal.assignments.len()
         ),
         (3, true, 0)
@@ -273,7 +273,7 @@
     let deals = vec![JobAssignment {
         job: "wk-1".into(),
         tasks: vec![(0, 50), (1, 50)],
-        zone_room: Some(vec![("e".into(), 2)]),
+        zone_capacity: Some(vec![("e".into(), 2)]),
         avoid: vec!["m-9".into()],
         assignments: vec![(1, 51)],
     }];
@@ -341,7 +341,7 @@
             RemovalReason::Stopped,
             RemovalReason::Error,
             RemovalReason::Lost,
-            RemovalReason::Passed,
+            RemovalReason::Rejected,
         ]
         .into_iter()
         .map(|how| {
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -260,7 +260,7 @@
         let reports: Vec<ShardReport> = self
             .shards
             .iter_mut()
-            .map(|shard| shard.snapshot(&self.cache, now))
+            .map(|shard| shard.next_report(&self.cache, now))
             .collect();
         let bytes = reports.into_iter().map(|report| self.send(report)).sum();
         self.leader.reconcile(&self.cache, &|_| false);
@@ -441,7 +441,7 @@
             HeartbeatReply::Accepted { .. }
         ));
     }
-    let report = shard.snapshot(&fleet.cache, 0.2);
+    let report = shard.next_report(&fleet.cache, 0.2);
     assert_eq!(report.assigned.len(), 32 * MACHINES);
     let bytes = fleet.send(report);
     let limit = max_peer_message_bytes(136.0);
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -186,7 +186,7 @@
         preemptible: Resources::default(),
         preemptible_low: Resources::default(),
         schedulable: true,
-        spot_notice: false,
+        reclaim_notice: false,
         faulty: false,
         ignores_commands: false,
         draining: false,
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -52,7 +52,7 @@
         preemptible: resources(3.0),
         preemptible_low: resources(2.0),
         schedulable: true,
-        spot_notice: true,
+        reclaim_notice: true,
         faulty: true,
         ignores_commands: true,
         draining: true,
@@ -75,7 +75,7 @@
         preemptible: Resources::default(),
         preemptible_low: Resources::default(),
         schedulable: false,
-        spot_notice: false,
+        reclaim_notice: false,
         faulty: false,
         ignores_commands: false,
         draining: false,
@@ -184,7 +184,7 @@
 }
 
 fn full_part() -> ShardReport {
-    use RemovalReason::{Error, Lost, Passed, Stopped};
+    use RemovalReason::{Error, Lost, Rejected, Stopped};
     use TaskPhase::{Done, Fetching, Queued, Running, Saving, Starting};
     let phases = [Queued, Starting, Fetching, Running, Saving, Done];
     ShardReport {
@@ -200,7 +200,7 @@
             .into_iter()
             .map(|phase| held(phase, Some("m-1"), 71))
             .collect(),
-        removed: [Stopped, Error, Lost, Passed]
+        removed: [Stopped, Error, Lost, Rejected]
             .into_iter()
             .map(|how| gone(how, Some("m-1"), 72))
             .collect(),
@@ -224,7 +224,7 @@
                 last_ago_s: 0.25,
             },
         )],
-        seen_elsewhere: vec![("m-5".into(), 1.5)],
+        foreign_workers: vec![("m-5".into(), 1.5)],
         transfers: TransferReport {
             accepted: vec![1],
             fenced: vec![(2, machines())],
@@ -249,7 +249,7 @@
         released: Vec::new(),
         silent_machines: Vec::new(),
         zone_contacts: Vec::new(),
-        seen_elsewhere: Vec::new(),
+        foreign_workers: Vec::new(),
         transfers: TransferReport::default(),
     }
 }
@@ -263,7 +263,7 @@
     let assignment = JobAssignment {
         job: "wk-1".into(),
         tasks: vec![(0, 50), (1, 50)],
-        zone_room: Some(vec![("e".into(), 2)]),
+        zone_capacity: Some(vec![("e".into(), 2)]),
         avoid: vec!["m-9".into()],
         assignments: vec![(1, 51)],
     };
@@ -297,7 +297,7 @@
     let assignment = JobAssignment {
         job: "wk-1".into(),
         tasks: Vec::new(),
-        zone_room: None,
+        zone_capacity: None,
         avoid: Vec::new(),
         assignments: Vec::new(),
     };
