--- a/src/shard/assigned_tasks.rs
+++ b/src/shard/assigned_tasks.rs
@@ -1,40 +1,40 @@
-//! The tasks that are assigned to a shard, with an index by machine: what concerns one
-//! machine must not cost a look at every task of the shard.
+//! The tasks that are assigned to a shard, with an index by machine, so that an operation
+//! on one machine need not go through all tasks of the shard.
 
 use crate::clock::Seconds;
 use crate::shard::{AssignedTaskStatus, TaskPhase};
 use crate::wire::{JobId, MachineId, Task};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Why a task is stopped.
+/// Why the shard stops a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Stop {
+pub(crate) enum TaskStopReason {
     /// Its job is cancelled.
     Cancelled,
-    /// The leader wants it back.
+    /// The leader has recalled it.
     Recalled,
-    /// A task of a higher priority needs its room.
+    /// A task of a higher priority needs its capacity.
     Preempted,
-    /// Its machine is about to be reclaimed by the cloud.
-    Notice,
+    /// The cloud has given notice that it will reclaim the machine.
+    Reclaim,
 }
 
-/// Where an assigned task is, and how far its start and its stop have come.
+/// The machine of an assigned task, and the progress of its start and its stop.
 #[derive(Debug, Clone)]
 pub(crate) struct Placement {
     pub machine: MachineId,
-    /// The session of its worker in which it was started or found.
+    /// The worker's session in which it was started, or in which it was found running.
     pub session: u64,
     pub phase: TaskPhase,
-    /// The token under which the last start was sent (or the task adopted);
-    /// none while no start can be under way.
+    /// The token under which its last start was sent, or under which it was adopted; `None`
+    /// while no start can be in flight.
     pub start_token: Option<u64>,
-    /// Its start was sent, and not taken back since.
+    /// Whether its start was sent, and need not be sent again.
     pub start_sent: bool,
-    /// Its machine has shown it.
+    /// Whether its machine has reported it.
     pub confirmed: bool,
-    /// Why it is to stop, if it is.
-    pub stop: Option<Stop>,
+    /// Why it is to be stopped; `None` if it is not.
+    pub stop_reason: Option<TaskStopReason>,
     pub stop_sent: bool,
     /// When its phase last changed.
     pub phase_since: Seconds,
@@ -44,19 +44,19 @@
 #[derive(Debug, Clone)]
 pub(crate) struct AssignedTask {
     pub attempt: u64,
-    /// Distinguishes one assignment of an attempt from the next.
+    /// The number of the assignment, which tells apart several assignments of one attempt.
     pub assignment: u64,
-    /// None while it waits for a machine.
+    /// `None` while it waits for a machine.
     pub placement: Option<Placement>,
-    /// When this shard came to have it.
+    /// When it was assigned to this shard, adopted or taken over.
     pub assigned_at: Seconds,
-    /// Machines that must not get it.
+    /// Machines on which it must not be placed.
     pub avoid: Vec<MachineId>,
-    /// Its state as last reported to the leader, and in which report.
+    /// What was last reported to the leader; `None` before the first report.
     pub last_reported: Option<LastReported>,
 }
 
-/// What a report said of a task, and which.
+/// The state of a task in a report to the leader, and the number of that report.
 #[derive(Debug, Clone)]
 pub(crate) struct LastReported {
     pub attempt: u64,
@@ -79,87 +79,87 @@
             start_token: Some(token),
             start_sent: true,
             confirmed: true,
-            stop: None,
+            stop_reason: None,
             stop_sent: false,
             phase_since: now,
         }
     }
 }
 
-/// All assigned tasks. A task's placement changes only through [`AssignedTasks::place`],
-/// which keeps the index true.
+/// All assigned tasks. A task moves to a machine only through [`AssignedTasks::place`] and
+/// [`AssignedTasks::insert`], which keep the indexes consistent.
 #[derive(Debug, Default)]
 pub(crate) struct AssignedTasks {
-    all: BTreeMap<Task, AssignedTask>,
-    on: HashMap<MachineId, BTreeSet<Task>>,
+    tasks: BTreeMap<Task, AssignedTask>,
+    by_machine: HashMap<MachineId, BTreeSet<Task>>,
     queued: BTreeSet<Task>,
 }
 
 impl AssignedTasks {
-    /// One task.
+    /// Returns a task, if it is assigned.
     pub(super) fn get(&self, task: &Task) -> Option<&AssignedTask> {
-        self.all.get(task)
+        self.tasks.get(task)
     }
 
-    /// One task's placement, for everything but moving it to another machine.
-    pub(super) fn place_mut(&mut self, task: &Task) -> Option<&mut Placement> {
-        self.all.get_mut(task)?.placement.as_mut()
+    /// Returns a task's placement. Callers must not change the machine in it.
+    pub(super) fn placement_mut(&mut self, task: &Task) -> Option<&mut Placement> {
+        self.tasks.get_mut(task)?.placement.as_mut()
     }
 
     /// Whether a task is assigned.
     pub(super) fn contains(&self, task: &Task) -> bool {
-        self.all.contains_key(task)
+        self.tasks.contains_key(task)
     }
 
-    /// All of them, in order.
+    /// Iterates over all tasks, in order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
-        self.all.iter()
+        self.tasks.iter()
     }
 
-    /// Those of a job, in order.
+    /// Iterates over the tasks of a job, in order.
     pub(super) fn of_job(&self, job: &JobId) -> impl Iterator<Item = (&Task, &AssignedTask)> {
         let task = |index| Task {
             job: job.clone(),
             index,
         };
-        self.all.range(task(0)..=task(u32::MAX))
+        self.tasks.range(task(0)..=task(u32::MAX))
     }
 
-    /// Those of a machine, in order.
-    pub(super) fn on<'a>(
+    /// Iterates over the tasks placed on a machine, in order.
+    pub(super) fn on_machine<'a>(
         &'a self,
         machine: &MachineId,
     ) -> impl Iterator<Item = (&'a Task, &'a AssignedTask)> + 'a {
-        let tasks = self.on.get(machine).into_iter().flatten();
-        tasks.filter_map(|task| self.all.get_key_value(task))
+        let tasks = self.by_machine.get(machine).into_iter().flatten();
+        tasks.filter_map(|task| self.tasks.get_key_value(task))
     }
 
-    /// The names of those of a machine, in order.
-    pub(super) fn names_on(&self, machine: &MachineId) -> Vec<Task> {
-        self.on
+    /// Returns the ids of the tasks placed on a machine, in order.
+    pub(super) fn task_ids_on(&self, machine: &MachineId) -> Vec<Task> {
+        self.by_machine
             .get(machine)
             .map(|tasks| tasks.iter().cloned().collect())
             .unwrap_or_default()
     }
 
-    /// How many a machine has.
+    /// Returns the number of tasks placed on a machine.
     pub(super) fn count_on(&self, machine: &MachineId) -> usize {
-        self.on.get(machine).map_or(0, BTreeSet::len)
+        self.by_machine.get(machine).map_or(0, BTreeSet::len)
     }
 
-    /// Those that no machine has yet.
+    /// Iterates over the tasks without a machine, in order.
     pub(super) fn queued(&self) -> impl Iterator<Item = (&Task, &AssignedTask)> {
         self.queued
             .iter()
-            .filter_map(|task| self.all.get_key_value(task))
+            .filter_map(|task| self.tasks.get_key_value(task))
     }
 
-    /// Adds a task, in place of what was known of it.
+    /// Adds a task, replacing an earlier entry for it.
     pub(super) fn insert(&mut self, task: Task, assigned: AssignedTask) {
         self.remove(&task);
         match &assigned.placement {
             Some(placement) => {
-                self.on
+                self.by_machine
                     .entry(placement.machine.clone())
                     .or_default()
                     .insert(task.clone());
@@ -168,18 +168,18 @@
                 self.queued.insert(task.clone());
             }
         }
-        self.all.insert(task, assigned);
+        self.tasks.insert(task, assigned);
     }
 
-    /// Removes a task.
+    /// Removes a task and returns its entry.
     pub(super) fn remove(&mut self, task: &Task) -> Option<AssignedTask> {
-        let assigned = self.all.remove(task)?;
+        let assigned = self.tasks.remove(task)?;
         match &assigned.placement {
             Some(placement) => {
-                if let Some(on) = self.on.get_mut(&placement.machine) {
-                    on.remove(task);
-                    if on.is_empty() {
-                        self.on.remove(&placement.machine);
+                if let Some(tasks) = self.by_machine.get_mut(&placement.machine) {
+                    tasks.remove(task);
+                    if tasks.is_empty() {
+                        self.by_machine.remove(&placement.machine);
                     }
                 }
             }
@@ -190,25 +190,25 @@
         Some(assigned)
     }
 
-    /// Gives a task its placement.
-    pub(super) fn place(&mut self, task: &Task, attempt: u64, at: Placement) {
+    /// Places a task, under an attempt, on the machine of `placement`. Does nothing if the
+    /// task is not assigned.
+    pub(super) fn place(&mut self, task: &Task, attempt: u64, placement: Placement) {
         if let Some(assigned) = self.remove(task) {
             self.insert(
                 task.clone(),
                 AssignedTask {
                     attempt,
-                    placement: Some(at),
+                    placement: Some(placement),
                     ..assigned
                 },
             );
         }
     }
 
-    /// The tasks whose status has changed since report `since`; `seq` is the report
-    /// that will list them.
-    pub(super) fn changed(&mut self, seq: u64, since: u64) -> Vec<AssignedTaskStatus> {
-        let mut out = Vec::new();
-        for (task, assigned) in &mut self.all {
+    /// Returns the tasks whose status has changed since report `since`, for report `seq`.
+    pub(super) fn changed_since(&mut self, seq: u64, since: u64) -> Vec<AssignedTaskStatus> {
+        let mut changed = Vec::new();
+        for (task, assigned) in &mut self.tasks {
             let phase = assigned
                 .placement
                 .as_ref()
@@ -217,12 +217,12 @@
                 .placement
                 .as_ref()
                 .map(|placement| &placement.machine);
-            let same = assigned.last_reported.as_ref().is_some_and(|reported| {
+            let unchanged = assigned.last_reported.as_ref().is_some_and(|reported| {
                 reported.attempt == assigned.attempt
                     && reported.phase == phase
                     && reported.machine.as_ref() == machine
             });
-            if !same {
+            if !unchanged {
                 assigned.last_reported = Some(LastReported {
                     attempt: assigned.attempt,
                     phase,
@@ -235,7 +235,7 @@
                 .as_ref()
                 .is_some_and(|reported| reported.seq > since)
             {
-                out.push(AssignedTaskStatus {
+                changed.push(AssignedTaskStatus {
                     task: task.clone(),
                     attempt: assigned.attempt,
                     phase,
@@ -244,7 +244,7 @@
                 });
             }
         }
-        out
+        changed
     }
 
     /// Removes all tasks for which `keep` is false, and returns them with their attempts.
@@ -252,15 +252,15 @@
         &mut self,
         keep: impl Fn(&Task, &AssignedTask) -> bool,
     ) -> Vec<(Task, u64)> {
-        let out: Vec<(Task, u64)> = self
-            .all
+        let removed: Vec<(Task, u64)> = self
+            .tasks
             .iter()
             .filter(|(task, assigned)| !keep(task, assigned))
             .map(|(task, assigned)| (task.clone(), assigned.attempt))
             .collect();
-        for (t, _) in &out {
-            self.remove(t);
+        for (task, _) in &removed {
+            self.remove(task);
         }
-        out
+        removed
     }
 }
--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -1,8 +1,8 @@
-//! Commands to workers, as answers to heartbeats or sent directly, and the tokens
-//! that tell late copies from new ones.
+//! Commands to workers, in replies to heartbeats or sent directly, and the fencing tokens
+//! by which workers reject late copies of them.
 
 use super::machine::{Machine, ObservedTask};
-use super::{Shard, Stop, TaskPhase, LATE_REPORTS};
+use super::{Shard, TaskPhase, TaskStopReason, LATE_AFTER_INTERVALS};
 use crate::clock::Seconds;
 use crate::cluster::membership::{token, token_epoch};
 use crate::store::cache::StoreCache;
@@ -13,88 +13,89 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What to answer a worker's heartbeat.
+/// The reply to a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
-    /// 200 with token and commands.
+    /// Status 200, with a token and commands.
     Accepted {
-        /// The fencing token of the answer.
+        /// The fencing token of the commands.
         token: u64,
-        /// What the worker is to do.
+        /// The commands that the worker carries out, in order.
         commands: Vec<Command>,
     },
-    /// 503: this controller is not entitled to answer, or the heartbeat is older than one
-    /// already seen.
+    /// Status 503: this controller may not command the worker now, or the heartbeat is
+    /// no newer than one already seen.
     Refused,
 }
 
-/// Commands to send to a worker directly.
+/// Commands that are sent to a worker directly, not in reply to its heartbeat.
 #[derive(Debug, Clone)]
 pub struct DirectCommand {
-    /// The machine whose worker it is for.
+    /// The machine whose worker receives it.
     pub machine: MachineId,
-    /// Where its worker takes commands.
+    /// The address at which the worker takes commands.
     pub address: Arc<str>,
-    /// What is sent.
+    /// The request body.
     pub body: CommandBatch,
-    /// It has not been heard lately: it may not answer, and must not hold up
-    /// what is meant for those that do.
+    /// Whether the machine has sent no heartbeat lately. It may not respond, and must not
+    /// hold up the commands to machines that do.
     pub unverified: bool,
 }
 
-/// How many direct commands may go out.
+/// The number of direct commands that may be sent now.
 #[derive(Debug, Clone, Copy)]
 pub struct CommandCapacity {
-    /// To machines heard lately.
+    /// Commands to machines that have sent a heartbeat lately.
     pub responsive: usize,
-    /// To the others, which may not answer.
+    /// Commands to the other machines, which may not respond.
     pub unverified: usize,
 }
 
 impl CommandCapacity {
-    /// Takes room for one command; false if there is none.
-    fn take_one(&mut self, unverified: bool) -> bool {
-        let left = if unverified {
+    /// Takes the capacity for one command. Returns false if there is none left.
+    fn try_acquire(&mut self, unverified: bool) -> bool {
+        let remaining = if unverified {
             &mut self.unverified
         } else {
             &mut self.responsive
         };
-        if *left == 0 {
+        if *remaining == 0 {
             return false;
         }
-        *left -= 1;
+        *remaining -= 1;
         true
     }
 }
 
-/// How long a task that is stopped may take to save its progress, in seconds.
-fn saving_time(stop: Stop, task: &Task, cache: &StoreCache) -> Seconds {
+/// Returns the time that a stopped task has to save a checkpoint, in seconds.
+fn checkpoint_grace_s(reason: TaskStopReason, task: &Task, cache: &StoreCache) -> Seconds {
     let spec = cache
         .jobs
         .get(&task.job)
         .and_then(|job| job.record.spec.as_ref());
-    match (stop, spec) {
-        (Stop::Cancelled, _) | (_, None) => 0.0,
+    match (reason, spec) {
+        (TaskStopReason::Cancelled, _) | (_, None) => 0.0,
         (_, Some(spec)) if spec.checkpoint_s > 0.0 => spec.save_s,
         (_, Some(_)) => 0.0,
     }
 }
 
-impl From<Stop> for StopCause {
-    fn from(stop: Stop) -> StopCause {
-        match stop {
-            Stop::Cancelled => StopCause::Over,
-            Stop::Recalled => StopCause::Recalled,
-            Stop::Preempted => StopCause::Preempted,
-            Stop::Notice => StopCause::Notice,
+impl From<TaskStopReason> for StopCause {
+    fn from(reason: TaskStopReason) -> StopCause {
+        match reason {
+            TaskStopReason::Cancelled => StopCause::Over,
+            TaskStopReason::Recalled => StopCause::Recalled,
+            TaskStopReason::Preempted => StopCause::Preempted,
+            TaskStopReason::Reclaim => StopCause::Notice,
         }
     }
 }
 
 impl Shard {
-    /// The commands a machine is due. Reaps wait while a direct command is
-    /// unanswered, and always carry a token above every earlier start's: a
-    /// late copy of a start would run a reaped attempt again.
+    /// Returns the commands that a machine is due, and their token. `direct` if they are
+    /// sent directly. Forget commands wait while a direct command is in flight, and always
+    /// carry a token above that of every earlier start: a late copy of a start would run
+    /// the forgotten attempt again.
     pub(super) fn commands_for(
         &mut self,
         id: &MachineId,
@@ -108,10 +109,10 @@
         if !machine.is_reconciled() || machine.token_exhausted() {
             return (
                 token(epoch, machine.token.counter),
-                machine.cancelled_stops(cache),
+                machine.stops_for_cancelled(cache),
             );
         }
-        let reaps = if machine.commands.in_flight {
+        let forgets = if machine.commands.in_flight {
             Vec::new()
         } else {
             self.forget_commands(id, cache)
@@ -120,24 +121,27 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return (token(epoch, 0), Vec::new());
         };
-        if !reaps.is_empty() {
+        if !forgets.is_empty() {
             machine.token.counter += 1;
         }
         machine.commands.in_flight |= direct;
         let token = token(epoch, machine.token.counter);
-        let counts = &mut self.restart_record.orders;
-        counts.reaps += reaps.len() as u64;
-        *counts.stops.entry(StopCause::NotAssigned).or_default() += stops.len() as u64;
-        let mut commands = reaps;
+        let order_counts = &mut self.restart_record.orders;
+        order_counts.reaps += forgets.len() as u64;
+        *order_counts
+            .stops
+            .entry(StopCause::NotAssigned)
+            .or_default() += stops.len() as u64;
+        let mut commands = forgets;
         commands.extend(stops);
-        for task in self.assigned.names_on(id) {
+        for task in self.assigned.task_ids_on(id) {
             commands.extend(self.command_for_assigned(id, &task, token, cache));
         }
         (token, commands)
     }
 
-    /// The command that an assigned task is due, if any: a stop until it has stopped, a
-    /// start until it is seen.
+    /// Returns the command that an assigned task is due, if any: a stop until it has
+    /// stopped, or a start until its machine reports it.
     fn command_for_assigned(
         &mut self,
         id: &MachineId,
@@ -145,21 +149,21 @@
         token: u64,
         cache: &StoreCache,
     ) -> Option<Command> {
-        let (session, up) = self
+        let (session, in_use) = self
             .machines
             .get(id)
             .map(|machine| (machine.session.id, machine.used))?;
         let attempt = self.assigned.get(task)?.attempt;
-        let placement = self.assigned.place_mut(task)?;
-        let counts = &mut self.restart_record.orders;
-        let Some(stop) = placement.stop else {
-            if placement.confirmed || !up {
+        let placement = self.assigned.placement_mut(task)?;
+        let order_counts = &mut self.restart_record.orders;
+        let Some(stop_reason) = placement.stop_reason else {
+            if placement.confirmed || !in_use {
                 return None;
             }
             placement.start_token = Some(token);
             placement.session = session;
             placement.start_sent = true;
-            counts.starts += 1;
+            order_counts.starts += 1;
             return Some(Command::Start {
                 task: task.to_string(),
                 attempt,
@@ -169,12 +173,12 @@
             return None;
         }
         placement.stop_sent = true;
-        let grace_s = saving_time(stop, task, cache);
-        // A second stop would end a saving task.
+        let grace_s = checkpoint_grace_s(stop_reason, task, cache);
+        // A second stop would end the task before its checkpoint is saved.
         if placement.phase == TaskPhase::Saving && grace_s > 0.0 {
             return None;
         }
-        *counts.stops.entry(stop.into()).or_default() += 1;
+        *order_counts.stops.entry(stop_reason.into()).or_default() += 1;
         Some(Command::Stop {
             task: task.to_string(),
             attempt,
@@ -182,7 +186,8 @@
         })
     }
 
-    /// What a machine's worker may forget.
+    /// Returns forget commands for the ended tasks that a machine's worker need not report
+    /// any longer.
     fn forget_commands(&self, id: &MachineId, cache: &StoreCache) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
@@ -203,7 +208,8 @@
         .collect()
     }
 
-    /// Stops for what a machine shows to run and is not assigned to it.
+    /// Returns stop commands for the tasks that a machine reports as not ended and that are
+    /// not assigned to it.
     fn stops_for_unassigned(&self, id: &MachineId) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
@@ -220,7 +226,7 @@
         due.map(stop).collect()
     }
 
-    /// Direct commands that are due now.
+    /// Returns the direct commands that are due now.
     pub fn due_commands(&mut self, cache: &StoreCache, now: Seconds) -> Vec<DirectCommand> {
         self.due_commands_within(
             cache,
@@ -232,53 +238,54 @@
         )
     }
 
-    /// Direct commands that are due now, as many as there is room for. The rest
-    /// stay due: to give one up that was never sent would raise its machine's
-    /// token for nothing.
+    /// Returns the direct commands that are due now, within `capacity`. The rest stay due:
+    /// if they were built and then dropped unsent, the token of their machines would be
+    /// raised for nothing.
     pub fn due_commands_within(
         &mut self,
         cache: &StoreCache,
         now: Seconds,
-        mut room: CommandCapacity,
+        mut capacity: CommandCapacity,
     ) -> Vec<DirectCommand> {
         self.machines_due_commands(now)
             .into_iter()
-            .filter_map(|id| self.direct_command(id, cache, now, &mut room))
+            .filter_map(|id| self.direct_command(id, cache, now, &mut capacity))
             .collect()
     }
 
-    /// Machines that are to be sent a command: for a start or a stop that was not sent yet,
-    /// because they were taken over, or because their heartbeat is late.
+    /// Returns the machines that are due a direct command: a start or a stop is unsent, a
+    /// probe is due, the machine is in use but its worker has never reported here, or its
+    /// heartbeat is late.
     fn machines_due_commands(&self, now: Seconds) -> BTreeSet<MachineId> {
         let placements = self
             .assigned
             .iter()
-            .filter_map(|(_, a)| a.placement.as_ref());
+            .filter_map(|(_, assigned)| assigned.placement.as_ref());
         let mut due: BTreeSet<MachineId> = placements
-            .filter(|placement| match placement.stop {
+            .filter(|placement| match placement.stop_reason {
                 None => !placement.start_sent,
                 Some(_) => !placement.stop_sent,
             })
             .map(|placement| placement.machine.clone())
             .collect();
-        let late = self.timing.report_s * LATE_REPORTS;
+        let late = self.timing.report_s * LATE_AFTER_INTERVALS;
         let is_due = |machine: &Machine| {
-            let never_heard = !machine.is_reconciled() && machine.session.id == 0;
+            let never_reported = !machine.is_reconciled() && machine.session.id == 0;
             let is_late = || machine.silent_for(self.epoch_started_at, now) > late;
-            machine.commands.probe_due || machine.used && (never_heard || is_late())
+            machine.commands.probe_due || machine.used && (never_reported || is_late())
         };
         let to_probe = self.machines.iter().filter(|(_, machine)| is_due(machine));
         due.extend(to_probe.map(|(id, _)| id.clone()));
         due
     }
 
-    /// The command to a machine that is due one, unless it can't be sent now.
+    /// Returns the command to a machine that is due one, unless it can't be sent now.
     fn direct_command(
         &mut self,
         id: MachineId,
         cache: &StoreCache,
         now: Seconds,
-        room: &mut CommandCapacity,
+        capacity: &mut CommandCapacity,
     ) -> Option<DirectCommand> {
         if self.transfers.is_fenced(&id) {
             return None;
@@ -291,7 +298,7 @@
         let session = machine.session.id;
         let unverified = machine.commands.unanswered_since.is_some()
             || is_late(machine, self.timing.report_s, now);
-        if !room.take_one(unverified) {
+        if !capacity.try_acquire(unverified) {
             return None;
         }
         machine.commands.probe_due = false;
@@ -302,7 +309,7 @@
             machine.commands.in_flight = true;
             self.restart_record.orders.questions += 1;
             let token = token(self.epoch, machine.token.counter);
-            (token, machine.cancelled_stops(cache))
+            (token, machine.stops_for_cancelled(cache))
         };
         Some(DirectCommand {
             machine: id,
@@ -316,12 +323,13 @@
         })
     }
 
-    /// A direct command was answered with the worker's heartbeat, or not answered.
+    /// Applies the outcome of a direct command: the worker's response, which has the form of
+    /// a heartbeat, or `None` if there was none.
     pub fn command_completed(
         &mut self,
         id: &MachineId,
         sent: &CommandBatch,
-        answer: Option<&Heartbeat>,
+        response: Option<&Heartbeat>,
         cache: &StoreCache,
         now: Seconds,
     ) {
@@ -329,11 +337,12 @@
             return;
         };
         machine.commands.in_flight = false;
-        // What is known of it has gone over to its target: no more may change.
+        // The machine's state was recorded for the target of its transfer, and must not
+        // change any more.
         if self.transfers.is_fenced(id) {
             return;
         }
-        match answer {
+        match response {
             Some(heartbeat)
                 if heartbeat.machine == *id && token_epoch(heartbeat.token) <= self.epoch =>
             {
@@ -343,7 +352,7 @@
         }
     }
 
-    /// Applies the heartbeat with which a worker answered a direct command.
+    /// Applies a worker's response to a direct command.
     fn apply_command_response(
         &mut self,
         sent: &CommandBatch,
@@ -355,17 +364,17 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        // It has just been reached: what it is told reaches it. That renews no lease,
-        // though: only an answered heartbeat does.
+        // The worker has just responded, so that commands do reach it. Its lease is renewed
+        // only by replies to heartbeats, though, and not by direct commands.
         machine.token.unacknowledged = None;
         machine.record_command_response(self.timing.report_s, now);
-        machine.follow_token(self.epoch, heartbeat.token);
+        machine.catch_up_with_token(self.epoch, heartbeat.token);
         let zone = machine.identity.zone.clone();
         if heartbeat.token > sent.token || heartbeat.session != sent.session {
-            // The worker has dropped the command.
+            // The worker has rejected the commands: their token or their session is outdated.
             machine.commands.probe_due = true;
-            for task in self.assigned.names_on(id) {
-                let placement = self.assigned.place_mut(&task);
+            for task in self.assigned.task_ids_on(id) {
+                let placement = self.assigned.placement_mut(&task);
                 if let Some(placement) = placement.filter(|placement| !placement.confirmed) {
                     placement.start_sent = false;
                 }
@@ -375,27 +384,28 @@
         self.record_zone_contact(&zone, now);
     }
 
-    /// Records that a direct command got no answer. It may be executed yet.
+    /// Records that a direct command got no response. It may still be executed.
     fn record_command_failure(&mut self, id: &MachineId, sent: &CommandBatch, now: Seconds) {
         let report_s = self.timing.report_s;
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        // Whatever the command held is dead once the worker has seen a higher token. A
-        // probe alone, or a stop, is harmless however late it comes; a higher token for
-        // each that gets no answer would keep a machine unreconciled, and what runs
-        // there renewed, for as long as commands don't reach it.
+        // A worker that has seen a higher token rejects the commands, should they still
+        // arrive. Probes and stops are harmless however late they arrive. If each of them
+        // raised the token when it got no response, the machine would stay unreconciled, and
+        // the lease of the tasks on it would be renewed, for as long as commands don't reach
+        // it.
         let is_harmless = |command: &Command| matches!(command, Command::Stop { .. });
         if !sent.commands.iter().all(is_harmless) {
             machine.token.counter += 1;
         }
-        // One taken over that doesn't answer the first probe is suspected at once, but
-        // only if others of its zone are reached meanwhile. It is probed once more, as it
-        // may only just be back from a short network partition.
-        let asked_at = machine.commands.outstanding_since.unwrap_or(now);
+        // A machine that doesn't respond to its first probe counts as unresponsive at once,
+        // but only if others of its zone were reached meanwhile. It is probed once more
+        // without delay, as it may only just be back from a short network partition.
+        let probed_at = machine.commands.outstanding_since.unwrap_or(now);
         let contact = self.zone_contacts.get(&machine.identity.zone);
         let newly_suspect = is_late(machine, report_s, now)
-            && contact.is_some_and(|contact| contact.last_at > asked_at)
+            && contact.is_some_and(|contact| contact.last_at > probed_at)
             && machine.commands.unanswered_since.is_none();
         if newly_suspect {
             machine.commands.unanswered_since = Some(now);
@@ -406,8 +416,8 @@
     }
 }
 
-/// Whether a machine's heartbeat is late, or none was ever seen.
+/// Whether a machine's heartbeat is late, or there has been none.
 fn is_late(machine: &Machine, report_s: Seconds, now: Seconds) -> bool {
     let last_heartbeat_at = machine.session.last_heartbeat_at;
-    last_heartbeat_at.is_none_or(|at| now - at > report_s * LATE_REPORTS)
+    last_heartbeat_at.is_none_or(|at| now - at > report_s * LATE_AFTER_INTERVALS)
 }
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Workers' heartbeats: which are newer than the known state, what they prove, and how
-//! they change the state of their machines.
+//! Workers' heartbeats: which of them are newer than the known state, what they prove, and
+//! how they change the state of their machines.
 
 use super::machine::{Machine, MachineIdentity, ObservedTask};
 use super::{HeartbeatReply, Shard};
@@ -12,16 +12,16 @@
 use std::sync::Arc;
 
 impl Shard {
-    /// A heartbeat came, even if this controller has no right to answer it: its machine
-    /// has not stopped reporting.
+    /// Records that a heartbeat of a machine has arrived, even if this controller may not
+    /// reply to it: the machine has not stopped reporting.
     pub fn record_heartbeat_received(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.commands.without_heartbeat = None;
+            machine.commands.responses_without_heartbeat = None;
         }
     }
 
-    /// Applies a worker's heartbeat and returns the answer; `relayed` if it came through
-    /// another controller.
+    /// Applies a worker's heartbeat and returns the reply. `relayed` tells that it arrived
+    /// through another controller.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -30,22 +30,22 @@
         now: Seconds,
     ) -> HeartbeatReply {
         let id = &heartbeat.machine;
-        // A controller with a later epoch commands it: an answer of ours would only be
-        // dropped. Or what its source knows of it is still to come.
-        if token_epoch(heartbeat.token) > self.epoch || self.transfers.is_awaited(id) {
+        // Either a controller in a later epoch commands the worker, which would reject this
+        // reply's token, or the source's state of the machine has not arrived yet.
+        if token_epoch(heartbeat.token) > self.epoch || self.transfers.is_awaiting_state(id) {
             return HeartbeatReply::Refused;
         }
         if self.transfers.is_fenced(id) {
-            return self.answer_fenced(heartbeat, cache, now);
+            return self.reply_to_fenced(heartbeat, cache, now);
         }
         let (epoch, timing) = (self.epoch, self.timing);
-        let machine = self.machine_of(heartbeat, cache, now);
+        let machine = self.machine_or_insert(heartbeat, cache, now);
         if machine.session.is_outdated(heartbeat) {
             return HeartbeatReply::Refused;
         }
-        machine.session.last_answered_at = Some(now);
-        machine.commands.without_heartbeat = None;
-        machine.follow_token(epoch, heartbeat.token);
+        machine.session.last_reply_at = Some(now);
+        machine.commands.responses_without_heartbeat = None;
+        machine.catch_up_with_token(epoch, heartbeat.token);
         machine.record_seen_token(heartbeat, epoch, relayed, timing, now);
         self.apply_machine_state(heartbeat, cache, now);
         let machine = self.machines.get(id);
@@ -57,13 +57,13 @@
         }
         let (token, commands) = self.commands_for(id, cache, false);
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.record_answer(heartbeat.token, token, now);
+            machine.record_reply(heartbeat.token, token, now);
         }
         HeartbeatReply::Accepted { token, commands }
     }
 
-    /// The machine that sent a heartbeat; it is added if it was unknown.
-    fn machine_of(
+    /// Returns the machine that sent a heartbeat, and adds it if it was unknown.
+    fn machine_or_insert(
         &mut self,
         heartbeat: &Heartbeat,
         cache: &StoreCache,
@@ -98,8 +98,8 @@
         if before.is_none_or(|before| before.began_at == contact.began_at) {
             return;
         }
-        // The zone is back: all its machines are probed at once, as what may
-        // be on them waits for their answers.
+        // The zone is reachable again. All its machines are probed at once: the tasks that
+        // may be on them can't be reconciled without their responses.
         for machine in self.machines.values_mut() {
             if machine.identity.zone == *zone {
                 let retry_after = &mut machine.commands.retry_after;
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Applies the newest known state of a machine, from a heartbeat or from its answer to
-    /// a direct command.
+    /// Applies a machine's state, from a heartbeat or from a response to a direct command, if
+    /// it is newer than the known one.
     pub(super) fn apply_machine_state(
         &mut self,
         heartbeat: &Heartbeat,
@@ -123,22 +123,22 @@
         if machine.session.is_outdated(heartbeat) {
             return;
         }
-        let is_new_session = machine.follow_session(heartbeat, now);
+        let is_new_session = machine.record_session(heartbeat, now);
         let was_reconciled = machine.is_reconciled();
         let event = MachineEvent::Heartbeat {
             first_contact: machine.session.last_heartbeat_at.is_none(),
             used: machine.used,
             shows_token: heartbeat.token >= token(self.epoch, machine.token.counter),
         };
-        if machine.shows_life(heartbeat, self.epoch) {
-            self.report_due |= machine.record_life(now);
+        if machine.proves_alive(heartbeat, self.epoch) {
+            self.report_due |= machine.record_alive(now);
         }
         self.report_due |= machine.record_reclaim_notice(heartbeat.notice_s, now);
         machine.record_reported_tasks(heartbeat);
         let transition = machine.state.after(event);
         machine.state = transition.state;
         if transition.ask {
-            // Its answer under our token is proof.
+            // A response that carries this owner's token proves what is on the machine.
             machine.commands.probe_due = true;
         } else if !was_reconciled {
             machine.commands.probe_due = false;
@@ -146,7 +146,7 @@
         }
         let is_reconciled = machine.is_reconciled();
         if is_new_session {
-            self.expire_session(id, heartbeat.session);
+            self.remove_tasks_of_ended_sessions(id, heartbeat.session);
         }
         if is_reconciled {
             self.reconcile(id, heartbeat.token, cache, now);
@@ -154,7 +154,7 @@
         self.record_use(id, now);
     }
 
-    /// Records that a machine is in use, if it has tasks or any are assigned to it.
+    /// Resets the idle time of a machine that has tasks, reported or assigned.
     fn record_use(&mut self, id: &MachineId, now: Seconds) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -166,8 +166,9 @@
 }
 
 impl Machine {
-    /// Records that the machine's worker is alive. Returns whether it is the first sign of it.
-    fn record_life(&mut self, now: Seconds) -> bool {
+    /// Records that the machine's worker is alive. Returns whether that is proven for the
+    /// first time.
+    fn record_alive(&mut self, now: Seconds) -> bool {
         self.commands.outstanding_since = None;
         self.commands.unanswered_since = None;
         let first_heartbeat = self.session.last_heartbeat_at.is_none();
@@ -178,18 +179,18 @@
         first_heartbeat
     }
 
-    /// Records that the cloud reclaims the machine in `notice_s` seconds. Returns whether
-    /// that was not known. A notice that lies in the past makes no sense, and is ignored.
+    /// Records the notice that the cloud reclaims the machine in `notice_s` seconds, and
+    /// returns whether it is the first one. A negative time is invalid, and is ignored.
     fn record_reclaim_notice(&mut self, notice_s: Option<f64>, now: Seconds) -> bool {
         let Some(notice_s) = notice_s.filter(|notice_s| *notice_s >= 0.0) else {
             return false;
         };
-        let first_notice = self.reclaimed_at.is_none();
-        self.reclaimed_at = Some(now + notice_s);
+        let first_notice = self.reclaim_at.is_none();
+        self.reclaim_at = Some(now + notice_s);
         first_notice
     }
 
-    /// Replaces the reported tasks by those of the newest heartbeat.
+    /// Replaces the reported tasks with those of the newest heartbeat.
     fn record_reported_tasks(&mut self, heartbeat: &Heartbeat) {
         let reports = heartbeat.tasks.iter();
         self.contents.tasks = reports
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -1,5 +1,5 @@
-//! One machine as its owner knows it: its worker's session, what it showed last,
-//! and whether its heartbeats and our commands get through.
+//! One machine as its owner knows it: its worker's session, what the worker last reported,
+//! and whether its heartbeats and this controller's commands arrive.
 
 use super::Timing;
 use crate::clock::Seconds;
@@ -11,163 +11,169 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-/// A worker that has answered direct commands for so many intervals without one
-/// heartbeat has stopped reporting: it tries all controllers in less.
-const SILENT_REPORTS: f64 = 3.5;
+/// A worker that has responded to direct commands for this many report intervals without
+/// sending a heartbeat has stopped reporting: trying all controllers in turn takes less.
+const STOPPED_REPORTING_INTERVALS: f64 = 3.5;
 
-/// A machine on which tasks of so many jobs failed is faulty.
+/// A machine on which tasks of this many jobs failed is faulty.
 const FAULTY_AT_FAILED_JOBS: usize = 2;
 
-/// A machine that has seen none of so many answers, for so many reporting intervals,
-/// gets no new work.
-const SUSPECT_AFTER_ANSWERS: u32 = 2;
-const SUSPECT_AFTER_REPORTS: f64 = 1.5;
+/// A machine gets no new tasks once this many replies to its worker are unacknowledged, the
+/// first of them for longer than `SUSPECT_AFTER_INTERVALS`.
+const SUSPECT_AFTER_REPLIES: u32 = 2;
+/// The time limit that goes with `SUSPECT_AFTER_REPLIES`, in report intervals.
+const SUSPECT_AFTER_INTERVALS: f64 = 1.5;
 
-/// A machine that has seen none of so many answers, for so many reporting intervals,
-/// ignores commands.
-const IGNORES_AFTER_ANSWERS: u32 = 3;
-const IGNORES_AFTER_REPORTS: f64 = 3.0;
+/// A machine ignores commands once this many replies to its worker are unacknowledged, the
+/// first of them for longer than `IGNORES_AFTER_INTERVALS`.
+const IGNORES_AFTER_REPLIES: u32 = 3;
+/// The time limit that goes with `IGNORES_AFTER_REPLIES`, in report intervals.
+const IGNORES_AFTER_INTERVALS: f64 = 3.0;
 
-/// A machine of this shard.
+/// A machine of this shard, or one whose worker reports to it.
 #[derive(Debug, Clone)]
 pub(super) struct Machine {
-    /// What kind of machine it is, and where.
+    /// Its type, zone and address.
     pub(super) identity: MachineIdentity,
-    /// It is on the machine registry.
+    /// Whether it is in the machine registry.
     pub(super) registered: bool,
-    /// Tasks may have been started there: the machine registry says so.
+    /// Whether tasks may have been started there, by the machine registry.
     pub(super) used: bool,
-    /// What is known of its content.
+    /// How much is known of the tasks on it.
     pub(super) state: MachineState,
     /// The session of its worker.
     pub(super) session: WorkerSession,
-    /// The fencing token under which it is commanded.
+    /// The fencing token of the commands to it.
     pub(super) token: TokenAcknowledgement,
-    /// Direct commands to its worker.
+    /// The state of the direct commands to its worker.
     pub(super) commands: CommandChannel,
-    /// What its worker last showed to be there.
+    /// What its worker last reported.
     pub(super) contents: MachineContents,
-    /// When this shard came to know of it.
+    /// When this shard first knew of it.
     pub(super) known_since: Seconds,
-    /// When the cloud takes it back, if it has given notice.
-    pub(super) reclaimed_at: Option<Seconds>,
-    /// It takes no more tasks, by the leader's order.
+    /// When the cloud reclaims it, if it has given notice.
+    pub(super) reclaim_at: Option<Seconds>,
+    /// Whether it takes no more tasks, by the leader's orders.
     pub(super) draining: bool,
-    /// Until when the controller that gave it away may have renewed its worker's lease.
+    /// Until when the source of its transfer may have renewed its worker's lease; `None` if
+    /// the shard map had not changed when this shard came to own it.
     pub(super) source_renews_until: Option<Seconds>,
 }
 
-/// What a machine is, and how to reach it.
+/// What a machine is, and how its worker is reached.
 #[derive(Debug, Clone)]
 pub(super) struct MachineIdentity {
     pub(super) machine_type: Arc<str>,
     pub(super) zone: Arc<str>,
-    /// The cloud may take it back at short notice.
+    /// Whether the cloud may reclaim it at short notice.
     pub(super) spot: bool,
-    /// Where its worker takes direct commands, once that is known.
+    /// The address at which its worker takes direct commands, once it is known.
     pub(super) address: Option<Arc<str>>,
 }
 
-/// The session of a machine's worker: a worker whose lease has expired kills its
-/// tasks and begins a new one.
+/// The session of a machine's worker. A worker whose lease has expired kills its tasks and
+/// begins a new session.
 #[derive(Debug, Clone, Default)]
 pub(super) struct WorkerSession {
     /// The newest session; 0 before the first heartbeat.
     pub(super) id: u64,
-    /// The newest heartbeat of the session.
+    /// The sequence number of the newest message of the session.
     pub(super) sequence: u64,
-    /// When the session was first seen: it can't have begun later.
+    /// When the session was first seen. It can't have begun later.
     pub(super) first_seen_at: Option<Seconds>,
-    /// Sessions up to this one have ended, by the length of their lease.
+    /// The newest session that has ended, as its lease expired; so have all before it.
     pub(super) ended_up_to: u64,
-    /// When it last gave a sign of life that can't be a late copy.
+    /// When a message last proved that the worker is alive; late copies of old messages
+    /// don't count.
     pub(super) last_heartbeat_at: Option<Seconds>,
-    /// When it was last sent an answer that renews its lease.
-    pub(super) last_answered_at: Option<Seconds>,
+    /// When the worker was last sent a reply, which renews its lease.
+    pub(super) last_reply_at: Option<Seconds>,
 }
 
 impl WorkerSession {
-    /// Whether a heartbeat is no newer than the last one, or of a session that has ended.
+    /// Whether a heartbeat is no newer than the last one, or its session has ended.
     pub(super) fn is_outdated(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.session, heartbeat.seq) <= (self.id, self.sequence)
             || heartbeat.session <= self.ended_up_to
     }
 
-    /// Whether the session has ended by the length of its lease.
+    /// Whether the session has ended, as its lease expired.
     pub(super) fn has_ended(&self) -> bool {
         self.id <= self.ended_up_to
     }
 
-    /// For how long there has been no heartbeat, counted from `start` if there never was one.
+    /// Returns the time since the last heartbeat, or since `start` if there was none.
     pub(super) fn silent_for(&self, start: Seconds, now: Seconds) -> Seconds {
         now - self.last_heartbeat_at.unwrap_or(start)
     }
 }
 
-/// The fencing token of a machine, and whether its worker shows that it has seen it.
+/// The fencing token of a machine, and whether its worker has acknowledged it: a heartbeat
+/// carries the highest token that the worker has seen.
 #[derive(Debug, Clone, Default)]
 pub(super) struct TokenAcknowledgement {
-    /// The token within this shard's epoch.
+    /// The counter of the token, within this shard's epoch.
     pub(super) counter: u64,
-    /// The first answer that the worker has not shown to have seen.
+    /// The first reply whose token the worker has not acknowledged.
     pub(super) unacknowledged: Option<UnacknowledgedToken>,
-    /// When the token was last raised only to see whether the worker follows.
+    /// When the token was last raised only to check that replies reach the worker.
     pub(super) last_probe_at: Option<Seconds>,
 }
 
-/// The direct commands to a machine's worker.
+/// The state of the direct commands to a machine's worker.
 #[derive(Debug, Clone, Default)]
 pub(super) struct CommandChannel {
-    /// A command was sent and neither answered nor given up yet.
+    /// Whether a command is in flight: it has neither been answered nor failed.
     pub(super) in_flight: bool,
-    /// The worker is to be asked for its state.
+    /// Whether a command is due only to learn the worker's state from its response.
     pub(super) probe_due: bool,
-    /// When the first command was sent that it has not answered.
+    /// When the first command was sent since the worker last proved to be alive.
     pub(super) outstanding_since: Option<Seconds>,
-    /// Since when it does not answer, asked after a silence, while others of
-    /// its zone are reached.
+    /// Since when the worker, probed after a silence, has not responded although other
+    /// machines of its zone are reached.
     pub(super) unanswered_since: Option<Seconds>,
-    /// No command is sent before this time, as the last one failed.
+    /// The time before which no command is sent, as the last one failed.
     pub(super) retry_after: Option<Seconds>,
-    /// Direct commands answered without any heartbeat between.
-    pub(super) without_heartbeat: Option<ResponsePeriod>,
+    /// The period in which the worker has responded to direct commands without sending a
+    /// heartbeat.
+    pub(super) responses_without_heartbeat: Option<ResponsePeriod>,
 }
 
-/// What a machine's worker last showed to be there.
+/// What a machine's worker last reported, and what was concluded from it.
 #[derive(Debug, Clone)]
 pub(super) struct MachineContents {
     /// The tasks of the newest heartbeat.
     pub(super) tasks: ObservedTasks,
-    /// What was last judged of them, with the attempt, other than that they are known.
+    /// The attempt and the last verdict for each of them, except for `Verdict::Known`.
     pub(super) verdicts: BTreeMap<Task, (u64, Verdict)>,
-    /// They were compared with the assigned tasks at least once since this shard came
-    /// to own the machine.
+    /// Whether they were compared with the assigned tasks since this shard came to own the
+    /// machine.
     pub(super) compared: bool,
-    /// Images that are likely cached, the latest first.
+    /// Images that are probably cached, the most recently used first.
     pub(super) images: VecDeque<CachedImage>,
-    /// Jobs of which a task failed there.
+    /// Jobs of which a task failed on the machine.
     pub(super) failed_jobs: HashSet<JobId>,
-    /// Since when it has been idle.
+    /// Since when the machine has been idle; while it is in use, when that was last seen.
     pub(super) idle_since: Seconds,
 }
 
 /// An image in a machine's cache: its name, and its size in gigabytes.
 pub(super) type CachedImage = (Arc<str>, f64);
 
-/// The tasks that a machine showed in its newest heartbeat.
+/// The tasks that a machine's worker listed in its newest heartbeat.
 pub(super) type ObservedTasks = BTreeMap<Task, ObservedTask>;
 
-/// A task as its machine last showed it.
+/// A task as its machine's worker last reported it.
 #[derive(Debug, Clone)]
 pub(super) struct ObservedTask {
     pub(super) attempt: u64,
     pub(super) state: TaskState,
-    /// Why it ended, in the worker's word.
+    /// Why it ended, as the worker named it.
     pub(super) cause: Option<String>,
 }
 
 impl ObservedTask {
-    /// What a verdict on the task needs to know of it.
+    /// Returns the part of the report on which a verdict depends.
     pub(super) fn reported(&self) -> ReportedTask {
         ReportedTask::new(self.attempt, self.state, self.cause.as_deref())
     }
@@ -183,24 +189,24 @@
     }
 }
 
-/// For how long a machine has answered direct commands without a heartbeat.
+/// A period in which a worker has responded to direct commands without sending a heartbeat.
 #[derive(Debug, Clone)]
 pub(super) struct ResponsePeriod {
-    pub(super) first_at: Seconds,
+    pub(super) began_at: Seconds,
     pub(super) last_at: Seconds,
 }
 
-/// An answer that the worker has not shown to have seen.
+/// A token, sent in a reply, that the worker has not acknowledged.
 #[derive(Debug, Clone)]
 pub(super) struct UnacknowledgedToken {
     pub(super) token: u64,
     pub(super) first_sent_at: Seconds,
-    /// Answers sent since, the first included.
-    pub(super) answers: u32,
+    /// The number of replies sent since, the first included.
+    pub(super) replies: u32,
 }
 
 impl MachineContents {
-    /// Nothing, as far as is known.
+    /// Returns the contents of a machine that has not reported, idle since `now`.
     pub(super) fn empty(now: Seconds) -> MachineContents {
         MachineContents {
             tasks: BTreeMap::new(),
@@ -212,8 +218,8 @@
         }
     }
 
-    /// Records that a task's image will be in the machine's cache of `cache_gb`, from which
-    /// the oldest go when it is full.
+    /// Records that a task's image will be in the machine's cache, whose size is `cache_gb`
+    /// gigabytes. The least recently used images are evicted when it is full.
     pub(super) fn cache_image(&mut self, spec: &JobSpec, cache_gb: f64) {
         self.images.retain(|(name, _)| *name != spec.image);
         self.images.push_front((spec.image.clone(), spec.image_gb));
@@ -225,7 +231,7 @@
 }
 
 impl Machine {
-    /// A machine of which nothing else is known at `now`.
+    /// Returns a machine of which nothing but its identity is known at `now`.
     pub(super) fn new(identity: MachineIdentity, now: Seconds) -> Machine {
         Machine {
             identity,
@@ -237,18 +243,18 @@
             commands: CommandChannel::default(),
             contents: MachineContents::empty(now),
             known_since: now,
-            reclaimed_at: None,
+            reclaim_at: None,
             draining: false,
             source_renews_until: None,
         }
     }
 
-    /// Whether its content is known.
+    /// Whether it is known which tasks are on it.
     pub(super) fn is_reconciled(&self) -> bool {
         self.state.is_certain()
     }
 
-    /// Whether an image is likely in its cache.
+    /// Whether an image is probably in its cache.
     pub(super) fn has_image(&self, image: &str) -> bool {
         self.contents
             .images
@@ -256,21 +262,22 @@
             .any(|(name, _)| &**name == image)
     }
 
-    /// Whether tasks of several jobs failed there: it is taken out of use.
+    /// Whether tasks of several jobs failed there. Only leaders of earlier versions take
+    /// such a machine out of use.
     pub(super) fn is_faulty(&self) -> bool {
         self.contents.failed_jobs.len() >= FAULTY_AT_FAILED_JOBS
     }
 
-    /// For how long it has sent no heartbeat. One that never sent any counts from
-    /// `epoch_started_at`, or from when it became known.
+    /// Returns the time since its last heartbeat. Without any, the time counts from
+    /// `epoch_started_at`, or from when the machine became known if that was later.
     pub(super) fn silent_for(&self, epoch_started_at: Seconds, now: Seconds) -> Seconds {
         let start = epoch_started_at.max(self.known_since);
         self.session.silent_for(start, now)
     }
 
-    /// Records what a heartbeat shows of whether our answers reach the machine. A
-    /// worker whose heartbeat came through another controller may hear nobody at
-    /// all, so its token is raised now and then: it must show the new one.
+    /// Records whether a heartbeat shows that replies reach the worker. A worker whose
+    /// heartbeat was relayed by another controller may receive no replies at all, so its
+    /// token is raised from time to time: the worker has to acknowledge the new one.
     pub(super) fn record_seen_token(
         &mut self,
         heartbeat: &Heartbeat,
@@ -284,7 +291,7 @@
         if unacknowledged.is_some_and(|sent| heartbeat.token >= sent.token) {
             self.token.unacknowledged = None;
         }
-        // Its lease expired although it was answered well within it.
+        // The worker's lease expired although its heartbeats were answered in time.
         let restarted = self.session.id > 0 && heartbeat.session > self.session.id;
         let probed_lately = self
             .token
@@ -296,8 +303,8 @@
         }
     }
 
-    /// Records that an answer with `token` went out to a heartbeat that showed `seen`.
-    pub(super) fn record_answer(&mut self, seen: u64, token: u64, now: Seconds) {
+    /// Records that a reply with `token` was sent to a heartbeat that carried token `seen`.
+    pub(super) fn record_reply(&mut self, seen: u64, token: u64, now: Seconds) {
         if seen >= token {
             return;
         }
@@ -307,59 +314,62 @@
             .get_or_insert(UnacknowledgedToken {
                 token,
                 first_sent_at: now,
-                answers: 0,
+                replies: 0,
             });
-        sent.answers += 1;
+        sent.replies += 1;
     }
 
-    /// Whether answers may not reach it, or its heartbeats not us: for longer than its
-    /// worker takes to report again. It gets no new work meanwhile.
+    /// Whether replies may not reach its worker, or its heartbeats not this controller, for
+    /// longer than the worker takes to report again. Meanwhile it gets no new tasks.
     pub(super) fn is_suspect(&self, report_s: Seconds, now: Seconds) -> bool {
-        let unseen = self.token.unacknowledged.as_ref().is_some_and(|sent| {
-            sent.answers >= SUSPECT_AFTER_ANSWERS
-                && now - sent.first_sent_at > report_s * SUSPECT_AFTER_REPORTS
+        let replies_unacknowledged = self.token.unacknowledged.as_ref().is_some_and(|sent| {
+            sent.replies >= SUSPECT_AFTER_REPLIES
+                && now - sent.first_sent_at > report_s * SUSPECT_AFTER_INTERVALS
         });
-        unseen || self.without_heartbeat_for(now) > report_s * SILENT_REPORTS * 0.75
+        replies_unacknowledged
+            || self.responding_without_heartbeat_s(now)
+                > report_s * STOPPED_REPORTING_INTERVALS * 0.75
     }
 
-    /// Whether it answers direct commands but sends no heartbeats: those commands renew
-    /// no lease, so that what runs there will be killed, and what is started anew as well.
+    /// Whether its worker responds to direct commands but sends no heartbeats. Commands
+    /// renew no lease, so that the tasks on it will be killed, as will those started later.
     pub(super) fn stopped_reporting(&self, report_s: Seconds, now: Seconds) -> bool {
-        self.without_heartbeat_for(now) > report_s * SILENT_REPORTS
+        self.responding_without_heartbeat_s(now) > report_s * STOPPED_REPORTING_INTERVALS
     }
 
-    fn without_heartbeat_for(&self, now: Seconds) -> Seconds {
-        let period = self.commands.without_heartbeat.as_ref();
-        period.map_or(0.0, |period| now - period.first_at)
+    fn responding_without_heartbeat_s(&self, now: Seconds) -> Seconds {
+        let period = self.commands.responses_without_heartbeat.as_ref();
+        period.map_or(0.0, |period| now - period.began_at)
     }
 
-    /// Records that it answered a direct command. After a while without any command the
-    /// count begins anew: this node then had no right to command, and refused heartbeats
-    /// too, so what went before says nothing. Otherwise an outage would make half of the
-    /// machines look as if they had stopped reporting.
+    /// Records that its worker responded to a direct command. After a pause without
+    /// commands the period starts over: this node then had no right to send commands, and
+    /// refused heartbeats too, so that the time before the pause proves nothing. Otherwise
+    /// an outage would make half of the machines look as if they had stopped reporting.
     pub(super) fn record_command_response(&mut self, report_s: Seconds, now: Seconds) {
-        match &mut self.commands.without_heartbeat {
-            Some(period) if now - period.last_at < report_s * SILENT_REPORTS / 1.5 => {
+        match &mut self.commands.responses_without_heartbeat {
+            Some(period) if now - period.last_at < report_s * STOPPED_REPORTING_INTERVALS / 1.5 => {
                 period.last_at = now;
             }
             _ => {
-                self.commands.without_heartbeat = Some(ResponsePeriod {
-                    first_at: now,
+                self.commands.responses_without_heartbeat = Some(ResponsePeriod {
+                    began_at: now,
                     last_at: now,
                 });
             }
         }
     }
 
-    /// Whether its token can't be raised any more: no start there could be proven dead.
+    /// Whether its token can't be raised any more, so that no later start there could be
+    /// fenced off.
     pub(super) fn token_exhausted(&self) -> bool {
         self.token.counter >= MAX_COUNTER
     }
 
-    /// Stops for what it showed to run of cancelled jobs. They need no proof of
-    /// what else is there: an answer without them renewed such tasks again and
-    /// again while owners changed faster than a worker reports.
-    pub(super) fn cancelled_stops(&self, cache: &StoreCache) -> Vec<Command> {
+    /// Returns stop commands for the reported tasks of cancelled jobs. They are sent even
+    /// while the machine is unreconciled: replies without them renewed the lease of such
+    /// tasks again and again while owners changed faster than a worker reports.
+    pub(super) fn stops_for_cancelled(&self, cache: &StoreCache) -> Vec<Command> {
         let cancelled = |task: &Task| {
             let job = cache.jobs.get(&task.job);
             job.is_some_and(|job| job.record.cancelled)
@@ -376,33 +386,34 @@
             .collect()
     }
 
-    /// Whether its heartbeats arrive, but nothing that it is answered or told reaches
-    /// it: for so long that one lost answer, after which a worker tries other
-    /// controllers first, can't be why.
+    /// Whether its heartbeats arrive but neither replies nor commands reach its worker, for
+    /// so long that a single lost reply can't be the cause: after one, a worker tries other
+    /// controllers first.
     pub(super) fn ignores_commands(&self, report_s: Seconds, now: Seconds) -> bool {
         self.token.unacknowledged.as_ref().is_some_and(|sent| {
-            sent.answers >= IGNORES_AFTER_ANSWERS
-                && now - sent.first_sent_at > report_s * IGNORES_AFTER_REPORTS
+            sent.replies >= IGNORES_AFTER_REPLIES
+                && now - sent.first_sent_at > report_s * IGNORES_AFTER_INTERVALS
         })
     }
 
     /// Whether a direct command may be sent now.
     pub(super) fn accepts_commands(&self, now: Seconds) -> bool {
-        let waits = self.commands.retry_after.is_some_and(|at| now < at);
-        let session_over = self.session.id != 0 && self.session.has_ended();
-        !self.commands.in_flight && !waits && !session_over
+        let backs_off = self.commands.retry_after.is_some_and(|at| now < at);
+        let session_expired = self.session.id != 0 && self.session.has_ended();
+        !self.commands.in_flight && !backs_off && !session_expired
     }
 
-    /// Makes the token higher than one of this epoch that the worker showed, if it isn't
-    /// as high.
-    pub(super) fn follow_token(&mut self, epoch: u64, shown: u64) {
+    /// Raises the token above `shown`, the token of a heartbeat, if that one is higher. It
+    /// must not be of a later epoch than `epoch`.
+    pub(super) fn catch_up_with_token(&mut self, epoch: u64, shown: u64) {
         if shown > token(epoch, self.token.counter) {
             self.token.counter = token_counter(shown) + 1;
         }
     }
 
-    /// Records the session of a newer heartbeat; true if it is a new one.
-    pub(super) fn follow_session(&mut self, heartbeat: &Heartbeat, now: Seconds) -> bool {
+    /// Records the session and the address in a newer heartbeat. Returns whether the
+    /// session is new.
+    pub(super) fn record_session(&mut self, heartbeat: &Heartbeat, now: Seconds) -> bool {
         let is_new = heartbeat.session > self.session.id;
         if is_new {
             self.session.first_seen_at = Some(now);
@@ -413,16 +424,17 @@
         is_new
     }
 
-    /// Whether a heartbeat is a sign of life. A copy of an old one may come long after its
-    /// machine is gone, to a controller that never saw the first: only a worker that has
-    /// seen a token of this epoch is alive in it. One that was never used has sent no
-    /// heartbeat before; whoever is neither is probed, and proves it.
-    pub(super) fn shows_life(&self, heartbeat: &Heartbeat, epoch: u64) -> bool {
+    /// Whether a heartbeat proves that its worker is alive. A late copy of an old heartbeat
+    /// may arrive long after its machine was deleted, at a controller that never saw the
+    /// original. A worker is certainly alive if it has seen a token of this epoch, or if
+    /// its machine was never used, as it then sent no earlier heartbeat. Any other worker is
+    /// probed, and its response is the proof.
+    pub(super) fn proves_alive(&self, heartbeat: &Heartbeat, epoch: u64) -> bool {
         let never_used = self.registered && !self.used;
         never_used || token_epoch(heartbeat.token) == epoch
     }
 
-    /// Makes the token higher than `floor`, if it isn't.
+    /// Raises the token by one if it is not above `floor`.
     pub(super) fn raise_token_above(&mut self, epoch: u64, floor: u64) {
         if token(epoch, self.token.counter) <= floor {
             self.token.counter += 1;
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between a shard and the leader. The names of fields and variants
-//! are read by other versions.
+//! The messages between a shard and the leader. Controllers of other versions read them, so
+//! that the serialized names of fields and variants must not change.
 
 use crate::cluster::failure_detection::ZoneContact;
 use crate::wire::{JobId, MachineId, Resources, Task};
@@ -10,50 +10,52 @@
 /// Why a task was removed from a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RemovalReason {
-    /// Stopped by command.
+    /// It was stopped by command, or was lost or never started while it was to be stopped.
     Stopped,
-    /// Failed on its machine.
+    /// It failed on its machine.
     Error,
-    /// Gone with its machine or session.
+    /// It ended with its machine, with its worker's session or with its gang's attempt, or
+    /// its machine no longer reports it.
     Lost,
-    /// Nothing here could take it, or the worker refused it.
+    /// It was not run: the shard could not place it, its machine was fenced before the task
+    /// could be started, or the worker refused it.
     #[serde(rename = "Passed")]
     Rejected,
 }
 
-/// A task that is certainly nowhere in this shard any more.
+/// A task that certainly runs nowhere in the shard any more.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RemovedTask {
     /// The task.
     pub task: Task,
     /// The attempt that was removed.
     pub attempt: u64,
-    /// Why it was removed.
+    /// Why the task was removed.
     #[serde(rename = "how")]
     pub reason: RemovalReason,
-    /// The machine that it was on, if it had one.
+    /// The machine that it was placed on, if any.
     pub machine: Option<MachineId>,
-    /// The assignment that it had; 0 if the version doesn't say.
+    /// The number of its assignment; 0 from versions that don't report it.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub assignment: u64,
-    /// The number of the report that tells of it first.
+    /// The number of the first report that lists it.
     pub(super) seq: u64,
 }
 
-/// What an assigned task is doing, as the leader sees it.
+/// The phase of an assigned task, as the shard reports it to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
     /// It has no machine yet.
     Queued,
-    /// It has a machine, whose worker has not shown it yet.
+    /// It has a machine, whose worker has not reported it yet.
     Starting,
-    /// Its image is being fetched, or its gang is not complete yet.
+    /// Its image is being fetched, or it waits for the other tasks of its gang.
     Fetching,
-    /// It runs.
+    /// It is running.
     Running,
-    /// It saves a checkpoint before it stops.
+    /// It is saving a checkpoint before it stops.
     Saving,
-    /// It has completed.
+    /// It has completed, but is not committed as finished yet.
     Done,
 }
 
@@ -64,11 +66,11 @@
     pub task: Task,
     /// The attempt that is assigned.
     pub attempt: u64,
-    /// What it is doing.
+    /// Its phase.
     pub phase: TaskPhase,
     /// Its machine, if it has one.
     pub machine: Option<MachineId>,
-    /// Its assignment; 0 if the version doesn't say.
+    /// The number of its assignment; 0 from versions that don't report it.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub assignment: u64,
 }
@@ -77,60 +79,61 @@
     *number == 0
 }
 
-/// One machine in a shard's report: everything but how long ago things were,
-/// so that a machine on which nothing happens need not be reported again.
+/// One machine in a shard's report. It contains no ages, so that a machine on which nothing
+/// happens need not be reported again.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineStatus {
     /// The machine.
     pub id: MachineId,
-    /// Its type, as the catalog names it.
+    /// The name of its type in the catalog.
     #[serde(rename = "kind")]
     pub machine_type: Arc<str>,
     /// Its zone.
     pub zone: Arc<str>,
-    /// Whether the cloud may take it back at any time.
+    /// Whether the cloud may reclaim it at short notice.
     pub spot: bool,
-    /// Its tasks are known under this owner's fencing token.
+    /// Whether it is known which tasks are on it.
     #[serde(rename = "certain")]
     pub reconciled: bool,
-    /// Its worker has reported to this owner.
+    /// Whether its worker has proved to this owner that it is alive.
     #[serde(rename = "heard")]
     pub has_reported: bool,
-    /// On the machine registry.
+    /// Whether it is in the machine registry.
     #[serde(rename = "listed")]
     pub registered: bool,
-    /// Where its worker takes direct commands, if that is known.
+    /// The address at which its worker takes direct commands, if it is known.
     #[serde(rename = "addr")]
     pub address: Option<Arc<str>>,
-    /// What is free for further tasks.
+    /// The capacity that is free for further tasks.
     pub free: Resources,
-    /// What lower work than the highest priority's would give up for that.
+    /// The capacity that production tasks can gain by preempting others.
     #[serde(rename = "yielding")]
     pub preemptible: Resources,
-    /// What borrowing low arrays would give up for other work of a higher priority;
-    /// nothing from versions that don't say.
+    /// The capacity that tasks of standard or urgent priority can gain by preempting those of
+    /// low-priority array jobs whose team uses more than its guarantee. Zero from versions
+    /// that don't report it.
     #[serde(default, skip_serializing_if = "Resources::is_empty")]
     #[serde(rename = "yielding_low")]
     pub preemptible_low: Resources,
-    /// Takes new tasks.
+    /// Whether it takes new tasks.
     #[serde(rename = "open")]
     pub schedulable: bool,
-    /// The cloud has given notice that it takes the machine back.
+    /// Whether the cloud has given notice that it will reclaim the machine.
     #[serde(rename = "noticed")]
     pub reclaim_notice: bool,
-    /// Tasks of two jobs failed there. Read by earlier versions only: the leader of this
-    /// one judges by the failures of all machines.
+    /// Whether tasks of two jobs failed there. Only leaders of earlier versions read it; this
+    /// version's leader compares the failures of all machines.
     pub faulty: bool,
-    /// It is reachable in one direction only: its heartbeats arrive but it acts on no
-    /// answer, or it obeys direct commands but sends no heartbeats. Its worker's lease
-    /// expires all the same.
+    /// Whether it is reachable in one direction only, or its fencing token can't be raised
+    /// any more. Its heartbeats arrive but replies don't reach its worker, or the worker
+    /// responds to direct commands but sends no heartbeats. Either way its lease expires.
     #[serde(rename = "heedless")]
     pub ignores_commands: bool,
-    /// It takes no more tasks, as the leader wants it empty.
+    /// Whether it takes no more tasks, as the leader has ordered to drain it.
     pub draining: bool,
-    /// The number of tasks on it.
+    /// The number of tasks that are assigned to it or that it reports, whichever is higher.
     pub tasks: u32,
-    /// Images that are likely cached there, by name.
+    /// The names of the images that are probably cached there.
     pub images: Vec<Arc<str>>,
 }
 
@@ -139,100 +142,104 @@
 pub struct SilentMachine {
     /// The machine.
     pub id: MachineId,
-    /// How long ago it was last heard, in seconds.
+    /// The seconds since its last heartbeat.
     pub silent_s: f64,
-    /// For how long it has not answered direct commands while others of its zone were
-    /// reached, in seconds.
+    /// The seconds for which it has not responded to direct commands although other machines
+    /// of its zone were reached; `None` if it has not been found unresponsive.
     #[serde(rename = "deaf_s")]
     pub unanswered_s: Option<f64>,
 }
 
-/// A shard's report to the leader: all that has changed since report `since`, which
-/// the leader is known to have applied (0: everything). Everything in it is
-/// absolute, so that applying a change twice does no harm; the leader drops a report
-/// whose `since` it has not applied, and the shard sends the changes again.
+/// A shard's report to the leader: all that has changed since report `since`, which the
+/// leader has acknowledged. The values in it are absolute, so that applying a change twice
+/// does no harm. The leader drops a report whose `since` it has not applied, and the shard
+/// sends the changes again.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ShardReport {
     /// The epoch in which it was made.
     pub epoch: u64,
-    /// The controller that owns the shard.
+    /// The name of the controller that owns the shard.
     pub node: String,
     /// That controller's incarnation.
     #[serde(rename = "inc")]
     pub incarnation: u64,
-    /// The shard has kept all its state from the epoch before.
+    /// Whether the shard has kept all its state from the epoch before.
     #[serde(default)]
     #[serde(rename = "kept")]
     pub state_retained: bool,
-    /// The report that this one builds on; 0: it holds everything.
+    /// The number of the report that this one builds on; 0 for a full report.
     pub since: u64,
     /// The number of this report.
     pub seq: u64,
     /// The machines that are new or have changed.
     pub machines: Vec<MachineStatus>,
-    /// Machines that are no longer this shard's.
+    /// Machines that no longer belong to this shard, with the number of the first report that
+    /// lists each.
     #[serde(rename = "unlisted")]
     pub unregistered: Vec<(MachineId, u64)>,
     /// The assigned tasks that are new or have changed.
     #[serde(rename = "held")]
     pub assigned: Vec<AssignedTaskStatus>,
-    /// Tasks that were removed and that the leader has not acknowledged yet.
+    /// Removed tasks whose removal the leader has not acknowledged yet.
     #[serde(rename = "gone")]
     pub removed: Vec<RemovedTask>,
-    /// Tasks that this shard let go of and that need no proof of removal (committed as
-    /// finished, or on a machine that is another shard's): task, attempt, first report.
+    /// Tasks that this shard released without proof that they no longer run: they are
+    /// committed as finished, or on a machine that belongs to another shard now. Each has its
+    /// attempt and the number of the first report that lists it.
     #[serde(rename = "dropped")]
     pub released: Vec<(Task, u64, u64)>,
-    /// All machines that are silent now, whether that is new or not.
+    /// All machines that are silent now, not only those that have become silent.
     #[serde(rename = "quiet")]
     pub silent_machines: Vec<SilentMachine>,
-    /// How the shard's owner reaches each zone directly.
+    /// The owner's direct contact with each zone.
     #[serde(rename = "zones_met")]
     pub zone_contacts: Vec<(Arc<str>, ZoneContact)>,
-    /// Machines of other shards whose workers reported here, and how many seconds ago.
+    /// Machines of other shards whose workers sent heartbeats to this controller, and how many
+    /// seconds ago.
     #[serde(rename = "met")]
     pub foreign_workers: Vec<(MachineId, f64)>,
-    /// The hash ranges that are being transferred.
+    /// The progress of the transfers in which this shard takes part.
     #[serde(default, skip_serializing_if = "TransferReport::is_empty")]
     #[serde(rename = "handovers")]
     pub transfers: TransferReport,
 }
 
-/// Tasks of one job that are assigned to a shard.
+/// The tasks of one job that the leader assigns to a shard.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobAssignment {
     /// The job.
     pub job: JobId,
-    /// Number and attempt.
+    /// The index and the attempt of each task.
     pub tasks: Vec<(u32, u64)>,
-    /// For jobs whose tasks depend on each other: how many more each zone may take.
+    /// For a job with `one_zone` or `scatter`, how many more of its tasks each zone may take;
+    /// `None` for other jobs, which have no such limits.
     #[serde(rename = "zone_room")]
     pub zone_capacity: Option<Vec<(Arc<str>, u32)>>,
-    /// Machines on which its tasks are not to be started.
+    /// Machines on which its tasks must not be started.
     pub avoid: Vec<MachineId>,
-    /// Number and assignment of tasks whose attempt is older than their
-    /// assignment: those of gangs, which share one attempt. Versions without
-    /// gangs leave this out and take no such task twice.
+    /// The index and the assignment number of each task whose assignment is newer than its
+    /// attempt: tasks of gangs, which share one attempt. Versions without gangs neither send
+    /// nor read the field, and take no such task twice.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub assignments: Vec<(u32, u64)>,
 }
 
 impl JobAssignment {
-    /// The assignment of a task: its attempt, if nothing else is said.
+    /// Returns the assignment number of a task: its attempt, unless `assignments` lists it.
     pub(super) fn assignment(&self, index: u32, attempt: u64) -> u64 {
         self.assignments
             .iter()
-            .find(|(i, _)| *i == index)
+            .find(|(listed, _)| *listed == index)
             .map_or(attempt, |(_, assignment)| *assignment)
     }
 }
 
-/// What the leader orders a shard to do.
+/// The leader's orders to a shard.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Orders {
     /// The epoch in which they were given.
     pub epoch: u64,
-    /// The controller that owns the shard.
+    /// The name of the controller that owns the shard.
     pub node: String,
     /// The number of these orders.
     pub seq: u64,
@@ -242,13 +249,13 @@
     /// The assigned tasks that the shard has not reported yet.
     #[serde(rename = "deals")]
     pub assignments: Vec<JobAssignment>,
-    /// Tasks to stop, with their attempts.
+    /// Tasks that the shard is to stop and return to the leader, with their attempts.
     pub recall: Vec<(Task, u64)>,
-    /// Machines that take no more tasks.
+    /// All machines that are to take no more tasks.
     pub drain: Vec<MachineId>,
-    /// Running tasks of each job, for display; in some orders only.
+    /// The number of running tasks of each job, for display; `None` in most orders.
     pub running: Option<Vec<(JobId, u32)>>,
-    /// Teams that use more than they are guaranteed.
+    /// Teams that use more than their guarantee.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub borrowing: Vec<Arc<str>>,
     /// All transfers of hash ranges in which this shard takes part.
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -1,11 +1,12 @@
-//! A shard: the machines that hash to this controller, what runs
-//! on them, and the commands they are due. Pure: time comes in, commands go
-//! out as values.
+//! A shard: the machines that one controller owns, the tasks that are assigned to them, and
+//! the commands that their workers are due. The module does no input or output: time comes
+//! in as an argument, and commands go out as values.
 //!
-//! The one thing that must never happen is a task starting while it is
-//! somewhere else. A task assigned here leaves this shard only on proof: it was
-//! seen ended, its machine is off the machine registry, its worker began a new session,
-//! or a report under a token above that of the last start doesn't list it.
+//! A task must never be started while an earlier start of it may still run, or take
+//! effect, somewhere else. The shard therefore removes a task that may have been started
+//! only on proof that it no longer runs: its machine reported that it ended, its machine is
+//! no longer in the machine registry, its worker's session has ended, or a report under a
+//! token above that of its last start doesn't list it.
 
 mod assigned_tasks;
 mod commands;
@@ -32,68 +33,73 @@
 use crate::cluster::failure_detection::ZoneContactSpan;
 use crate::store::cache::StoreCache;
 use crate::wire::{JobId, MachineId, Task};
-use assigned_tasks::{AssignedTask, AssignedTasks, Placement, Stop};
+use assigned_tasks::{AssignedTask, AssignedTasks, Placement, TaskStopReason};
 use finchwood_reconciliation::restart_record::RestartRecord;
 use machine::Machine;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 use transfer::TransferParticipant;
 
-/// A worker that has not reported for so many intervals is late, and is asked:
-/// they vary by a quarter.
-const LATE_REPORTS: f64 = 1.3;
+/// After this many report intervals without a heartbeat a worker is late, and is probed.
+/// The intervals vary by a quarter.
+const LATE_AFTER_INTERVALS: f64 = 1.3;
 
-/// How many more tasks of a job each zone may take, for a job whose tasks depend on
-/// each other.
+/// How many more tasks of a job each zone may take, for a job whose placement rules span
+/// its tasks (`one_zone`, `scatter`).
 #[derive(Debug, Clone, Default)]
 struct ZoneCapacity {
     remaining: BTreeMap<Arc<str>, u32>,
 }
 
 impl ZoneCapacity {
-    /// Whether a zone may take one more.
-    fn has_room(&self, zone: &str) -> bool {
-        self.remaining.get(zone).is_some_and(|room| *room > 0)
+    /// Whether a zone may take one more task.
+    fn has_capacity(&self, zone: &str) -> bool {
+        self.remaining
+            .get(zone)
+            .is_some_and(|remaining| *remaining > 0)
     }
 
-    /// Counts a task that a zone got; `only_zone` if all others have to follow it there.
-    fn take_one(&mut self, zone: &str, only_zone: bool) {
-        if only_zone {
+    /// Counts a task that was placed in a zone. With `only_this_zone`, all further tasks
+    /// must be placed in the same zone.
+    fn reserve_one(&mut self, zone: &str, only_this_zone: bool) {
+        if only_this_zone {
             self.remaining.retain(|name, _| **name == *zone);
         }
-        if let Some(room) = self.remaining.get_mut(zone) {
-            *room = room.saturating_sub(1);
+        if let Some(remaining) = self.remaining.get_mut(zone) {
+            *remaining = remaining.saturating_sub(1);
         }
     }
 }
 
-/// A task that this shard let go of without a proof of removal: it is committed as
-/// finished, or its machine is another shard's.
+/// A task that this shard released without proof that it no longer runs: it is committed as
+/// finished, or its machine belongs to another shard now.
 #[derive(Debug, Clone)]
 struct ReleasedTask {
     task: Task,
     attempt: u64,
-    /// The first report that lists it.
+    /// The number of the first report that lists it.
     report_seq: u64,
 }
 
-/// Settings that a shard needs.
+/// The time settings of a shard.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
-    /// How often a worker sends a heartbeat.
+    /// The interval at which a worker sends heartbeats.
     pub report_s: Seconds,
-    /// How long a worker's lease lasts after an answer.
+    /// How long a worker's lease lasts after a reply to its heartbeat.
     pub lease_s: Seconds,
-    /// The longest that a member left out of an epoch may not know of it.
+    /// How long a member's lease lasts: a member that a new epoch excludes may act for so long
+    /// without knowing of that epoch.
     pub member_lease_s: Seconds,
 }
 
-/// The machines that one controller owns, and the tasks that are assigned to it.
+/// The machines that one controller owns, and the tasks that are assigned to it. Its
+/// methods neither block nor send anything: callers pass in the time and the cached records.
 #[derive(Debug)]
 pub struct Shard {
     node: String,
     timing: Timing,
-    /// Classes with an aim for their start.
+    /// The objective for a task's start, in seconds, of each job class that has one.
     start_objectives: HashMap<Arc<str>, f64>,
     epoch: u64,
     epoch_started_at: Seconds,
@@ -103,30 +109,35 @@
     assigned: AssignedTasks,
     removed_tasks: Vec<RemovedTask>,
     released_tasks: Vec<ReleasedTask>,
+    /// Machines that no longer belong to this shard, and the number of the first report that
+    /// lists each.
     unregistered_machines: Vec<(MachineId, u64)>,
-    /// Machines as last reported to the leader, and in which report.
+    /// Machines as last reported to the leader, and the number of that report.
     last_reported: HashMap<MachineId, (MachineStatus, u64)>,
-    /// The newest report that the leader has acknowledged.
+    /// The number of the newest report that the leader has acknowledged.
     acknowledged_seq: u64,
-    /// The highest assignment seen of each task: a late copy does nothing.
+    /// The highest assignment number seen of each task. Orders with a number that is not
+    /// higher are late copies, and are ignored.
     highest_assignments: HashMap<Task, u64>,
     zone_capacities: HashMap<JobId, ZoneCapacity>,
-    /// Teams that use more than they are guaranteed, by the leader's last orders.
+    /// Teams that use more than their guarantee, by the leader's last orders.
     borrowing_teams: HashSet<Arc<str>>,
-    /// How zones are reached with nobody in between.
+    /// The span of direct contact with each zone, not counting relayed heartbeats.
     zone_contacts: BTreeMap<Arc<str>, ZoneContactSpan>,
     report_seq: u64,
     orders_seq: u64,
-    /// Something changed that the leader should hear.
+    /// Whether something has changed that the leader should be told. The next report
+    /// clears it.
     pub report_due: bool,
-    /// What was found and decided since this shard last knew nothing.
+    /// What was found and decided since this shard last began without state.
     restart_record: RestartRecord,
-    /// Shares that come or go.
+    /// The transfers of hash ranges in which this shard takes part.
     transfers: TransferParticipant,
 }
 
 impl Shard {
-    /// An empty shard, a member of no epoch.
+    /// Returns a shard without machines that has entered no epoch. `start_objectives` holds
+    /// the objective for a task's start, in seconds, by job class.
     pub fn new(node: &str, timing: Timing, start_objectives: HashMap<Arc<str>, f64>) -> Shard {
         Shard {
             node: node.into(),
@@ -155,19 +166,19 @@
         }
     }
 
-    /// Keeps the latest `most` decisions of a restart, for whoever asks.
-    pub fn set_restart_record_limit(&mut self, most: usize) {
-        self.restart_record = RestartRecord::new(most);
+    /// Starts the restart record over, limited to its latest `max_decisions` decisions.
+    pub fn set_restart_record_limit(&mut self, max_decisions: usize) {
+        self.restart_record = RestartRecord::new(max_decisions);
     }
 
-    /// The epoch this shard acts in.
+    /// Returns the epoch in which this shard acts; 0 before the first.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Enters an epoch. What was known is kept only if this incarnation was a
-    /// member of the epoch just before: otherwise somebody else may have
-    /// owned the machines in between.
+    /// Enters an epoch. The shard keeps its state only if this incarnation was a member of
+    /// the epoch just before: otherwise another controller may have owned the machines in
+    /// between. `owns` tells whether this controller owns a machine in the new epoch.
     pub fn start_epoch(
         &mut self,
         epoch: u64,
@@ -176,8 +187,8 @@
         now: Seconds,
         owns: impl Fn(&str) -> bool,
     ) {
-        let stays = incarnation == self.incarnation && epoch == self.epoch + 1;
-        if !stays {
+        let retains_state = incarnation == self.incarnation && epoch == self.epoch + 1;
+        if !retains_state {
             let fresh = Shard::new(
                 &self.node,
                 self.timing,
@@ -189,14 +200,15 @@
                 ..fresh
             };
         }
-        self.restart_record.enter(epoch, stays, now);
-        // Whatever a transfer has reached: owners of the new epoch ask their machines.
+        self.restart_record.enter(epoch, retains_state, now);
+        // Transfers end with their epoch, whatever their state: the owners in the new epoch
+        // probe their machines.
         let members = cache.epoch.as_ref().map(|epoch| epoch.members.clone());
         self.transfers = TransferParticipant::new(members.unwrap_or_default());
         self.epoch = epoch;
         self.epoch_started_at = now;
         self.incarnation = incarnation;
-        self.state_retained = stays;
+        self.state_retained = retains_state;
         self.orders_seq = 0;
         // The next report is a full one.
         self.acknowledged_seq = 0;
@@ -205,8 +217,9 @@
         self.unregistered_machines.clear();
         self.machines.retain(|id, _| owns(id));
         let machines = &self.machines;
-        self.assigned.retain(|_, h| {
-            h.placement
+        self.assigned.retain(|_, assigned| {
+            assigned
+                .placement
                 .as_ref()
                 .is_none_or(|placement| machines.contains_key(&placement.machine))
         });
@@ -218,7 +231,7 @@
         self.report_due = true;
     }
 
-    /// Machines heard of, for tests and logs.
+    /// Returns the number of machines that this shard knows of, for tests.
     pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -1,15 +1,17 @@
-//! The leader's orders: tasks that are assigned to this shard, acknowledged reports, and
-//! tasks that are recalled.
+//! The leader's orders: assigned and recalled tasks, acknowledged reports, and machines to
+//! drain or transfer.
 
 use super::{
-    AssignedTask, JobAssignment, Orders, RemovalReason, Shard, Stop, TaskPhase, ZoneCapacity,
+    AssignedTask, JobAssignment, Orders, RemovalReason, Shard, TaskPhase, TaskStopReason,
+    ZoneCapacity,
 };
 use crate::clock::Seconds;
 use crate::store::cache::StoreCache;
 use crate::wire::{JobKind, Task, START_COUNTS_S};
 
 impl Shard {
-    /// Carries out the leader's orders.
+    /// Carries out the leader's orders. Orders of another epoch or for another node are
+    /// ignored; of late orders, only the assignments are applied.
     pub fn apply_orders(&mut self, orders: &Orders, cache: &StoreCache, now: Seconds) {
         if orders.epoch != self.epoch || orders.node != self.node {
             return;
@@ -35,27 +37,32 @@
         }
     }
 
-    /// Queues the tasks of a job that this shard has not been given yet.
+    /// Queues those tasks of a job whose assignment is new to this shard.
     fn apply_assignment(&mut self, job: &JobAssignment, cache: &StoreCache, now: Seconds) {
-        // The cache may be behind the leader's: the assignment comes again.
-        let Some(known) = cache.jobs.get(&job.job) else {
+        // The cache may be older than the leader's. The leader repeats the assignment.
+        let Some(cached_job) = cache.jobs.get(&job.job) else {
             return;
         };
-        let mut fresh = false;
+        let mut any_new = false;
         for &(index, attempt) in &job.tasks {
             let task = Task {
                 job: job.job.clone(),
                 index,
             };
             let assignment = job.assignment(index, attempt);
-            let seen = self.highest_assignments.entry(task.clone()).or_insert(0);
-            if assignment <= *seen {
+            let highest = self.highest_assignments.entry(task.clone()).or_insert(0);
+            if assignment <= *highest {
                 continue;
             }
-            *seen = assignment;
-            fresh = true;
-            if let Some(old) = self.assigned.get(&task) {
-                tracing::warn!(%task, earlier_attempt = old.attempt, attempt, "task assigned again while it is assigned already");
+            *highest = assignment;
+            any_new = true;
+            if let Some(earlier) = self.assigned.get(&task) {
+                tracing::warn!(
+                    %task,
+                    earlier_attempt = earlier.attempt,
+                    attempt,
+                    "ignoring a new assignment of a task that is already assigned"
+                );
                 continue;
             }
             let avoid = job.avoid.clone();
@@ -68,55 +75,61 @@
                 last_reported: None,
             };
             self.assigned.insert(task.clone(), assigned);
-            if !known.live() {
+            if !cached_job.live() {
                 self.remove_task(&task, RemovalReason::Stopped);
             }
         }
-        if let Some(room) = job.zone_capacity.as_ref().filter(|_| fresh) {
+        if let Some(zone_capacity) = job.zone_capacity.as_ref().filter(|_| any_new) {
             self.zone_capacities.insert(
                 job.job.clone(),
                 ZoneCapacity {
-                    remaining: room.iter().cloned().collect(),
+                    remaining: zone_capacity.iter().cloned().collect(),
                 },
             );
         }
     }
 
-    /// The leader has acknowledged the reports up to `ack`.
-    fn apply_acknowledgement(&mut self, ack: u64) {
-        self.acknowledged_seq = ack.min(self.report_seq);
-        self.removed_tasks.retain(|removed| removed.seq > ack);
+    /// Applies the leader's acknowledgement of all reports up to `acknowledged_seq`: the
+    /// entries that these listed first need not be sent again.
+    fn apply_acknowledgement(&mut self, acknowledged_seq: u64) {
+        self.acknowledged_seq = acknowledged_seq.min(self.report_seq);
+        self.removed_tasks
+            .retain(|removed| removed.seq > acknowledged_seq);
         self.released_tasks
-            .retain(|released| released.report_seq > ack);
-        self.unregistered_machines.retain(|(_, seq)| *seq > ack);
+            .retain(|released| released.report_seq > acknowledged_seq);
+        self.unregistered_machines
+            .retain(|(_, seq)| *seq > acknowledged_seq);
     }
 
-    /// A task is to be given back. One that has only just started is moved later:
-    /// users count on a start for that long.
+    /// Stops a task that the leader recalls. A task that has run for less than
+    /// [`START_COUNTS_S`] is left to run for now, as its start would not count for users; the
+    /// leader repeats the recall.
     fn apply_recall(&mut self, task: &Task, attempt: u64, cache: &StoreCache, now: Seconds) {
         let placement = self
             .assigned
             .get(task)
             .and_then(|assigned| assigned.placement.as_ref());
-        let young = placement.is_some_and(|placement| {
+        let recently_started = placement.is_some_and(|placement| {
             placement.phase == TaskPhase::Running
-                && placement.stop.is_none()
+                && placement.stop_reason.is_none()
                 && now - placement.phase_since < START_COUNTS_S
         });
-        // The tasks of a gang are stopped together: one alone would lose their progress.
+        // The tasks of a gang are stopped together: stopping one alone would lose the
+        // progress of all.
         let spec = cache
             .jobs
             .get(&task.job)
             .and_then(|job| job.record.spec.as_ref());
         let gang = spec.is_some_and(|spec| spec.job_kind == JobKind::Gang);
-        if !young || gang {
-            self.stop_task(task, attempt, Stop::Recalled);
+        if !recently_started || gang {
+            self.stop_task(task, attempt, TaskStopReason::Recalled);
         }
     }
 
-    /// Orders a task to stop. One whose start was never sent, or is proven dead, is removed
-    /// at once; one that may be starting needs a token above that of its start first.
-    pub(super) fn stop_task(&mut self, task: &Task, attempt: u64, why: Stop) {
+    /// Marks a task to be stopped. If its start was never sent, or can't take effect any
+    /// more, the task is removed at once. If its start may be in flight, the token is raised
+    /// above that of the start, so that the next report proves whether the task runs.
+    pub(super) fn stop_task(&mut self, task: &Task, attempt: u64, reason: TaskStopReason) {
         let epoch = self.epoch;
         if self
             .assigned
@@ -130,24 +143,30 @@
             .get(task)
             .and_then(|assigned| Some(assigned.placement.as_ref()?.machine.clone()));
         let fenced = machine.is_some_and(|machine| self.transfers.is_fenced(&machine));
-        match self.assigned.place_mut(task) {
+        match self.assigned.placement_mut(task) {
             None => self.remove_task(task, RemovalReason::Stopped),
-            // The state sent to the target must stay true: the leader orders the target to stop it.
+            // The state sent to the target must stay valid. The leader orders the target to
+            // stop the task.
             Some(_) if fenced => {}
-            // Saving for another start: nobody has any use for that any more, and
-            // it may take longer than a cancelled task may.
+            // The task may be saving a checkpoint, which is useless once its job is cancelled,
+            // and which may take longer than a cancelled task is allowed to run.
             Some(placement)
-                if placement.stop.is_some_and(|stop| stop != why) && why == Stop::Cancelled =>
+                if placement
+                    .stop_reason
+                    .is_some_and(|current| current != reason)
+                    && reason == TaskStopReason::Cancelled =>
             {
-                placement.stop = Some(why);
+                placement.stop_reason = Some(reason);
                 placement.stop_sent = false;
             }
-            Some(placement) if placement.stop.is_none() && placement.phase != TaskPhase::Done => {
-                placement.stop = Some(why);
+            Some(placement)
+                if placement.stop_reason.is_none() && placement.phase != TaskPhase::Done =>
+            {
+                placement.stop_reason = Some(reason);
                 placement.stop_sent = false;
                 if !placement.confirmed {
                     let Some(floor) = placement.start_token else {
-                        // No start was ever sent, or it is proven dead.
+                        // No start was sent, or it can't take effect any more.
                         return self.remove_task(task, RemovalReason::Stopped);
                     };
                     let id = placement.machine.clone();
--- a/src/shard/placement.rs
+++ b/src/shard/placement.rs
@@ -1,4 +1,4 @@
-//! Placing assigned tasks on this shard's machines.
+//! Placement of assigned tasks on this shard's machines.
 
 use super::machine::Machine;
 use super::preemption::VictimMachines;
@@ -10,8 +10,8 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap};
 
-/// A machine that was silent for so many reporting intervals takes no new tasks.
-const SCHEDULABLE_REPORTS: f64 = 2.5;
+/// After this many report intervals without a heartbeat a machine takes no new tasks.
+const MAX_SILENT_INTERVALS: f64 = 2.5;
 
 /// A task that waits for a machine.
 struct QueuedTask {
@@ -21,7 +21,7 @@
 }
 
 impl QueuedTask {
-    /// The order of placement: by priority, then the longest waiting first.
+    /// The order of placement: the highest priority first, then the longest waiting.
     fn order(&self, other: &QueuedTask) -> Ordering {
         self.priority
             .cmp(&other.priority)
@@ -30,26 +30,27 @@
     }
 }
 
-/// A task for which a machine is sought.
+/// A task that is to be placed.
 pub(super) struct PlacementRequest<'a> {
     pub(super) task: &'a Task,
     pub(super) spec: &'a JobSpec,
-    /// It has to start soon, by the objective of its class.
+    /// Whether fetching its image may take more than half of the time in which tasks of its
+    /// class should start.
     pub(super) latency_sensitive: bool,
 }
 
-/// One round of placements.
+/// The state of one round of placements.
 pub(super) struct PlacementRound<'a> {
     pub(super) cache: &'a StoreCache,
     pub(super) when: Moment,
-    /// What is free on each machine that takes new tasks.
+    /// The free capacity of each machine that takes new tasks.
     pub(super) free: BTreeMap<MachineId, Resources>,
-    /// Machines on which tasks are being stopped, and how much of the room that this makes
-    /// is promised: nobody of lower priority gets it meanwhile.
+    /// The capacity that is reserved on machines where tasks are being stopped to free it, so
+    /// that no task of a lower priority gets it meanwhile.
     pub(super) reserved: BTreeMap<MachineId, Resources>,
 }
 
-/// How many tasks of one job each zone and each machine has.
+/// The number of tasks of one job in each zone and on each machine.
 #[derive(Default)]
 struct JobSpread<'a> {
     by_zone: HashMap<&'a str, u32>,
@@ -57,8 +58,9 @@
 }
 
 impl Shard {
-    /// What is free on a machine: its size without what it showed to hold, and without what
-    /// was placed there since. Nothing, if its size or a task's is unknown.
+    /// Returns the free capacity of a machine: its total less the tasks that it reported and
+    /// those placed there since. It is zero if the machine's type, or the specification of a
+    /// reported task, is unknown.
     pub(super) fn free_resources(
         &self,
         id: &MachineId,
@@ -83,7 +85,7 @@
                 }
             }
         }
-        for (task, assigned) in self.assigned.on(id) {
+        for (task, assigned) in self.assigned.on_machine(id) {
             if machine
                 .contents
                 .tasks
@@ -100,19 +102,19 @@
 
     /// Whether a machine takes new tasks.
     pub(super) fn is_schedulable(&self, machine: &Machine, now: Seconds) -> bool {
-        let longest_silence = self.timing.report_s * SCHEDULABLE_REPORTS;
-        let heard_lately = |at: Seconds| now - at < longest_silence;
+        let max_silence = self.timing.report_s * MAX_SILENT_INTERVALS;
+        let is_recent = |at: Seconds| now - at < max_silence;
         machine.used
             && machine.registered
             && machine.is_reconciled()
             && !machine.draining
-            && machine.reclaimed_at.is_none()
+            && machine.reclaim_at.is_none()
             && !machine.is_suspect(self.timing.report_s, now)
-            && machine.session.last_heartbeat_at.is_some_and(heard_lately)
+            && machine.session.last_heartbeat_at.is_some_and(is_recent)
     }
 
-    /// Places what is queued, the highest priority first, until `has_time` says that
-    /// the round's time is over; the next round goes on with the rest.
+    /// Places the queued tasks, the highest priority first, until `has_time` returns false:
+    /// the round's time is over, and the rest is left to the next round.
     pub fn place_queued(
         &mut self,
         cache: &StoreCache,
@@ -150,7 +152,7 @@
         }
     }
 
-    /// The tasks without a machine, in the order in which they are placed.
+    /// Returns the tasks without a machine, in the order in which they are to be placed.
     fn placement_queue(&self, cache: &StoreCache) -> Vec<QueuedTask> {
         let mut queue: Vec<QueuedTask> = self
             .assigned
@@ -168,7 +170,7 @@
         queue
     }
 
-    /// What is free on each machine that takes new tasks.
+    /// Returns the free capacity of each machine that takes new tasks.
     fn schedulable_resources(
         &self,
         cache: &StoreCache,
@@ -183,17 +185,17 @@
             .collect()
     }
 
-    /// Places one task, or stops others for it, or gives it back to the leader.
+    /// Places one task, stops others to free capacity for it, or returns it to the leader.
     fn place_task(&mut self, request: &PlacementRequest, round: &mut PlacementRound) {
         let chosen = self.choose_machine(request, round);
         let has_image = |id: &MachineId| {
             let machine = self.machines.get(id);
             machine.is_some_and(|machine| machine.has_image(&request.spec.image))
         };
-        let has_to_fetch = !chosen.as_ref().is_some_and(has_image);
-        // Making room where the image is takes less time than fetching it.
+        let must_fetch_image = !chosen.as_ref().is_some_and(has_image);
+        // Freeing capacity on a machine with the image takes less time than fetching it.
         if request.latency_sensitive
-            && has_to_fetch
+            && must_fetch_image
             && self.preempt_for(request, round, VictimMachines::WithImage)
         {
             return;
@@ -203,7 +205,7 @@
                 if let Some(free) = round.free.get_mut(&id) {
                     free.subtract(&request.spec.task_resources());
                 }
-                self.place_on(&id, request, round);
+                self.assign_machine(&id, request, round);
             }
             None => {
                 if !self.preempt_for(request, round, VictimMachines::Any) {
@@ -213,7 +215,7 @@
         }
     }
 
-    /// The best machine with room for a task.
+    /// Returns the best machine with capacity for a task.
     fn choose_machine(
         &self,
         request: &PlacementRequest,
@@ -231,7 +233,7 @@
             if assigned.avoid.contains(id)
                 || machine.contents.tasks.contains_key(task)
                 || round.reserved.contains_key(id)
-                || !self.zone_takes(request, &machine.identity.zone)
+                || !self.zone_has_capacity(request, &machine.identity.zone)
             {
                 return None;
             }
@@ -251,7 +253,7 @@
             .map(|candidate| candidate.id.into())
     }
 
-    /// How the placed tasks of a job are spread.
+    /// Counts the placed tasks of a job by zone and by machine.
     fn job_spread(&self, job: &JobId) -> JobSpread<'_> {
         let mut spread = JobSpread::default();
         for (_, assigned) in self.assigned.of_job(job) {
@@ -267,17 +269,23 @@
         spread
     }
 
-    /// Whether a zone may take one more task of a job. Jobs whose tasks depend on each
-    /// other have bounds; without them nothing is placed.
-    fn zone_takes(&self, request: &PlacementRequest, zone: &str) -> bool {
+    /// Whether a zone may take one more task of a job. A job with `one_zone` or `scatter` has
+    /// a limit for each zone; until the leader's orders have set them, none of its tasks is
+    /// placed.
+    fn zone_has_capacity(&self, request: &PlacementRequest, zone: &str) -> bool {
         match self.zone_capacities.get(&request.task.job) {
-            Some(capacity) => capacity.has_room(zone),
+            Some(capacity) => capacity.has_capacity(zone),
             None => !request.spec.one_zone && !request.spec.scatter,
         }
     }
 
-    /// Gives a task its machine; the start is sent with the next commands.
-    fn place_on(&mut self, id: &MachineId, request: &PlacementRequest, round: &PlacementRound) {
+    /// Places a task on a machine. Its start is sent with the next commands.
+    fn assign_machine(
+        &mut self,
+        id: &MachineId,
+        request: &PlacementRequest,
+        round: &PlacementRound,
+    ) {
         let (task, spec, now) = (request.task, request.spec, round.when.now);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -292,7 +300,7 @@
         machine.contents.idle_since = now;
         let session = machine.session.id;
         if let Some(capacity) = self.zone_capacities.get_mut(&task.job) {
-            capacity.take_one(&machine.identity.zone, spec.one_zone);
+            capacity.reserve_one(&machine.identity.zone, spec.one_zone);
         }
         if let Some(attempt) = self.assigned.get(task).map(|assigned| assigned.attempt) {
             let placement = Placement {
@@ -302,7 +310,7 @@
                 start_token: None,
                 start_sent: false,
                 confirmed: false,
-                stop: None,
+                stop_reason: None,
                 stop_sent: false,
                 phase_since: now,
             };
--- a/src/shard/preemption.rs
+++ b/src/shard/preemption.rs
@@ -1,53 +1,56 @@
-//! Stopping tasks of lower priority to make room for others.
+//! Preemption: stopping tasks of lower priority to free capacity for others.
 
 use super::placement::{PlacementRequest, PlacementRound};
-use super::{Placement, Shard, Stop, TaskPhase};
+use super::{Placement, Shard, TaskPhase, TaskStopReason};
 use crate::clock::Seconds;
 use crate::wire::{JobKind, JobSpec, MachineId, Priority, Resources, Task, START_COUNTS_S};
 use std::cmp::Ordering;
 
-/// On which machines tasks may be stopped.
+/// The machines on which tasks may be stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum VictimMachines {
-    /// On all that the new task may run on.
+    /// All machines on which the new task may run.
     Any,
-    /// On those of them that have its image.
+    /// Those of them that probably have its image cached.
     WithImage,
 }
 
-/// What stopping tasks costs. The fewest harmed jobs come first, then the least lost work.
+/// The cost of stopping tasks. Costs are ordered by the number of disrupted jobs, then by
+/// the lost work.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct PreemptionCost {
-    /// Jobs that lose their first start, or become late.
-    harmed_jobs: u32,
-    /// Work that has to be done again, in seconds of one CPU.
+    /// The number of jobs that lose their first start, or become late.
+    disrupted_jobs: u32,
+    /// The work that has to be done again, in CPU seconds.
     lost_cpu_s: f64,
 }
 
-/// Tasks on one machine whose end makes room for another.
+/// The tasks on one machine that would be stopped for a new task.
 struct PreemptionPlan {
-    /// The tasks and their attempts.
+    /// The tasks to stop, with their attempts.
     victims: Vec<(Task, u64)>,
     cost: PreemptionCost,
 }
 
-/// A task that may be stopped for another.
-struct Candidate<'a> {
+/// A task that may be stopped for a new one.
+struct PreemptionCandidate<'a> {
     task: &'a Task,
     attempt: u64,
     priority: Priority,
-    /// It is all that its job has here, and its start doesn't count for users yet.
+    /// Whether it is the only task of its job in this shard, and has not run for
+    /// [`START_COUNTS_S`] yet.
     is_first_start: bool,
-    /// Its job becomes late by starting it anew.
+    /// Whether its job becomes late if it has to start again.
     becomes_late: bool,
     phase_since: Seconds,
     resources: Resources,
 }
 
-impl Candidate<'_> {
-    /// The order in which tasks are stopped: last those with which a job begins, the lowest
-    /// priority first, then those that a new start doesn't make late, then the youngest.
-    fn order(&self, other: &Candidate) -> Ordering {
+impl PreemptionCandidate<'_> {
+    /// The order in which tasks are stopped: those that are not a job's first start, then the
+    /// lowest priority, then those whose job doesn't become late, then the most recently
+    /// started.
+    fn order(&self, other: &PreemptionCandidate) -> Ordering {
         self.is_first_start
             .cmp(&other.is_first_start)
             .then(other.priority.cmp(&self.priority))
@@ -57,10 +60,11 @@
 }
 
 impl Shard {
-    /// Whether a task may be stopped for one of `priority`. The highest priority stops any
-    /// array below it. All other work stops low arrays only, of teams that use more
-    /// than they are guaranteed, and none that has only just started: the largest
-    /// of them would otherwise be stopped each time before its start counts for users.
+    /// Whether a task may be stopped for one of `priority`. Production tasks preempt the tasks
+    /// of any array job of a lower priority. Tasks of other priorities preempt only tasks of
+    /// low-priority array jobs whose team uses more than its guarantee, and only once these
+    /// have run for [`START_COUNTS_S`]: otherwise the largest of them would be stopped each
+    /// time before its start counts for users.
     pub(super) fn is_preemptible(
         &self,
         spec: &JobSpec,
@@ -74,19 +78,20 @@
         {
             return false;
         }
-        let stays = placement.phase != TaskPhase::Running || placement.stop.is_some();
-        let counts = !stays && now - placement.phase_since >= START_COUNTS_S;
+        let starting_or_stopping =
+            placement.phase != TaskPhase::Running || placement.stop_reason.is_some();
+        let start_counts = !starting_or_stopping && now - placement.phase_since >= START_COUNTS_S;
         let borrows = spec.priority == Priority::Low && self.borrowing_teams.contains(&spec.team);
-        priority == Priority::Prod || counts && borrows
+        priority == Priority::Prod || start_counts && borrows
     }
 
-    /// Makes room by stopping tasks of lower priority. False if there is nothing to stop,
-    /// or it has taken too long.
+    /// Stops tasks of lower priority to free capacity for a task. Returns false if no such
+    /// tasks would free enough, or if the task has waited too long already.
     pub(super) fn preempt_for(
         &mut self,
         request: &PlacementRequest,
         round: &mut PlacementRound,
-        on: VictimMachines,
+        victim_machines: VictimMachines,
     ) -> bool {
         let Some(assigned) = self.assigned.get(request.task) else {
             return false;
@@ -97,7 +102,7 @@
         }
         let mut best: Option<(&MachineId, PreemptionPlan)> = None;
         for (id, free) in &round.free {
-            if !self.may_preempt_on(id, request, on) {
+            if !self.may_preempt_on(id, request, victim_machines) {
                 continue;
             }
             let Some(plan) = self.preemption_plan(id, *free, request.spec, round) else {
@@ -111,19 +116,20 @@
             return false;
         };
         for (task, attempt) in plan.victims {
-            self.stop_task(&task, attempt, Stop::Preempted);
+            self.stop_task(&task, attempt, TaskStopReason::Preempted);
         }
         let reserved = round.reserved.entry(id.clone()).or_default();
         reserved.add(&request.spec.task_resources());
         true
     }
 
-    /// Whether tasks on a machine may be stopped for a task: it may run there.
+    /// Whether tasks on a machine may be stopped for a task: the task must be allowed to run
+    /// there.
     fn may_preempt_on(
         &self,
         id: &MachineId,
         request: &PlacementRequest,
-        on: VictimMachines,
+        victim_machines: VictimMachines,
     ) -> bool {
         let (task, spec) = (request.task, request.spec);
         let Some(machine) = self.machines.get(id) else {
@@ -136,16 +142,17 @@
         };
         let zone_full = || {
             let capacity = self.zone_capacities.get(&task.job);
-            capacity.is_some_and(|capacity| !capacity.has_room(&identity.zone))
+            capacity.is_some_and(|capacity| !capacity.has_capacity(&identity.zone))
         };
         !avoided()
             && !zone_full()
-            && (on == VictimMachines::Any || machine.has_image(&spec.image))
+            && (victim_machines == VictimMachines::Any || machine.has_image(&spec.image))
             && !machine.contents.tasks.contains_key(task)
             && spec.allowed_on(&identity.machine_type, &identity.zone, identity.spot)
     }
 
-    /// The tasks on a machine to stop for a new one. Room that is being made already counts.
+    /// Returns the tasks on a machine to stop for a new one; `None` if stopping them would
+    /// not free enough. The capacity of tasks that are already being stopped counts as free.
     fn preemption_plan(
         &self,
         id: &MachineId,
@@ -154,46 +161,46 @@
         round: &PlacementRound,
     ) -> Option<PreemptionPlan> {
         let needed = spec.task_resources();
-        let mut room = free;
+        let mut available = free;
         if let Some(reserved) = round.reserved.get(id) {
-            room.subtract(reserved);
+            available.subtract(reserved);
         }
-        let candidates = self.preemption_candidates(id, spec.priority, round, &mut room);
+        let candidates = self.preemption_candidates(id, spec.priority, round, &mut available);
         let mut plan = PreemptionPlan {
             victims: Vec::new(),
             cost: PreemptionCost {
-                harmed_jobs: 0,
+                disrupted_jobs: 0,
                 lost_cpu_s: 0.0,
             },
         };
         for candidate in candidates {
-            if room.fits(&needed) {
+            if available.fits(&needed) {
                 break;
             }
-            room.add(&candidate.resources);
-            let harms = candidate.is_first_start || candidate.becomes_late;
-            plan.cost.harmed_jobs += u32::from(harms);
-            // What it has done so far is done again.
+            available.add(&candidate.resources);
+            let disrupts = candidate.is_first_start || candidate.becomes_late;
+            plan.cost.disrupted_jobs += u32::from(disrupts);
+            // All of its running time counts as lost.
             let ran_s = (round.when.now - candidate.phase_since).max(1.0);
             plan.cost.lost_cpu_s += candidate.resources.cpus * ran_s;
             plan.victims
                 .push((candidate.task.clone(), candidate.attempt));
         }
-        room.fits(&needed).then_some(plan)
+        available.fits(&needed).then_some(plan)
     }
 
-    /// The tasks on a machine that may be stopped, in this order. What is stopping already
-    /// is added to `room`.
+    /// Returns the tasks on a machine that may be stopped, in the order in which to stop them.
+    /// The capacity of tasks that are already being stopped is added to `available`.
     fn preemption_candidates(
         &self,
         id: &MachineId,
         priority: Priority,
         round: &PlacementRound,
-        room: &mut Resources,
-    ) -> Vec<Candidate<'_>> {
+        available: &mut Resources,
+    ) -> Vec<PreemptionCandidate<'_>> {
         let (jobs, now) = (&round.cache.jobs, round.when.now);
         let mut candidates = Vec::new();
-        for (task, assigned) in self.assigned.on(id) {
+        for (task, assigned) in self.assigned.on_machine(id) {
             let Some(placement) = assigned.placement.as_ref() else {
                 continue;
             };
@@ -206,12 +213,12 @@
             let Some(spec) = job.spec.as_ref() else {
                 continue;
             };
-            if placement.stop.is_some() {
-                room.add(&spec.task_resources());
+            if placement.stop_reason.is_some() {
+                available.add(&spec.task_resources());
             } else if self.is_preemptible(spec, placement, priority, now) {
                 let age_ms = round.when.wall_clock_ms.saturating_sub(job.accepted_at_ms);
                 let age_s = age_ms as f64 / 1000.0;
-                candidates.push(Candidate {
+                candidates.push(PreemptionCandidate {
                     task,
                     attempt: assigned.attempt,
                     priority: spec.priority,
@@ -222,27 +229,33 @@
                 });
             }
         }
-        candidates.sort_by(Candidate::order);
+        candidates.sort_by(PreemptionCandidate::order);
         candidates
     }
 
-    /// Whether a task is all that a job has here, and its start does not count for
-    /// users yet. As the youngest are stopped first, a job that had waited for minutes
-    /// would otherwise lose its only task each time before it had begun.
+    /// Whether a task is the only one of its job in this shard, and has not run for
+    /// [`START_COUNTS_S`] yet. As the most recently started tasks are stopped first, a job
+    /// that had waited for minutes would otherwise lose its only task again and again before
+    /// its start counts.
     fn is_first_start(&self, task: &Task, placement: &Placement, now: Seconds) -> bool {
-        let young =
+        let recently_started =
             placement.phase != TaskPhase::Running || now - placement.phase_since < START_COUNTS_S;
-        young && self.assigned.of_job(&task.job).nth(1).is_none()
+        recently_started && self.assigned.of_job(&task.job).nth(1).is_none()
     }
 }
 
-/// Whether a job becomes late by starting a task anew, or, if it is late, later
-/// by another half of the time it was given: otherwise those that are late already
+/// Whether a job becomes late if one of its tasks has to start again. If it is late already,
+/// whether its end moves past another half of its deadline: otherwise the tasks of late jobs
 /// would be stopped again and again.
 fn becomes_late(spec: &JobSpec, age_s: Seconds, ran_s: Seconds) -> bool {
     spec.checkpoint_s <= 0.0
-        && spec.deadline_s.filter(|d| *d > 0.0).is_some_and(|d| {
-            let halves = |ends: Seconds| (ends / (d / 2.0)).ceil().max(2.0);
-            halves(age_s + spec.estimate_s) > halves(age_s + (spec.estimate_s - ran_s).max(0.0))
-        })
+        && spec
+            .deadline_s
+            .filter(|deadline_s| *deadline_s > 0.0)
+            .is_some_and(|deadline_s| {
+                let half_deadlines =
+                    |completion_s: Seconds| (completion_s / (deadline_s / 2.0)).ceil().max(2.0);
+                half_deadlines(age_s + spec.estimate_s)
+                    > half_deadlines(age_s + (spec.estimate_s - ran_s).max(0.0))
+            })
 }
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -1,8 +1,9 @@
 //! Reconciliation of the tasks that a machine reports with those that are assigned to it.
-//! The verdicts are reached in `finchwood-reconciliation`; this module carries them out.
+//! The crate `finchwood-reconciliation` decides on a verdict for each reported task; this
+//! module carries the verdicts out.
 
 use super::machine::{ObservedTask, ObservedTasks};
-use super::{AssignedTask, Placement, RemovalReason, Shard, Stop, TaskPhase};
+use super::{AssignedTask, Placement, RemovalReason, Shard, TaskPhase, TaskStopReason};
 use crate::clock::Seconds;
 use crate::store::cache::StoreCache;
 use crate::wire::{cause, MachineId, Task, TaskState};
@@ -15,16 +16,17 @@
 use std::collections::BTreeMap;
 
 /// A task that is assigned to a machine and that its heartbeat does not list.
-struct Absent {
+struct AbsentTask {
     task: Task,
-    /// The report shows a token above that of the last start.
-    proven: bool,
+    /// Whether the heartbeat carries a token above that of the last start, so that the task
+    /// is not on the machine and can't be started there any more.
+    proven_absent: bool,
     confirmed: bool,
     stopping: bool,
 }
 
 impl Shard {
-    /// What this shard knows of a task that a machine reports under an attempt.
+    /// Returns how a task that a machine reports under an attempt is assigned in this shard.
     pub(super) fn known_assignment(
         &self,
         id: &MachineId,
@@ -43,8 +45,8 @@
         }
     }
 
-    /// Compares what a machine shows with what is assigned to it, and acts on the verdicts.
-    /// `seen_token` is the token that the machine's heartbeat showed.
+    /// Compares the tasks that a machine reports with those assigned to it, and carries out
+    /// the verdicts. `seen_token` is the token that the machine's heartbeat carried.
     pub(super) fn reconcile(
         &mut self,
         id: &MachineId,
@@ -56,8 +58,8 @@
             return;
         };
         let observed_tasks = std::mem::take(&mut machine.contents.tasks);
-        let verdicts_before = std::mem::take(&mut machine.contents.verdicts);
-        let (session, first_sight) = (machine.session.id, !machine.contents.compared);
+        let previous_verdicts = std::mem::take(&mut machine.contents.verdicts);
+        let (session, first_comparison) = (machine.session.id, !machine.contents.compared);
         machine.contents.compared = true;
         let mut verdicts = BTreeMap::new();
         for (task, observed) in &observed_tasks {
@@ -65,7 +67,7 @@
             let verdict = self.decide_verdict(id, task, observed, cache);
             if verdict != Verdict::Known {
                 verdicts.insert(task.clone(), (attempt, verdict));
-                if verdicts_before.get(task) != Some(&(attempt, verdict)) {
+                if previous_verdicts.get(task) != Some(&(attempt, verdict)) {
                     let entry = DecisionEntry {
                         at_s: self.restart_record.age_s(now),
                         task: task.to_string(),
@@ -74,7 +76,7 @@
                         session,
                         verdict,
                     };
-                    self.record_verdict(entry, first_sight);
+                    self.record_verdict(entry, first_comparison);
                 }
             }
             if attempt_counts(attempt, self.epoch) {
@@ -91,7 +93,7 @@
         }
     }
 
-    /// The verdict on a task that a machine reports.
+    /// Decides on the verdict for a task that a machine reports.
     fn decide_verdict(
         &self,
         id: &MachineId,
@@ -104,13 +106,13 @@
         decide(observed.reported(), known_assignment, stored, self.epoch)
     }
 
-    /// Records that a task has been assigned under `assignment`, unless a higher one is known.
+    /// Records that a task was assigned under `assignment`, unless a higher number is known.
     pub(super) fn raise_highest_assignment(&mut self, task: &Task, assignment: u64) {
         let highest = self.highest_assignments.entry(task.clone()).or_insert(0);
         *highest = (*highest).max(assignment);
     }
 
-    /// Assigns a reported task, or leaves it as it is, according to the verdict.
+    /// Assigns a reported task to its machine if the verdict requires it.
     fn apply_verdict(
         &mut self,
         verdict: Verdict,
@@ -122,13 +124,19 @@
         match verdict {
             Verdict::Known | Verdict::Forget(_) | Verdict::Conflict(_) => {}
             Verdict::Adopt(AdoptReason::FoundWhilePlanned) => {
-                let stale = self.assigned.get(task).map(|assigned| assigned.attempt);
-                tracing::warn!(%task, stale, attempt, "queued task found on a machine");
+                let earlier_attempt = self.assigned.get(task).map(|assigned| assigned.attempt);
+                tracing::warn!(
+                    %task,
+                    earlier_attempt,
+                    attempt,
+                    "queued task is already on a machine; adopting it there"
+                );
                 self.assigned.place(task, attempt, placement);
                 self.report_due = true;
             }
-            // One that is to stop stays assigned until it has: so long it takes its team's
-            // room. One that nothing is known of is assigned as well, and left alone.
+            // A task that is to be stopped stays assigned until it has stopped, as it counts
+            // towards its team's usage until then. A task without a known record is assigned
+            // too, but no command is sent for it.
             Verdict::Adopt(_)
             | Verdict::RecordFinished
             | Verdict::Stop(_)
@@ -147,7 +155,8 @@
         }
     }
 
-    /// Applies what an assigned task does now.
+    /// Applies the reported state of a task that is assigned here, and stops it if the verdict
+    /// requires it.
     fn apply_observed_state(
         &mut self,
         verdict: Verdict,
@@ -159,7 +168,7 @@
             Verdict::Forget(_) | Verdict::Conflict(_) => {}
             Verdict::Stop(_) => {
                 self.update_phase(task, observed, now);
-                self.stop_task(task, observed.attempt, Stop::Cancelled);
+                self.stop_task(task, observed.attempt, TaskStopReason::Cancelled);
             }
             Verdict::Known
             | Verdict::Adopt(_)
@@ -170,9 +179,9 @@
         }
     }
 
-    /// Records a verdict for the operators: all on what a machine shows first, later only
-    /// those that leave a task alone.
-    fn record_verdict(&mut self, entry: DecisionEntry, first_sight: bool) {
+    /// Records a verdict for operators: all verdicts of a machine's first comparison, and
+    /// later only conflicts and those that leave a task unreconciled.
+    fn record_verdict(&mut self, entry: DecisionEntry, first_comparison: bool) {
         let verdict = entry.verdict;
         if matches!(
             verdict,
@@ -185,21 +194,21 @@
                 ?verdict,
                 "a reported task is left alone"
             );
-        } else if !first_sight {
+        } else if !first_comparison {
             return;
         }
         self.restart_record.record_decision(entry);
     }
 
-    /// The tasks that are assigned to a machine and that its report doesn't list.
+    /// Returns the tasks that are assigned to a machine and that its report doesn't list.
     fn absent_tasks(
         &self,
         id: &MachineId,
         observed_tasks: &ObservedTasks,
         seen_token: u64,
-    ) -> Vec<Absent> {
+    ) -> Vec<AbsentTask> {
         self.assigned
-            .on(id)
+            .on_machine(id)
             .filter(|(task, assigned)| {
                 observed_tasks
                     .get(*task)
@@ -207,13 +216,13 @@
             })
             .filter_map(|(task, assigned)| {
                 let placement = assigned.placement.as_ref()?;
-                Some(Absent {
+                Some(AbsentTask {
                     task: task.clone(),
-                    proven: placement
+                    proven_absent: placement
                         .start_token
                         .is_some_and(|token| seen_token > token),
                     confirmed: placement.confirmed,
-                    stopping: placement.stop.is_some(),
+                    stopping: placement.stop_reason.is_some(),
                 })
             })
             .collect()
@@ -227,14 +236,14 @@
         seen_token: u64,
     ) {
         let absent = self.absent_tasks(id, observed_tasks, seen_token);
-        for Absent {
+        for AbsentTask {
             task,
-            proven,
+            proven_absent,
             confirmed,
             stopping,
         } in absent
         {
-            if proven && (confirmed || stopping) {
+            if proven_absent && (confirmed || stopping) {
                 self.remove_task(
                     &task,
                     if stopping {
@@ -243,9 +252,10 @@
                         RemovalReason::Lost
                     },
                 );
-            } else if proven {
-                // Not there and can't come any more: start it anew.
-                if let Some(placement) = self.assigned.place_mut(&task) {
+            } else if proven_absent {
+                // It is not on the machine, and its start can't arrive any more: it is
+                // started again.
+                if let Some(placement) = self.assigned.placement_mut(&task) {
                     placement.start_sent = false;
                     placement.start_token = None;
                 }
@@ -258,12 +268,13 @@
         }
     }
 
-    /// The leader held an action off because of unreconciled machines.
+    /// Records that the leader held back an action because of unreconciled machines.
     pub fn record_hold_off(&mut self, action: Action, reason: HoldReason) {
         self.restart_record.record_hold(action, reason);
     }
 
-    /// What was found and decided since this shard last knew nothing.
+    /// Returns a view of the restart record: what was found and decided since this shard last
+    /// began without state.
     pub fn restart_record(&mut self, now: Seconds) -> RecordView {
         let unreconciled = self
             .machines
@@ -275,18 +286,19 @@
             .view(self.machines.values().map(|machine| machine.state), now)
     }
 
-    /// Applies what a machine shows of a task that is assigned to it.
+    /// Updates the phase of a task from what its machine reports, and removes the task if it
+    /// has ended without completing. Does nothing if the task has no placement.
     pub(super) fn update_phase(&mut self, task: &Task, observed: &ObservedTask, now: Seconds) {
-        let Some(since) = self.assigned.get(task).map(|assigned| assigned.assigned_at) else {
+        let Some(assigned_at) = self.assigned.get(task).map(|assigned| assigned.assigned_at) else {
             return;
         };
-        let Some(placement) = self.assigned.place_mut(task) else {
+        let Some(placement) = self.assigned.placement_mut(task) else {
             return;
         };
         placement.confirmed = true;
         placement.start_sent = true;
         let phase = match observed.state {
-            // A gang that gathers does not run yet.
+            // The tasks of a gang don't run until all of them are ready.
             TaskState::Fetching | TaskState::Gathering => TaskPhase::Fetching,
             TaskState::Running | TaskState::Other => TaskPhase::Running,
             TaskState::Saving => TaskPhase::Saving,
@@ -300,17 +312,17 @@
                     }
                     return self.remove_task(task, RemovalReason::Error);
                 }
-                // Refused: it can't have had its image under this assignment.
+                // The worker refused it, so that it has not run under this assignment.
                 Some(cause::NO_ROOM | cause::BUSY | cause::UNKNOWN) | None => {
                     return self.remove_task(task, RemovalReason::Rejected)
                 }
-                // The attempt of its gang is over, or something this version
-                // doesn't know: neither is the fault of the machine or the job.
+                // The attempt of its gang has ended, or the cause is unknown to this version:
+                // neither is a failure of the machine or the job.
                 Some(_) => return self.remove_task(task, RemovalReason::Lost),
             },
         };
         if placement.phase != phase {
-            tracing::debug!(%task, ?phase, assigned_s = now - since, "task phase changed");
+            tracing::debug!(%task, ?phase, assigned_s = now - assigned_at, "task phase changed");
             placement.phase = phase;
             placement.phase_since = now;
             self.report_due = true;
--- a/src/shard/registration.rs
+++ b/src/shard/registration.rs
@@ -1,4 +1,4 @@
-//! Machines that come on the machine registry, and go off it.
+//! Machines that are added to the machine registry, changed in it or removed from it.
 
 use super::machine::{Machine, MachineIdentity};
 use super::Shard;
@@ -8,10 +8,10 @@
 use finchwood_reconciliation::machine_state::MachineState;
 
 impl Shard {
-    /// A machine of this shard is on the machine registry, or was changed there.
+    /// Applies the registry's record of a machine of this shard, which is new or has changed.
     pub fn register_machine(&mut self, id: &MachineId, record: &MachineRecord, now: Seconds) {
-        // What its source knows of it is still to come.
-        if self.transfers.is_awaited(id) {
+        // The source's state of the machine has not arrived yet.
+        if self.transfers.is_awaiting_state(id) {
             return;
         }
         let machine = self.machines.entry(id.clone()).or_insert_with(|| {
@@ -22,7 +22,7 @@
                 address: None,
             };
             Machine {
-                // Never used by anybody: the machine registry would say so.
+                // A machine that the registry does not record as in use was never used.
                 state: MachineState::listed(record.in_use),
                 ..Machine::new(identity, now)
             }
@@ -35,19 +35,20 @@
         self.report_due = true;
     }
 
-    /// A machine is off the machine registry: it and all that was on it are gone.
+    /// Applies the removal of a machine from the machine registry: the machine was deleted,
+    /// and its tasks with it.
     pub fn unregister_machine(&mut self, id: &MachineId) {
-        self.transfers.forget(id);
+        self.transfers.stop_awaiting(id);
         if self.machines.remove(id).is_some() {
             self.last_reported.remove(id);
-            self.expire_session(id, u64::MAX);
+            self.remove_tasks_of_ended_sessions(id, u64::MAX);
             self.unregistered_machines
                 .push((id.clone(), self.report_seq + 1));
         }
         self.report_due = true;
     }
 
-    /// The machines of this shard that are on the machine registry.
+    /// Returns the machines of this shard that are in the machine registry.
     pub fn registered_machines(&self) -> Vec<MachineId> {
         self.machines
             .iter()
--- a/src/shard/removal.rs
+++ b/src/shard/removal.rs
@@ -1,19 +1,20 @@
-//! Removal of tasks from this shard: on proof that they are nowhere in it, because they are
-//! committed as finished, or because their machine is another shard's.
+//! Removal of tasks from this shard: on proof that they run nowhere in it, because they are
+//! committed as finished, or because their machine belongs to another shard now.
 
-use super::{ReleasedTask, RemovalReason, RemovedTask, Shard, Stop, TaskPhase};
+use super::{ReleasedTask, RemovalReason, RemovedTask, Shard, TaskPhase, TaskStopReason};
 use crate::clock::Seconds;
 use crate::store::cache::StoreCache;
 use crate::wire::{JobId, MachineId, Task};
 use finchwood_reconciliation::stored_jobs::StoredJobs;
 
 impl Shard {
-    /// Removes the tasks placed on a machine in sessions before `below_session`, as those have ended.
-    /// What is done is kept until its machine is gone (`u64::MAX`): the worker keeps results.
-    pub(super) fn expire_session(&mut self, id: &MachineId, below_session: u64) {
+    /// Removes the tasks that were placed on a machine in sessions before `below_session`, as
+    /// these sessions have ended. Completed tasks are kept, as the worker keeps their results,
+    /// unless `below_session` is `u64::MAX`: the machine itself was deleted.
+    pub(super) fn remove_tasks_of_ended_sessions(&mut self, id: &MachineId, below_session: u64) {
         let lost: Vec<Task> = self
             .assigned
-            .on(id)
+            .on_machine(id)
             .filter(|(_, assigned)| {
                 assigned.placement.as_ref().is_some_and(|placement| {
                     placement.session < below_session && placement.phase != TaskPhase::Done
@@ -27,19 +28,20 @@
         }
     }
 
-    /// Removes a task that is proven to be nowhere in this shard, and reports that to the leader.
+    /// Removes a task that certainly runs nowhere in this shard, and reports that to the
+    /// leader.
     pub(super) fn remove_task(&mut self, task: &Task, reason: RemovalReason) {
         if let Some(assigned) = self.assigned.remove(task) {
             let reason = match (&assigned.placement, reason) {
-                (Some(placement), RemovalReason::Lost) if placement.stop.is_some() => {
+                (Some(placement), RemovalReason::Lost) if placement.stop_reason.is_some() => {
                     RemovalReason::Stopped
                 }
                 _ => reason,
             };
             let placement = assigned.placement.as_ref();
-            let stop = placement.and_then(|placement| placement.stop);
+            let stop_reason = placement.and_then(|placement| placement.stop_reason);
             let machine = placement.map(|placement| &placement.machine);
-            tracing::debug!(%task, ?reason, ?stop, ?machine, "task removed");
+            tracing::debug!(%task, ?reason, ?stop_reason, ?machine, "task removed");
             self.removed_tasks.push(RemovedTask {
                 task: task.clone(),
                 attempt: assigned.attempt,
@@ -52,7 +54,8 @@
         }
     }
 
-    /// A job changed in the cache: stops cancelled tasks and releases finished ones.
+    /// Applies a change of a job in the cache: stops cancelled tasks and releases finished
+    /// ones.
     pub fn job_changed(&mut self, id: &JobId, cache: &StoreCache) {
         let Some(job) = cache.jobs.get(id) else {
             return;
@@ -75,7 +78,7 @@
             if done && is_finished(cache, &task) {
                 self.release_task(&task);
             } else if job.record.cancelled {
-                self.stop_task(&task, attempt, Stop::Cancelled);
+                self.stop_task(&task, attempt, TaskStopReason::Cancelled);
             }
         }
         if job.record.done || job.record.cancelled {
@@ -83,7 +86,8 @@
         }
     }
 
-    /// Releases a task without a proof of removal: it is committed, or another shard has it.
+    /// Releases a task without proof that it no longer runs: it is committed as finished, or
+    /// its machine belongs to another shard now.
     pub(super) fn release_task(&mut self, task: &Task) {
         if let Some(assigned) = self.assigned.remove(task) {
             self.released_tasks.push(ReleasedTask {
@@ -95,7 +99,8 @@
         }
     }
 
-    /// Forgets finished tasks, machines past their lease and assignments of finished jobs.
+    /// Releases finished tasks, and drops unregistered machines whose lease has expired and
+    /// the assignment numbers of jobs that have ended.
     pub fn forget_finished(&mut self, cache: &StoreCache, now: Seconds) {
         let finished_tasks: Vec<Task> = self
             .assigned
@@ -112,13 +117,13 @@
         for task in finished_tasks {
             self.release_task(&task);
         }
-        // Neither rented nor shown to be alive: a copy of a report, or a machine
-        // whose lease is past by now.
-        let (lease_s, entered) = (self.timing.lease_s, self.epoch_started_at);
+        // A machine that is not registered, and whose worker has not proved to be alive within
+        // a lease, is known from a late copy of a heartbeat only, or its lease has expired.
+        let (lease_s, epoch_started_at) = (self.timing.lease_s, self.epoch_started_at);
         self.machines.retain(|_, machine| {
             machine.registered
                 || machine.session.last_heartbeat_at.is_some()
-                || now - machine.known_since.max(entered) < lease_s
+                || now - machine.known_since.max(epoch_started_at) < lease_s
         });
         let assigned = &self.assigned;
         self.highest_assignments.retain(|task, _| {
@@ -127,7 +132,7 @@
     }
 }
 
-/// Whether a task needs no more runs, by what is committed.
+/// Whether a task needs no more runs, by the stored records.
 fn is_finished(cache: &StoreCache, task: &Task) -> bool {
     cache.stored_task(task).needs_no_run()
 }
--- a/src/shard/report.rs
+++ b/src/shard/report.rs
@@ -1,7 +1,7 @@
-//! Reports to the leader: all that has changed since the last one that it acknowledged.
+//! Reports to the leader, each with all changes since the last one that it acknowledged.
 
 use super::machine::Machine;
-use super::{MachineStatus, Shard, ShardReport, SilentMachine, LATE_REPORTS};
+use super::{MachineStatus, Shard, ShardReport, SilentMachine, LATE_AFTER_INTERVALS};
 use crate::clock::Seconds;
 use crate::cluster::failure_detection::{ZoneContact, ZoneContactSpan};
 use crate::store::cache::StoreCache;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl Shard {
-    /// One machine as the leader sees it.
+    /// Returns the status of a machine for the report.
     pub(super) fn machine_status(
         &self,
         id: &MachineId,
@@ -22,7 +22,7 @@
             .contents
             .images
             .iter()
-            .map(|i| i.0.clone())
+            .map(|image| image.0.clone())
             .collect();
         images.sort();
         MachineStatus {
@@ -38,7 +38,7 @@
             preemptible,
             preemptible_low,
             schedulable: self.is_schedulable(machine, now) && !self.transfers.is_fenced(id),
-            reclaim_notice: machine.reclaimed_at.is_some(),
+            reclaim_notice: machine.reclaim_at.is_some(),
             faulty: machine.is_faulty(),
             ignores_commands: machine.ignores_commands(self.timing.report_s, now)
                 || machine.stopped_reporting(self.timing.report_s, now)
@@ -49,8 +49,8 @@
         }
     }
 
-    /// What a machine's tasks would free if preempted by production tasks, and by those of
-    /// standard priority.
+    /// Returns the capacity that preempting a machine's tasks would free: for production
+    /// tasks, and for tasks of standard priority.
     fn preemptible_resources(
         &self,
         id: &MachineId,
@@ -58,7 +58,7 @@
         now: Seconds,
     ) -> (Resources, Resources) {
         let (mut preemptible, mut preemptible_low) = (Resources::default(), Resources::default());
-        for (task, assigned) in self.assigned.on(id) {
+        for (task, assigned) in self.assigned.on_machine(id) {
             let spec = cache
                 .jobs
                 .get(&task.job)
@@ -76,13 +76,14 @@
         (preemptible, preemptible_low)
     }
 
-    /// The report of all that has changed since the last one that the leader acknowledged.
+    /// Returns a new report, with all changes since the last one that the leader acknowledged.
+    /// The caller fills in `foreign_workers`.
     pub fn next_report(&mut self, cache: &StoreCache, now: Seconds) -> ShardReport {
         self.report_seq += 1;
         self.report_due = false;
         let (seq, since) = (self.report_seq, self.acknowledged_seq);
         let machines = self.changed_machines(cache, now);
-        let assigned = self.assigned.changed(seq, since);
+        let assigned = self.assigned.changed_since(seq, since);
         let released = self.released_tasks.iter();
         ShardReport {
             epoch: self.epoch,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The machines whose status has changed since the last acknowledged report.
+    /// Returns the machines whose status has changed since the last acknowledged report.
     fn changed_machines(&mut self, cache: &StoreCache, now: Seconds) -> Vec<MachineStatus> {
         let (seq, since) = (self.report_seq, self.acknowledged_seq);
         let mut last_reported = std::mem::take(&mut self.last_reported);
@@ -130,9 +131,9 @@
         changed
     }
 
-    /// All machines whose heartbeat is late, or that don't answer direct commands.
+    /// Returns all machines whose heartbeat is late, or that don't respond to direct commands.
     fn silent_machines(&self, now: Seconds) -> Vec<SilentMachine> {
-        let late = self.timing.report_s * LATE_REPORTS;
+        let late = self.timing.report_s * LATE_AFTER_INTERVALS;
         let mut silent = Vec::new();
         for (id, machine) in &self.machines {
             let silent_s = machine.silent_for(self.epoch_started_at, now);
@@ -148,7 +149,7 @@
         silent
     }
 
-    /// How long ago each zone was reached.
+    /// Returns how long ago each zone was reached directly.
     fn zone_contact_ages(&self, now: Seconds) -> Vec<(Arc<str>, ZoneContact)> {
         let ages = |contact: &ZoneContactSpan| ZoneContact {
             began_ago_s: now - contact.began_at,
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -1,16 +1,18 @@
-//! Transfers of machines between shards: the source stops giving orders and reports its
+//! Transfers of machines between shards: the source stops sending commands and reports its
 //! state of the machines, and the target continues from that state.
 //!
-//! A fenced machine is frozen: its worker's lease is renewed, so that nothing there ends,
-//! and cancelled tasks are stopped; but nothing is started, forgotten or adopted any more.
-//! Tasks on the machine can only end, so that the state sent to the target never misses one,
-//! however late it arrives.
+//! While a machine is fenced, its worker's lease is renewed so that its tasks go on, and
+//! cancelled tasks are stopped, but no task is started, forgotten or adopted. The set of
+//! tasks on the machine can only shrink, so that the state sent to the target lists every
+//! one of them, however late it arrives.
 
 use super::machine::{
     CommandChannel, Machine, MachineContents, MachineIdentity, ObservedTask, TokenAcknowledgement,
     WorkerSession,
 };
-use super::{AssignedTask, HeartbeatReply, Placement, RemovalReason, Shard, Stop, TaskPhase};
+use super::{
+    AssignedTask, HeartbeatReply, Placement, RemovalReason, Shard, TaskPhase, TaskStopReason,
+};
 use crate::clock::{self, Seconds};
 use crate::cluster::membership::{self, token, token_epoch};
 use crate::store::cache::StoreCache;
@@ -23,34 +25,37 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The token on the wire of a task whose start can't be under way.
+/// The start token on the wire of a task whose start can't be in flight.
 const NO_START_TOKEN: u64 = u64::MAX;
 
-/// A range to whose machines no orders are given.
+/// A hash range that this shard, as the source of a transfer, has fenced: its machines are
+/// sent no commands but stops of cancelled tasks.
 #[derive(Debug, Clone)]
 struct Fence {
     range: HashRange,
-    knowledge: Vec<MachineTransferState>,
-    /// The shard map names the target, and the machines are released.
+    machine_states: Vec<MachineTransferState>,
+    /// Whether the shard map names the target, and the machines are released.
     released: bool,
 }
 
-/// The transfers in which this shard takes part.
+/// The transfers of which this shard is the source or the target.
 #[derive(Debug, Clone, Default)]
 pub(super) struct TransferParticipant {
     fences: BTreeMap<TransferId, Fence>,
     accepted: BTreeSet<TransferId>,
     taken_over: BTreeSet<TransferId>,
-    /// Machines that the shard map has given to this shard, and whose state is yet to come.
-    awaited: BTreeSet<MachineId>,
+    /// Machines that the shard map has assigned to this shard, and whose state has not been
+    /// received from the source.
+    awaiting_state: BTreeSet<MachineId>,
     /// When the shard map last changed.
-    table_changed_at: Option<Seconds>,
-    /// The members of the epoch, among whom the hash chooses owners.
+    shard_map_changed_at: Option<Seconds>,
+    /// The members of the epoch and their incarnations. The hash owner of a machine is one of
+    /// them.
     members: BTreeMap<String, u64>,
 }
 
 impl TransferParticipant {
-    /// No transfers yet, in an epoch of `members`.
+    /// Returns a participant without transfers, in an epoch of `members`.
     pub(super) fn new(members: BTreeMap<String, u64>) -> TransferParticipant {
         TransferParticipant {
             members,
@@ -58,37 +63,40 @@
         }
     }
 
-    /// Whether a machine gets no orders. It goes by its position, so that one that appears
-    /// while its range moves gets none either.
+    /// Whether a machine is fenced. What counts is its hash position, so that a machine that
+    /// is registered while its range is being transferred is fenced too.
     pub(super) fn is_fenced(&self, id: &MachineId) -> bool {
         let fences = self.fences.values().filter(|fence| !fence.released);
-        fences.into_iter().any(|fence| self.is_in(&fence.range, id))
+        fences
+            .into_iter()
+            .any(|fence| self.is_in_range(&fence.range, id))
     }
 
-    /// Whether a machine is in a range, by its hash owner and its position.
-    fn is_in(&self, range: &HashRange, id: &str) -> bool {
+    /// Whether a machine is in a range, by its hash owner and its hash position.
+    fn is_in_range(&self, range: &HashRange, id: &str) -> bool {
         let hash_owner = membership::owner(&self.members, id);
         hash_owner.is_some_and(|hash_owner| range.contains(hash_owner, position(id)))
     }
 
-    /// Whether a machine is this shard's, and its source's state of it is still to come.
-    pub(super) fn is_awaited(&self, id: &MachineId) -> bool {
-        self.awaited.contains(id)
+    /// Whether a machine belongs to this shard but its state has not been received from the
+    /// source.
+    pub(super) fn is_awaiting_state(&self, id: &MachineId) -> bool {
+        self.awaiting_state.contains(id)
     }
 
-    /// Stops waiting for a machine that is gone.
-    pub(super) fn forget(&mut self, id: &MachineId) {
-        self.awaited.remove(id);
+    /// Stops waiting for the state of a machine that was deleted.
+    pub(super) fn stop_awaiting(&mut self, id: &MachineId) {
+        self.awaiting_state.remove(id);
     }
 
-    /// The state of all transfers, for the leader.
+    /// Returns the progress of all transfers, for the leader.
     pub(super) fn report(&self) -> TransferReport {
         let fenced = self.fences.iter().filter(|(_, fence)| !fence.released);
         let released = self.fences.iter().filter(|(_, fence)| fence.released);
         TransferReport {
             accepted: self.accepted.iter().copied().collect(),
             fenced: fenced
-                .map(|(id, fence)| (*id, fence.knowledge.clone()))
+                .map(|(id, fence)| (*id, fence.machine_states.clone()))
                 .collect(),
             released: released.map(|(id, _)| *id).collect(),
             taken_over: self.taken_over.iter().copied().collect(),
@@ -97,8 +105,8 @@
 }
 
 impl Shard {
-    /// Applies all transfers that the leader orders. A fence that is no longer ordered is
-    /// over: the transfer was withdrawn, or this shard has released the range.
+    /// Applies the leader's transfer orders, which always name all transfers. A fence that
+    /// is no longer ordered is removed: the transfer was withdrawn, or it has completed.
     pub(super) fn apply_transfer_orders(
         &mut self,
         orders: &[TransferOrder],
@@ -106,9 +114,9 @@
         now: Seconds,
     ) {
         let before = self.transfers.report();
-        let told: BTreeSet<TransferId> = orders.iter().map(TransferOrder::id).collect();
-        self.transfers.fences.retain(|id, _| told.contains(id));
-        self.transfers.taken_over.retain(|id| told.contains(id));
+        let ordered: BTreeSet<TransferId> = orders.iter().map(TransferOrder::id).collect();
+        self.transfers.fences.retain(|id, _| ordered.contains(id));
+        self.transfers.taken_over.retain(|id| ordered.contains(id));
         self.transfers.accepted.clear();
         for order in orders {
             match order {
@@ -133,7 +141,7 @@
         self.report_due |= self.transfers.report() != before;
     }
 
-    /// Stops giving orders to the machines of a range, and records their state.
+    /// Stops sending commands to the machines of a range, and records their state.
     fn fence(&mut self, id: TransferId, range: &HashRange, now: Seconds) {
         if self.transfers.fences.contains_key(&id) {
             return;
@@ -142,7 +150,7 @@
         let machines: Vec<MachineId> = self
             .machines
             .keys()
-            .filter(|machine| transfers.is_in(range, machine))
+            .filter(|machine| transfers.is_in_range(range, machine))
             .cloned()
             .collect();
         for id in &machines {
@@ -152,27 +160,28 @@
                 .get_mut(id)
                 .filter(|machine| machine.commands.in_flight)
             {
-                // It may be executed yet: dead once its worker has seen a higher token.
+                // The command may still be executed. A worker that has seen a higher token
+                // rejects it.
                 machine.token.counter += 1;
             }
         }
-        let knowledge = machines
+        let machine_states = machines
             .iter()
             .filter_map(|id| self.transfer_state(id, now))
             .collect();
-        tracing::debug!(transfer = id, %range, machines = machines.len(), "fenced");
+        tracing::debug!(transfer = id, %range, machines = machines.len(), "hash range fenced");
         let fence = Fence {
             range: range.clone(),
-            knowledge,
+            machine_states,
             released: false,
         };
         self.transfers.fences.insert(id, fence);
     }
 
-    /// Tasks that were to be started on a machine, and certainly were not, are the leader's
-    /// again. Given back later, they would be in the target's hands as well.
+    /// Returns to the leader the tasks that were to be started on a machine and certainly
+    /// were not. If they were returned later, the target would be assigned them as well.
     fn return_unstarted(&mut self, id: &MachineId) {
-        for task in self.assigned.names_on(id) {
+        for task in self.assigned.task_ids_on(id) {
             let placement = self
                 .assigned
                 .get(&task)
@@ -185,7 +194,7 @@
         }
     }
 
-    /// Machines that get no orders, as they are being handed over.
+    /// Returns the fenced machines, which are being transferred to another shard.
     pub fn fenced_machines(&self) -> Vec<MachineId> {
         self.machines
             .keys()
@@ -194,9 +203,9 @@
             .collect()
     }
 
-    /// Answers a worker of a range that is being transferred: its lease is renewed, and
-    /// what is cancelled stops.
-    pub(super) fn answer_fenced(
+    /// Replies to a worker of a range that is being transferred. The reply renews its lease
+    /// and stops cancelled tasks.
+    pub(super) fn reply_to_fenced(
         &mut self,
         heartbeat: &Heartbeat,
         cache: &StoreCache,
@@ -209,8 +218,9 @@
         if machine.session.is_outdated(heartbeat) {
             return HeartbeatReply::Refused;
         }
-        machine.session.last_answered_at = Some(now);
-        // Otherwise it would look silent for as long as the shard map can't be written.
+        machine.session.last_reply_at = Some(now);
+        // Otherwise the machine would count as silent for as long as the shard map can't be
+        // written.
         if token_epoch(heartbeat.token) == epoch {
             machine.session.last_heartbeat_at = Some(now);
         }
@@ -235,40 +245,41 @@
         }
     }
 
-    /// The shard map has changed: releases the machines that are no longer this shard's, and
-    /// waits for the source's state of those that are new.
+    /// Applies a change of the shard map: releases the machines that no longer belong to this
+    /// shard, and waits for the source's state of those that now do. `owns` tells whether
+    /// this controller owns a machine by the new shard map.
     pub fn apply_shard_map(
         &mut self,
         cache: &StoreCache,
         now: Seconds,
         owns: impl Fn(&str) -> bool,
     ) {
-        self.transfers.table_changed_at = Some(now);
-        let gone: Vec<MachineId> = self
+        self.transfers.shard_map_changed_at = Some(now);
+        let lost: Vec<MachineId> = self
             .machines
             .keys()
             .filter(|id| !owns(id))
             .cloned()
             .collect();
-        for id in &gone {
+        for id in &lost {
             self.release_machine(id);
         }
-        let (node, table) = (&self.node, &cache.shard_map);
+        let (node, shard_map) = (&self.node, &cache.shard_map);
         for fence in self.transfers.fences.values_mut() {
-            fence.released |= table.sole_owner(&fence.range) != Some(node);
+            fence.released |= shard_map.sole_owner(&fence.range) != Some(node);
         }
         let machines = &self.machines;
         let gained = cache
             .registry
             .keys()
             .filter(|id| owns(id) && !machines.contains_key(*id));
-        self.transfers.awaited = gained.cloned().collect();
+        self.transfers.awaiting_state = gained.cloned().collect();
         self.report_due = true;
     }
 
     /// Releases a machine to another shard, with all its tasks.
     fn release_machine(&mut self, id: &MachineId) {
-        for task in self.assigned.names_on(id) {
+        for task in self.assigned.task_ids_on(id) {
             self.release_task(&task);
         }
         self.machines.remove(id);
@@ -277,27 +288,29 @@
             .push((id.clone(), self.report_seq + 1));
     }
 
-    /// Takes over a range with what its source knew. A machine of it that the source did
-    /// not know is asked like any other.
+    /// Takes over a range with the source's state of its machines. A machine that the source
+    /// didn't know is registered without state, and probed like any other.
     fn take_over_range(
         &mut self,
         range: &HashRange,
-        known: &[MachineTransferState],
+        states: &[MachineTransferState],
         cache: &StoreCache,
         now: Seconds,
     ) {
         let transfers = &self.transfers;
-        let mine: BTreeSet<MachineId> = transfers
-            .awaited
+        let gained: BTreeSet<MachineId> = transfers
+            .awaiting_state
             .iter()
-            .filter(|id| transfers.is_in(range, id))
+            .filter(|id| transfers.is_in_range(range, id))
             .cloned()
             .collect();
-        self.transfers.awaited.retain(|id| !mine.contains(id));
-        for machine in known.iter().filter(|machine| mine.contains(&machine.id)) {
+        self.transfers
+            .awaiting_state
+            .retain(|id| !gained.contains(id));
+        for machine in states.iter().filter(|machine| gained.contains(&machine.id)) {
             self.adopt_machine(machine, cache, now);
         }
-        for id in &mine {
+        for id in &gained {
             if let Some(machine) = cache.registry.get(id) {
                 self.register_machine(id, &machine.record.clone(), now);
             }
@@ -306,24 +319,25 @@
                 machine.source_renews_until = until;
             }
         }
-        tracing::debug!(%range, machines = mine.len(), "range taken over");
+        tracing::debug!(%range, machines = gained.len(), "hash range taken over");
     }
 
-    /// Until when the source of a machine that has just come may renew its worker's lease:
-    /// one that has not read the changed table answers until its knowledge is too old.
+    /// Returns until when the source of a transferred machine may renew its worker's lease:
+    /// a source that has not read the changed shard map replies until its member lease
+    /// expires. `None` if the shard map has not changed in this epoch.
     pub(super) fn source_renews_until(&self) -> Option<Seconds> {
         let margin = clock::with_drift_margin(self.timing.member_lease_s);
         self.transfers
-            .table_changed_at
+            .shard_map_changed_at
             .map(|changed| changed + margin)
     }
 
-    /// The state of a machine, for the target of its transfer.
+    /// Returns the state of a machine, for the target of its transfer.
     fn transfer_state(&self, id: &MachineId, now: Seconds) -> Option<MachineTransferState> {
         let machine = self.machines.get(id)?;
         let assigned_tasks = self
             .assigned
-            .on(id)
+            .on_machine(id)
             .filter_map(|(task, assigned)| task_transfer_state(task, assigned, now));
         let reported_tasks =
             machine
@@ -350,42 +364,43 @@
             token_counter: machine.token.counter,
             ended_session: machine.session.ended_up_to,
             last_heartbeat_ago_s: machine.session.last_heartbeat_at.map(|at| now - at),
-            // On the wire, a session that was never seen began with the clock.
+            // A session that was never seen counts as seen since time zero of this
+            // controller's clock: the field on the wire is not optional.
             session_seen_ago_s: now - machine.session.first_seen_at.unwrap_or(0.0),
-            notice_in_s: machine.reclaimed_at.map(|until| until - now),
+            notice_in_s: machine.reclaim_at.map(|at| at - now),
             reported_tasks: reported_tasks.collect(),
             assigned_tasks: assigned_tasks.collect(),
             images: machine.contents.images.iter().cloned().collect(),
         })
     }
 
-    /// Takes over a machine with all that its source knew. Its token is above any that the
+    /// Takes over a machine with the source's state of it. Its token is above any that the
     /// source used.
-    fn adopt_machine(&mut self, known: &MachineTransferState, cache: &StoreCache, now: Seconds) {
-        let observed_tasks = known
+    fn adopt_machine(&mut self, state: &MachineTransferState, cache: &StoreCache, now: Seconds) {
+        let observed_tasks = state
             .reported_tasks
             .iter()
             .map(|reported| (reported.task.clone(), ObservedTask::from(reported)));
         let identity = MachineIdentity {
-            machine_type: known.machine_type.clone(),
-            zone: known.zone.clone(),
-            spot: known.spot,
-            address: known.address.clone(),
+            machine_type: state.machine_type.clone(),
+            zone: state.zone.clone(),
+            spot: state.spot,
+            address: state.address.clone(),
         };
         let machine = Machine {
-            registered: known.registered,
-            used: known.up,
-            state: known.state,
+            registered: state.registered,
+            used: state.up,
+            state: state.state,
             session: WorkerSession {
-                id: known.session,
-                sequence: known.seq,
-                first_seen_at: Some(now - known.session_seen_ago_s),
-                ended_up_to: known.ended_session,
-                last_heartbeat_at: known.last_heartbeat_ago_s.map(|ago| now - ago),
-                last_answered_at: None,
+                id: state.session,
+                sequence: state.seq,
+                first_seen_at: Some(now - state.session_seen_ago_s),
+                ended_up_to: state.ended_session,
+                last_heartbeat_at: state.last_heartbeat_ago_s.map(|ago| now - ago),
+                last_reply_at: None,
             },
             token: TokenAcknowledgement {
-                counter: known.token_counter + 1,
+                counter: state.token_counter + 1,
                 ..TokenAcknowledgement::default()
             },
             commands: CommandChannel {
@@ -395,88 +410,94 @@
             contents: MachineContents {
                 tasks: observed_tasks.collect(),
                 compared: true,
-                images: known.images.iter().cloned().collect(),
+                images: state.images.iter().cloned().collect(),
                 ..MachineContents::empty(now)
             },
-            reclaimed_at: known.notice_in_s.map(|in_s| now + in_s),
+            reclaim_at: state.notice_in_s.map(|in_s| now + in_s),
             ..Machine::new(identity, now)
         };
-        self.machines.insert(known.id.clone(), machine);
-        for task in &known.assigned_tasks {
-            self.adopt_task(&known.id, task, cache, now);
+        self.machines.insert(state.id.clone(), machine);
+        for task in &state.assigned_tasks {
+            self.adopt_task(&state.id, task, cache, now);
         }
     }
 
-    /// Takes over a task that the source had assigned to a machine.
+    /// Takes over a task that was assigned to a machine at the source.
     fn adopt_task(
         &mut self,
         machine: &MachineId,
-        known: &AssignedTaskState,
+        state: &AssignedTaskState,
         cache: &StoreCache,
         now: Seconds,
     ) {
-        if self.assigned.contains(&known.task) {
-            tracing::warn!(task = %known.task, %machine, "transferred task is assigned already");
+        if self.assigned.contains(&state.task) {
+            tracing::warn!(
+                task = %state.task,
+                %machine,
+                "transferred task is already assigned here; keeping that assignment"
+            );
             return;
         }
         let assigned = AssignedTask {
-            attempt: known.attempt,
-            assignment: known.assignment,
-            placement: Some(transferred_placement(machine, known, now)),
+            attempt: state.attempt,
+            assignment: state.assignment,
+            placement: Some(transferred_placement(machine, state, now)),
             assigned_at: now,
             avoid: Vec::new(),
             last_reported: None,
         };
-        // It was here before, and is again: its release need not be reported any more.
+        // The task may have been assigned here before and released with its machine. That
+        // release must not be reported any more.
         self.released_tasks
-            .retain(|released| released.task != known.task || released.attempt != known.attempt);
-        self.raise_highest_assignment(&known.task, known.assignment);
-        self.assigned.insert(known.task.clone(), assigned);
+            .retain(|released| released.task != state.task || released.attempt != state.attempt);
+        self.raise_highest_assignment(&state.task, state.assignment);
+        self.assigned.insert(state.task.clone(), assigned);
         if cache
             .jobs
-            .get(&known.task.job)
+            .get(&state.task.job)
             .is_some_and(|job| job.record.cancelled)
         {
-            self.stop_task(&known.task, known.attempt, Stop::Cancelled);
+            self.stop_task(&state.task, state.attempt, TaskStopReason::Cancelled);
         }
     }
 }
 
 impl From<&ReportedTaskState> for ObservedTask {
-    fn from(known: &ReportedTaskState) -> ObservedTask {
+    fn from(state: &ReportedTaskState) -> ObservedTask {
         ObservedTask {
-            attempt: known.attempt,
-            state: known.state,
-            cause: known.why.clone(),
+            attempt: state.attempt,
+            state: state.state,
+            cause: state.why.clone(),
         }
     }
 }
 
-/// The placement of a transferred task, from the source's state of it.
+/// Returns the placement of a transferred task, from the source's state of it.
 fn transferred_placement(
     machine: &MachineId,
-    known: &AssignedTaskState,
+    state: &AssignedTaskState,
     now: Seconds,
 ) -> Placement {
-    let phase = match (known.completed, known.confirmed) {
+    let phase = match (state.completed, state.confirmed) {
         (true, _) => TaskPhase::Done,
         (false, true) => TaskPhase::Running,
         (false, false) => TaskPhase::Starting,
     };
     Placement {
         machine: machine.clone(),
-        session: known.session,
+        session: state.session,
         phase,
-        start_token: (known.start_token != NO_START_TOKEN).then_some(known.start_token),
-        start_sent: known.start_sent,
-        confirmed: known.confirmed,
-        stop: known.stopping.then_some(Stop::Recalled),
+        start_token: (state.start_token != NO_START_TOKEN).then_some(state.start_token),
+        start_sent: state.start_sent,
+        confirmed: state.confirmed,
+        stop_reason: state.stopping.then_some(TaskStopReason::Recalled),
         stop_sent: false,
-        phase_since: now - known.in_phase_s,
+        phase_since: now - state.in_phase_s,
     }
 }
 
-/// The state of a task that is placed on a machine, for the target of its transfer.
+/// Returns the state of an assigned task for the target of its machine's transfer; `None`
+/// if the task has no machine.
 fn task_transfer_state(
     task: &Task,
     assigned: &AssignedTask,
@@ -492,7 +513,7 @@
         start_sent: placement.start_sent,
         confirmed: placement.confirmed,
         completed: placement.phase == TaskPhase::Done,
-        stopping: placement.stop.is_some(),
+        stopping: placement.stop_reason.is_some(),
         in_phase_s: now - placement.phase_since,
     })
 }
