--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -337,6 +337,8 @@
         self.responding_without_heartbeat_s(now) > report_s * STOPPED_REPORTING_INTERVALS
     }
 
+    /// Returns the seconds for which the worker has responded to direct commands without sending
+    /// a heartbeat; 0 if it has not.
     fn responding_without_heartbeat_s(&self, now: Seconds) -> Seconds {
         let period = self.commands.responses_without_heartbeat.as_ref();
         period.map_or(0.0, |period| now - period.began_at)
@@ -403,11 +405,11 @@
         !self.commands.in_flight && !backs_off && !session_expired
     }
 
-    /// Raises the token above `shown`, the token of a heartbeat, if that one is higher. It
+    /// Raises the token above `reported`, the token of a heartbeat, if that one is higher. It
     /// must not be of a later epoch than `epoch`.
-    pub(super) fn catch_up_with_token(&mut self, epoch: u64, shown: u64) {
-        if shown > token(epoch, self.token.counter) {
-            self.token.counter = token_counter(shown) + 1;
+    pub(super) fn catch_up_with_token(&mut self, epoch: u64, reported: u64) {
+        if reported > token(epoch, self.token.counter) {
+            self.token.counter = token_counter(reported) + 1;
         }
     }
 
