--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -54,7 +54,7 @@
             .shards
             .values()
             .flat_map(|shard| shard.machines.values())
-            .filter(|machine| machine.status.spot_notice || machine.status.draining)
+            .filter(|machine| machine.status.reclaim_notice || machine.status.draining)
             .map(|machine| &machine.status.id)
             .collect();
         for (id, entry) in &mut self.jobs {
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -191,7 +191,7 @@
     fn gangs_facing_reclamation(&self, now: Seconds) -> BTreeSet<JobId> {
         let reclaimed_soon: BTreeSet<&MachineId> = self
             .machines()
-            .filter(|machine| machine.spot_notice)
+            .filter(|machine| machine.reclaim_notice)
             .map(|machine| &machine.id)
             .collect();
         if reclaimed_soon.is_empty() {
