--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -8,7 +8,7 @@
 use crate::clock::{self, Seconds};
 use crate::config::features::ColdRestartConfig;
 use crate::config::settings::Settings;
-use crate::store::consistency::misfit_records;
+use crate::store::dangling_references::find_dangling_references;
 use crate::wire::JobSpec;
 use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffContext, HoldOffLimits};
 use finchwood_reconciliation::unreconciled::UnreconciledMachines;
@@ -82,7 +82,7 @@
         };
         let situation = HoldOffContext {
             now,
-            all_shards_reported: self.leader.all_joined(),
+            all_shards_reported: self.leader.all_shards_reported(),
             unreconciled,
         };
         match restart.hold_off.hold_reason(action, spec, situation) {
@@ -105,7 +105,7 @@
 
     /// Logs stored records that name what the settings or the catalog don't have.
     pub(super) fn log_misfit_records(&self) {
-        for misfit in misfit_records(&self.cache, &self.settings) {
+        for misfit in find_dangling_references(&self.cache, &self.settings) {
             tracing::warn!(key = misfit.key, error = %misfit.error, "a stored record doesn't fit");
         }
     }
@@ -147,15 +147,15 @@
     }
 
     fn invalid_records(&self) -> Vec<InvalidRecordReport> {
-        let unreadable = self
-            .cache
-            .unreadable
-            .iter()
-            .map(|(key, record)| InvalidRecordReport {
-                key: key.clone(),
-                reason: record.error.to_string(),
-            });
-        let misfits = misfit_records(&self.cache, &self.settings)
+        let unreadable =
+            self.cache
+                .invalid_records
+                .iter()
+                .map(|(key, record)| InvalidRecordReport {
+                    key: key.clone(),
+                    reason: record.error.to_string(),
+                });
+        let misfits = find_dangling_references(&self.cache, &self.settings)
             .into_iter()
             .map(|misfit| InvalidRecordReport {
                 key: misfit.key,
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -6,7 +6,7 @@
 mod base;
 
 use finchwood::clock::Moment;
-use finchwood::cluster::membership::owner;
+use finchwood::cluster::membership::owner_by_hash;
 use finchwood::cluster::peer::{Envelope, PeerMessage};
 use finchwood::config::settings::max_peer_message_bytes;
 use finchwood::config::settings::Settings;
@@ -134,7 +134,7 @@
         let mut workers = BTreeMap::new();
         let ids: Vec<Arc<str>> = (0..MACHINES).map(|i| format!("m-{i:06}").into()).collect();
         for (n, (zone, chunk)) in ids
-            .chunks(PageLimit::new(limit).machines().min(50))
+            .chunks(PageLimit::new(limit).max_machines().min(50))
             .enumerate()
             .map(|(n, c)| (n, (["e", "w"][n % 2], c)))
         {
@@ -223,7 +223,7 @@
             .collect();
         let members = self.epoch.members.clone();
         for (name, shard) in NODES.iter().zip(&mut self.shards) {
-            let owns = |id: &str| owner(&members, id) == Some(*name);
+            let owns = |id: &str| owner_by_hash(&members, id) == Some(*name);
             shard.start_epoch(self.epoch.number, members[*name], &self.cache, now, owns);
         }
         let _ = self
@@ -260,7 +260,7 @@
         let reports: Vec<ShardReport> = self
             .shards
             .iter_mut()
-            .map(|shard| shard.snapshot(&self.cache, now))
+            .map(|shard| shard.next_report(&self.cache, now))
             .collect();
         let bytes = reports.into_iter().map(|report| self.send(report)).sum();
         self.leader.reconcile(&self.cache, &|_| false);
@@ -313,7 +313,7 @@
         let mut given = Given::default();
         let members = self.epoch.members.clone();
         for (id, worker) in &mut self.workers {
-            let name = owner(&members, id).expect("an owner");
+            let name = owner_by_hash(&members, id).expect("an owner");
             let shard = &mut self.shards[NODES.iter().position(|n| *n == name).expect("a node")];
             let report = worker.report(id);
             if let HeartbeatReply::Accepted { token, commands } =
@@ -441,7 +441,7 @@
             HeartbeatReply::Accepted { .. }
         ));
     }
-    let report = shard.snapshot(&fleet.cache, 0.2);
+    let report = shard.next_report(&fleet.cache, 0.2);
     assert_eq!(report.assigned.len(), 32 * MACHINES);
     let bytes = fleet.send(report);
     let limit = max_peer_message_bytes(136.0);
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -10,7 +10,7 @@
 use finchwood::config::policy::Policy;
 use finchwood::config::settings::Settings;
 use finchwood::scheduler::ReconciliationProgress;
-use finchwood::store::unreadable_records::RecordError;
+use finchwood::store::invalid_records::RecordError;
 use finchwood_reconciliation::hold_off::{Action, HoldReason};
 use finchwood_reconciliation::machine_state::MachineState;
 use finchwood_reconciliation::restart_record::{
@@ -123,7 +123,7 @@
         (ReconciliationPhase::Complete, 3),
     ];
     ReconciliationProgress {
-        all_joined: true,
+        all_shards_reported: true,
         reconciled: false,
         jobs: phases.into_iter().collect(),
         unreconciled_tasks: 5,
