--- a/src/autoscaler/deletions.rs
+++ b/src/autoscaler/deletions.rs
@@ -1,5 +1,5 @@
-//! Tracks machines whose deletion was requested, and machines that are gone: known to no
-//! longer exist.
+//! Tracks machines whose deletion was requested, and machines that are gone: confirmed to
+//! no longer exist.
 
 use crate::clock::Seconds;
 use crate::wire::MachineId;
@@ -8,12 +8,12 @@
 /// The most machines per deletion request.
 const MAX_MACHINES_PER_REQUEST: usize = 100;
 
-/// Deletions in progress, and machines that are gone.
+/// Deletions in flight, and machines that are gone.
 #[derive(Debug, Default)]
 pub struct Deletions {
     /// When the deletion of a machine is requested again, unless it is confirmed before.
     retry_at: HashMap<MachineId, Seconds>,
-    /// Machines that are gone, and since when that is known.
+    /// Machines that are gone, and when that was confirmed.
     gone_since: HashMap<MachineId, Seconds>,
 }
 
@@ -55,12 +55,12 @@
         self.gone_since.insert(id, now);
     }
 
-    /// Whether a machine is known to no longer exist.
+    /// Whether a machine is confirmed to no longer exist.
     pub fn is_gone(&self, id: &MachineId) -> bool {
         self.gone_since.contains_key(id)
     }
 
-    /// The machines that are known to no longer exist.
+    /// The machines that are confirmed to no longer exist.
     pub fn gone(&self) -> impl Iterator<Item = &MachineId> {
         self.gone_since.keys()
     }
--- a/src/autoscaler/machine_list.rs
+++ b/src/autoscaler/machine_list.rs
@@ -1,5 +1,5 @@
 //! Evaluates the cloud's machine lists: which registered machines are gone, and which
-//! machines run without being known to any controller.
+//! machines are running although they are unknown, that is, neither registered nor gone.
 
 use crate::clock::Seconds;
 use crate::wire::MachineId;
@@ -11,7 +11,7 @@
 /// Allowance for the transmission of a request for a list, in seconds.
 const REQUEST_SLACK_S: Seconds = 0.5;
 
-/// Allowance before a machine that no controller knows counts as running, in seconds.
+/// The allowance for an unknown machine before it counts as running, in seconds.
 const UNKNOWN_SLACK_S: Seconds = 1.0;
 
 /// The shortest interval between requests for a list, in seconds.
@@ -26,7 +26,7 @@
     pending: bool,
     /// When each registered machine was last listed.
     listed_at: HashMap<MachineId, Seconds>,
-    /// Since when a machine that no controller knows has been listed.
+    /// Since when each unknown machine has been listed.
     unknown_since: HashMap<MachineId, Seconds>,
 }
 
@@ -53,7 +53,7 @@
         self.due_at = Some(now + lag_s.max(MIN_INTERVAL_S));
     }
 
-    /// Records that the request was answered or has failed.
+    /// Records that the request was responded to or has failed.
     pub fn record_answer(&mut self) {
         self.pending = false;
     }
@@ -84,14 +84,14 @@
         gone
     }
 
-    /// Records that a listed machine is known to a controller.
+    /// Records that a listed machine is registered or gone, and so not unknown.
     pub fn record_known(&mut self, id: &MachineId) {
         self.unknown_since.remove(id);
     }
 
-    /// Records that no controller knows a listed machine. Returns whether the machine is
-    /// certain to run: it has been listed for so long that this cannot be due to outdated
-    /// lists which still contain a deleted machine.
+    /// Records that a listed machine is unknown. Returns whether it is certain to be
+    /// running: it has been listed for so long that this cannot be due to outdated lists
+    /// which still contain a deleted machine.
     pub fn record_unknown(&mut self, id: &MachineId, lag_s: Seconds, now: Seconds) -> bool {
         let since = *self.unknown_since.entry(id.clone()).or_insert(now);
         now - since > LAG_FACTOR * lag_s + UNKNOWN_SLACK_S
--- a/src/autoscaler/machines.rs
+++ b/src/autoscaler/machines.rs
@@ -64,7 +64,7 @@
 /// A machine that was rented and has not sent a heartbeat yet.
 #[derive(Debug, Clone)]
 pub struct BootingMachine {
-    /// The name of the machine; empty until the cloud has answered the rental.
+    /// The name of the machine; empty until the cloud has confirmed the rental.
     pub id: MachineId,
     /// The offer that it was rented from.
     pub offer: MachineOffer,
--- a/src/autoscaler/rentals.rs
+++ b/src/autoscaler/rentals.rs
@@ -11,8 +11,8 @@
 /// The state of an open rental.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum RentalState {
-    /// The request was sent and not answered yet.
-    AwaitingAnswer,
+    /// The request is in flight.
+    InFlight,
     /// The outcome is unknown: the same request is sent again at this time.
     RetryAt(Seconds),
 }
@@ -57,7 +57,7 @@
     pub fn record_sent(&mut self, request: RentalRequest) {
         let rental = OpenRental {
             request: request.clone(),
-            state: RentalState::AwaitingAnswer,
+            state: RentalState::InFlight,
         };
         self.open.insert(request.request, rental);
     }
@@ -68,12 +68,12 @@
         for rental in self.open.values_mut() {
             let is_due = matches!(rental.state, RentalState::RetryAt(at) if now >= at);
             if is_due && send(rental.request.clone()) {
-                rental.state = RentalState::AwaitingAnswer;
+                rental.state = RentalState::InFlight;
             }
         }
     }
 
-    /// Removes a request that has got its final answer.
+    /// Removes a request whose outcome is final.
     pub fn close(&mut self, request: &RentalRequest) {
         self.open.remove(&request.request);
     }
@@ -89,11 +89,11 @@
         }
     }
 
-    /// The number of requests that were sent and not answered yet.
+    /// The number of requests in flight.
     pub fn awaiting_answer(&self) -> usize {
         self.open
             .values()
-            .filter(|rental| rental.state == RentalState::AwaitingAnswer)
+            .filter(|rental| rental.state == RentalState::InFlight)
             .count()
     }
 
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -15,12 +15,12 @@
 /// In the price per task, a machine counts as used to at least this share.
 const MINIMUM_USED_SHARE: f64 = 0.5;
 
-/// Whether further rentals wait until the cloud has answered more of the earlier ones.
+/// Whether further rentals wait until the cloud has responded to more of the earlier ones.
 /// `cloud_rps` is the cloud's rate limit, in requests per second.
 ///
 /// Many small requests, each for a few machines of an offer, took the cloud seconds to
-/// answer. When rentals wait, the same machines are rented with fewer requests and arrive
-/// sooner.
+/// respond to. When rentals wait, the same machines are rented with fewer requests and
+/// arrive sooner.
 pub fn rental_backlog_is_full(unanswered_rentals: usize, cloud_rps: f64) -> bool {
     unanswered_rentals as f64 > cloud_rps * MAX_BACKLOG_S
 }
--- a/src/autoscaler/state.rs
+++ b/src/autoscaler/state.rs
@@ -33,7 +33,7 @@
     pub rentals: Rentals,
     /// Back-off for offers of which the cloud has too few machines.
     pub capacity_backoff: CapacityBackoff,
-    /// Deletions in progress, and machines that are gone.
+    /// Deletions in flight, and machines that are gone.
     pub deletions: Deletions,
     /// The evaluation of the cloud's machine lists.
     pub machine_list: MachineListTracker,
@@ -89,7 +89,7 @@
         self.catalog_write_pending
     }
 
-    /// Records that a write of the catalog was started (`true`) or answered (`false`).
+    /// Sets whether a write of the catalog is in flight.
     pub fn set_catalog_write_pending(&mut self, pending: bool) {
         self.catalog_write_pending = pending;
     }
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -87,7 +87,7 @@
         commits
     }
 
-    /// Records that a commit of finished tasks was answered. Further progress of the job is
+    /// Records the response to a commit of finished tasks. Further progress of the job is
     /// committed after a report interval; a refused commit is retried from `retry_at` on.
     pub fn commit_answered(&mut self, job: &JobId, now: Seconds, retry_at: Seconds) {
         if let Some(entry) = self.jobs.get_mut(job) {
--- a/src/scheduler/epoch.rs
+++ b/src/scheduler/epoch.rs
@@ -80,13 +80,13 @@
         kept
     }
 
-    /// Members whose incarnation has not changed and which have handed no machine over,
+    /// Members whose incarnation has not changed and that have transferred no machine,
     /// since the epoch has no new member: what was assigned to their shards still is, or
-    /// does not run anywhere. Without this rule, when one controller came back, all tasks
-    /// that a partitioned zone had lost stayed unreconciled until the last machine of the
-    /// zone had reported.
+    /// runs on no machine. Without this rule, when one controller returned, all tasks that
+    /// a partitioned zone had lost stayed unreconciled until the last machine of the zone
+    /// had reported.
     fn unchanged_members(&self, epoch: &Epoch, kept: bool, cache: &StoreCache) -> BTreeSet<String> {
-        // If the shard map has entries, an unchanged member may have handed machines over.
+        // If the shard map has entries, an unchanged member may have transferred machines.
         let owners_by_hash_only = cache.shard_map.is_empty();
         let members = &self.epoch.members;
         let no_new_members = kept
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -1,7 +1,7 @@
 //! Failed tasks: whether the job or the machine is at fault.
 //!
 //! A job that was submitted with a mistake fails on every machine; a faulty machine fails
-//! the tasks of every job. A single failure does not tell which it was, but the other
+//! the tasks of every job. A single failure does not show which it was, but the other
 //! failures and the successes of the same job do.
 
 use super::{JobEntry, Leader};
@@ -123,7 +123,7 @@
 /// What the failure of a job indicates about the machine on which it happened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Evidence {
-    /// Nothing: the job is at fault, or has ended without a result that could tell.
+    /// Nothing: the job is at fault, or has ended without a result that would show it.
     None,
     /// The machine may be at fault; the job has not succeeded on any machine yet.
     Weak,
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -37,8 +37,8 @@
     /// A task was removed when the attempt may already have been running: the attempt can
     /// no longer complete.
     broken: bool,
-    /// The location of a task has been unknown for some time: if the task turns out not to
-    /// run anywhere, the attempt may already have been running when it was lost.
+    /// The location of a task has been unknown for some time: if the task turns out to run
+    /// on no machine, the attempt may already have been running when it was lost.
     unreconciled: bool,
 }
 
@@ -148,7 +148,7 @@
     /// since a stop must reach all tasks within `gang_peer_s`.
     pub(super) fn update_gangs(&mut self, cache: &StoreCache, now: Seconds) -> BTreeSet<String> {
         let mut shards_with_new_orders = BTreeSet::new();
-        let facing_reclamation = self.gangs_facing_reclamation(now);
+        let with_reclaim_notice = self.gangs_with_reclaim_notice(now);
         let gang_wait_s = self.policy.gang_wait_s;
         let gangs = self
             .jobs
@@ -171,7 +171,7 @@
                 continue;
             }
             let action = entry.next_action(gang_wait_s, now);
-            if action == GangAction::Withdraw || facing_reclamation.contains(id) {
+            if action == GangAction::Withdraw || with_reclaim_notice.contains(id) {
                 tracing::info!(job = %id, attempt = ?entry.attempt, assigned = entry.assigned.len(), "gang attempt withdrawn");
                 entry.withdrawing = true;
                 shards_with_new_orders.extend(
@@ -185,16 +185,16 @@
         shards_with_new_orders
     }
 
-    /// Gangs with a task on a machine that will be reclaimed before they end, if a stop
-    /// reaches all of their machines now, so that they save a checkpoint together. The
+    /// Gangs with a task on a machine that the cloud will reclaim before they end, if a
+    /// stop reaches all of their machines now, so that they save a checkpoint together. The
     /// other gangs lose their progress since the last checkpoint with the machine.
-    fn gangs_facing_reclamation(&self, now: Seconds) -> BTreeSet<JobId> {
-        let reclaimed_soon: BTreeSet<&MachineId> = self
+    fn gangs_with_reclaim_notice(&self, now: Seconds) -> BTreeSet<JobId> {
+        let machines_with_notice: BTreeSet<&MachineId> = self
             .machines()
             .filter(|machine| machine.reclaim_notice)
             .map(|machine| &machine.id)
             .collect();
-        if reclaimed_soon.is_empty() {
+        if machines_with_notice.is_empty() {
             return BTreeSet::new();
         }
         let max_silent_s = self.policy.report_s * REACHABLE_REPORTS;
@@ -228,7 +228,7 @@
         gangs
             .filter(|(_, entry)| loses_no_progress(entry))
             .filter(|(_, entry)| {
-                count_on(entry, &reclaimed_soon) > 0
+                count_on(entry, &machines_with_notice) > 0
                     && count_on(entry, &reachable) == entry.assigned.len()
             })
             .map(|(id, _)| id.clone())
--- a/src/scheduler/job_changes.rs
+++ b/src/scheduler/job_changes.rs
@@ -56,8 +56,8 @@
             return;
         }
         if !unreconciled.is_empty() {
-            // Tasks of this job in the reports that were applied so far were ignored, since
-            // it was not known.
+            // Tasks of this job in the reports applied so far were ignored, since the job
+            // was not in the cache.
             self.epoch.reconciled = false;
             self.epoch.reported_shards.clear();
         }
--- a/src/scheduler/job_entry.rs
+++ b/src/scheduler/job_entry.rs
@@ -33,7 +33,7 @@
     pub(super) machine: Option<MachineId>,
 }
 
-/// What the leader knows of one unfinished job.
+/// The scheduling state of one unfinished job.
 #[derive(Debug)]
 pub(super) struct JobEntry {
     pub(super) spec: Arc<JobSpec>,
@@ -50,7 +50,7 @@
     pub(super) unacknowledged: BTreeSet<u32>,
     /// Tasks that a shard has reported as done and that are not committed yet.
     pub(super) completed: TaskSet,
-    /// Whether a commit of completed tasks has been sent and not answered yet.
+    /// Whether a commit of completed tasks is in flight.
     pub(super) commit_in_flight: bool,
     /// The job's progress is not committed before this time.
     pub(super) next_commit_at: Seconds,
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -30,8 +30,8 @@
     pub status: &'a MachineStatus,
     /// Seconds since its last heartbeat; 0 if it is not silent.
     pub silent_s: f64,
-    /// For how many seconds it has not answered commands while other machines of its zone
-    /// were reachable; `None` if it has not failed to answer.
+    /// For how many seconds it has not responded to commands while other machines of its
+    /// zone were reachable; `None` if it has not failed to respond.
     pub unanswered_s: Option<f64>,
     /// For how many seconds it has had no task; 0 if it has one.
     pub idle_s: f64,
@@ -62,7 +62,7 @@
     pub(super) zone_contacts: HashMap<Arc<str>, ZoneContactAges>,
     /// Machines of other shards whose workers reported here, and how many seconds before
     /// the report.
-    pub(super) seen_elsewhere: HashMap<MachineId, f64>,
+    pub(super) foreign_workers: HashMap<MachineId, f64>,
     /// The number of the latest orders that were made.
     pub(super) orders_seq: u64,
     /// When the latest report was applied.
@@ -78,7 +78,7 @@
             machines: BTreeMap::new(),
             silent_machines: HashMap::new(),
             zone_contacts: HashMap::new(),
-            seen_elsewhere: HashMap::new(),
+            foreign_workers: HashMap::new(),
             orders_seq: 0,
             last_report_at: now,
         }
@@ -148,7 +148,7 @@
         let all = self
             .shards
             .values()
-            .flat_map(|shard| shard.seen_elsewhere.iter());
+            .flat_map(|shard| shard.foreign_workers.iter());
         all.filter(|(_, &age_s)| age_s < max_age_s)
             .map(|(id, _)| id)
             .collect()
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -2,10 +2,11 @@
 //! shard each assigned task belongs to and which completions have to be committed. Like
 //! [`crate::shard`] it performs no I/O: the time and the shards' reports are passed in.
 //!
-//! Every unfinished task of a job is in one of three states: unassigned (confirmed not to
-//! run anywhere), assigned (one shard is responsible for it) or unreconciled (its location
+//! Every unfinished task of a job is in one of three states: unassigned (confirmed to run
+//! on no machine), assigned (one shard is responsible for it) or unreconciled (its location
 //! has not been established since the epoch started). Unreconciled tasks are never
 //! assigned.
+//! assigned.
 //!
 //! Terms: a job is zone-constrained if all its tasks must run in one zone (`one_zone`) or
 //! one zone may take at most half of them (`scatter`). An allowance is the number of
--- a/src/scheduler/progress.rs
+++ b/src/scheduler/progress.rs
@@ -38,8 +38,8 @@
 }
 
 impl Leader {
-    /// Returns how far tasks and machines are reconciled; `gone` tells which machines are
-    /// known to no longer exist.
+    /// Returns how far tasks and machines are reconciled; `gone` returns true for machines
+    /// that are confirmed to no longer exist.
     pub fn reconciliation_progress(
         &self,
         cache: &StoreCache,
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -1,5 +1,4 @@
-//! Reconciliation: confirming which tasks do not run anywhere, since no machine can run
-//! them.
+//! Reconciliation: confirms which tasks run on no machine.
 
 use super::Leader;
 use crate::finished::TaskSet;
@@ -8,8 +7,9 @@
 use finchwood_reconciliation::unreconciled::{MachineClass, UnreconciledMachines};
 
 impl Leader {
-    /// Registered machines of which it is not known in this epoch what they run, without
-    /// those for which `gone` returns true.
+    /// The machines of the machine registry that are not reconciled in this epoch: no owner
+    /// has established yet what they run. Machines for which `gone` returns true are left
+    /// out.
     pub(super) fn unreconciled_registered_machines<'a>(
         &'a self,
         cache: &'a StoreCache,
@@ -80,20 +80,20 @@
             .all(|member| self.epoch.reported_shards.contains(member))
     }
 
-    /// Turns unreconciled tasks into unassigned ones once they are confirmed not to run
-    /// anywhere. That requires reports of all shards, and that the owner of every machine
-    /// that may run the tasks knows what the machine runs (design, "Division": a controller
+    /// Turns unreconciled tasks into unassigned ones once they are confirmed to run on no
+    /// machine. That requires reports of all shards, and that the owner of every machine
+    /// that may run the tasks has reconciled the machine (design, "Division": a controller
     /// that takes over rebuilds its state from reports and waits until the workers' leases
-    /// have expired). Only the owner can tell that a worker's lease must have expired,
-    /// since it knows when it last responded to the worker. Judged by the age of the epoch
-    /// alone, a machine whose worker received a response a moment ago would count as empty.
+    /// have expired). Only the owner can determine that a worker's lease must have expired,
+    /// since it has the time of its last response to the worker. Judged by the age of the
+    /// epoch alone, a machine whose worker received a response a moment ago would count as
+    /// empty.
     ///
     /// A machine that stays silent delays only the jobs that may run on it, by its type,
     /// its zone and whether it is a spot machine.
     ///
-    /// `gone` tells which machines are known to no longer exist. This is known long before
-    /// the machine registry shows it, which may be written late when many writes are
-    /// pending.
+    /// `gone` returns true for machines that are confirmed to no longer exist. The machine
+    /// registry may show this much later, when many writes are pending.
     pub fn reconcile(&mut self, cache: &StoreCache, gone: &dyn Fn(&MachineId) -> bool) {
         if self.epoch.reconciled || !self.epoch.has_new_evidence || !self.all_shards_reported() {
             return;
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -43,7 +43,7 @@
         let full = report.since == 0;
         self.apply_machines(&shard, full, &report.unregistered, report.machines, now);
         if let Some(view) = self.shards.get_mut(&report.node) {
-            view.seen_elsewhere = report.foreign_workers.into_iter().collect();
+            view.foreign_workers = report.foreign_workers.into_iter().collect();
             view.zone_contacts = report.zone_contacts.into_iter().collect();
             view.set_silent_machines(report.silent_machines);
         }
@@ -227,8 +227,8 @@
     }
 
     /// Confirms that tasks which can only run in this shard, and which its full report does
-    /// not list, do not run anywhere: the shard has kept all of its state, so that its
-    /// report is sufficient evidence.
+    /// not list, run on no machine: the shard has kept all of its state, so that its report
+    /// is sufficient evidence.
     fn reconcile_retained_shard(&mut self, shard: &Arc<str>, listed: &ListedTasks) {
         for (id, entry) in self
             .jobs
