--- a/src/cluster/failure_detection.rs
+++ b/src/cluster/failure_detection.rs
@@ -15,16 +15,16 @@
 use std::sync::Arc;
 
 /// The number of report intervals without a heartbeat after which a machine counts as
-/// silent, and as dead if it has also left requests unanswered while other machines of its
-/// zone were reachable. Contact with a zone that is older than this is no longer recent.
+/// silent, and as dead if it has also left direct commands unanswered while other machines
+/// of its zone were reachable. Contact with a zone that is older than this is no longer recent.
 const SILENCE_REPORTS: f64 = 2.0;
 
 /// The number of report intervals without a heartbeat after which a machine counts as dead
-/// if it has not been found to leave requests unanswered.
+/// if it has not been found to leave direct commands unanswered.
 const UNVERIFIED_SILENCE_REPORTS: f64 = 4.5;
 
-/// The number of report intervals for which a machine must have left requests unanswered
-/// before that counts against it. Its owner retries the request during that time.
+/// The number of report intervals for which a machine must have left direct commands
+/// unanswered before that counts against it. Its owner probes it again during that time.
 const MIN_UNANSWERED_REPORTS: f64 = 0.25;
 
 /// The number of lease durations for which a silent machine is kept if its worker contacts
@@ -36,7 +36,7 @@
 const PARTITION_MIN_UNRESPONSIVE: u32 = 2;
 
 /// The latest uninterrupted span of direct contact between an owner and a zone. Times are
-/// on the steady clock.
+/// on the monotonic clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ZoneContactSpan {
     /// When the span began.
@@ -68,7 +68,7 @@
 }
 
 /// A [`ZoneContactSpan`] in the form that a shard reports: ages instead of times, since
-/// steady clocks of different controllers can't be compared.
+/// monotonic clocks of different controllers can't be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ZoneContactAges {
     /// How many seconds ago the span began.
@@ -79,7 +79,7 @@
     pub last_ago_s: f64,
 }
 
-/// What the leader knows about the health of one machine in use.
+/// The health of one machine in use, as reported to the leader.
 #[derive(Debug, Clone)]
 pub struct MachineHealth {
     /// The zone that the machine runs in.
@@ -89,8 +89,8 @@
     /// How many seconds ago its owner received its last heartbeat; zero unless its owner
     /// reports it as silent.
     pub silent_s: f64,
-    /// For how many seconds it has left requests unanswered while other machines of its
-    /// zone were reachable; `None` if it has left none unanswered.
+    /// For how many seconds it has left direct commands unanswered while other machines of
+    /// its zone were reachable; `None` if it has left none unanswered.
     pub unanswered_s: Option<f64>,
     /// Its owner's direct contact with its zone; `None` if there has been none.
     pub zone_contact: Option<ZoneContactAges>,
@@ -106,7 +106,7 @@
 
 impl MachineHealth {
     /// Whether missing heartbeats are the only sign of a fault: the machine has left no
-    /// request unanswered and does not ignore commands.
+    /// direct command unanswered and does not ignore commands.
     pub fn is_only_silent(&self) -> bool {
         self.unanswered_s.is_none() && !self.ignores_commands
     }
--- a/src/cluster/member_lease.rs
+++ b/src/cluster/member_lease.rs
@@ -26,7 +26,7 @@
     Renewed {
         /// The id of the lease, which is also this controller's incarnation.
         incarnation: u64,
-        /// The time on the steady clock until which this controller can rely on the lease.
+        /// The time on the monotonic clock until which this controller can rely on the lease.
         until: Seconds,
     },
     /// The lease has expired; the actor acquires a new one.
@@ -63,7 +63,7 @@
 /// A lease that the store has granted.
 struct GrantedLease {
     id: u64,
-    /// The time on the steady clock until which this controller can rely on the lease.
+    /// The time on the monotonic clock until which this controller can rely on the lease.
     until: Seconds,
 }
 
--- a/src/cluster/membership.rs
+++ b/src/cluster/membership.rs
@@ -55,7 +55,7 @@
             .get(*leader)
             .is_some_and(|incarnation| survives(leader, incarnation))
     });
-    // Members of the current epoch know more of the cluster's state than new ones do.
+    // Members of the current epoch have more of the cluster's state than new ones do.
     let first_survivor = || {
         members
             .iter()
--- a/src/cluster/reachability.rs
+++ b/src/cluster/reachability.rs
@@ -21,7 +21,7 @@
     unreachable: Vec<String>,
 }
 
-/// Which controllers can reach each other directly, as far as this controller knows.
+/// Which controllers can reach each other directly, by the reports that this one received.
 #[derive(Debug, Default)]
 pub struct Reachability {
     /// This controller's zone.
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -184,8 +184,8 @@
     /// How long the tasks of a gang wait for each other to start before they give up.
     #[serde(default = "default_gang_wait_s")]
     pub gang_wait_s: f64,
-    /// The time within which the tasks of a gang notice that one of them is gone, and within
-    /// which all of them must be told to stop.
+    /// The time within which the tasks of a gang notice that one of them has been lost, and
+    /// within which all of them must receive the command to stop.
     #[serde(default = "default_gang_peer_s")]
     pub gang_peer_s: f64,
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -143,7 +143,7 @@
     #[serde(rename = "t", default)]
     pub rented_at_ms: u64,
     /// The address at which its worker accepts commands; absent until it is known. A new
-    /// owner uses it to ask the worker at once which tasks it runs.
+    /// owner uses it to probe the worker at once for the tasks that it runs.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub address: Option<Arc<str>>,
 }
