--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -1,5 +1,5 @@
-//! The leader's review of the whole fleet: gathers what the autoscaler decides by, and
-//! sends what it decides to the cloud client.
+//! The leader's review of the whole fleet: it collects the input of the autoscaler, and
+//! sends the autoscaler's decisions to the cloud client.
 
 use super::Controller;
 use crate::autoscaler::cloud::CloudRequest;
@@ -16,37 +16,38 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// How often a deletion without an answer is requested again, in report intervals.
+/// The delay before a deletion without an answer is requested again, in report intervals.
 const DELETION_RETRY_REPORTS: f64 = 2.0;
 
-/// For how many report intervals a contact of another shard with a machine counts.
+/// For how long a machine's contact with a shard other than its own counts, in report
+/// intervals.
 const SEEN_ELSEWHERE_REPORTS: f64 = 4.0;
 
-/// Registered machines that have not sent a heartbeat yet.
+/// Machines that have been rented and have not sent a heartbeat yet.
 #[derive(Default)]
 struct BootingMachines {
-    /// Those that may still come up.
+    /// Machines that may still come up.
     booting: Vec<BootingMachine>,
-    /// Those past their boot timeout: to be deleted.
+    /// Machines past their boot timeout, which are to be deleted.
     timed_out: Vec<MachineId>,
-    /// On-demand machines of each zone, up or not.
+    /// The number of on-demand machines in each zone, whether they are up or not.
     on_demand_in_zone: BTreeMap<Arc<str>, u32>,
 }
 
-/// Machines that have sent heartbeats.
+/// Machines that have sent heartbeats, in this epoch or an earlier one.
 #[derive(Default)]
 struct RunningMachines {
     in_use: Vec<MachineUsage>,
-    /// To be deleted: dead.
+    /// Dead machines, which are to be deleted.
     dead: Vec<MachineId>,
-    /// To be deleted: faulty or drained, with no task left.
+    /// Faulty or drained machines without tasks, which are to be deleted.
     drained: Vec<MachineId>,
     /// CPUs on on-demand machines that are free for services, or soon will be.
     free_on_demand_cpus: f64,
 }
 
 impl Controller {
-    /// Reviews the whole fleet, and has machines deleted, drained and rented.
+    /// Reviews the whole fleet, and has machines deleted, drained and rented as needed.
     pub(super) fn autoscale(&mut self, now: Seconds) {
         self.send_due_requests(now);
         let Some(catalog) = self.cache.catalog.clone() else {
@@ -61,10 +62,10 @@
         let unreconciled = self.unreconciled_machines(now);
         let unreconciled = unreconciled.as_ref();
         self.leader.preemption_held = self.is_held_off(Action::Preempt, None, unreconciled, now);
-        let consolidates = !self.is_held_off(Action::Consolidate, None, unreconciled, now);
-        let evicts_unasked = !self.is_held_off(Action::EvictUnasked, None, unreconciled, now);
-        let mut running = self.review_running(&catalog, &detector, &health, evicts_unasked, now);
-        if !consolidates {
+        let may_consolidate = !self.is_held_off(Action::Consolidate, None, unreconciled, now);
+        let may_evict_silent = !self.is_held_off(Action::EvictUnasked, None, unreconciled, now);
+        let mut running = self.review_running(&catalog, &detector, &health, may_evict_silent, now);
+        if !may_consolidate {
             running.drained.clear();
         }
         let mut to_delete = std::mem::take(&mut booting.timed_out);
@@ -74,7 +75,7 @@
         self.delete_machines(to_delete, now);
         let headroom_cpus = self.leader.service_cpus() * self.policy.scaling.service_headroom_share;
         self.leader.reserved_cpus = headroom_cpus;
-        if consolidates {
+        if may_consolidate {
             self.scale_in(&running.in_use, &catalog, headroom_cpus, now);
         }
         if !self.may_scale_out(now) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Whether machines may be rented now.
+    /// Returns whether machines may be rented now.
     fn may_scale_out(&self, now: Seconds) -> bool {
         let report_s = self.settings.params.workers.report_s;
         let unanswered = self.autoscaler.rentals.awaiting_answer();
@@ -99,8 +100,8 @@
             && self.leader.all_joined()
     }
 
-    /// Sends what is due to the cloud: requests for the catalog and the machine list,
-    /// and rentals that have got no certain answer.
+    /// Sends the requests that are due to the cloud: for the catalog and the machine list,
+    /// and rentals whose outcome is uncertain.
     fn send_due_requests(&mut self, now: Seconds) {
         let cloud = &self.cloud;
         let send = |request| cloud.try_send(request).is_ok();
@@ -116,7 +117,7 @@
             .resend_due(now, |request| send(CloudRequest::Rent(request)));
     }
 
-    /// What is in the machine registry, or on its way there, and has not reported.
+    /// Reviews the machines that are rented, or requested, and have not sent a heartbeat.
     fn review_booting(
         &self,
         catalog: &Catalog,
@@ -142,8 +143,8 @@
             }
             let is_booting =
                 !record.in_use && !reported.contains(id) && !self.autoscaler.deletions.is_gone(id);
-            // Whether one in an unreachable zone is up cannot be seen, and nothing can
-            // be started there.
+            // In an unreachable zone it cannot be seen whether a machine is up, and no task
+            // can be started.
             if !is_booting || detector.zone_unreachable(&record.zone) {
                 continue;
             }
@@ -168,24 +169,25 @@
         review
     }
 
-    /// The machines in the machine registry, then those on their way there.
+    /// Returns the machines in the machine registry, then those that are not written to it
+    /// yet.
     fn registered_machines(&self) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
         let registry = &self.cache.registry;
         let registered = registry.iter().map(|(id, known)| (id, &known.record));
-        let on_the_way = self
+        let unwritten = self
             .registry
             .unwritten_machines()
             .filter(|(id, _)| !registry.contains_key(*id));
-        registered.chain(on_the_way)
+        registered.chain(unwritten)
     }
 
-    /// What has reported, by whether it is still of use.
+    /// Reviews the machines that have sent heartbeats, by their health.
     fn review_running(
         &mut self,
         catalog: &Catalog,
         detector: &FailureDetector,
         health: &HashMap<MachineId, MachineHealth>,
-        evicts_unasked: bool,
+        may_evict_silent: bool,
         now: Seconds,
     ) -> RunningMachines {
         let faults = self.leader.cordon_faulty_machines(&self.cache);
@@ -193,27 +195,27 @@
         let mut review = RunningMachines::default();
         for machine in self.leader.machines_at(now) {
             let id = &machine.id;
-            // While a machine moves to another shard, its source may report it empty
-            // although its target has already started tasks there.
-            if self.autoscaler.deletions.is_gone(id) || self.is_changing_hands(id) {
+            // While a machine is transferred to another shard, the source may report it as
+            // empty although the target has already started tasks on it.
+            if self.autoscaler.deletions.is_gone(id) || self.is_being_transferred(id) {
                 continue;
             }
             let Some(health) = health.get(id) else {
                 continue;
             };
             match detector.verdict(health) {
-                Verdict::Replace if !evicts_unasked && health.is_only_silent() => continue,
+                Verdict::Replace if !may_evict_silent && health.is_only_silent() => continue,
                 Verdict::Replace => {
                     tracing::debug!(machine = %id, ?health, "replacing machine");
                     review.dead.push(id.clone());
                     continue;
                 }
-                // Not idle: returned, all machines of the zone would be rented and
-                // booted anew once a partition is over.
+                // Not counted as idle: otherwise all machines of a partitioned zone would
+                // be returned, and new ones rented and booted after the partition.
                 Verdict::Wait => continue,
                 Verdict::Keep => {}
             }
-            self.record_responsive_machine(
+            self.record_healthy_machine(
                 &machine,
                 faults.get(id),
                 catalog,
@@ -224,8 +226,8 @@
         review
     }
 
-    /// Adds a machine that nothing speaks against to the review.
-    fn record_responsive_machine(
+    /// Adds a healthy machine to the review.
+    fn record_healthy_machine(
         &self,
         machine: &MachineSnapshot,
         fault: Option<&MachineFault>,
@@ -233,25 +235,26 @@
         wall_clock_ms: u64,
         review: &mut RunningMachines,
     ) {
-        let drains = self.leader.draining.contains(&machine.id);
+        let is_draining = self.leader.draining.contains(&machine.id);
         let is_proven_faulty = fault == Some(&MachineFault::Proven);
-        let is_drained = machine.draining && machine.reconciled && drains;
-        // One that is cordoned for a while on suspicion is not returned.
+        let is_drained = machine.draining && machine.reconciled && is_draining;
+        // A machine that is cordoned temporarily, on suspicion, is not returned.
         if machine.tasks == 0 && (is_proven_faulty || is_drained) {
             review.drained.push(machine.id.clone());
         }
         if !machine.spot && machine.schedulable {
-            // Of the preemptible work there, half ends while a machine boots.
+            // Half of the preemptible work on the machine counts as free: it ends while a
+            // new machine boots.
             review.free_on_demand_cpus +=
                 (machine.free.cpus + machine.preemptible.cpus / 2.0).max(0.0);
         }
-        let schedulable = machine.schedulable && !drains && fault.is_none();
+        let schedulable = machine.schedulable && !is_draining && fault.is_none();
         review
             .in_use
             .push(self.machine_usage(machine, schedulable, catalog, wall_clock_ms));
     }
 
-    /// What the planning of scale-in needs to know of a machine.
+    /// Returns what the planning of scale-in needs to know of a machine.
     fn machine_usage(
         &self,
         machine: &MachineSnapshot,
@@ -284,9 +287,10 @@
         }
     }
 
-    /// Machines that may still run tasks cancelled a while ago. A worker that hangs or
-    /// ignores commands keeps what its lease would end; deleted, the machine is gone for
-    /// certain within the time that is left.
+    /// Returns machines that may still run tasks cancelled a while ago. Those tasks should
+    /// have ended with the lease of the worker, but a worker that hangs or ignores commands
+    /// may keep them running. Deleting the machine ends them for certain within the time
+    /// that is left.
     fn machines_with_cancelled_tasks(&self) -> Vec<MachineId> {
         let after_s = self.settings.evict_after_s() - self.settings.params.time_bound_ms / 500.0;
         let machines = self.leader.machines_with_cancelled_tasks(
@@ -300,7 +304,7 @@
         machines.into_iter().collect()
     }
 
-    /// Requests the deletion of those machines that are not being deleted already.
+    /// Requests the deletion of those machines that are neither gone nor being deleted.
     pub(super) fn delete_machines(&mut self, machines: Vec<MachineId>, now: Seconds) {
         let machines = self.autoscaler.deletions.due(machines, now);
         if machines.is_empty() {
@@ -309,12 +313,13 @@
         let retry_at = now + self.settings.params.workers.report_s * DELETION_RETRY_REPORTS;
         self.autoscaler.deletions.retry(machines.clone(), retry_at);
         tracing::info!(?machines, "deleting machines");
-        // A full queue is made up for by the retry.
+        // If the queue is full, the deletion is requested again by the retry.
         let _ = self.cloud.try_send(CloudRequest::Delete(machines));
     }
 
     /// Has idle and expensive machines drained and half-empty ones consolidated, so that
-    /// they can be returned; reopens some of them if there is work for them after all.
+    /// they can be returned. Stops the draining of some of them if there is work for them
+    /// after all.
     fn scale_in(
         &mut self,
         in_use: &[MachineUsage],
@@ -326,7 +331,7 @@
         let idle = autoscaler::plan_scale_in(in_use, catalog, headroom_cpus, policy);
         self.leader.draining.extend(idle);
         if !self.leader.pending_demand.is_empty() {
-            self.reopen_machines(in_use);
+            self.stop_draining(in_use);
         } else {
             let report_s = self.settings.params.workers.report_s;
             if self.autoscaler.begin_draining(report_s, now) {
@@ -344,8 +349,8 @@
             .retain(|id| registry.contains_key(id));
     }
 
-    /// Reopens as many draining machines as the pending demand needs.
-    fn reopen_machines(&mut self, in_use: &[MachineUsage]) {
+    /// Stops the draining of as many machines as the pending demand needs.
+    fn stop_draining(&mut self, in_use: &[MachineUsage]) {
         let mut needed_cpus: f64 = self
             .leader
             .pending_demand
@@ -362,9 +367,9 @@
         }
     }
 
-    /// Moves the replicas of half-empty machines, so that these can be returned. Each
-    /// replica is away for about a second, so that only a small share of all is moved in
-    /// any while.
+    /// Moves the replicas of half-empty machines to others, so that the machines can be
+    /// returned. Each replica is unavailable for about a second, so that only a small share
+    /// of all replicas is moved in any period.
     fn consolidate(
         &mut self,
         in_use: &[MachineUsage],
@@ -398,8 +403,8 @@
         }
     }
 
-    /// All demand: tasks that no machine has room for, and headroom for services, of
-    /// which `missing_cpus` CPUs are not there.
+    /// Returns all demand: tasks that no machine has room for, and headroom for services,
+    /// of which `missing_cpus` CPUs are lacking.
     fn total_demand(&self, missing_cpus: f64) -> Vec<PendingDemand> {
         let mut demand = self.leader.pending_demand.clone();
         let service = self
@@ -413,7 +418,7 @@
         demand
     }
 
-    /// Plans rentals for the demand and sends them.
+    /// Plans rentals for the demand and requests them from the cloud.
     fn scale_out(
         &mut self,
         demand: &[PendingDemand],
@@ -440,7 +445,8 @@
         }
     }
 
-    /// Sends rentals of `count` machines of an offer, unless the queue is full.
+    /// Requests rentals of `count` machines of an offer from the cloud, until the queue is
+    /// full.
     fn rent(&mut self, offer: &MachineOffer, mut count: u32) {
         while count > 0 {
             let request = self.autoscaler.rentals.next_request(
@@ -458,9 +464,9 @@
         }
     }
 
-    /// The signs of life of every machine in use. One that was in use before this epoch
-    /// and has not reported in it counts as silent: it may have died while no controller
-    /// led.
+    /// Returns the health of every machine in use. A machine that was in use before this
+    /// epoch and has not reported in it counts as silent: it may have died while there was
+    /// no leader.
     fn machine_health(&self, now: Seconds) -> HashMap<MachineId, MachineHealth> {
         let report_s = self.settings.params.workers.report_s;
         let seen = self
--- a/src/controller/cloud_responses.rs
+++ b/src/controller/cloud_responses.rs
@@ -1,5 +1,5 @@
-//! What the cloud answers the leader: rentals, deletions, the catalog, and the
-//! machine list, which shows what is gone and what nobody knows.
+//! Handling of the cloud's responses: rentals, deletions, the catalog, and the machine
+//! list, which shows the machines that are gone and those that no controller knows.
 
 use super::{Controller, WritePurpose};
 use crate::autoscaler::cloud::CloudResponse;
@@ -11,19 +11,20 @@
 use crate::wire::{Catalog, ListedMachine, MachineId, RentalRequest};
 use std::collections::HashSet;
 
-/// How soon a request without a certain answer is sent again, in seconds.
+/// The delay before a request whose outcome is uncertain is sent again, in seconds.
 const RETRY_S: Seconds = 1.5;
 
-/// How soon the catalog is asked for again after a call that failed, in seconds.
+/// The delay before the catalog is requested again after a failed request for it or for the
+/// machine list, in seconds.
 const CATALOG_RETRY_S: Seconds = 3.0;
 
-/// How long a catalog's write may take, in seconds.
-const CATALOG_WRITE_S: Seconds = 2.0;
+/// How long a write of the catalog may take, in seconds.
+const CATALOG_WRITE_TIMEOUT: Seconds = 2.0;
 
-/// The state of a listed machine that has failed, as the cloud spells it.
+/// The state of a failed machine in the cloud's machine list.
 const FAILED_STATE: &str = "failed";
 
-/// The greatest age of a listed machine that is believed, in seconds.
+/// The upper limit to which the age of a listed machine is clamped, in seconds.
 const MAX_LISTED_AGE_S: Seconds = 1e9;
 
 impl Controller {
@@ -32,11 +33,11 @@
         match response {
             CloudResponse::Catalog(catalog) => self.apply_catalog(&catalog, now),
             CloudResponse::Rented { request, machines } => {
-                self.machines_rented(&request, machines, now)
+                self.apply_rental(&request, machines, now)
             }
             CloudResponse::NoCapacity(request) | CloudResponse::RentRefused(request) => {
                 self.autoscaler.rentals.close(&request);
-                self.capacity_short(&request, now);
+                self.record_capacity_shortage(&request, now);
             }
             CloudResponse::RentOutcomeUnknown(request) => {
                 self.autoscaler.rentals.retry(request, now + RETRY_S)
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Writes the catalog for all controllers, if it has changed.
+    /// Writes the catalog to the key-value store, where all controllers read it, if it has
+    /// changed and this node is the leader.
     fn apply_catalog(&mut self, catalog: &Catalog, now: Seconds) {
         let known = self.cache.catalog.as_deref() == Some(catalog);
         if known || !self.is_leader() || self.autoscaler.is_catalog_write_pending() {
@@ -72,19 +74,19 @@
                 value: serde_json::to_value(catalog).unwrap_or_default(),
                 lease: None,
             }],
-            deadline: now + CATALOG_WRITE_S,
+            deadline: now + CATALOG_WRITE_TIMEOUT,
             purpose: WritePurpose::Catalog,
         };
         let is_queued = self.writer.send(WriteClass::Bulk, write).is_ok();
         self.autoscaler.set_catalog_write_pending(is_queued);
     }
 
-    /// Puts rented machines on their way to the machine registry.
-    fn machines_rented(&mut self, request: &RentalRequest, machines: Vec<MachineId>, now: Seconds) {
+    /// Closes a rental, and records its machines for the machine registry.
+    fn apply_rental(&mut self, request: &RentalRequest, machines: Vec<MachineId>, now: Seconds) {
         self.autoscaler.rentals.close(request);
         tracing::info!(?machines, "machines rented");
         if (machines.len() as u32) < request.count {
-            self.capacity_short(request, now);
+            self.record_capacity_shortage(request, now);
         } else {
             let offer = MachineOffer::from(request);
             self.autoscaler.capacity.clear(&offer);
@@ -97,18 +99,19 @@
             rented_at_ms: clock::wall_clock_ms(),
             address: None,
         };
-        self.enlist(machines, &request.request, &record);
+        self.add_unwritten_machines(machines, &request.request, &record);
     }
 
     /// Backs off from an offer of which the cloud has too few machines.
-    fn capacity_short(&mut self, request: &RentalRequest, now: Seconds) {
+    fn record_capacity_shortage(&mut self, request: &RentalRequest, now: Seconds) {
         let report_s = self.settings.params.workers.report_s;
         self.autoscaler
             .capacity
             .record_shortage(MachineOffer::from(request), report_s, now);
     }
 
-    /// Applies a machine list that was requested at `requested_at`.
+    /// Applies a machine list that was requested at `requested_at`, if this node is the
+    /// leader.
     fn apply_machine_list(
         &mut self,
         requested_at: Seconds,
@@ -131,7 +134,7 @@
         self.delete_machines(failed.collect(), now);
     }
 
-    /// Records which machines of the machine registry a list has, and which are gone.
+    /// Records which machines of the machine registry a list contains, and which are gone.
     fn record_registered_machines(
         &mut self,
         requested_at: Seconds,
@@ -151,8 +154,9 @@
         }
     }
 
-    /// Registers a listed machine that no controller knows, once it certainly runs. It
-    /// was rented by a request that was carried out late, or by an earlier leader.
+    /// Registers a listed machine that no controller knows, once it is certain that it
+    /// runs. Such a machine was rented by a request that was carried out late, or by an
+    /// earlier leader.
     fn adopt_if_unknown(&mut self, machine: &ListedMachine, now: Seconds) {
         let id = &machine.id;
         let is_known = self.cache.registry.contains_key(id)
@@ -163,8 +167,8 @@
             return;
         }
         let lag_s = self.settings.params.cloud.list_lag_s;
-        let certainly_runs = self.autoscaler.machine_list.record_unknown(id, lag_s, now);
-        if !certainly_runs {
+        let is_certain_to_run = self.autoscaler.machine_list.record_unknown(id, lag_s, now);
+        if !is_certain_to_run {
             return;
         }
         let age_ms = (machine.age_s.clamp(0.0, MAX_LISTED_AGE_S) * 1000.0) as u64;
@@ -176,6 +180,6 @@
             rented_at_ms: clock::wall_clock_ms().saturating_sub(age_ms),
             address: machine.address.as_deref().map(Into::into),
         };
-        self.enlist_unregistered(id.clone(), record);
+        self.add_listed_machine(id.clone(), record);
     }
 }
--- a/src/controller/command_dispatch.rs
+++ b/src/controller/command_dispatch.rs
@@ -1,4 +1,4 @@
-//! The pools of threads that send direct commands to workers.
+//! The thread pools that send direct commands to workers.
 
 use super::events::{event_sink, ControllerEvent};
 use super::MAX_POOL_THREADS;
@@ -8,26 +8,26 @@
 use crate::shard::{CommandCapacity, DirectCommand};
 use crossbeam::channel::Sender;
 
-/// The share of the sockets that commands to responsive machines may take at once.
+/// The share of the sockets that commands to responsive machines may use at once.
 const RESPONSIVE_SOCKET_SHARE: f64 = 1.0 / 120.0;
 
-/// The share of the sockets that commands to unverified machines may take at once.
-/// Each takes a while to be given up: a hundred that hang, or a partitioned zone,
-/// must soon be through.
+/// The share of the sockets that commands to unverified machines may use at once. Each of
+/// these commands may last until its timeout: commands to a hundred machines that hang, or
+/// to a partitioned zone, must soon be completed all the same.
 const UNVERIFIED_SOCKET_SHARE: f64 = 1.0 / 20.0;
 
 /// The fewest threads of a pool.
 const MIN_POOL_THREADS: f64 = 4.0;
 
-/// Sends direct commands. Machines that may not answer have a pool of their own, so
-/// that they don't hold up the others.
+/// Sends direct commands to workers. Machines that may not answer have a pool of their own,
+/// so that they do not delay commands to the others.
 pub(super) struct CommandDispatcher {
     responsive: CommandPool,
     unverified: CommandPool,
 }
 
 impl CommandDispatcher {
-    /// Creates both pools; their threads start when they are needed.
+    /// Creates both pools; their threads are started on demand.
     pub(super) fn new(settings: &Settings, events: &Sender<ControllerEvent>) -> CommandDispatcher {
         let sockets = settings.params.machine_limits.max_connections as f64;
         let timeout = settings.params.workers.report_s / 2.0;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// How many more commands fit now.
+    /// Returns how many more commands each pool can take at present.
     pub(super) fn capacity(&self) -> CommandCapacity {
         CommandCapacity {
             responsive: self.responsive.available(),
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Queues a command, not to be sent after `valid_until`; hands it back if there is
-    /// no room.
+    /// Queues a command, which is not sent after `valid_until`. Returns the command if its
+    /// pool is full.
     pub(super) fn send(
         &mut self,
         command: DirectCommand,
@@ -68,7 +68,7 @@
         self.pool_for(&command).send(command, valid_until)
     }
 
-    /// Records that a command was answered or given up.
+    /// Records that a command was answered or has failed.
     pub(super) fn record_completion(&mut self, result: &CommandResult) {
         self.pool_for(&result.command).record_completion();
     }
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -1,5 +1,5 @@
-//! Commits of finished tasks: only once they are committed may a job be reported as
-//! done, or a worker forget a result.
+//! Commits of finished tasks to the key-value store. Only after its commit may a job be
+//! reported as done, or a worker discard a result.
 
 use super::writes::{put_record, put_value};
 use super::{Controller, WritePurpose};
@@ -14,40 +14,49 @@
 use crate::store::{CommitOutcome, Condition, ConditionalWrite, WriteClass, WriteOp, BULK_SHARE};
 use crate::wire::JobId;
 
-/// Commits of finished tasks that are under way.
-pub(super) type PendingFinishes = PendingWrites<JobId, Vec<WriteOp>>;
+/// Commits of finished tasks that are in flight.
+pub(super) type PendingCompletions = PendingWrites<JobId, Vec<WriteOp>>;
 
-/// How long a commit of finished tasks may take.
+/// How long a commit of finished tasks may take, in seconds.
 const COMMIT_TIMEOUT: Seconds = 2.0;
 
-/// After how long a commit that failed is tried again, as a share of a report interval.
-const RETRY_SHARE: f64 = 1.0 / 6.0;
+/// The delay before a failed commit is retried, in report intervals.
+const COMMIT_RETRY_REPORTS: f64 = 1.0 / 6.0;
 
-/// The fewest commits that may be under way at once.
+/// The number of commits that may always be in flight at once, however low the write rate.
 const MIN_CONCURRENT_COMMITS: f64 = 2.0;
 
-/// A transaction's conditions and operations.
+/// The conditions and operations of a transaction.
 struct Transaction {
     conditions: Vec<Condition>,
     ops: Vec<WriteOp>,
 }
 
 impl Controller {
-    /// Commits finished tasks: their chunks, or the end of the job.
+    /// Commits finished tasks: by their chunks, or by marking the job as done if all its
+    /// tasks are finished.
     pub(super) fn commit_finished(&mut self, now: Seconds) {
-        // Few at a time: they are paced by the write rate, and a job's end must not wait
-        // behind the progress of others.
+        // Only a few at a time: the write rate limits them, and a job's last commit must
+        // not wait behind the progress of other jobs.
         let limits = self.settings.params.state.clone();
         let max_commits = (limits.write_rps * BULK_SHARE / 2.0).max(MIN_CONCURRENT_COMMITS);
-        let room = (max_commits as usize).saturating_sub(self.finishes.count());
-        for finish in self.leader.completions_to_commit(now, room, &self.cache) {
-            let Some(job) = self.cache.jobs.get(&finish.job).filter(|job| job.live()) else {
-                self.leader.commit_answered(&finish.job, now, now);
+        let free_slots = (max_commits as usize).saturating_sub(self.pending_completions.count());
+        for completion in self
+            .leader
+            .completions_to_commit(now, free_slots, &self.cache)
+        {
+            let Some(job) = self
+                .cache
+                .jobs
+                .get(&completion.job)
+                .filter(|job| job.live())
+            else {
+                self.leader.commit_answered(&completion.job, now, now);
                 continue;
             };
-            let Transaction { conditions, ops } = finish_transaction(&finish, job, &limits);
-            let write_id = self.finishes.next_id();
-            let purpose = WritePurpose::Finish(finish.job.clone(), write_id);
+            let Transaction { conditions, ops } = completion_transaction(&completion, job, &limits);
+            let write_id = self.pending_completions.next_id();
+            let purpose = WritePurpose::Completion(completion.job.clone(), write_id);
             let write = ConditionalWrite {
                 conditions,
                 ops: ops.clone(),
@@ -55,17 +64,17 @@
                 purpose,
             };
             if self.writer.send(WriteClass::Bulk, write).is_err() {
-                self.leader.commit_answered(&finish.job, now, now);
+                self.leader.commit_answered(&completion.job, now, now);
             } else {
-                self.finishes.sent(write_id, finish.job, ops);
+                self.pending_completions.sent(write_id, completion.job, ops);
             }
         }
     }
 
-    /// A commit of finished tasks was answered, or given up. What was committed goes into
+    /// Handles the outcome of a commit of finished tasks. What was committed is applied to
     /// the cache at once: a second commit under the old revisions would only be refused,
-    /// and count against the rate.
-    pub(super) fn finish_completed(
+    /// and would count against the write rate.
+    pub(super) fn completion_write_completed(
         &mut self,
         job: &JobId,
         write_id: WriteId,
@@ -73,12 +82,12 @@
         now: Seconds,
     ) {
         let ops = self
-            .finishes
+            .pending_completions
             .answered(write_id)
             .map(|write| write.1)
             .unwrap_or_default();
         let CommitOutcome::Committed(revision) = outcome else {
-            let retry_at = now + self.report_interval() * RETRY_SHARE;
+            let retry_at = now + self.report_interval() * COMMIT_RETRY_REPORTS;
             return self.leader.commit_answered(job, now, retry_at);
         };
         for op in ops {
@@ -91,28 +100,29 @@
     }
 }
 
-/// The transaction that stores finished tasks.
-fn finish_transaction(
-    finish: &FinishedTasks,
+/// Returns the transaction that stores finished tasks of a job: the chunks that they are
+/// in, or the job's record as done.
+fn completion_transaction(
+    completion: &FinishedTasks,
     job: &CachedJob,
     limits: &StateLimits,
 ) -> Transaction {
     let mut finished = job.finished.clone();
-    for &task in &finish.tasks {
+    for &task in &completion.tasks {
         finished.add(task);
     }
-    let mut conditions = vec![Condition::new(job_key(&finish.job), job.revision)];
+    let mut conditions = vec![Condition::new(job_key(&completion.job), job.revision)];
     if finished.len() == job.record.task_count {
         return Transaction {
             conditions,
-            ops: end_of_job(&finish.job, job, limits),
+            ops: job_done_ops(&completion.job, job, limits),
         };
     }
     let per_chunk = tasks_per_chunk(limits.lowest_value_kb());
     let mut ops = Vec::new();
-    let ranges = chunks_covering(&finish.tasks, job.record.task_count, per_chunk);
+    let ranges = chunks_covering(&completion.tasks, job.record.task_count, per_chunk);
     for range in ranges.into_iter().take(limits.lowest_txn_ops()) {
-        let key = range.chunk.key(&finish.job);
+        let key = range.chunk.key(&completion.job);
         conditions.push(Condition::new(
             key.clone(),
             job.chunks.get(&range.chunk).copied().unwrap_or(0),
@@ -122,19 +132,20 @@
     Transaction { conditions, ops }
 }
 
-/// Replaces a job's chunks by its record as done.
-fn end_of_job(id: &JobId, job: &CachedJob, limits: &StateLimits) -> Vec<WriteOp> {
+/// Returns the operations that store a job's record as done and delete its chunks, as many
+/// as fit into a transaction.
+fn job_done_ops(id: &JobId, job: &CachedJob, limits: &StateLimits) -> Vec<WriteOp> {
     let record = JobRecord {
         spec: None,
         done: true,
         ..job.record.clone()
     };
     let mut ops = vec![put_record(job_key(id), &record)];
-    let room = limits.lowest_txn_ops().saturating_sub(1);
+    let max_deletes = limits.lowest_txn_ops().saturating_sub(1);
     ops.extend(
         job.chunks
             .keys()
-            .take(room)
+            .take(max_deletes)
             .map(|chunk| WriteOp::Delete { key: chunk.key(id) }),
     );
     ops
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -1,5 +1,5 @@
-//! What the event loop handles: requests, and the answers of the actors that
-//! wait for the network.
+//! The events that the event loop handles: requests, and results from the threads that wait
+//! for the network.
 
 use crate::api::command_pool::CommandResult;
 use crate::api::responder::Responder;
@@ -11,50 +11,51 @@
 use crate::wire::JobId;
 use crossbeam::channel::Sender;
 
-/// What a write to the key-value store was for.
+/// The purpose of a write to the key-value store, which determines how its outcome is
+/// handled.
 #[derive(Debug, Clone)]
 pub(super) enum WritePurpose {
-    /// The record of a submitted job.
-    Submit(JobId),
-    /// The record of a cancelled job.
-    Withdraw(JobId),
-    /// The proposal of an epoch.
-    Epoch,
-    /// A job's finished tasks, or its end.
-    Finish(JobId, WriteId),
-    /// A page of the machine registry.
+    /// Stores the record of a submitted job.
+    Submission(JobId),
+    /// Marks the record of a job as cancelled.
+    Cancellation(JobId),
+    /// Proposes an epoch.
+    EpochProposal,
+    /// Stores finished tasks of a job, or marks its record as done.
+    Completion(JobId, WriteId),
+    /// Stores or deletes a page of the machine registry.
     RegistryPage(WriteId),
-    /// The cloud's machine types.
+    /// Stores the catalog of the cloud's machine types.
     Catalog,
-    /// The shard map.
+    /// Stores the shard map.
     ShardMap,
 }
 
-/// A message to the event loop.
+/// An event for the event loop.
 pub(super) enum ControllerEvent {
     /// A request of a user, a worker, an operator or another controller.
     Request(Request, Responder),
-    /// The watch has read the key-value store, or could not.
+    /// The watch has read the key-value store, or a read has failed.
     Watch(WatchEvent),
     /// This node's lease was renewed or has expired.
     Lease(LeaseEvent),
-    /// A write to the key-value store was answered, or given up.
+    /// A write to the key-value store has completed, failed or timed out.
     WriteCompleted(WritePurpose, CommitOutcome),
-    /// The cloud has answered.
+    /// A request to the cloud was answered or has failed.
     CloudResponse(CloudResponse),
-    /// A direct command to a worker was answered, or given up.
+    /// A direct command to a worker was answered or has failed.
     CommandCompleted(CommandResult),
-    /// Another controller can't be reached directly any more, or can again.
+    /// Another controller has become directly reachable or unreachable.
     PeerReachability {
         /// The other controller's node name.
         name: String,
-        /// Whether it is reached directly.
+        /// Whether this node can reach it directly now.
         reachable: bool,
     },
 }
 
-/// A callback for an actor: it queues what it is given as an event, and returns
-/// whether the event loop still runs.
+/// Returns a callback for a component thread. It wraps its argument in an event, queues
+/// that, and returns whether the event loop still runs.
 pub(super) fn event_sink<T, F>(
     events: &Sender<ControllerEvent>,
     event: F,
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Workers' heartbeats: answered here by the machine's owner, relayed to the owner, or
-//! redirected to another controller.
+//! Handling of workers' heartbeats: answered by this node if it owns the machine, else
+//! relayed to the owner, or the worker is redirected to another controller.
 
 use super::worker_redirects::OwnerAttempt;
 use super::{Controller, RETRY_AFTER_S};
@@ -11,16 +11,17 @@
 use crate::shard::HeartbeatReply;
 use crate::wire::{Heartbeat, HeartbeatResponse, Redirect};
 
-/// How a heartbeat gets to the machine's owner.
+/// How a heartbeat reaches the owner of its machine.
 enum Route {
-    /// The worker is to report to this controller.
+    /// The worker is told to send its heartbeats to the controller of this name.
     Redirect(String),
-    /// It is relayed to the owner from here.
+    /// This node relays it to the owner.
     Relay,
 }
 
 impl Controller {
-    /// Answers a heartbeat, of which `body` is the body as it came.
+    /// Handles a heartbeat. `body` is its encoded form as received, and `relayed` says
+    /// whether another controller relayed it.
     pub(super) fn handle_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -37,8 +38,9 @@
                 "not a member now",
             );
         };
-        // Fenced: neither an answer nor a redirect could be trusted.
-        let Some(until) = self.may_act_until().filter(|until| now < *until) else {
+        // Fenced: what this node knows may be outdated, so that neither an answer nor a
+        // redirect would be reliable.
+        let Some(valid_until) = self.may_act_until().filter(|until| now < *until) else {
             return responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "fenced");
         };
         let owner =
@@ -46,7 +48,7 @@
                 .map(String::from);
         match owner {
             Some(owner) if owner == self.settings.node_name => {
-                self.answer_heartbeat(&heartbeat, relayed, responder, until, now);
+                self.answer_heartbeat(&heartbeat, relayed, responder, valid_until, now);
             }
             _ if relayed => {
                 responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "not the owner")
@@ -61,7 +63,7 @@
         heartbeat: &Heartbeat,
         relayed: bool,
         responder: Responder,
-        until: Seconds,
+        valid_until: Seconds,
         now: Seconds,
     ) {
         match self
@@ -73,7 +75,7 @@
                 responder.send_until(
                     status::OK,
                     serde_json::to_vec(&body).unwrap_or_default(),
-                    until,
+                    valid_until,
                 );
             }
             HeartbeatReply::Refuse => {
@@ -82,7 +84,8 @@
         }
     }
 
-    /// Relays or redirects the heartbeat of another shard's worker.
+    /// Relays the heartbeat of another shard's worker to its owner, or redirects the
+    /// worker.
     fn forward_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -93,12 +96,12 @@
     ) {
         let attempt = self.redirects.owner_attempt(&heartbeat.machine, now);
         let route = self.route_to_owner(&heartbeat, &owner, attempt, now);
-        self.redirects.record(heartbeat, attempt, now);
+        self.redirects.record_heartbeat(heartbeat, attempt, now);
         let relay = self.redirects.relay_to(&owner);
         match (route, relay) {
             (Route::Relay, Some(relay)) => {
                 let deadline = now + self.redirects.relay_timeout();
-                // A full queue drops the responder, which then says 503.
+                // If the queue is full, the responder is dropped and answers with 503.
                 let _ = relay.try_send(RelayedHeartbeat {
                     body,
                     responder,
@@ -110,7 +113,8 @@
         }
     }
 
-    /// How a heartbeat gets to the owner, considering who can't reach whom.
+    /// Chooses how a heartbeat reaches the owner, given which controllers can reach each
+    /// other.
     fn route_to_owner(
         &self,
         heartbeat: &Heartbeat,
@@ -120,15 +124,15 @@
     ) -> Route {
         let reachability = self.peers.reachability();
         if reachability.is_partitioned(&heartbeat.zone, owner, now) {
-            // The worker need not try its owner: it goes to a controller that reaches
-            // both, if there is one.
+            // The worker cannot reach its owner: it is redirected to a controller that can
+            // reach both, if there is one.
             return match reachability.alternate_controller(owner, now) {
                 Some(target) => Route::Redirect(target.into()),
                 None => Route::Relay,
             };
         }
-        // A worker that has this epoch's token already has been answered by its owner,
-        // and would be there if it could.
+        // A worker that already has a token of this epoch has been answered by its owner,
+        // and would still report there if it could reach it.
         let has_token_of_epoch = self
             .entered_epoch()
             .is_some_and(|epoch| membership::token_epoch(heartbeat.token) == epoch.number);
--- a/src/controller/interval_timer.rs
+++ b/src/controller/interval_timer.rs
@@ -1,36 +1,36 @@
-//! What is done at intervals, rather than in every round.
+//! Timers for what is done at intervals rather than in every round.
 
 use crate::clock::Seconds;
 
-/// The start of the process on the steady clock.
+/// When the process started, on the steady clock.
 const PROCESS_START: Seconds = 0.0;
 
-/// When something that is done at intervals was last done.
+/// A timer for something that is done at intervals.
 #[derive(Debug)]
 pub(super) struct IntervalTimer {
-    /// `None` if it is due now.
+    /// When the current interval began; `None` if the timer is due at once.
     last_at: Option<Seconds>,
 }
 
 impl IntervalTimer {
-    /// A timer whose first interval begins with the process.
+    /// Creates a timer whose first interval begins with the process.
     pub(super) fn since_process_start() -> IntervalTimer {
         IntervalTimer {
             last_at: Some(PROCESS_START),
         }
     }
 
-    /// A timer that is due now.
+    /// Creates a timer that is due at once.
     pub(super) fn due_now() -> IntervalTimer {
         IntervalTimer { last_at: None }
     }
 
-    /// Whether the interval is over.
+    /// Returns whether the interval has elapsed.
     pub(super) fn is_due(&self, interval: Seconds, now: Seconds) -> bool {
         self.last_at.is_none_or(|at| now - at >= interval)
     }
 
-    /// Begins the next interval if this one is over; whether it was.
+    /// Begins the next interval if the current one has elapsed. Returns whether it had.
     pub(super) fn restart_if_due(&mut self, interval: Seconds, now: Seconds) -> bool {
         let due = self.is_due(interval, now);
         if due {
@@ -39,12 +39,12 @@
         due
     }
 
-    /// Begins the next interval.
+    /// Begins the next interval at `now`.
     pub(super) fn restart(&mut self, now: Seconds) {
         self.last_at = Some(now);
     }
 
-    /// How long the interval lasts yet, in seconds; 0 if it is over.
+    /// Returns the time until the interval has elapsed, in seconds; 0 if it has.
     pub(super) fn remaining(&self, interval: Seconds, now: Seconds) -> Seconds {
         self.last_at
             .map_or(0.0, |at| (at + interval - now).max(0.0))
--- a/src/controller/job_requests.rs
+++ b/src/controller/job_requests.rs
@@ -1,6 +1,6 @@
-//! Users' requests: answered at once from memory where that is safe, after a fresh
-//! reading of the key-value store where it isn't, and after the commit where something
-//! is to be kept.
+//! Handling of users' requests. They are answered at once from memory where that is safe,
+//! after a fresh read of the key-value store where it is not, and after the commit where
+//! something is to be stored.
 
 use super::writes::{put_record, put_value, to_value};
 use super::{Controller, WritePurpose, RETRY_AFTER_S};
@@ -17,59 +17,61 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Bytes that a cancellation adds to a job's record, with room to spare.
-const CANCELLED_BYTES: usize = 48;
+/// An upper bound of the size that a cancellation adds to a job's record, in bytes.
+const CANCELLATION_BYTES: usize = 48;
 
-/// When to come back with a job that can't be submitted at present, in seconds.
+/// The `Retry-After` value of a submission that cannot be accepted at present, in seconds.
 const SUBMISSION_RETRY_AFTER_S: u32 = 2;
 
-/// When to come back with what needs all controllers to be upgraded, in seconds.
+/// The `Retry-After` value of a submission that has to wait until all controllers are
+/// upgraded, in seconds.
 const UPGRADE_RETRY_AFTER_S: u32 = 5;
 
-/// When to come back about a job whose record can't be read, in seconds: until an
-/// operator has seen to it, nothing else can be said.
+/// The `Retry-After` value of a request about a job whose record cannot be read, in
+/// seconds. No other answer is possible until an operator has repaired the record.
 const UNREADABLE_RETRY_AFTER_S: u32 = 30;
 
-/// How long a request may wait before it is given up: a fifth of the time after which
-/// users would give it up.
+/// How long a request may wait before it is refused, in seconds: a fifth of the time after
+/// which users give up.
 const REQUEST_TIMEOUT: Seconds = 1.0;
 
 const STORE_UNREACHABLE: &str = "the state service can't be reached";
 const NOT_COMMITTED: &str = "not committed";
 const TOO_MANY_SUBMISSIONS: &str = "too many submissions";
 
-/// Why a job is rejected for good. The words are what its user reads.
+/// The reason why a job is permanently rejected. Its text is sent to the user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RejectReason {
-    /// The settings name no such team.
+    /// The settings have no team of that name.
     #[error("unknown team")]
     UnknownTeam,
-    /// No machine type in an allowed zone has room for a task.
+    /// No machine type in an allowed zone is large enough for a task.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// Scattered tasks need two zones, and there is one.
+    /// The tasks must be scattered over two zones, and may only be in one.
     #[error("its tasks must be in two zones and may only be in one")]
     NeedsTwoZones,
-    /// What must run at once is more than its team may ever use.
+    /// The tasks that must run at the same time need more than the team may ever use.
     #[error("the job needs more than the team's limit")]
     ExceedsTeamLimit,
-    /// The record would be larger than a value of the store may be.
+    /// The job's record would be larger than the key-value store allows.
     #[error("its description is longer than can be stored")]
     DescriptionTooLong,
 }
 
-/// A request that is answered from a reading of the store begun after it came.
+/// A request that is answered from a read of the key-value store that began after the
+/// request arrived.
 enum ReadRequest {
     Query {
         job: JobId,
         responder: Responder,
     },
-    Withdraw {
+    Cancel {
         job: JobId,
         responder: Responder,
         deadline: Seconds,
     },
-    /// Rejects a submission, unless the job is known.
+    /// Rejects a submission, unless some controller has accepted the job.
     Reject {
         job: JobId,
         reason: RejectReason,
@@ -81,7 +83,7 @@
     fn into_responder(self) -> Responder {
         match self {
             ReadRequest::Query { responder, .. }
-            | ReadRequest::Withdraw { responder, .. }
+            | ReadRequest::Cancel { responder, .. }
             | ReadRequest::Reject { responder, .. } => responder,
         }
     }
@@ -92,43 +94,44 @@
     request: ReadRequest,
 }
 
-/// A submission that is being committed, and who waits for it.
+/// A submission that is being committed, and the responders that wait for it.
 struct PendingSubmission {
     record: JobRecord,
     responders: Vec<Responder>,
 }
 
-/// A cancellation that is being committed, and who waits for it.
+/// A cancellation that is being committed, and the responders that wait for it.
 struct PendingCancellation {
-    /// The time of day, in milliseconds, that the record tells.
+    /// The time of the cancellation in the record, in milliseconds since the Unix epoch.
     cancelled_at_ms: u64,
     responders: Vec<Responder>,
 }
 
-/// The requests that wait, and what users are told of running tasks.
+/// The waiting requests, and the counts of running tasks that users are shown.
 pub(super) struct JobRequests {
-    /// The most requests that may wait for one thing: each has a connection.
+    /// The most reads that may wait, and the most submissions that may be pending. There
+    /// need be no more of them than connections, as each request has one.
     max_waiting: usize,
-    reads: Vec<WaitingRead>,
+    waiting_reads: Vec<WaitingRead>,
     submissions: HashMap<JobId, PendingSubmission>,
     cancellations: HashMap<JobId, PendingCancellation>,
-    /// Running tasks of each job, as the leader last reported.
+    /// The number of running tasks of each job, as last reported by the leader.
     running_tasks: HashMap<JobId, u32>,
 }
 
 impl JobRequests {
-    /// No requests.
+    /// Creates the state without waiting requests.
     pub(super) fn new(settings: &Settings) -> JobRequests {
         JobRequests {
             max_waiting: settings.params.machine_limits.max_connections,
-            reads: Vec::new(),
+            waiting_reads: Vec::new(),
             submissions: HashMap::new(),
             cancellations: HashMap::new(),
             running_tasks: HashMap::new(),
         }
     }
 
-    /// Replaces the counts of running tasks by those that the leader reports.
+    /// Replaces the counts of running tasks by those that the leader reported.
     pub(super) fn set_running_tasks(&mut self, running: &[(JobId, u32)]) {
         self.running_tasks = running.iter().cloned().collect();
     }
@@ -137,8 +140,8 @@
         self.running_tasks.get(job).copied().unwrap_or(0)
     }
 
-    /// Adds a responder to a submission that is being committed; hands it back if there
-    /// is none.
+    /// Adds a responder to the pending submission of a job. Returns the responder if there
+    /// is no such submission.
     fn join_submission(&mut self, job: &JobId, responder: Responder) -> Option<Responder> {
         match self.submissions.get_mut(job) {
             Some(pending) => {
@@ -149,8 +152,8 @@
         }
     }
 
-    /// Adds a responder to a cancellation that is being committed; hands it back if
-    /// there is none.
+    /// Adds a responder to the pending cancellation of a job. Returns the responder if
+    /// there is no such cancellation.
     fn join_cancellation(&mut self, job: &JobId, responder: Responder) -> Option<Responder> {
         match self.cancellations.get_mut(job) {
             Some(pending) => {
@@ -163,7 +166,7 @@
 }
 
 impl Controller {
-    /// Accepts a job, unless it can never run.
+    /// Handles a submission: accepts the job, unless it can never run.
     pub(super) fn submit(&mut self, spec: JobSpec, responder: Responder, now: Seconds) {
         let id = spec.id.clone();
         if self.is_known(&id) {
@@ -186,10 +189,10 @@
                 "the machine types are not known yet",
             );
         };
-        if let Err(reason) = self.can_run(&spec, &catalog) {
+        if let Err(reason) = self.check_runnable(&spec, &catalog) {
             return self.reject_unless_known(id, reason, responder, now);
         }
-        // Guard: a version without gangs would start their tasks one by one.
+        // A controller of a version without gangs would start their tasks one by one.
         if spec.job_kind == JobKind::Gang && !self.cache.all_run_gangs() {
             return responder.retry_later(
                 status::SERVICE_UNAVAILABLE,
@@ -210,9 +213,10 @@
     fn write_submission(&mut self, id: JobId, spec: JobSpec, responder: Responder, now: Seconds) {
         let record = self.new_job_record(spec);
         let value = to_value(&record);
-        // Guard: a record that the key-value store doesn't take, or will not once it is
-        // cancelled or the limits are lower, could never be kept.
-        let size = value.to_string().len() + CANCELLED_BYTES;
+        // The key-value store must accept the record now, and also once the job is
+        // cancelled or the store's limits are lower; otherwise the record could not be
+        // kept.
+        let size = value.to_string().len() + CANCELLATION_BYTES;
         if size > self.settings.params.state.lowest_value_bytes() {
             let reason = RejectReason::DescriptionTooLong;
             return self.reject_unless_known(id, reason, responder, now);
@@ -221,7 +225,7 @@
             conditions: vec![Condition::new(job_key(&id), 0)],
             ops: vec![put_value(job_key(&id), value)],
             deadline: now + REQUEST_TIMEOUT,
-            purpose: WritePurpose::Submit(id.clone()),
+            purpose: WritePurpose::Submission(id.clone()),
         };
         if self.writer.send(WriteClass::Urgent, write).is_err() {
             return responder.retry_later(
@@ -249,36 +253,36 @@
         }
     }
 
-    /// Whether a job can ever run; else why not.
-    fn can_run(&self, spec: &JobSpec, catalog: &Catalog) -> Result<(), RejectReason> {
+    /// Checks that a job can ever run. Returns the reason if it cannot.
+    fn check_runnable(&self, spec: &JobSpec, catalog: &Catalog) -> Result<(), RejectReason> {
         let team = self
             .settings
             .team(&spec.team)
             .ok_or(RejectReason::UnknownTeam)?;
         match spec.zones_that_fit(catalog) {
             0 => return Err(RejectReason::FitsNoMachineType),
-            // Half of the tasks, rounded up, may be in one zone.
+            // At most half of the tasks, rounded up, may be in one zone.
             zones if spec.scatter && spec.task_count > 1 && (zones == 1 || spec.one_zone) => {
                 return Err(RejectReason::NeedsTwoZones);
             }
             _ => {}
         }
-        let tasks_at_once = if spec.job_kind == JobKind::Array {
+        let concurrent_tasks = if spec.job_kind == JobKind::Array {
             1.0
         } else {
             f64::from(spec.task_count)
         };
-        let cpus = tasks_at_once * spec.cpus;
-        let gpus = tasks_at_once * spec.gpus;
+        let cpus = concurrent_tasks * spec.cpus;
+        let gpus = concurrent_tasks * spec.gpus;
         if cpus > team.cpu_cap() || gpus > team.gpu_cap() {
             return Err(RejectReason::ExceedsTeamLimit);
         }
         Ok(())
     }
 
-    /// Rejects a submission after a fresh reading. A rejection is final for the user,
-    /// and so never given for a job that another controller has accepted a moment ago,
-    /// whatever this request says of it.
+    /// Rejects a submission after a fresh read of the key-value store. A rejection is final
+    /// for the user: it must not be given for a job that another controller has just
+    /// accepted, whatever this submission contains.
     fn reject_unless_known(
         &mut self,
         job: JobId,
@@ -294,8 +298,13 @@
         self.wait_for_fresh_read(request, now);
     }
 
-    /// The write of a submission was answered, or given up.
-    pub(super) fn submit_completed(&mut self, id: JobId, outcome: CommitOutcome, now: Seconds) {
+    /// Handles the outcome of the write of a submission.
+    pub(super) fn submission_write_completed(
+        &mut self,
+        id: JobId,
+        outcome: CommitOutcome,
+        now: Seconds,
+    ) {
         let Some(pending) = self.job_requests.submissions.remove(&id) else {
             return;
         };
@@ -309,7 +318,7 @@
                 }
             }
             CommitOutcome::Conflict(_) => {
-                // Another node has it already.
+                // Another controller has already stored the job.
                 for responder in pending.responders {
                     self.query(id.clone(), responder, now);
                 }
@@ -328,7 +337,7 @@
                 tasks = spec.task_count,
                 estimate_s = spec.estimate_s,
                 deadline_s = spec.deadline_s,
-                "accepted a job"
+                "job accepted"
             );
         }
         self.cache.put(&job_key(id), to_value(record), revision);
@@ -336,7 +345,8 @@
         self.record_first_accepted(now);
     }
 
-    /// Answers how a job stands: at once if that is final, else after a fresh reading.
+    /// Answers with a job's status: at once if it is final, else after a fresh read of the
+    /// key-value store.
     pub(super) fn query(&mut self, id: JobId, responder: Responder, now: Seconds) {
         if self.cache.jobs.get(&id).is_some_and(|job| !job.live()) {
             return self.answer_status(&id, responder);
@@ -345,17 +355,17 @@
         self.wait_for_fresh_read(request, now);
     }
 
-    /// Cancels a job, unless it has ended.
-    pub(super) fn withdraw(&mut self, id: JobId, responder: Responder, now: Seconds) {
+    /// Handles a cancellation: cancels the job, unless it has ended.
+    pub(super) fn cancel(&mut self, id: JobId, responder: Responder, now: Seconds) {
         match self.cache.jobs.get(&id) {
             Some(job) if !job.live() => self.answer_final_state(&id, responder),
-            Some(_) => self.cancel(id, responder, now),
-            None => self.withdraw_after_fresh_read(id, responder, now),
+            Some(_) => self.write_cancellation(id, responder, now),
+            None => self.cancel_after_fresh_read(id, responder, now),
         }
     }
 
-    fn withdraw_after_fresh_read(&mut self, job: JobId, responder: Responder, now: Seconds) {
-        let request = ReadRequest::Withdraw {
+    fn cancel_after_fresh_read(&mut self, job: JobId, responder: Responder, now: Seconds) {
+        let request = ReadRequest::Cancel {
             job,
             responder,
             deadline: now + REQUEST_TIMEOUT,
@@ -363,13 +373,14 @@
         self.wait_for_fresh_read(request, now);
     }
 
-    /// Whether some controller has accepted a job, even if its record can't be read.
+    /// Returns whether some controller has accepted a job, even if its record cannot be
+    /// read.
     fn is_known(&self, id: &JobId) -> bool {
         self.cache.jobs.contains_key(id) || self.cache.unreadable.contains(&job_key(id))
     }
 
     fn wait_for_fresh_read(&mut self, request: ReadRequest, now: Seconds) {
-        let full = self.job_requests.reads.len() >= self.job_requests.max_waiting;
+        let full = self.job_requests.waiting_reads.len() >= self.job_requests.max_waiting;
         if full || !self.store_sync.is_synced() {
             return request.into_responder().retry_later(
                 status::SERVICE_UNAVAILABLE,
@@ -377,14 +388,14 @@
                 STORE_UNREACHABLE,
             );
         }
-        self.job_requests.reads.push(WaitingRead {
+        self.job_requests.waiting_reads.push(WaitingRead {
             received_at: now,
             request,
         });
         self.store_sync.request_poll();
     }
 
-    fn cancel(&mut self, id: JobId, responder: Responder, now: Seconds) {
+    fn write_cancellation(&mut self, id: JobId, responder: Responder, now: Seconds) {
         if self.store_sync.is_unreachable() {
             return responder.retry_later(
                 status::SERVICE_UNAVAILABLE,
@@ -408,7 +419,7 @@
             conditions: vec![Condition::new(job_key(&id), job.revision)],
             ops: vec![put_record(job_key(&id), &record)],
             deadline: now + REQUEST_TIMEOUT,
-            purpose: WritePurpose::Withdraw(id.clone()),
+            purpose: WritePurpose::Cancellation(id.clone()),
         };
         if self.writer.send(WriteClass::Urgent, write).is_err() {
             return responder.retry_later(
@@ -424,21 +435,26 @@
         self.job_requests.cancellations.insert(id, pending);
     }
 
-    /// The write of a cancellation was answered, or given up.
-    pub(super) fn withdraw_completed(&mut self, id: JobId, outcome: CommitOutcome, now: Seconds) {
+    /// Handles the outcome of the write of a cancellation.
+    pub(super) fn cancellation_write_completed(
+        &mut self,
+        id: JobId,
+        outcome: CommitOutcome,
+        now: Seconds,
+    ) {
         let Some(pending) = self.job_requests.cancellations.remove(&id) else {
             return;
         };
         match outcome {
             CommitOutcome::Committed(revision) => {
-                self.apply_own_cancellation(&id, revision, pending.cancelled_at_ms, now);
+                self.apply_committed_cancellation(&id, revision, pending.cancelled_at_ms, now);
                 for responder in pending.responders {
                     self.answer_final_state(&id, responder);
                 }
             }
             CommitOutcome::Conflict(_) => {
                 for responder in pending.responders {
-                    self.withdraw_after_fresh_read(id.clone(), responder, now);
+                    self.cancel_after_fresh_read(id.clone(), responder, now);
                 }
             }
             CommitOutcome::Refused
@@ -448,7 +464,13 @@
         }
     }
 
-    fn apply_own_cancellation(&mut self, id: &JobId, revision: u64, at_ms: u64, now: Seconds) {
+    fn apply_committed_cancellation(
+        &mut self,
+        id: &JobId,
+        revision: u64,
+        at_ms: u64,
+        now: Seconds,
+    ) {
         if self.cache.apply_cancellation(id, revision, at_ms) {
             self.apply_job_change(id);
         }
@@ -460,15 +482,15 @@
         self.peers.record_cancellation(notice, now);
     }
 
-    /// Serves the requests that a new reading allows, and refuses those that have waited
-    /// too long.
+    /// Serves the requests for which a read has begun since they arrived, and refuses those
+    /// that have waited too long.
     pub(super) fn serve_waiting_reads(&mut self, now: Seconds) {
-        if self.job_requests.reads.is_empty() {
+        if self.job_requests.waiting_reads.is_empty() {
             return;
         }
         let synced_at = self.store_sync.last_synced_at();
         let store_unreachable = self.store_sync.is_unreachable();
-        for read in std::mem::take(&mut self.job_requests.reads) {
+        for read in std::mem::take(&mut self.job_requests.waiting_reads) {
             if synced_at.is_some_and(|at| at >= read.received_at) {
                 self.serve_read(read.request, now);
             } else if store_unreachable || now - read.received_at > REQUEST_TIMEOUT {
@@ -478,10 +500,10 @@
                     STORE_UNREACHABLE,
                 );
             } else {
-                self.job_requests.reads.push(read);
+                self.job_requests.waiting_reads.push(read);
             }
         }
-        if !self.job_requests.reads.is_empty() {
+        if !self.job_requests.waiting_reads.is_empty() {
             self.store_sync.request_poll();
         }
     }
@@ -503,13 +525,13 @@
                     );
                 }
             }
-            ReadRequest::Withdraw {
+            ReadRequest::Cancel {
                 job,
                 responder,
                 deadline,
             } => match self.cache.jobs.get(&job) {
                 Some(known) if !known.live() => self.answer_final_state(&job, responder),
-                Some(_) if now < deadline => self.cancel(job, responder, now),
+                Some(_) if now < deadline => self.write_cancellation(job, responder, now),
                 Some(_) => {
                     responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, NOT_COMMITTED)
                 }
@@ -524,8 +546,8 @@
         send_job_status(status::OK, &status_without_counts(id, state), responder);
     }
 
-    /// Nothing can be said of a job without a readable record. Guard: one whose record
-    /// can't be read was accepted, and must not be called unknown.
+    /// Answers a request about a job that has no readable record. A job whose record exists
+    /// but cannot be read was accepted, and must not be reported as unknown.
     fn answer_without_record(&self, id: &JobId, responder: Responder) {
         if self.cache.unreadable.contains(&job_key(id)) {
             return responder.retry_later(
@@ -548,7 +570,8 @@
     }
 }
 
-/// How a job stands, of which `running` tasks are running unless it has ended.
+/// Returns the status of a job. `running` is the number of its running tasks, and is
+/// ignored if the job has ended.
 fn job_status(id: &JobId, job: &CachedJob, running: u32) -> JobStatus {
     let (state, done, running) = if job.record.done {
         ("done", job.record.task_count, 0)
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -1,5 +1,5 @@
-//! A round of the leader: it assigns tasks, commits what is finished and, less often,
-//! updates the machine registry and looks over the whole fleet.
+//! The leader's round: it assigns tasks, commits finished tasks and, less often, updates
+//! the machine registry and reviews the whole fleet.
 
 use super::interval_timer::IntervalTimer;
 use super::Controller;
@@ -7,14 +7,14 @@
 use crate::wire::Priority;
 use std::collections::BTreeMap;
 
-/// How often the machine registry is updated, as a share of a report interval.
-const REGISTRY_SHARE: f64 = 1.0 / 40.0;
+/// The time between updates of the machine registry, in report intervals.
+const REGISTRY_UPDATE_INTERVAL_REPORTS: f64 = 1.0 / 40.0;
 
-/// How often the whole fleet is looked over, as a share of a report interval: it takes
-/// time in proportion to the fleet.
-const FLEET_REVIEW_SHARE: f64 = 1.0 / 12.0;
+/// The time between reviews of the whole fleet, in report intervals. A review takes time in
+/// proportion to the size of the fleet.
+const FLEET_REVIEW_INTERVAL_REPORTS: f64 = 1.0 / 12.0;
 
-/// What the leader does less often than every round.
+/// The timers for what the leader does less often than every round.
 #[derive(Debug)]
 pub(super) struct LeaderTimers {
     fleet_review: IntervalTimer,
@@ -33,15 +33,15 @@
 }
 
 impl Controller {
-    /// Runs one round, whose assignments end at `end`.
-    pub(super) fn run_leader_round(&mut self, now: Seconds, end: Seconds) {
+    /// Runs one round of the leader, which assigns no more tasks after `deadline`.
+    pub(super) fn run_leader_round(&mut self, now: Seconds, deadline: Seconds) {
         let deletions = &self.autoscaler.deletions;
         self.leader
             .reconcile(&self.cache, &|id| deletions.is_gone(id));
         self.leader.allow_gangs(self.cache.all_run_gangs());
         let changed_shards = self
             .leader
-            .assign_tasks(&self.cache, now, || clock::now() < end);
+            .assign_tasks(&self.cache, now, || clock::now() < deadline);
         for shard in changed_shards {
             self.send_orders(&shard);
         }
@@ -50,14 +50,14 @@
         let timers = &mut self.leader_timers;
         if timers
             .registry_update
-            .restart_if_due(report_interval * REGISTRY_SHARE, now)
+            .restart_if_due(report_interval * REGISTRY_UPDATE_INTERVAL_REPORTS, now)
         {
             self.update_registry(now);
         }
         let timers = &mut self.leader_timers;
         if timers
             .fleet_review
-            .restart_if_due(report_interval * FLEET_REVIEW_SHARE, now)
+            .restart_if_due(report_interval * FLEET_REVIEW_INTERVAL_REPORTS, now)
         {
             self.autoscale(now);
             self.run_transfers(now);
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Logs the leader's counts, and the pending tasks by priority.
+    /// Logs the leader's counts, and the pending tasks by priority, once per report
+    /// interval.
     fn log_state(&mut self, now: Seconds) {
         let report_interval = self.report_interval();
         let timer = &mut self.leader_timers.state_log;
--- a/src/controller/member.rs
+++ b/src/controller/member.rs
@@ -1,5 +1,5 @@
-//! Membership: whether this node may act, whether users should come here, and who
-//! belongs to the next epoch.
+//! Cluster membership: whether this node may act, whether it accepts requests from users,
+//! and which members the next epoch has.
 
 use super::writes::put_record;
 use super::{Controller, WritePurpose, PEER_TIMEOUT_REPORTS};
@@ -10,36 +10,40 @@
 use crate::store::{self, Condition, ConditionalWrite, WriteClass};
 use std::collections::BTreeMap;
 
-/// How old a sign that the key-value store is reached may be, as a share of a member's
-/// lease.
-const STORE_REACHED_LEASE_SHARE: f64 = 1.0 / 4.0;
+/// The greatest age of evidence that a controller reaches the key-value store, in durations
+/// of a member's lease.
+const MAX_STORE_CONTACT_AGE_LEASES: f64 = 1.0 / 4.0;
 
-/// How old the last message of a peer may be, as a share of a member's lease.
-const PEER_HEARD_LEASE_SHARE: f64 = 1.0 / 2.0;
+/// The greatest age of a peer's last message for the peer to count as heard, in durations
+/// of a member's lease.
+const MAX_PEER_CONTACT_AGE_LEASES: f64 = 1.0 / 2.0;
 
-/// How long a proposal of an epoch may take, as a share of a member's lease.
-const PROPOSAL_LEASE_SHARE: f64 = 1.0 / 4.0;
+/// How long the write of a proposed epoch may take, in durations of a member's lease.
+const PROPOSAL_TIMEOUT_LEASES: f64 = 1.0 / 4.0;
 
-/// By how many polls of the store each further member delays its proposal.
+/// How much longer each member waits with a proposal of an epoch than the one before it in
+/// the order of members, in poll intervals of the store.
 const PROPOSAL_DELAY_POLLS: f64 = 4.0;
 
 impl Controller {
-    /// The epoch, if this incarnation is a member of it and has entered it.
+    /// Returns the current epoch, if this incarnation is a member of it and has entered it.
     pub(super) fn entered_epoch(&self) -> Option<&Epoch> {
         self.cache.epoch.as_ref().filter(|epoch| {
             self.membership.incarnation_in(epoch).is_some() && self.shard.epoch() == epoch.number
         })
     }
 
-    /// Whether this incarnation is a member of an epoch that it has not entered.
+    /// Returns whether this incarnation is a member of the current epoch and has not
+    /// entered it yet.
     pub(super) fn has_epoch_to_enter(&self) -> bool {
         self.cache.epoch.as_ref().is_some_and(|epoch| {
             self.membership.incarnation_in(epoch).is_some() && self.shard.epoch() != epoch.number
         })
     }
 
-    /// Until when this node may act: its lease, and the age of what it knows of the
-    /// epoch. `None` if it may not.
+    /// Returns until when this node may act: until its lease ends, or until its knowledge
+    /// of the epoch is too old, whichever comes first. Returns `None` if it has not entered
+    /// the epoch, has no lease, or has not read the key-value store.
     pub(super) fn may_act_until(&self) -> Option<Seconds> {
         self.entered_epoch()?;
         let lease_valid_until = self.membership.lease_valid_until()?;
@@ -47,32 +51,41 @@
         Some(lease_valid_until.min(synced_at + self.settings.max_knowledge_age_s()))
     }
 
-    /// Whether this node leads the epoch that it has entered.
+    /// Returns whether this node is the leader of the epoch that it has entered.
     pub(super) fn is_leader(&self) -> bool {
         self.entered_epoch()
             .is_some_and(|epoch| epoch.leader == self.settings.node_name)
     }
 
-    /// Whether users should come here: the key-value store is reached, or nobody else
-    /// is known to reach it either. A node that hears no other controller can't know
-    /// that, and is itself partitioned.
+    /// Returns whether users should send their requests to this node: it reaches the
+    /// key-value store, or it has reached it before and no other controller is known to
+    /// reach it now. A node that hears no other controller cannot know that, and is itself
+    /// partitioned.
     pub(super) fn accepts_users(&self, now: Seconds) -> bool {
         let lease = self.settings.member_lease_s();
-        let max_age = lease * STORE_REACHED_LEASE_SHARE;
+        let max_age = lease * MAX_STORE_CONTACT_AGE_LEASES;
         if self.store_sync.synced_within(max_age, now) {
             return true;
         }
-        let hears_nobody = !self.peers.any_heard(lease * PEER_HEARD_LEASE_SHARE, now);
+        let hears_nobody = !self
+            .peers
+            .any_heard(lease * MAX_PEER_CONTACT_AGE_LEASES, now);
         let partitioned = hears_nobody && !self.settings.members.is_empty();
         self.store_sync.last_synced_at().is_some()
             && !self.peers.any_reaches_store(max_age, now)
             && !partitioned
     }
 
-    /// The members with a lease, without those that nobody reaches: a controller whose
-    /// network is gone but for the key-value store would keep its machines, and perhaps
-    /// the lead, from everybody. It is left out when this node and another that hears
-    /// this one agree. `None` if this node hears nobody itself: then it has no say.
+    /// Returns the members with a lease, except those that are unreachable. A controller
+    /// that has lost its network except for the key-value store would keep its machines,
+    /// and perhaps the leadership, unavailable to all others. It is left out if this node
+    /// does not hear it, and neither does some other member that this node hears and that
+    /// hears this node. A member is heard if its statement that it reaches the key-value
+    /// store has arrived recently. Returns `None` if this node hears no other member, since
+    /// it then cannot tell which of them are unreachable.
+    ///
+    /// Returns all members if there is only this one, or if this process has not run long
+    /// enough to have heard the others.
     fn reachable_members(&self, now: Seconds) -> Option<BTreeMap<String, Versioned<MemberRecord>>> {
         let timeout = self.report_interval() * PEER_TIMEOUT_REPORTS;
         let this_node = &self.settings.node_name;
@@ -89,19 +102,19 @@
         if !peers.iter().any(|name| hears(name)) {
             return None;
         }
-        let is_missed_by_peer = |name: &String| {
+        let is_unheard_by_a_peer = |name: &String| {
             peers
                 .iter()
-                .any(|peer| *peer != name && hears(peer) && self.peers.misses(peer, name))
+                .any(|peer| *peer != name && hears(peer) && self.peers.fails_to_hear(peer, name))
         };
         let mut reachable = self.cache.members.clone();
-        reachable.retain(|name, _| name == this_node || hears(name) || !is_missed_by_peer(name));
+        reachable.retain(|name, _| name == this_node || hears(name) || !is_unheard_by_a_peer(name));
         Some(reachable)
     }
 
-    /// Proposes the next epoch when the live members aren't the epoch's. The leader does
-    /// it at once, the others after a moment, so that they rarely race; only one
-    /// proposal can win.
+    /// Proposes the next epoch if one should follow the current one. The leader of the
+    /// proposed epoch proposes it at once and the other members after a delay, so that they
+    /// rarely compete; only one proposal can succeed.
     pub(super) fn propose_epoch(&mut self, now: Seconds) {
         if !self.may_propose_epoch(now) {
             return;
@@ -130,32 +143,35 @@
         member.map(|member| member.value.incarnation) == self.membership.incarnation()
     }
 
-    /// The epoch that should follow, if the present one should not go on.
+    /// Returns the epoch that should follow: one with the live members if those differ from
+    /// the members of the current epoch, else a renewed one if the leader needs it. Returns
+    /// `None` if the current epoch should continue.
     fn next_epoch(&self, members: &BTreeMap<String, Versioned<MemberRecord>>) -> Option<Epoch> {
         let present = self.cache.epoch.as_ref();
-        let to_renew = || present.filter(|_| self.is_leader() && self.leader.needs_new_epoch());
+        let epoch_to_renew =
+            || present.filter(|_| self.is_leader() && self.leader.needs_new_epoch());
         membership::next_epoch(present, members)
-            .or_else(|| to_renew().map(membership::renewed_epoch))
+            .or_else(|| epoch_to_renew().map(membership::renewed_epoch))
     }
 
-    /// How long this node waits before it proposes an epoch: none for its leader, and
-    /// longer for each further member.
+    /// Returns how long this node waits before it proposes an epoch: not at all if it is to
+    /// be the leader, else longer the later it comes in the order of members.
     fn proposal_delay(&self, next: &Epoch) -> Seconds {
         let this_node = &self.settings.node_name;
         if next.leader == *this_node {
             return 0.0;
         }
         let rank = next.members.keys().position(|name| name == this_node);
-        let turns = rank.unwrap_or(0) as f64 + 1.0;
-        store::poll_interval(&self.settings) * PROPOSAL_DELAY_POLLS * turns
+        let delay_steps = rank.unwrap_or(0) as f64 + 1.0;
+        store::poll_interval(&self.settings) * PROPOSAL_DELAY_POLLS * delay_steps
     }
 
     fn write_epoch(&mut self, next: &Epoch, now: Seconds) {
         let write = ConditionalWrite {
             conditions: vec![Condition::new(EPOCH_KEY, self.cache.epoch_revision)],
             ops: vec![put_record(EPOCH_KEY, next)],
-            deadline: now + self.settings.member_lease_s() * PROPOSAL_LEASE_SHARE,
-            purpose: WritePurpose::Epoch,
+            deadline: now + self.settings.member_lease_s() * PROPOSAL_TIMEOUT_LEASES,
+            purpose: WritePurpose::EpochProposal,
         };
         if self.writer.send(WriteClass::Urgent, write).is_ok() {
             self.membership.begin_proposal();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,6 +1,6 @@
-//! The event loop of a controller: it owns the local cache, this node's shard and,
-//! while this node leads, the leader's state. All other threads send it events, and it
-//! never waits for the network.
+//! The event loop of a controller. It owns the local cache of the key-value store, this
+//! node's shard and, while this node is the leader, the leader's state. All other threads
+//! send it events; it never waits for the network itself.
 
 mod autoscaling;
 mod cloud_responses;
@@ -37,7 +37,7 @@
 use crate::store::cache::StoreCache;
 use crate::store::{CommitOutcome, GroupCommitter};
 use command_dispatch::CommandDispatcher;
-use completions::PendingFinishes;
+use completions::PendingCompletions;
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
 use events::{ControllerEvent, WritePurpose};
 use interval_timer::IntervalTimer;
@@ -46,38 +46,39 @@
 use node_membership::NodeMembership;
 use peers::Peers;
 use registry::RegistryWriter;
-use restart::Restart;
+use restart::ColdRestart;
 use shard_transfers::ShardTransfers;
 pub use start::{run, StartError};
 use std::time::Duration;
 use store_sync::StoreSync;
 use worker_redirects::WorkerRedirects;
 
-/// When to come back with a request that can't be answered at present, in seconds.
+/// The `Retry-After` value of a request that cannot be answered at present, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// The most threads of one pool, and of all relays, however many sockets there
-/// are: a process stays far below the 2,000 that it may have.
+/// The most threads of one command pool, and of all relay pools together, however many
+/// sockets there are. It keeps the process far below its limit of 2,000 threads.
 const MAX_POOL_THREADS: f64 = 300.0;
 
-/// The most queued events that are handled before it is looked whether a round is due.
+/// The most queued events that are handled, after the one that ended the wait, before
+/// checking whether a round is due.
 const MAX_EVENT_BATCH: usize = 64;
 
-/// The least time between two rounds, as a share of a report interval.
+/// The shortest time between two rounds, in report intervals.
 const ROUND_INTERVAL_REPORTS: f64 = 1.0 / 60.0;
 
-/// How often the leader hears of a shard that has changed, and of one that has not, as
-/// shares of a report interval.
-const CHANGED_REPORT_SHARE: f64 = 1.0 / 20.0;
-const UNCHANGED_REPORT_SHARE: f64 = 1.0 / 3.0;
+/// The time between reports to the leader of a shard that has changed, and of one that has
+/// not, in report intervals.
+const CHANGED_SHARD_INTERVAL_REPORTS: f64 = 1.0 / 20.0;
+const UNCHANGED_SHARD_INTERVAL_REPORTS: f64 = 1.0 / 3.0;
 
-/// How often peers hear of this node, as a share of a report interval.
-const KEEPALIVE_SHARE: f64 = 1.0 / 3.0;
+/// The time between keepalives to the other controllers, in report intervals.
+const KEEPALIVE_INTERVAL_REPORTS: f64 = 1.0 / 3.0;
 
-/// For how many report intervals what a peer said counts.
+/// How long a statement in a message from a peer remains valid, in report intervals.
 const PEER_TIMEOUT_REPORTS: f64 = 2.0;
 
-/// The controller's state: its components, which the event loop wires together.
+/// The state of the controller: its components, which the event loop connects.
 struct Controller {
     settings: Settings,
     policy: Policy,
@@ -92,13 +93,14 @@
     job_requests: JobRequests,
     leader: Leader,
     leader_timers: LeaderTimers,
-    finishes: PendingFinishes,
+    pending_completions: PendingCompletions,
     registry: RegistryWriter,
     autoscaler: Autoscaler,
     cloud: Sender<cloud::CloudRequest>,
-    /// Hold-offs and the report after a restart, if that feature is on.
-    restart: Option<Restart>,
-    /// Transfers between shards, if that feature is on.
+    /// Hold-offs and the report after a restart; `None` unless the feature `cold-restart`
+    /// is enabled.
+    cold_restart: Option<ColdRestart>,
+    /// Transfers between shards; `None` unless the feature `shared-machines` is enabled.
     shard_transfers: Option<ShardTransfers>,
     round_timer: IntervalTimer,
     cleanup_timer: IntervalTimer,
@@ -106,23 +108,23 @@
 }
 
 impl Controller {
-    /// How often workers report, in seconds.
+    /// Returns the interval between heartbeats of a worker, in seconds.
     fn report_interval(&self) -> Seconds {
         self.settings.params.workers.report_s
     }
 
-    /// The least time between two rounds, in seconds.
+    /// Returns the shortest time between two rounds, in seconds.
     fn round_interval(&self) -> Seconds {
         self.report_interval() * ROUND_INTERVAL_REPORTS
     }
 
-    /// How long the decisions of a round may take, in seconds: a round's share of the
-    /// core.
+    /// Returns how long the scheduling decisions of a round may take, in seconds: the round
+    /// interval times the share of a processor core that the controller may use.
     fn round_time_budget(&self) -> Seconds {
         self.round_interval() * self.settings.params.machine_limits.core_share
     }
 
-    /// Handles events and runs rounds until nobody can send events any more.
+    /// Handles events and runs rounds until all senders of events have been dropped.
     fn run_event_loop(&mut self, events: &Receiver<ControllerEvent>) {
         loop {
             let wait = self
@@ -180,7 +182,7 @@
             }
             Request::Submit(spec) => self.submit(*spec, responder, now),
             Request::Query(id) => self.query(id.as_str().into(), responder, now),
-            Request::Cancel(id) => self.withdraw(id.as_str().into(), responder, now),
+            Request::Cancel(id) => self.cancel(id.as_str().into(), responder, now),
             Request::Heartbeat {
                 report,
                 body,
@@ -190,7 +192,8 @@
                 responder.send(status::OK, Vec::new());
                 self.handle_envelope(*envelope, now);
             }
-            // Answered by the listener, from what was published last.
+            // Answered by the listener, from the last published report, before they get
+            // here.
             Request::RestartReport | Request::ShardMapReport => {
                 responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "no report yet")
             }
@@ -201,17 +204,17 @@
     fn write_completed(&mut self, purpose: WritePurpose, outcome: CommitOutcome, now: Seconds) {
         self.store_sync.request_poll();
         match purpose {
-            WritePurpose::Submit(id) => self.submit_completed(id, outcome, now),
-            WritePurpose::Withdraw(id) => self.withdraw_completed(id, outcome, now),
-            WritePurpose::Epoch => self.membership.complete_proposal(now),
-            WritePurpose::Finish(job, write_id) => {
-                self.finish_completed(&job, write_id, outcome, now)
+            WritePurpose::Submission(id) => self.submission_write_completed(id, outcome, now),
+            WritePurpose::Cancellation(id) => self.cancellation_write_completed(id, outcome, now),
+            WritePurpose::EpochProposal => self.membership.complete_proposal(now),
+            WritePurpose::Completion(job, write_id) => {
+                self.completion_write_completed(&job, write_id, outcome, now)
             }
             WritePurpose::RegistryPage(write_id) => {
-                self.registry_page_completed(write_id, outcome, now)
+                self.registry_page_write_completed(write_id, outcome, now)
             }
             WritePurpose::Catalog => self.autoscaler.set_catalog_write_pending(false),
-            WritePurpose::ShardMap => self.shard_map_completed(outcome, now),
+            WritePurpose::ShardMap => self.shard_map_write_completed(outcome, now),
         }
     }
 
@@ -229,51 +232,53 @@
         }
     }
 
-    /// What is done at every round interval.
+    /// Runs one round, which is due at every round interval.
     fn run_round(&mut self, now: Seconds) {
-        // A lease that came after its epoch was read: the epoch is entered now.
+        // If the lease was reported only after the epoch that lists it was read, the epoch
+        // is entered here.
         if self.has_epoch_to_enter() {
             self.apply_epoch_change(now);
         }
         self.propose_epoch(now);
         self.serve_waiting_reads(now);
-        if let Some(until) = self.may_act_until().filter(|until| now < *until) {
-            self.run_shard_round(until, now);
+        if let Some(valid_until) = self.may_act_until().filter(|until| now < *until) {
+            self.run_shard_round(valid_until, now);
         }
         self.publish_restart_report(now);
         self.publish_shard_map_report(now);
         self.clean_up(now);
-        let keepalive_interval = self.report_interval() * KEEPALIVE_SHARE;
+        let keepalive_interval = self.report_interval() * KEEPALIVE_INTERVAL_REPORTS;
         self.peers
             .send_keepalives(keepalive_interval, self.store_sync.is_synced(), now);
     }
 
-    /// The round of a node that may act until `until`.
-    fn run_shard_round(&mut self, until: Seconds, now: Seconds) {
-        let end = now + self.round_time_budget();
+    /// Runs the part of a round for which this node must have permission to act, which it
+    /// has until `valid_until`.
+    fn run_shard_round(&mut self, valid_until: Seconds, now: Seconds) {
+        let deadline = now + self.round_time_budget();
         self.shard.expire_leases(now);
         self.shard.stop_for_notices(&self.cache, now);
         if self.is_leader() {
-            self.run_leader_round(now, end);
+            self.run_leader_round(now, deadline);
         }
         self.shard
-            .place_queued(&self.cache, Moment::present(), || clock::now() < end);
-        self.send_due_commands(until, now);
+            .place_queued(&self.cache, Moment::present(), || clock::now() < deadline);
+        self.send_due_commands(valid_until, now);
         self.report_to_leader(now);
     }
 
-    fn send_due_commands(&mut self, until: Seconds, now: Seconds) {
+    fn send_due_commands(&mut self, valid_until: Seconds, now: Seconds) {
         let capacity = self.commands.capacity();
         let due = self.shard.due_commands_within(&self.cache, now, capacity);
         for command in due {
-            if let Err(unsent) = self.commands.send(command, until) {
+            if let Err(unsent) = self.commands.send(command, valid_until) {
                 self.shard
                     .command_completed(&unsent.machine, &unsent.body, None, &self.cache, now);
             }
         }
     }
 
-    /// Forgets what is over.
+    /// Discards outdated state of the shard, of redirected workers and of the peers.
     fn clean_up(&mut self, now: Seconds) {
         let report_interval = self.report_interval();
         if self.cleanup_timer.restart_if_due(report_interval, now) {
--- a/src/controller/node_membership.rs
+++ b/src/controller/node_membership.rs
@@ -1,4 +1,4 @@
-//! This node's lease at the key-value store, and its proposals of epochs.
+//! This node's lease on the key-value store, and the state of its epoch proposals.
 
 use crate::clock::Seconds;
 use crate::cluster::member_lease::LeaseEvent;
@@ -10,19 +10,21 @@
     valid_until: Seconds,
 }
 
-/// Whether this node is a member of the cluster.
+/// The state of this node's membership of the cluster.
 pub(super) struct NodeMembership {
     node_name: String,
     started_at: Seconds,
     lease: Option<NodeLease>,
-    /// Since when the live members have not been the epoch's.
+    /// Since when the live members are known to differ from those of the epoch; after a
+    /// proposal, when it completed. `None` while the members agree.
     epoch_stale_since: Option<Seconds>,
-    /// A proposal of an epoch is under way.
+    /// Whether a proposal of an epoch is in flight.
     proposal_pending: bool,
 }
 
 impl NodeMembership {
-    /// A node that has no lease yet, in a process that started at `started_at`.
+    /// Creates the state of a node that has no lease yet, in a process that started at
+    /// `started_at`.
     pub(super) fn new(node_name: String, started_at: Seconds) -> NodeMembership {
         NodeMembership {
             node_name,
@@ -33,12 +35,12 @@
         }
     }
 
-    /// How long the process has run.
+    /// Returns how long the process has run, in seconds.
     pub(super) fn uptime(&self, now: Seconds) -> Seconds {
         now - self.started_at
     }
 
-    /// Applies what has become of the lease.
+    /// Applies the renewal or the expiry of the lease.
     pub(super) fn apply_lease(&mut self, event: LeaseEvent) {
         match event {
             LeaseEvent::Renewed { incarnation, until } => {
@@ -54,51 +56,52 @@
         }
     }
 
-    /// The incarnation that the lease belongs to; none without a lease.
+    /// Returns this node's incarnation, which is the identifier of its lease; `None`
+    /// without a lease.
     pub(super) fn incarnation(&self) -> Option<u64> {
         self.lease.as_ref().map(|lease| lease.incarnation)
     }
 
-    /// Until when the lease is valid; none without a lease.
+    /// Returns until when the lease is valid; `None` without a lease.
     pub(super) fn lease_valid_until(&self) -> Option<Seconds> {
         self.lease.as_ref().map(|lease| lease.valid_until)
     }
 
-    /// Whether the lease is valid now.
+    /// Returns whether the lease is valid at `now`.
     pub(super) fn has_valid_lease(&self, now: Seconds) -> bool {
         self.lease_valid_until().is_some_and(|until| now < until)
     }
 
-    /// This node's incarnation, if it is the one that is a member of the epoch.
+    /// Returns this node's incarnation, if the epoch lists that incarnation as a member.
     pub(super) fn incarnation_in(&self, epoch: &Epoch) -> Option<u64> {
         self.incarnation()
             .filter(|incarnation| epoch.members.get(&self.node_name) == Some(incarnation))
     }
 
-    /// Whether a proposal of an epoch is under way.
+    /// Returns whether a proposal of an epoch is in flight.
     pub(super) fn is_proposing(&self) -> bool {
         self.proposal_pending
     }
 
-    /// Records that a proposal is under way.
+    /// Records that a proposal of an epoch was sent.
     pub(super) fn begin_proposal(&mut self) {
         self.proposal_pending = true;
     }
 
-    /// Records that the proposal was answered. The cache is let to catch up before
-    /// another one.
+    /// Records that the proposal has completed. The delay before the next one starts over,
+    /// so that the cache can catch up first.
     pub(super) fn complete_proposal(&mut self, now: Seconds) {
         self.proposal_pending = false;
         self.epoch_stale_since = Some(now);
     }
 
-    /// Since when the live members have not been the epoch's: since now, unless that
-    /// was known before.
+    /// Records that the live members differ from those of the epoch. Returns since when
+    /// that is known.
     pub(super) fn mark_epoch_stale(&mut self, now: Seconds) -> Seconds {
         *self.epoch_stale_since.get_or_insert(now)
     }
 
-    /// Records that the epoch has changed, or is that of the live members.
+    /// Records that the epoch has changed, or that the live members match it.
     pub(super) fn mark_epoch_current(&mut self) {
         self.epoch_stale_since = None;
     }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,17 +1,18 @@
-//! Messages between controllers: cancellations, shards' reports and the leader's
-//! orders.
+//! Handling of messages between controllers: cancellations, shards' reports and the
+//! leader's orders.
 
-use super::{Controller, CHANGED_REPORT_SHARE, UNCHANGED_REPORT_SHARE};
+use super::{Controller, CHANGED_SHARD_INTERVAL_REPORTS, UNCHANGED_SHARD_INTERVAL_REPORTS};
 use crate::clock::{self, Seconds};
 use crate::cluster::peer::{Envelope, PeerMessage};
 use crate::shard::{Orders, ShardReport};
 
 impl Controller {
-    /// Applies an envelope, or passes it on if it is for another controller.
+    /// Applies what an envelope says of its sender and of cancellations, then handles its
+    /// message, or forwards it if it is addressed to another controller.
     pub(super) fn handle_envelope(&mut self, envelope: Envelope, now: Seconds) {
         self.peers.record_envelope(&envelope, now);
-        // What is committed is so for whoever hears of it: a controller that the
-        // key-value store refuses need not wait until it is answered again.
+        // A committed cancellation holds no matter how a controller learns of it, so that
+        // one that cannot reach the key-value store need not wait until it can.
         for notice in &envelope.cancellation_notices {
             if self
                 .cache
@@ -21,7 +22,7 @@
             }
         }
         if envelope.to != self.settings.node_name {
-            // For one that its sender can't reach directly.
+            // Its sender cannot reach the addressee directly.
             if envelope.from != self.settings.node_name {
                 self.peers.forward(envelope);
             }
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The leader applies a shard's report, and answers it with orders.
+    /// Applies a shard's report and answers it with orders, if this node is the leader.
     fn apply_shard_report(&mut self, mut report: ShardReport, now: Seconds) {
         let transfers = std::mem::take(&mut report.transfers);
         let from = report.node.clone();
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The leader sends a shard its orders, if there are any.
+    /// Sends a shard the leader's orders for it, if there are any.
     pub(super) fn send_orders(&mut self, to: &str) {
         let Some(mut orders) = self.leader.orders(to) else {
             return;
@@ -71,14 +72,15 @@
         self.peers.send(to, message, self.store_sync.is_synced());
     }
 
-    /// Reports the shard to the leader: soon if it has changed, else now and then.
+    /// Sends this node's shard report to the leader, if that is due. It is due sooner if
+    /// the shard has changed.
     pub(super) fn report_to_leader(&mut self, now: Seconds) {
-        let share = if self.shard.report_due {
-            CHANGED_REPORT_SHARE
+        let interval_reports = if self.shard.report_due {
+            CHANGED_SHARD_INTERVAL_REPORTS
         } else {
-            UNCHANGED_REPORT_SHARE
+            UNCHANGED_SHARD_INTERVAL_REPORTS
         };
-        let interval = self.report_interval() * share;
+        let interval = self.report_interval() * interval_reports;
         if !self.leader_report_timer.is_due(interval, now) {
             return;
         }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -1,4 +1,4 @@
-//! What this node knows of the other controllers, and how it reaches them.
+//! The other controllers: what this node knows of them, and the transport to them.
 
 use super::events::ControllerEvent;
 use super::interval_timer::IntervalTimer;
@@ -9,7 +9,8 @@
 use crossbeam::channel::Sender;
 use std::collections::HashMap;
 
-/// The peers that another controller hears, and when it said so.
+/// The latest report of another controller of the peers that it hears and that reach the
+/// key-value store.
 struct HeardPeers {
     reported_at: Seconds,
     names: Vec<String>,
@@ -21,18 +22,18 @@
     }
 }
 
-/// A cancellation that was committed here, repeated to all peers for a while.
+/// A cancellation that this node committed, and repeats to all peers for a while.
 struct RecentCancellation {
     notice: CancellationNotice,
     committed_at: Seconds,
 }
 
-/// The other controllers.
+/// The state of the other controllers and the transport to them.
 pub(super) struct Peers {
     node_name: String,
     transport: PeerTransport,
     reachability: Reachability,
-    /// When each peer last said that it reaches the key-value store.
+    /// When each peer last reported that it reaches the key-value store.
     store_reached_at: HashMap<String, Seconds>,
     heard_peers: HashMap<String, HeardPeers>,
     recent_cancellations: Vec<RecentCancellation>,
@@ -73,17 +74,17 @@
         }
     }
 
-    /// Which controllers can reach each other.
+    /// Returns which controllers can reach each other directly.
     pub(super) fn reachability(&self) -> &Reachability {
         &self.reachability
     }
 
-    /// Records whether this node reaches a peer directly.
+    /// Records whether this node can reach a peer directly.
     pub(super) fn record_reachability(&mut self, name: &str, reachable: bool) {
         self.reachability.record_direct_contact(name, reachable);
     }
 
-    /// Records what an envelope says of its sender.
+    /// Records what an envelope states about its sender.
     pub(super) fn record_envelope(&mut self, envelope: &Envelope, now: Seconds) {
         let heard = HeardPeers {
             reported_at: now,
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Records a cancellation that was committed here. The peers hear of it in this
-    /// round, as the machines may be theirs.
+    /// Records a cancellation that this node committed. The peers are notified in this
+    /// round, as they may own machines that run its tasks.
     pub(super) fn record_cancellation(&mut self, notice: CancellationNotice, now: Seconds) {
         self.recent_cancellations.push(RecentCancellation {
             notice,
@@ -110,33 +111,36 @@
         self.keepalive_timer = IntervalTimer::due_now();
     }
 
-    /// Whether a peer said less than `max_age` ago that it reaches the store.
+    /// Returns whether a peer reported less than `max_age` ago that it reaches the
+    /// key-value store.
     pub(super) fn reaches_store(&self, name: &str, max_age: Seconds, now: Seconds) -> bool {
         self.store_reached_at
             .get(name)
             .is_some_and(|&at| now - at < max_age)
     }
 
-    /// Whether any peer said less than `max_age` ago that it reaches the store.
+    /// Returns whether any peer reported less than `max_age` ago that it reaches the
+    /// key-value store.
     pub(super) fn any_reaches_store(&self, max_age: Seconds, now: Seconds) -> bool {
         self.store_reached_at.values().any(|&at| now - at < max_age)
     }
 
-    /// Whether any peer was heard less than `max_age` ago.
+    /// Returns whether a message from any peer arrived less than `max_age` ago.
     pub(super) fn any_heard(&self, max_age: Seconds, now: Seconds) -> bool {
         self.heard_peers
             .values()
             .any(|heard| now - heard.reported_at < max_age)
     }
 
-    /// Whether `observer` hears this node, but not `target`.
-    pub(super) fn misses(&self, observer: &str, target: &str) -> bool {
+    /// Returns whether `observer` last reported that it hears this node but not `target`.
+    pub(super) fn fails_to_hear(&self, observer: &str, target: &str) -> bool {
         self.heard_peers
             .get(observer)
             .is_some_and(|heard| heard.contains(&self.node_name) && !heard.contains(target))
     }
 
-    /// Sends a message, with what this node knows of the others.
+    /// Sends a message to a peer, together with what this node knows of the other
+    /// controllers. `store_synced` says whether this node reaches the key-value store.
     pub(super) fn send(&self, to: &str, message: PeerMessage, store_synced: bool) {
         self.transport.send(Envelope {
             from: self.node_name.clone(),
@@ -153,19 +157,20 @@
         });
     }
 
-    /// Passes on an envelope for a peer that its sender can't reach directly.
+    /// Forwards an envelope to a peer that its sender cannot reach directly.
     pub(super) fn forward(&self, envelope: Envelope) {
         self.transport.send(envelope);
     }
 
-    /// Forgets what is older than `max_age`.
+    /// Discards cancellations, and reports of access to the key-value store, that are at
+    /// least `max_age` old.
     pub(super) fn expire(&mut self, max_age: Seconds, now: Seconds) {
         self.store_reached_at.retain(|_, at| now - *at < max_age);
         self.recent_cancellations
             .retain(|recent| now - recent.committed_at < max_age);
     }
 
-    /// Sends a keepalive to every peer, if the last one is older than `interval`.
+    /// Sends a keepalive to every peer, if `interval` has elapsed since the last one.
     pub(super) fn send_keepalives(&mut self, interval: Seconds, store_synced: bool, now: Seconds) {
         if !self.keepalive_timer.restart_if_due(interval, now) {
             return;
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -1,6 +1,6 @@
-//! The machine registry: pages of machines in the key-value store, which the leader
-//! updates with few writes. A page has one write under way at a time; what happens
-//! meanwhile goes into its next.
+//! The machine registry: pages of machines in the key-value store, which the leader updates
+//! with few writes. A page has at most one write in flight; changes that come meanwhile go
+//! into its next write.
 
 use super::writes::{put_record, to_value};
 use super::{Controller, WritePurpose};
@@ -16,26 +16,28 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// How long a write of a page may take.
+/// How long a write of a page may take, in seconds.
 const PAGE_WRITE_TIMEOUT: Seconds = 2.0;
 
-/// How long the cache may take to show the answer to a page's write.
+/// How long the cache may take to show the outcome of a page's write, in seconds.
 const CACHE_LAG: Seconds = 0.5;
 
-/// The fewest writes of pages that may be under way at once.
+/// The number of page writes that may always be in flight at once, however small the
+/// transactions are.
 const MIN_CONCURRENT_WRITES: usize = 2;
 
-/// For how many of the cloud's list lags, beside a worker's lease, a deleted machine is
-/// remembered.
+/// How long a deleted machine is remembered beyond the duration of a worker's lease, in
+/// multiples of the lag of the cloud's machine list.
 const DELETED_LIST_LAGS: f64 = 4.0;
 
-/// A machine on its way to the registry.
+/// A machine that the cached registry does not contain yet.
 struct UnwrittenMachine {
     page_key: Arc<str>,
     record: MachineRecord,
 }
 
-/// A machine that reports, but was not rented by this leader.
+/// A machine that reports or is listed by the cloud, but is neither registered nor was
+/// rented by this leader.
 struct FoundMachine {
     id: MachineId,
     record: MachineRecord,
@@ -47,40 +49,43 @@
     address: Arc<str>,
 }
 
-/// What the leader writes to the machine registry.
+/// The state of the leader's writes to the machine registry.
 #[derive(Default)]
 pub(super) struct RegistryWriter {
-    /// Pages that are being written, and their values; `None` for a deletion.
+    /// Page writes in flight, with the values written; `None` for a deletion.
     writing: PendingWrites<Arc<str>, Option<RegistryPage>>,
-    /// Machines that were rented or found, until the cache shows them.
+    /// Machines that were rented or found, until the cached registry contains them.
     unwritten: BTreeMap<MachineId, UnwrittenMachine>,
-    /// How many groups of found machines were put on pages of their own.
+    /// The number of groups of found machines so far. Each group gets pages of its own.
     found_groups: u64,
-    /// When writes that the cache may not show yet were answered.
+    /// When the writes were answered whose outcomes the cache may not show yet, by page
+    /// key.
     answered_at: HashMap<Arc<str>, Seconds>,
-    /// Pages that wait to be written.
+    /// The order in which changed pages are written.
     queue: PageQueue,
 }
 
 impl RegistryWriter {
-    /// This node begins to lead an epoch.
+    /// Resets what depends on the epoch, as this node begins to lead a new one.
     pub(super) fn begin_leading(&mut self) {
         self.answered_at.clear();
     }
 
-    /// Whether a machine is on its way to the registry.
+    /// Returns whether a machine was rented or found and is not in the cached registry yet.
     pub(super) fn is_unwritten(&self, id: &MachineId) -> bool {
         self.unwritten.contains_key(id)
     }
 
-    /// The machines on their way to the registry.
+    /// Returns the machines that were rented or found and are not in the cached registry
+    /// yet.
     pub(super) fn unwritten_machines(&self) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
         self.unwritten
             .iter()
             .map(|(id, machine)| (id, &machine.record))
     }
 
-    /// Whether a page's write is under way, or was answered a moment ago.
+    /// Returns whether a page's write is in flight, or was answered so recently that the
+    /// cache may not show its outcome.
     fn is_page_busy(&self, key: &Arc<str>) -> bool {
         self.writing.contains(key) || self.answered_at.contains_key(key)
     }
@@ -91,9 +96,14 @@
         PageLimit::new(self.settings.params.state.lowest_value_bytes())
     }
 
-    /// Puts machines of one kind on their way to the registry, on pages named after
-    /// `name`.
-    pub(super) fn enlist(&mut self, ids: Vec<MachineId>, name: &str, record: &MachineRecord) {
+    /// Records machines of one offer to be written to the registry, on pages whose names
+    /// begin with `name`.
+    pub(super) fn add_unwritten_machines(
+        &mut self,
+        ids: Vec<MachineId>,
+        name: &str,
+        record: &MachineRecord,
+    ) {
         for (number, page_ids) in ids.chunks(self.page_limit().machines()).enumerate() {
             let page_key: Arc<str> = page_key(&format!("{name}.{number}")).into();
             for id in page_ids {
@@ -106,8 +116,9 @@
         }
     }
 
-    /// Puts machines that nobody here rented on their way to the registry.
-    fn enlist_found(&mut self, found: Vec<FoundMachine>) {
+    /// Records found machines to be written to the registry, on separate pages for each
+    /// offer.
+    fn add_found_machines(&mut self, found: Vec<FoundMachine>) {
         let mut by_offer: BTreeMap<MachineOffer, Vec<FoundMachine>> = BTreeMap::new();
         for machine in found {
             let offer = MachineOffer::from(&machine.record);
@@ -119,35 +130,36 @@
             let name = format!("found-{incarnation}-{}", self.registry.found_groups);
             let record = group[0].record.clone();
             let ids = group.into_iter().map(|machine| machine.id).collect();
-            self.enlist(ids, &name, &record);
+            self.add_unwritten_machines(ids, &name, &record);
         }
     }
 
-    /// Puts a machine that the cloud lists, and no page, on its way to the registry.
-    pub(super) fn enlist_unregistered(&mut self, id: MachineId, record: MachineRecord) {
-        self.enlist_found(vec![FoundMachine { id, record }]);
+    /// Records a machine that the cloud lists and no page contains, to be written to the
+    /// registry.
+    pub(super) fn add_listed_machine(&mut self, id: MachineId, record: MachineRecord) {
+        self.add_found_machines(vec![FoundMachine { id, record }]);
     }
 
-    /// Brings the registry up to what is known: rented machines, machines that report
-    /// for the first time, machines that are gone.
+    /// Updates the registry: adds rented and found machines, marks machines that report for
+    /// the first time, and removes machines that are gone.
     pub(super) fn update_registry(&mut self, now: Seconds) {
         self.registry
             .answered_at
             .retain(|_, at| now - *at < CACHE_LAG);
-        let started = self.enlist_reporting_machines();
+        let started = self.add_reporting_machines();
         let mut pages = Pages::new();
         self.mark_started(started, &mut pages);
-        self.add_unwritten(&mut pages);
-        self.remove_deleted(&mut pages);
+        self.add_unwritten_to_pages(&mut pages);
+        self.remove_deleted_from_pages(&mut pages);
         let stored = &self.cache.registry_pages;
         let copies = registry_pages::split_long(&mut pages, stored, self.page_limit());
         self.write_pages(pages, &copies, now);
         self.forget_deleted(now);
     }
 
-    /// Enlists the machines that report and are on no page; returns those that report
-    /// for the first time.
-    fn enlist_reporting_machines(&mut self) -> Vec<StartedMachine> {
+    /// Records the reporting machines that are on no page, to be written to the registry.
+    /// Returns those that are on a page and report for the first time.
+    fn add_reporting_machines(&mut self) -> Vec<StartedMachine> {
         let mut started = Vec::new();
         let mut found = Vec::new();
         for machine in self.leader.machines() {
@@ -164,11 +176,12 @@
                 None => found.push(found_machine(machine)),
             }
         }
-        self.enlist_found(found);
+        self.add_found_machines(found);
         started
     }
 
-    /// Adds the addresses of machines that report for the first time to their pages.
+    /// Adds the addresses of machines that report for the first time to their pages, which
+    /// marks the machines as in use.
     fn mark_started(&self, started: Vec<StartedMachine>, pages: &mut Pages) {
         for machine in started {
             let Some(registered) = self.cache.registry.get(&machine.id) else {
@@ -191,8 +204,8 @@
         }
     }
 
-    /// Adds the machines that the cache doesn't show yet to their pages.
-    fn add_unwritten(&mut self, pages: &mut Pages) {
+    /// Adds the machines that the cached registry does not contain yet to their pages.
+    fn add_unwritten_to_pages(&mut self, pages: &mut Pages) {
         let cache = &self.cache;
         self.registry
             .unwritten
@@ -210,8 +223,8 @@
         }
     }
 
-    /// Takes deleted machines off their pages.
-    fn remove_deleted(&self, pages: &mut Pages) {
+    /// Removes deleted machines from their pages.
+    fn remove_deleted_from_pages(&self, pages: &mut Pages) {
         let deleted: BTreeSet<&MachineId> = self
             .autoscaler
             .deletions
@@ -232,7 +245,8 @@
         }
     }
 
-    /// Forgets deleted machines that neither the cloud nor the registry lists any more.
+    /// Forgets deleted machines that are no longer in the registry and, by the time that
+    /// has passed, no longer listed by the cloud.
     fn forget_deleted(&mut self, now: Seconds) {
         let params = &self.settings.params;
         let max_age = params.cloud.list_lag_s * DELETED_LIST_LAGS + params.workers.lease_s;
@@ -242,8 +256,9 @@
             .forget_gone(max_age, |id| registry.contains_key(id), now);
     }
 
-    /// Writes pages that have no write under way, as many at a time as half a
-    /// transaction holds: the longer it takes, the more goes into the next.
+    /// Writes the changed pages that have no write in flight. The limit of writes in flight
+    /// is half the operations of a transaction: the longer a page waits, the more changes
+    /// go into its next write.
     fn write_pages(&mut self, pages: Pages, copies: &PageCopies, now: Seconds) {
         let half_transaction = self.settings.params.state.lowest_txn_ops() / 2;
         let max_writes = half_transaction.max(MIN_CONCURRENT_WRITES);
@@ -263,13 +278,14 @@
         }
     }
 
-    /// Writes a page, or deletes it if it is empty, under its stored revision and
-    /// further conditions. Returns whether there was room for the write.
+    /// Writes a page, or deletes it if it is empty, on the condition that its stored
+    /// revision is unchanged and that `extra_conditions` hold. Returns false if the queue
+    /// of writes is full.
     fn write_page(
         &mut self,
         key: Arc<str>,
         page: RegistryPage,
-        further_conditions: &[Condition],
+        extra_conditions: &[Condition],
         now: Seconds,
     ) -> bool {
         let stored = self.cache.registry_pages.get(&key);
@@ -286,7 +302,7 @@
         };
         let write_id = self.registry.writing.next_id();
         let mut conditions = vec![Condition::new(&*key, revision)];
-        conditions.extend(further_conditions.iter().cloned());
+        conditions.extend(extra_conditions.iter().cloned());
         let write = ConditionalWrite {
             conditions,
             ops: vec![op],
@@ -298,15 +314,15 @@
         }
         let machines = page.as_ref().map_or(0, |page| page.machines.len());
         tracing::debug!(%key, revision, machines, "writing a registry page");
-        // What changes on it from now on waits anew.
+        // Later changes of the page begin a new wait.
         self.registry.queue.written(&key);
         self.registry.writing.sent(write_id, key, page);
         true
     }
 
-    /// A page's write was answered, or given up. What is committed goes into the cache
-    /// at once.
-    pub(super) fn registry_page_completed(
+    /// Handles the outcome of a page's write. What was committed is applied to the cache at
+    /// once.
+    pub(super) fn registry_page_write_completed(
         &mut self,
         write_id: WriteId,
         outcome: CommitOutcome,
@@ -315,13 +331,14 @@
         let Some((key, page)) = self.registry.writing.answered(write_id) else {
             return;
         };
-        tracing::debug!(%key, ?outcome, "the write of a registry page was answered");
+        tracing::debug!(%key, ?outcome, "registry page write completed");
         match (outcome, page) {
             (CommitOutcome::Committed(revision), Some(page)) => {
                 let change = self.cache.put(&key, to_value(&page), revision);
                 self.apply_cache_change(change, now);
             }
-            // Deleted, or another revision: the next reading of the store shows it.
+            // The page was deleted, or the write was not committed for certain: the next
+            // read of the key-value store shows the outcome.
             _ => {
                 self.registry.answered_at.insert(key, now);
             }
@@ -343,7 +360,8 @@
     }
 }
 
-/// A page without machines, for machines like that of `record`.
+/// Returns a page without machines, for machines with the offer and rental time of
+/// `record`.
 fn empty_page(record: &MachineRecord) -> RegistryPage {
     RegistryPage {
         machine_type: record.machine_type.clone(),
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -1,5 +1,4 @@
-//! Hold-offs after a restart, and the restart report, where the feature `cold-restart`
-//! is on.
+//! Hold-offs after a restart and the restart report, for the feature `cold-restart`.
 
 use super::interval_timer::IntervalTimer;
 use super::Controller;
@@ -13,34 +12,36 @@
 use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffLimits, Situation};
 use finchwood_reconciliation::unreconciled::UnreconciledMachines;
 
-/// How often the report is published, as a share of a report interval.
-const PUBLISH_SHARE: f64 = 1.0 / 6.0;
+/// The time between publications of the report, in report intervals.
+const PUBLISH_INTERVAL_REPORTS: f64 = 1.0 / 6.0;
 
-/// The most unreadable or misfit records that a report names.
+/// The most unreadable or misfit records that a report lists.
 const MAX_RECORDS_NAMED: usize = 100;
 
 /// The state of the feature `cold-restart`.
-pub(super) struct Restart {
+pub(super) struct ColdRestart {
     hold_off: HoldOff,
     published: PublishedReport<RestartReport>,
     publish_timer: IntervalTimer,
-    /// How long after the start of the process the first job was accepted.
+    /// How long after the start of the process the first job was accepted, in seconds;
+    /// `None` until then.
     first_accepted_s: Option<Seconds>,
 }
 
-impl Restart {
-    /// No hold-off is on before this node begins to lead.
+impl ColdRestart {
+    /// Creates the state without an active hold-off; one begins when this node becomes the
+    /// leader.
     pub(super) fn new(
         config: &ColdRestartConfig,
         settings: &Settings,
         published: PublishedReport<RestartReport>,
-    ) -> Restart {
+    ) -> ColdRestart {
         let workers = &settings.params.workers;
         let limits = HoldOffLimits {
             answer_s: workers.report_s * config.answer_reports,
             lease_s: clock::with_drift_margin(workers.lease_s),
         };
-        Restart {
+        ColdRestart {
             hold_off: HoldOff::new(limits),
             published,
             publish_timer: IntervalTimer::due_now(),
@@ -50,17 +51,17 @@
 }
 
 impl Controller {
-    /// Begins a hold-off as this node begins to lead, unless it kept its state as the
-    /// leader before.
+    /// Begins a hold-off as this node enters an epoch as its leader, unless the leader's
+    /// state was kept from the previous epoch.
     pub(super) fn begin_hold_off(&mut self, kept_state: bool, now: Seconds) {
-        if let Some(restart) = self.restart.as_mut().filter(|_| !kept_state) {
+        if let Some(restart) = self.cold_restart.as_mut().filter(|_| !kept_state) {
             restart.hold_off.begin(now);
         }
     }
 
-    /// The machines that are not reconciled yet, while a hold-off is on.
+    /// Returns the machines that are not reconciled yet; `None` if no hold-off is active.
     pub(super) fn unreconciled_machines(&self, now: Seconds) -> Option<UnreconciledMachines> {
-        let restart = self.restart.as_ref()?;
+        let restart = self.cold_restart.as_ref()?;
         let deletions = &self.autoscaler.deletions;
         let unreconciled = || {
             self.leader
@@ -69,7 +70,9 @@
         restart.hold_off.is_active(now).then(unreconciled)
     }
 
-    /// Whether an action is held off until machines are reconciled; recorded, if so.
+    /// Returns whether an action is held off until machines are reconciled, and records it
+    /// for the restart report if so. `spec` is the job that needs the action, if it is for
+    /// a job.
     pub(super) fn is_held_off(
         &mut self,
         action: Action,
@@ -77,7 +80,7 @@
         unreconciled: Option<&UnreconciledMachines>,
         now: Seconds,
     ) -> bool {
-        let (Some(restart), Some(unreconciled)) = (&self.restart, unreconciled) else {
+        let (Some(restart), Some(unreconciled)) = (&self.cold_restart, unreconciled) else {
             return false;
         };
         let situation = Situation {
@@ -94,34 +97,35 @@
         }
     }
 
-    /// Records when the first job was accepted here.
+    /// Records when this node accepted its first job.
     pub(super) fn record_first_accepted(&mut self, now: Seconds) {
-        if let Some(restart) = &mut self.restart {
+        if let Some(restart) = &mut self.cold_restart {
             restart
                 .first_accepted_s
                 .get_or_insert(self.membership.uptime(now));
         }
     }
 
-    /// Logs stored records that name what the settings or the catalog don't have.
+    /// Logs stored records that name a team, zone or machine type which neither the
+    /// settings nor the catalog has.
     pub(super) fn log_misfit_records(&self) {
         for misfit in misfit_records(&self.cache, &self.settings) {
             tracing::warn!(key = misfit.key, error = %misfit.error, "a stored record doesn't fit");
         }
     }
 
-    /// Publishes the restart report at its interval.
+    /// Publishes the restart report, if that is due.
     pub(super) fn publish_restart_report(&mut self, now: Seconds) {
-        let interval = self.report_interval() * PUBLISH_SHARE;
+        let interval = self.report_interval() * PUBLISH_INTERVAL_REPORTS;
         let due = self
-            .restart
+            .cold_restart
             .as_mut()
             .is_some_and(|restart| restart.publish_timer.restart_if_due(interval, now));
         if !due {
             return;
         }
         let report = self.restart_report(now);
-        if let Some(restart) = &self.restart {
+        if let Some(restart) = &self.cold_restart {
             restart.published.publish(report);
         }
     }
@@ -136,7 +140,7 @@
         RestartReport {
             node: self.settings.node_name.clone(),
             first_accepted_after_s: self
-                .restart
+                .cold_restart
                 .as_ref()
                 .and_then(|restart| restart.first_accepted_s),
             leader: self.is_leader().then(progress),
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -1,5 +1,5 @@
-//! Transfers of hash ranges between live shards, where the feature `shared-machines` is
-//! on: the leader's part in them, and the shard map that every controller goes by.
+//! Transfers of hash ranges between live shards, for the feature `shared-machines`: the
+//! leader's part in them, and the shard map that all controllers use.
 
 use super::interval_timer::IntervalTimer;
 use super::writes::{put_record, to_value};
@@ -22,31 +22,34 @@
 use finchwood_sharding::transfer::{TransferOrder, TransferReport, TransferState, Transfers};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// When to come back with a plan that needs all controllers to be upgraded, in seconds.
+/// The `Retry-After` value of a plan that has to wait until all controllers are upgraded,
+/// in seconds.
 const UPGRADE_RETRY_AFTER_S: u32 = 5;
 
-/// Bytes that a range takes in the stored shard map, with room to spare.
+/// An upper bound of the size of one range in the stored shard map, in bytes.
 const RANGE_BYTES: usize = 120;
 
-/// For how many report intervals a side of a transfer may stay silent.
+/// How long the source or the target of a transfer may leave it unanswered, in report
+/// intervals.
 const TRANSFER_TIMEOUT_REPORTS: f64 = 3.0;
 
-/// How long a write of the shard map may take.
+/// How long a write of the shard map may take, in seconds.
 const SHARD_MAP_WRITE_TIMEOUT: Seconds = 2.0;
 
-/// How often the planner looks over the fleet, as a share of a report interval.
-const PLAN_SHARE: f64 = 1.0 / 4.0;
+/// The time between plannings of the next transfer, in report intervals.
+const PLAN_INTERVAL_REPORTS: f64 = 1.0 / 4.0;
 
-/// How often the report is published, as a share of a report interval.
-const PUBLISH_SHARE: f64 = 1.0 / 6.0;
+/// The time between publications of the report, in report intervals.
+const PUBLISH_INTERVAL_REPORTS: f64 = 1.0 / 6.0;
 
 /// The state of the feature `shared-machines`.
 pub(super) struct ShardTransfers {
     transfers: Transfers,
     planner: Planner,
-    /// A write of the shard map is under way.
+    /// Whether a write of the shard map is in flight.
     write_pending: bool,
-    /// When a write of the shard map was refused for certain.
+    /// When the key-value store definitely refused a write of the shard map; `None` if no
+    /// refusal awaits its confirmation by a read.
     refused_at: Option<Seconds>,
     published: PublishedReport<ShardMapReport>,
     publish_timer: IntervalTimer,
@@ -54,7 +57,7 @@
 }
 
 impl ShardTransfers {
-    /// No transfer is under way.
+    /// Creates the state without transfers in progress.
     pub(super) fn new(
         config: &SharedMachinesConfig,
         settings: &Settings,
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Where the transfers under way stand.
+    /// Returns the states of the transfers in progress.
     fn states(&self) -> Vec<TransferState> {
         self.transfers
             .under_way()
@@ -86,7 +89,7 @@
             .collect()
     }
 
-    /// The sources and targets of the transfers under way.
+    /// Returns the sources and targets of the transfers in progress.
     fn participants(&self) -> BTreeSet<String> {
         self.transfers
             .under_way()
@@ -97,12 +100,13 @@
 }
 
 impl Controller {
-    /// The owner of a machine, by the shard map or its hash.
+    /// Returns the owner of a machine, by the shard map or its hash; `None` if this node
+    /// has not entered the epoch.
     pub(super) fn owner_of(&self, machine: &str) -> Option<&str> {
         membership::owner_by_shard_map(self.entered_epoch()?, &self.cache.shard_map, machine)
     }
 
-    /// The shard map has changed.
+    /// Applies a changed shard map to this node's shard.
     pub(super) fn apply_shard_map_change(&mut self, now: Seconds) {
         let Some(epoch) = self.entered_epoch().cloned() else {
             return;
@@ -117,11 +121,12 @@
             owner == Some(this_node.as_str())
         };
         self.shard.apply_shard_map(&self.cache, now, owns);
-        // The leader hears of it in this round.
+        // The change is reported to the leader in this round.
         self.leader_report_timer = IntervalTimer::due_now();
     }
 
-    /// Drops the transfers of the epoch before: what they had reached stays as it is.
+    /// Aborts the transfers of the previous epoch. What they had already changed stays as
+    /// it is.
     pub(super) fn reset_transfers(&mut self, now: Seconds) {
         if let Some(state) = &mut self.shard_transfers {
             state.transfers.abort_all(now);
@@ -129,7 +134,8 @@
         }
     }
 
-    /// The orders for a shard that takes part in transfers.
+    /// Returns the transfer orders for the shard of a controller; empty if it takes part in
+    /// no transfer.
     pub(super) fn transfer_orders(&self, node: &str) -> Vec<TransferOrder> {
         self.shard_transfers
             .as_ref()
@@ -137,7 +143,7 @@
             .unwrap_or_default()
     }
 
-    /// The leader applies what a shard reports of transfers.
+    /// Applies a shard's report on transfers, as the leader.
     pub(super) fn apply_transfer_report(
         &mut self,
         from: &str,
@@ -153,13 +159,14 @@
         let before = state.states();
         state.transfers.apply_report(from, report, now);
         if before != state.states() {
-            // The reporting shard gets its orders anyway.
+            // The reporting shard gets its orders in response to its report.
             self.send_orders_to_participants(Some(from));
         }
     }
 
-    /// Whether a machine is being transferred, so that no shard's report on it is final.
-    pub(super) fn is_changing_hands(&self, machine: &MachineId) -> bool {
+    /// Returns whether a machine is being transferred, so that no single shard's report on
+    /// it is reliable.
+    pub(super) fn is_being_transferred(&self, machine: &MachineId) -> bool {
         let (Some(state), Some(epoch)) = (&self.shard_transfers, self.entered_epoch()) else {
             return false;
         };
@@ -174,7 +181,7 @@
         in_transfer || !self.leader.has_one_owner(machine)
     }
 
-    /// Sends orders to all shards that take part in transfers, but for one.
+    /// Sends orders to all shards that take part in transfers, except `except`.
     fn send_orders_to_participants(&mut self, except: Option<&str>) {
         let Some(state) = &self.shard_transfers else {
             return;
@@ -186,8 +193,9 @@
         }
     }
 
-    /// One step of the leader: applies the shard map, withdraws the transfers that nobody
-    /// answers, writes the next shard map, begins the next transfer.
+    /// Advances the transfers by one step, if this node is the leader: applies the shard
+    /// map, aborts transfers that are not answered in time, writes the next shard map, and
+    /// begins the next transfer.
     pub(super) fn run_transfers(&mut self, now: Seconds) {
         let in_use = self
             .entered_epoch()
@@ -199,7 +207,8 @@
         state
             .transfers
             .observe_shard_map(&self.cache.shard_map, now);
-        // Refused for certain, and what has been read since does not hold it either.
+        // The write was definitely refused, and a read that began later does not show it
+        // either.
         let synced_at = self.store_sync.last_synced_at();
         if state.refused_at.is_some_and(|at| synced_at > Some(at)) {
             state.transfers.write_refused(now);
@@ -222,7 +231,7 @@
             return;
         };
         let write = ConditionalWrite {
-            // The shard map of another leader, or of another epoch, is not overwritten.
+            // Prevents overwriting the shard map of another leader or of another epoch.
             conditions: vec![
                 Condition::new(SHARD_MAP_KEY, self.cache.shard_map_revision),
                 Condition::new(EPOCH_KEY, self.cache.epoch_revision),
@@ -234,9 +243,9 @@
         state.write_pending = self.writer.send(WriteClass::Urgent, write).is_ok();
     }
 
-    /// A write of the shard map was answered, or given up. What has no certain answer is
-    /// written again, under the same conditions.
-    pub(super) fn shard_map_completed(&mut self, outcome: CommitOutcome, now: Seconds) {
+    /// Handles the outcome of a write of the shard map. A write that was not carried out in
+    /// time, or whose outcome is unknown, is sent again under the same conditions.
+    pub(super) fn shard_map_write_completed(&mut self, outcome: CommitOutcome, now: Seconds) {
         let Some(state) = &mut self.shard_transfers else {
             return;
         };
@@ -269,7 +278,7 @@
     }
 
     fn begin_transfer(&mut self, now: Seconds) {
-        let interval = self.report_interval() * PLAN_SHARE;
+        let interval = self.report_interval() * PLAN_INTERVAL_REPORTS;
         let due = self
             .shard_transfers
             .as_ref()
@@ -306,7 +315,8 @@
         }
     }
 
-    /// All machines of the registry, with their owners by hash and by shard map.
+    /// Returns all machines of the registry, with their owners by the hash and by the shard
+    /// map.
     fn owned_machines(&self, members: &BTreeMap<String, u64>) -> Vec<OwnedMachine> {
         let owned = |id: &MachineId| {
             let hash_owner = membership::owner(members, id)?;
@@ -320,7 +330,7 @@
         self.cache.registry.keys().filter_map(owned).collect()
     }
 
-    /// Sets the operators' plan of transfers.
+    /// Handles a request of the operators to replace their plan of transfers.
     pub(super) fn set_transfer_plan(&mut self, plan: Plan, responder: Responder) {
         let is_leader = self.is_leader();
         let Some(epoch) = self.entered_epoch() else {
@@ -354,9 +364,9 @@
         responder.send(status::OK, b"{}".to_vec());
     }
 
-    /// Publishes the shard map report at its interval.
+    /// Publishes the shard map report, if that is due.
     pub(super) fn publish_shard_map_report(&mut self, now: Seconds) {
-        let interval = self.report_interval() * PUBLISH_SHARE;
+        let interval = self.report_interval() * PUBLISH_INTERVAL_REPORTS;
         let due = self
             .shard_transfers
             .as_mut()
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -1,7 +1,8 @@
-//! The start of a controller: its listeners, and the threads of its components.
+//! The startup of a controller: opens its listeners and starts the threads of its
+//! components.
 
 use super::command_dispatch::CommandDispatcher;
-use super::completions::PendingFinishes;
+use super::completions::PendingCompletions;
 use super::events::{event_sink, ControllerEvent, WritePurpose};
 use super::interval_timer::IntervalTimer;
 use super::job_requests::JobRequests;
@@ -9,7 +10,7 @@
 use super::node_membership::NodeMembership;
 use super::peers::Peers;
 use super::registry::RegistryWriter;
-use super::restart::Restart;
+use super::restart::ColdRestart;
 use super::shard_transfers::ShardTransfers;
 use super::store_sync::StoreSync;
 use super::worker_redirects::WorkerRedirects;
@@ -32,13 +33,13 @@
 use crossbeam::channel::{bounded, Sender};
 use std::io;
 
-/// The most events that wait for the event loop.
+/// The capacity of the event loop's queue, in events.
 const EVENT_QUEUE_LENGTH: usize = 8192;
 
-/// Why a controller can't be started.
+/// The reason why a controller could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A listening socket can't be opened.
+    /// A listening socket could not be opened.
     #[error("cannot listen: {0}")]
     Listen(#[source] io::Error),
 }
@@ -47,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// [`StartError`] if it can't be started.
+/// Returns a [`StartError`] if the controller cannot be started.
 pub fn run(settings: Settings, policy: Policy, features: &Features) -> Result<(), StartError> {
     let reports = PublishedReports::new(features);
     let (events, event_queue) = bounded(EVENT_QUEUE_LENGTH);
@@ -57,7 +58,7 @@
     Ok(())
 }
 
-/// The reports that the listeners answer from, without the event loop.
+/// The reports that the listeners serve without involving the event loop.
 #[derive(Clone)]
 struct PublishedReports {
     restart: PublishedReport<RestartReport>,
@@ -73,7 +74,8 @@
     }
 }
 
-/// Listens for users and workers, and for the other controllers.
+/// Opens the listeners for users and workers, and for the other controllers. Their requests
+/// go to the event loop, except those for published reports.
 fn listen(
     settings: &Settings,
     reports: &PublishedReports,
@@ -87,7 +89,7 @@
             move |request, responder| match request {
                 Request::RestartReport => reports.restart.answer(responder),
                 Request::ShardMapReport => reports.shard_map.answer(responder),
-                // A full queue drops the responder, which then says 503.
+                // If the queue is full, the responder is dropped and answers with 503.
                 request => drop(events.try_send(ControllerEvent::Request(request, responder))),
             },
         )?;
@@ -96,7 +98,7 @@
 }
 
 impl Controller {
-    /// Starts the threads of all components.
+    /// Creates the components of a controller and starts their threads.
     fn start(
         settings: Settings,
         policy: Policy,
@@ -115,10 +117,10 @@
         let commands = CommandDispatcher::new(&settings, events);
         let redirects = WorkerRedirects::start(&settings);
         let shard = new_shard(&settings, features);
-        let restart = features
+        let cold_restart = features
             .cold_restart
             .as_ref()
-            .map(|config| Restart::new(config, &settings, reports.restart));
+            .map(|config| ColdRestart::new(config, &settings, reports.restart));
         let shard_transfers = features
             .shared_machines
             .as_ref()
@@ -130,7 +132,7 @@
             commands,
             redirects,
             shard,
-            restart,
+            cold_restart,
             shard_transfers,
             leader: Leader::new(&settings),
             cache: StoreCache::new(settings.params.state.value_kb),
@@ -139,7 +141,7 @@
             job_requests: JobRequests::new(&settings),
             autoscaler: Autoscaler::default(),
             leader_timers: LeaderTimers::default(),
-            finishes: PendingFinishes::default(),
+            pending_completions: PendingCompletions::default(),
             registry: RegistryWriter::default(),
             round_timer: IntervalTimer::since_process_start(),
             cleanup_timer: IntervalTimer::since_process_start(),
@@ -165,7 +167,7 @@
     );
 }
 
-/// Starts the thread that writes to the key-value store.
+/// Starts the threads that write to the key-value store.
 fn start_writer(
     settings: &Settings,
     budget: RateBudget,
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -1,4 +1,4 @@
-//! How well the local cache follows the key-value store.
+//! The synchronization of the local cache with the key-value store.
 
 use super::events::{event_sink, ControllerEvent};
 use crate::clock::Seconds;
@@ -6,18 +6,19 @@
 use crate::store::{self, RateBudget};
 use crossbeam::channel::{bounded, Sender};
 
-/// Whether the key-value store is reached, and how old the cache is.
+/// Whether the key-value store is reachable, and how old the contents of the cache are.
 pub(super) struct StoreSync {
-    /// When the newest reading of the cache was asked for.
+    /// When the last successful read began: the cache shows every write committed before.
+    /// `None` before the first one.
     last_synced_at: Option<Seconds>,
-    /// The last reading failed.
+    /// Whether the last read failed.
     unreachable: bool,
-    /// Wakes the watch up before its next poll is due.
+    /// Makes the watch poll before its next poll is due.
     watch_wakeups: Sender<()>,
 }
 
 impl StoreSync {
-    /// Starts the watch of the key-value store.
+    /// Starts the watch of the key-value store, which sends its events to the event loop.
     pub(super) fn start(
         settings: &Settings,
         budget: RateBudget,
@@ -33,38 +34,39 @@
         }
     }
 
-    /// Records a reading that was asked for at `asked_at`.
-    pub(super) fn record_success(&mut self, asked_at: Seconds) {
-        self.last_synced_at = Some(asked_at);
+    /// Records a successful read that began at `began_at`.
+    pub(super) fn record_success(&mut self, began_at: Seconds) {
+        self.last_synced_at = Some(began_at);
         self.unreachable = false;
     }
 
-    /// Records a reading that failed.
+    /// Records a failed read.
     pub(super) fn record_failure(&mut self) {
         self.unreachable = true;
     }
 
-    /// When the newest reading was asked for, if there was one.
+    /// Returns when the last successful read began; `None` if there was none.
     pub(super) fn last_synced_at(&self) -> Option<Seconds> {
         self.last_synced_at
     }
 
-    /// Whether the last reading failed.
+    /// Returns whether the last read failed.
     pub(super) fn is_unreachable(&self) -> bool {
         self.unreachable
     }
 
-    /// Whether the store was read, and the last reading did not fail.
+    /// Returns whether the store has been read and the last read did not fail.
     pub(super) fn is_synced(&self) -> bool {
         !self.unreachable && self.last_synced_at.is_some()
     }
 
-    /// Whether the newest reading is younger than `max_age`.
+    /// Returns whether the last successful read began less than `max_age` ago.
     pub(super) fn synced_within(&self, max_age: Seconds, now: Seconds) -> bool {
         self.last_synced_at.is_some_and(|at| now - at < max_age)
     }
 
-    /// Has the watch poll at once; a wake-up that is pending already will do.
+    /// Makes the watch poll as soon as its rate allows. A wake-up that is already pending
+    /// is enough.
     pub(super) fn request_poll(&self) {
         let _ = self.watch_wakeups.try_send(());
     }
--- a/src/controller/watch_events.rs
+++ b/src/controller/watch_events.rs
@@ -1,5 +1,5 @@
-//! Readings of the key-value store, and what their changes mean to the shard and the
-//! leader.
+//! Handling of the events of the key-value store's watch: they update the cache, and the
+//! shard and the leader are told of the changes.
 
 use super::interval_timer::IntervalTimer;
 use super::Controller;
@@ -10,8 +10,7 @@
 use crate::wire::{JobId, MachineId};
 
 impl Controller {
-    /// Applies a reading of the key-value store, and serves the requests that waited
-    /// for it.
+    /// Applies an event of the watch, and serves the requests that waited for a read.
     pub(super) fn apply_watch_event(&mut self, event: WatchEvent, now: Seconds) {
         match event {
             WatchEvent::Snapshot {
@@ -33,17 +32,17 @@
         self.serve_waiting_reads(now);
     }
 
-    /// Replaces the cache by a reading that was asked for at `asked_at`.
-    fn apply_snapshot(&mut self, asked_at: Seconds, entries: Vec<KeyValue>, now: Seconds) {
+    /// Replaces the contents of the cache by a snapshot, whose read began at `began_at`.
+    fn apply_snapshot(&mut self, began_at: Seconds, entries: Vec<KeyValue>, now: Seconds) {
         self.cache.load(entries);
         self.log_misfit_records();
-        self.store_sync.record_success(asked_at);
+        self.store_sync.record_success(began_at);
         self.apply_epoch_change(now);
         let jobs: Vec<JobId> = self.cache.jobs.keys().cloned().collect();
         for id in jobs {
             self.apply_job_change(&id);
         }
-        // Machines may have been taken off the registry between two readings.
+        // Machines may have been removed from the registry between two snapshots.
         for id in self.shard.registered_machines() {
             if !self.cache.registry.contains_key(&id) {
                 self.apply_machine_change(&id, now);
@@ -55,7 +54,7 @@
         }
     }
 
-    fn apply_changes(&mut self, asked_at: Seconds, changes: Vec<KeyChange>, now: Seconds) {
+    fn apply_changes(&mut self, began_at: Seconds, changes: Vec<KeyChange>, now: Seconds) {
         for change in changes {
             let change = self.cache.apply(change);
             self.apply_cache_change(change, now);
@@ -63,10 +62,10 @@
         if self.store_sync.is_unreachable() {
             tracing::info!("the state service answers again");
         }
-        self.store_sync.record_success(asked_at);
+        self.store_sync.record_success(began_at);
     }
 
-    /// Tells the shard and the leader what has changed in the cache.
+    /// Notifies the shard and the leader of a change in the cache.
     pub(super) fn apply_cache_change(&mut self, change: CacheChange, now: Seconds) {
         match change {
             CacheChange::Epoch => self.apply_epoch_change(now),
@@ -81,7 +80,7 @@
         }
     }
 
-    /// A job's record has changed.
+    /// Notifies the shard and the leader that a job's record has changed.
     pub(super) fn apply_job_change(&mut self, id: &JobId) {
         self.shard.job_changed(id, &self.cache);
         if self.is_leader() {
@@ -89,7 +88,7 @@
         }
     }
 
-    /// A machine was put on the registry, changed there, or taken off it.
+    /// Handles that a machine was added to the registry, changed there, or removed from it.
     fn apply_machine_change(&mut self, id: &MachineId, now: Seconds) {
         match self.cache.registry.get(id) {
             Some(machine) => {
@@ -105,7 +104,7 @@
         }
     }
 
-    /// Enters the epoch that the cache shows, if this incarnation is a member of it.
+    /// Enters the epoch in the cache, if this incarnation is a member of it.
     pub(super) fn apply_epoch_change(&mut self, now: Seconds) {
         let Some(epoch) = self.cache.epoch.clone() else {
             return;
@@ -136,7 +135,7 @@
             self.autoscaler.start_leading(now);
             self.registry.begin_leading();
         }
-        // Due now, but for a process that has only just started.
+        // The first report is due at once, unless the process has only just started.
         self.leader_report_timer = IntervalTimer::since_process_start();
     }
 }
--- a/src/controller/worker_redirects.rs
+++ b/src/controller/worker_redirects.rs
@@ -1,4 +1,5 @@
-//! Workers of other shards that report here, and the relays to their owners.
+//! Workers of other shards that send their heartbeats to this node, and the relays to their
+//! owners.
 
 use super::MAX_POOL_THREADS;
 use crate::api::relay_pool::{start_relay_pool, RelayedHeartbeat};
@@ -8,68 +9,71 @@
 use crossbeam::channel::Sender;
 use std::collections::HashMap;
 
-/// The share of the sockets that heartbeats relayed to one other controller may take.
+/// The share of the sockets that relays to one other controller may use.
 const RELAY_SOCKET_SHARE: f64 = 1.0 / 500.0;
 
-/// How long a relay may take, in report intervals: its worker waits for about that.
+/// The timeout of a relay, in report intervals: the worker waits for the answer for about
+/// as long.
 const RELAY_TIMEOUT_REPORTS: f64 = 0.8;
 
-/// For how many worker leases an attempt to reach the owner counts.
+/// For how long an attempt of a worker to reach its owner counts as recent, in durations of
+/// a worker's lease.
 const OWNER_ATTEMPT_LEASES: f64 = 2.0;
 
-/// What is known here of a worker that belongs to another shard.
+/// What this node knows of a worker that belongs to another shard.
 struct RedirectedWorker {
     last_heartbeat_at: Seconds,
-    /// When it last tried its owner, as far as is known.
+    /// When the worker last tried to reach its owner, as far as is known.
     owner_tried_at: Option<Seconds>,
-    /// Session and sequence of its newest heartbeat.
-    newest: (u64, u64),
-    /// When a heartbeat newer than one before it came: a lone one may be a copy
-    /// from long ago, and shows nothing.
+    /// The session and sequence number of its newest heartbeat.
+    newest_seq: (u64, u64),
+    /// When a heartbeat arrived that was newer than an earlier one. A single heartbeat may
+    /// be an old duplicate, and proves nothing.
     verified_at: Option<Seconds>,
 }
 
 impl RedirectedWorker {
-    /// What is known after one more heartbeat.
-    fn after(
+    /// Returns what is known of a worker after one more heartbeat.
+    fn after_heartbeat(
         previous: Option<&RedirectedWorker>,
         heartbeat: &Heartbeat,
         owner_tried_at: Option<Seconds>,
         now: Seconds,
     ) -> RedirectedWorker {
-        let newest = (heartbeat.session, heartbeat.seq);
+        let newest_seq = (heartbeat.session, heartbeat.seq);
         let verified_at = match previous {
-            Some(known) if newest > known.newest => Some(now),
+            Some(known) if newest_seq > known.newest_seq => Some(now),
             Some(known) => known.verified_at,
             None => None,
         };
         RedirectedWorker {
             last_heartbeat_at: now,
             owner_tried_at: owner_tried_at.or(Some(now)),
-            newest: previous.map_or(newest, |known| known.newest.max(newest)),
+            newest_seq: previous.map_or(newest_seq, |known| known.newest_seq.max(newest_seq)),
             verified_at,
         }
     }
 }
 
-/// Whether a redirected worker has tried to reach its owner.
+/// What is known of the attempts of a redirected worker to reach its owner.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OwnerAttempt {
-    /// When it was sent to its owner, if that was a moment ago.
+    /// When the worker last tried to reach its owner, if that was recent.
     tried_at: Option<Seconds>,
-    /// No attempt was ever known.
+    /// Whether no attempt is known.
     pub(super) never_tried: bool,
 }
 
 impl OwnerAttempt {
-    /// Whether it was sent to its owner a moment ago: being here again, it can't
-    /// reach it.
+    /// Returns whether the worker tried to reach its owner recently. As it reports to this
+    /// node again, it cannot reach the owner.
     pub(super) fn is_recent(&self) -> bool {
         self.tried_at.is_some()
     }
 }
 
-/// The workers of other shards that came here, and the relays to the other controllers.
+/// The workers of other shards that send heartbeats to this node, and the relays to the
+/// other controllers.
 pub(super) struct WorkerRedirects {
     workers: HashMap<MachineId, RedirectedWorker>,
     relay_pools: HashMap<String, Sender<RelayedHeartbeat>>,
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Whether a worker has tried its owner already.
+    /// Returns what is known of the attempts of a worker to reach its owner.
     pub(super) fn owner_attempt(&self, machine: &MachineId, now: Seconds) -> OwnerAttempt {
         let tried_at = self
             .workers
@@ -115,24 +119,30 @@
         }
     }
 
-    /// Records a heartbeat of another shard's worker.
-    pub(super) fn record(&mut self, heartbeat: Heartbeat, attempt: OwnerAttempt, now: Seconds) {
+    /// Records a heartbeat from another shard's worker.
+    pub(super) fn record_heartbeat(
+        &mut self,
+        heartbeat: Heartbeat,
+        attempt: OwnerAttempt,
+        now: Seconds,
+    ) {
         let previous = self.workers.get(&heartbeat.machine);
-        let worker = RedirectedWorker::after(previous, &heartbeat, attempt.tried_at, now);
+        let worker = RedirectedWorker::after_heartbeat(previous, &heartbeat, attempt.tried_at, now);
         self.workers.insert(heartbeat.machine, worker);
     }
 
-    /// The relay to a controller, if it is one of the others.
+    /// Returns the queue of the relay to a controller; `None` if there is none to it.
     pub(super) fn relay_to(&self, owner: &str) -> Option<&Sender<RelayedHeartbeat>> {
         self.relay_pools.get(owner)
     }
 
-    /// How long a relay may take.
+    /// Returns the timeout of a relay, in seconds.
     pub(super) fn relay_timeout(&self) -> Seconds {
         self.relay_timeout
     }
 
-    /// The workers that are alive for certain, and how long ago each showed it.
+    /// Returns the workers that are certain to have been alive, and how many seconds ago
+    /// that was.
     pub(super) fn verified_workers(&self, now: Seconds) -> Vec<(MachineId, Seconds)> {
         self.workers
             .iter()
@@ -140,7 +150,8 @@
             .collect()
     }
 
-    /// Forgets the workers that have not been here for a worker's lease.
+    /// Discards the workers that have not sent a heartbeat to this node for the duration of
+    /// a worker's lease.
     pub(super) fn expire(&mut self, now: Seconds) {
         let worker_lease = self.worker_lease;
         self.workers
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! finchwood: a cluster scheduler that runs as a few controllers, a rented
-//! fleet of machines and one small key-value store.
+//! finchwood: a cluster scheduler that consists of a few controllers, machines rented from
+//! a cloud, and one small key-value store.
 //!
-//! The library holds everything; `main.rs` only reads arguments. The modules that decide
-//! ([`scheduler`], [`shard`], most of [`cluster`] and [`autoscaler`]) do no input or
-//! output: time comes in as an argument and effects go out as values. Around them,
-//! [`controller`] runs the event loop that owns the state, and the threads of [`api`],
+//! All of the program is in this library; `main.rs` only parses arguments. The modules that
+//! make decisions ([`scheduler`], [`shard`], most of [`cluster`] and [`autoscaler`]) do no
+//! I/O: they take the time as an argument and return their effects as values.
+//! [`controller`] runs the event loop that owns the state; the threads of [`api`],
 //! [`store`], [`cluster`] and [`autoscaler`] exchange events with it through channels.
-//! `docs/architecture.md` tells which way each request takes.
+//! `docs/architecture.md` describes the path of each request.
 
 #![warn(missing_docs, unreachable_pub)]
 #![warn(clippy::expect_used, clippy::panic, clippy::unwrap_used)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads its arguments and starts a controller.
+//! The finchwood program: parses its arguments and starts a controller.
 
 use clap::Parser;
 use finchwood::config::features::{FeatureError, Features};
@@ -25,7 +25,7 @@
     with: Vec<PathBuf>,
 }
 
-/// Why the controller can't be started.
+/// The reason why the controller could not be started.
 #[derive(Debug, Error)]
 enum Error {
     #[error(transparent)]
@@ -38,7 +38,8 @@
     Controller(#[from] StartError),
 }
 
-/// Logs to the standard error stream, from the level that `LOG_LEVEL` names.
+/// Sends log events to the standard error stream. `LOG_LEVEL` sets the level: `debug`,
+/// `info`, or otherwise `error`.
 fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => Level::DEBUG,
@@ -53,7 +54,8 @@
         .init();
 }
 
-/// Runs a controller; returns only if it can't be started.
+/// Loads the configuration files and runs a controller. Returns an error if the controller
+/// cannot be started; otherwise returns only when its event loop ends.
 fn run(args: &Args) -> Result<(), Error> {
     let settings = Settings::load(&args.config)?;
     let policy = match &args.policy {
--- a/src/threads.rs
+++ b/src/threads.rs
@@ -1,15 +1,17 @@
-//! Detached threads: actors that run until their channels close or the process ends.
+//! Detached threads, which run until their channels close or the process ends.
 
-/// The stack of a thread, in bytes: actors need little, and some modules start dozens.
+/// The stack size of a thread, in bytes. It is small, because the threads need little stack
+/// and some modules start dozens of them.
 const STACK_BYTES: usize = 512 * 1024;
 
-/// Starts a named thread that nobody joins. A thread that cannot be started is logged.
+/// Starts a named thread without keeping a handle to join it. If the thread cannot be
+/// started, the error is logged and `body` is never run.
 pub fn spawn_detached(name: &str, body: impl FnOnce() + Send + 'static) {
-    let started = std::thread::Builder::new()
+    let spawned = std::thread::Builder::new()
         .name(name.into())
         .stack_size(STACK_BYTES)
         .spawn(body);
-    if let Err(error) = started {
+    if let Err(error) = spawned {
         tracing::error!(name, %error, "cannot start a thread");
     }
 }
