--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// The delay before a deletion without an answer is requested again, in report intervals.
+/// The delay before a deletion without a response is requested again, in report intervals.
 const DELETION_RETRY_REPORTS: f64 = 2.0;
 
 /// For how long a machine's contact with a shard other than its own counts, in report
@@ -47,7 +47,7 @@
 }
 
 impl Controller {
-    /// Reviews the whole fleet, and has machines deleted, drained and rented as needed.
+    /// Reviews the whole fleet, and deletes, drains and rents machines as needed.
     pub(super) fn autoscale(&mut self, now: Seconds) {
         self.send_due_requests(now);
         let Some(catalog) = self.cache.catalog.clone() else {
@@ -317,9 +317,9 @@
         let _ = self.cloud.try_send(CloudRequest::Delete(machines));
     }
 
-    /// Has idle and expensive machines drained and half-empty ones consolidated, so that
-    /// they can be returned. Stops the draining of some of them if there is work for them
-    /// after all.
+    /// Drains idle and expensive machines and consolidates half-empty ones, so that they
+    /// can be returned. Stops the draining of some of them if there is work for them after
+    /// all.
     fn scale_in(
         &mut self,
         in_use: &[MachineUsage],
@@ -403,8 +403,8 @@
         }
     }
 
-    /// Returns all demand: tasks that no machine has room for, and headroom for services,
-    /// of which `missing_cpus` CPUs are lacking.
+    /// Returns all demand: tasks for which no machine has free capacity, and headroom for
+    /// services, of which `missing_cpus` CPUs are lacking.
     fn total_demand(&self, missing_cpus: f64) -> Vec<PendingDemand> {
         let mut demand = self.leader.pending_demand.clone();
         let service = self
@@ -465,8 +465,8 @@
     }
 
     /// Returns the health of every machine in use. A machine that was in use before this
-    /// epoch and has not reported in it counts as silent: it may have died while there was
-    /// no leader.
+    /// epoch and has not sent a heartbeat in it counts as silent: it may have died while
+    /// there was no leader.
     fn machine_health(&self, now: Seconds) -> HashMap<MachineId, MachineHealth> {
         let report_s = self.settings.params.workers.report_s;
         let seen = self
--- a/src/controller/cloud_responses.rs
+++ b/src/controller/cloud_responses.rs
@@ -1,5 +1,6 @@
 //! Handling of the cloud's responses: rentals, deletions, the catalog, and the machine
-//! list, which shows the machines that are gone and those that no controller knows.
+//! list, which shows the machines that are gone and those that are unknown to the
+//! controllers.
 
 use super::{Controller, WritePurpose};
 use crate::autoscaler::cloud::CloudResponse;
@@ -154,9 +155,9 @@
         }
     }
 
-    /// Registers a listed machine that no controller knows, once it is certain that it
-    /// runs. Such a machine was rented by a request that was carried out late, or by an
-    /// earlier leader.
+    /// Registers a listed machine that is unknown to the controllers, once it is certain
+    /// that it runs. Such a machine was rented by a request that was carried out late, or
+    /// by an earlier leader.
     fn adopt_if_unknown(&mut self, machine: &ListedMachine, now: Seconds) {
         let id = &machine.id;
         let is_known = self.cache.registry.contains_key(id)
--- a/src/controller/command_dispatch.rs
+++ b/src/controller/command_dispatch.rs
@@ -19,8 +19,8 @@
 /// The fewest threads of a pool.
 const MIN_POOL_THREADS: f64 = 4.0;
 
-/// Sends direct commands to workers. Machines that may not answer have a pool of their own,
-/// so that they do not delay commands to the others.
+/// Sends direct commands to workers. Machines that may not respond have a pool of their
+/// own, so that they do not delay commands to the others.
 pub(super) struct CommandDispatcher {
     responsive: CommandPool,
     unverified: CommandPool,
@@ -68,7 +68,7 @@
         self.pool_for(&command).send(command, valid_until)
     }
 
-    /// Records that a command was answered or has failed.
+    /// Records that a command has completed or failed.
     pub(super) fn record_completion(&mut self, result: &CommandResult) {
         self.pool_for(&result.command).record_completion();
     }
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -1,5 +1,5 @@
-//! Commits of finished tasks to the key-value store. Only after its commit may a job be
-//! reported as done, or a worker discard a result.
+//! Commits of finished tasks to the key-value store. Only once they are committed may a job
+//! be reported as done, or a worker discard a result.
 
 use super::writes::{put_record, put_value};
 use super::{Controller, WritePurpose};
@@ -132,8 +132,8 @@
     Transaction { conditions, ops }
 }
 
-/// Returns the operations that store a job's record as done and delete its chunks, as many
-/// as fit into a transaction.
+/// Returns the operations that store a job's record as done and delete as many of its
+/// chunks as fit into the same transaction.
 fn job_done_ops(id: &JobId, job: &CachedJob, limits: &StateLimits) -> Vec<WriteOp> {
     let record = JobRecord {
         spec: None,
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -41,9 +41,9 @@
     Lease(LeaseEvent),
     /// A write to the key-value store has completed, failed or timed out.
     WriteCompleted(WritePurpose, CommitOutcome),
-    /// A request to the cloud was answered or has failed.
+    /// A request to the cloud has completed or failed.
     CloudResponse(CloudResponse),
-    /// A direct command to a worker was answered or has failed.
+    /// A direct command to a worker has completed or failed.
     CommandCompleted(CommandResult),
     /// Another controller has become directly reachable or unreachable.
     PeerReachability {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Handling of workers' heartbeats: answered by this node if it owns the machine, else
-//! relayed to the owner, or the worker is redirected to another controller.
+//! Handling of workers' heartbeats: this node responds to those of the machines that it
+//! owns. It relays the others to the owner, or redirects the worker to another controller.
 
 use super::worker_redirects::OwnerAttempt;
 use super::{Controller, RETRY_AFTER_S};
@@ -13,15 +13,15 @@
 
 /// How a heartbeat reaches the owner of its machine.
 enum Route {
-    /// The worker is told to send its heartbeats to the controller of this name.
+    /// The worker is redirected to the controller with this name.
     Redirect(String),
     /// This node relays it to the owner.
     Relay,
 }
 
 impl Controller {
-    /// Handles a heartbeat. `body` is its encoded form as received, and `relayed` says
-    /// whether another controller relayed it.
+    /// Handles a heartbeat. `body` is its encoded form as received; `relayed` is true if
+    /// another controller relayed it.
     pub(super) fn handle_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -38,7 +38,7 @@
                 "not a member now",
             );
         };
-        // Fenced: what this node knows may be outdated, so that neither an answer nor a
+        // Fenced: this node's state may be outdated, so that neither a response nor a
         // redirect would be reliable.
         let Some(valid_until) = self.may_act_until().filter(|until| now < *until) else {
             return responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "fenced");
@@ -101,7 +101,7 @@
         match (route, relay) {
             (Route::Relay, Some(relay)) => {
                 let deadline = now + self.redirects.relay_timeout();
-                // If the queue is full, the responder is dropped and answers with 503.
+                // If the queue is full, the responder is dropped and responds with 503.
                 let _ = relay.try_send(RelayedHeartbeat {
                     body,
                     responder,
@@ -124,15 +124,15 @@
     ) -> Route {
         let reachability = self.peers.reachability();
         if reachability.is_partitioned(&heartbeat.zone, owner, now) {
-            // The worker cannot reach its owner: it is redirected to a controller that can
-            // reach both, if there is one.
+            // The worker presumably cannot reach its owner either: it is redirected to a
+            // controller that can reach both, if there is one.
             return match reachability.alternate_controller(owner, now) {
                 Some(target) => Route::Redirect(target.into()),
                 None => Route::Relay,
             };
         }
-        // A worker that already has a token of this epoch has been answered by its owner,
-        // and would still report there if it could reach it.
+        // A worker that already has a token of this epoch has received a response from its
+        // owner, and would still send its heartbeats there if it could reach it.
         let has_token_of_epoch = self
             .entered_epoch()
             .is_some_and(|epoch| membership::token_epoch(heartbeat.token) == epoch.number);
--- a/src/controller/interval_timer.rs
+++ b/src/controller/interval_timer.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Seconds;
 
-/// When the process started, on the steady clock.
+/// When the process started, on the monotonic clock.
 const PROCESS_START: Seconds = 0.0;
 
 /// A timer for something that is done at intervals.
--- a/src/controller/job_requests.rs
+++ b/src/controller/job_requests.rs
@@ -1,6 +1,6 @@
-//! Handling of users' requests. They are answered at once from memory where that is safe,
-//! after a fresh read of the key-value store where it is not, and after the commit where
-//! something is to be stored.
+//! Handling of users' requests. They are answered at once from the cache where that is
+//! safe, after a fresh read of the key-value store where it is not, and after the commit
+//! where something is to be stored.
 
 use super::writes::{put_record, put_value, to_value};
 use super::{Controller, WritePurpose, RETRY_AFTER_S};
@@ -28,7 +28,7 @@
 const UPGRADE_RETRY_AFTER_S: u32 = 5;
 
 /// The `Retry-After` value of a request about a job whose record cannot be read, in
-/// seconds. No other answer is possible until an operator has repaired the record.
+/// seconds. No other response is possible until an operator has repaired the record.
 const UNREADABLE_RETRY_AFTER_S: u32 = 30;
 
 /// How long a request may wait before it is refused, in seconds: a fifth of the time after
@@ -59,8 +59,8 @@
     DescriptionTooLong,
 }
 
-/// A request that is answered from a read of the key-value store that began after the
-/// request arrived.
+/// A request that is served from a read of the key-value store that began after the request
+/// arrived.
 enum ReadRequest {
     Query {
         job: JobId,
@@ -109,8 +109,8 @@
 
 /// The waiting requests, and the counts of running tasks that users are shown.
 pub(super) struct JobRequests {
-    /// The most reads that may wait, and the most submissions that may be pending. There
-    /// need be no more of them than connections, as each request has one.
+    /// The most reads that may wait, and the most submissions that may be pending: the
+    /// number of connections, as each request has one.
     max_waiting: usize,
     waiting_reads: Vec<WaitingRead>,
     submissions: HashMap<JobId, PendingSubmission>,
--- a/src/controller/member.rs
+++ b/src/controller/member.rs
@@ -14,8 +14,8 @@
 /// of a member's lease.
 const MAX_STORE_CONTACT_AGE_LEASES: f64 = 1.0 / 4.0;
 
-/// The greatest age of a peer's last message for the peer to count as heard, in durations
-/// of a member's lease.
+/// The greatest age of the last message from a peer that counts as contact with it, in
+/// durations of a member's lease.
 const MAX_PEER_CONTACT_AGE_LEASES: f64 = 1.0 / 2.0;
 
 /// How long the write of a proposed epoch may take, in durations of a member's lease.
@@ -41,9 +41,9 @@
         })
     }
 
-    /// Returns until when this node may act: until its lease ends, or until its knowledge
-    /// of the epoch is too old, whichever comes first. Returns `None` if it has not entered
-    /// the epoch, has no lease, or has not read the key-value store.
+    /// Returns until when this node may act: until its lease ends, or until its cached
+    /// state of the key-value store is too old, whichever comes first. Returns `None` if it
+    /// has not entered the epoch, has no lease, or has not read the key-value store.
     pub(super) fn may_act_until(&self) -> Option<Seconds> {
         self.entered_epoch()?;
         let lease_valid_until = self.membership.lease_valid_until()?;
@@ -57,39 +57,40 @@
             .is_some_and(|epoch| epoch.leader == self.settings.node_name)
     }
 
-    /// Returns whether users should send their requests to this node: it reaches the
-    /// key-value store, or it has reached it before and no other controller is known to
-    /// reach it now. A node that hears no other controller cannot know that, and is itself
-    /// partitioned.
+    /// Returns whether users should send their requests to this node: it has read the
+    /// key-value store recently, or it has read it before and no other controller reports
+    /// that it reaches it now. A node without contact to any other controller cannot
+    /// determine that, and is itself partitioned.
     pub(super) fn accepts_users(&self, now: Seconds) -> bool {
         let lease = self.settings.member_lease_s();
         let max_age = lease * MAX_STORE_CONTACT_AGE_LEASES;
         if self.store_sync.synced_within(max_age, now) {
             return true;
         }
-        let hears_nobody = !self
+        let no_contact = !self
             .peers
-            .any_heard(lease * MAX_PEER_CONTACT_AGE_LEASES, now);
-        let partitioned = hears_nobody && !self.settings.members.is_empty();
+            .any_contact(lease * MAX_PEER_CONTACT_AGE_LEASES, now);
+        let partitioned = no_contact && !self.settings.members.is_empty();
         self.store_sync.last_synced_at().is_some()
             && !self.peers.any_reaches_store(max_age, now)
             && !partitioned
     }
 
     /// Returns the members with a lease, except those that are unreachable. A controller
-    /// that has lost its network except for the key-value store would keep its machines,
-    /// and perhaps the leadership, unavailable to all others. It is left out if this node
-    /// does not hear it, and neither does some other member that this node hears and that
-    /// hears this node. A member is heard if its statement that it reaches the key-value
-    /// store has arrived recently. Returns `None` if this node hears no other member, since
-    /// it then cannot tell which of them are unreachable.
+    /// that has lost its network except for the key-value store keeps its lease: its
+    /// machines, and perhaps the leadership, would remain with it, out of reach of all
+    /// others. A member is left out if this node has no contact with it, and neither has
+    /// some other member with which this node is in mutual contact. Contact with a member
+    /// means that a recent message from it reports that it reaches the key-value store.
+    /// Returns `None` if this node has no contact with any other member, since it then
+    /// cannot determine which of them are unreachable.
     ///
-    /// Returns all members if there is only this one, or if this process has not run long
-    /// enough to have heard the others.
+    /// Returns all members if there are no others, or if this process has not run long
+    /// enough to have received messages from them.
     fn reachable_members(&self, now: Seconds) -> Option<BTreeMap<String, Versioned<MemberRecord>>> {
         let timeout = self.report_interval() * PEER_TIMEOUT_REPORTS;
         let this_node = &self.settings.node_name;
-        let hears = |name: &String| self.peers.reaches_store(name, timeout, now);
+        let contacted = |name: &String| self.peers.reaches_store(name, timeout, now);
         let peers: Vec<&String> = self
             .cache
             .members
@@ -99,16 +100,17 @@
         if peers.is_empty() || self.membership.uptime(now) < timeout {
             return Some(self.cache.members.clone());
         }
-        if !peers.iter().any(|name| hears(name)) {
+        if !peers.iter().any(|name| contacted(name)) {
             return None;
         }
-        let is_unheard_by_a_peer = |name: &String| {
+        let peer_lost_contact = |name: &String| {
             peers
                 .iter()
-                .any(|peer| *peer != name && hears(peer) && self.peers.fails_to_hear(peer, name))
+                .any(|peer| *peer != name && contacted(peer) && self.peers.lost_contact(peer, name))
         };
         let mut reachable = self.cache.members.clone();
-        reachable.retain(|name, _| name == this_node || hears(name) || !is_unheard_by_a_peer(name));
+        reachable
+            .retain(|name, _| name == this_node || contacted(name) || !peer_lost_contact(name));
         Some(reachable)
     }
 
@@ -147,10 +149,10 @@
     /// the members of the current epoch, else a renewed one if the leader needs it. Returns
     /// `None` if the current epoch should continue.
     fn next_epoch(&self, members: &BTreeMap<String, Versioned<MemberRecord>>) -> Option<Epoch> {
-        let present = self.cache.epoch.as_ref();
+        let current = self.cache.epoch.as_ref();
         let epoch_to_renew =
-            || present.filter(|_| self.is_leader() && self.leader.needs_new_epoch());
-        membership::next_epoch(present, members)
+            || current.filter(|_| self.is_leader() && self.leader.needs_new_epoch());
+        membership::next_epoch(current, members)
             .or_else(|| epoch_to_renew().map(membership::renewed_epoch))
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -67,15 +67,15 @@
 /// The shortest time between two rounds, in report intervals.
 const ROUND_INTERVAL_REPORTS: f64 = 1.0 / 60.0;
 
-/// The time between reports to the leader of a shard that has changed, and of one that has
-/// not, in report intervals.
+/// The time between reports of a shard to the leader, if it has changed and if it has not,
+/// in report intervals.
 const CHANGED_SHARD_INTERVAL_REPORTS: f64 = 1.0 / 20.0;
 const UNCHANGED_SHARD_INTERVAL_REPORTS: f64 = 1.0 / 3.0;
 
 /// The time between keepalives to the other controllers, in report intervals.
 const KEEPALIVE_INTERVAL_REPORTS: f64 = 1.0 / 3.0;
 
-/// How long a statement in a message from a peer remains valid, in report intervals.
+/// How long the contents of a message from a peer remain valid, in report intervals.
 const PEER_TIMEOUT_REPORTS: f64 = 2.0;
 
 /// The state of the controller: its components, which the event loop connects.
@@ -192,8 +192,8 @@
                 responder.send(status::OK, Vec::new());
                 self.handle_envelope(*envelope, now);
             }
-            // Answered by the listener, from the last published report, before they get
-            // here.
+            // The listener responds to these from the last published report, before they
+            // get here.
             Request::RestartReport | Request::ShardMapReport => {
                 responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "no report yet")
             }
--- a/src/controller/node_membership.rs
+++ b/src/controller/node_membership.rs
@@ -15,10 +15,10 @@
     node_name: String,
     started_at: Seconds,
     lease: Option<NodeLease>,
-    /// Since when the live members are known to differ from those of the epoch; after a
-    /// proposal, when it completed. `None` while the members agree.
+    /// Since when the live members have differed from those of the epoch; after a proposal,
+    /// when it completed. `None` while the members match.
     epoch_stale_since: Option<Seconds>,
-    /// Whether a proposal of an epoch is in flight.
+    /// Whether a proposal of an epoch is in progress.
     proposal_pending: bool,
 }
 
@@ -78,7 +78,7 @@
             .filter(|incarnation| epoch.members.get(&self.node_name) == Some(incarnation))
     }
 
-    /// Returns whether a proposal of an epoch is in flight.
+    /// Returns whether a proposal of an epoch is in progress.
     pub(super) fn is_proposing(&self) -> bool {
         self.proposal_pending
     }
@@ -96,7 +96,7 @@
     }
 
     /// Records that the live members differ from those of the epoch. Returns since when
-    /// that is known.
+    /// they have.
     pub(super) fn mark_epoch_stale(&mut self, now: Seconds) -> Seconds {
         *self.epoch_stale_since.get_or_insert(now)
     }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -7,12 +7,12 @@
 use crate::shard::{Orders, ShardReport};
 
 impl Controller {
-    /// Applies what an envelope says of its sender and of cancellations, then handles its
-    /// message, or forwards it if it is addressed to another controller.
+    /// Applies what an envelope reports of its sender and of cancellations, then handles
+    /// its message, or forwards it if it is addressed to another controller.
     pub(super) fn handle_envelope(&mut self, envelope: Envelope, now: Seconds) {
         self.peers.record_envelope(&envelope, now);
-        // A committed cancellation holds no matter how a controller learns of it, so that
-        // one that cannot reach the key-value store need not wait until it can.
+        // A committed cancellation holds no matter where it was received from, so that a
+        // controller that cannot reach the key-value store need not wait until it can.
         for notice in &envelope.cancellation_notices {
             if self
                 .cache
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -1,4 +1,4 @@
-//! The other controllers: what this node knows of them, and the transport to them.
+//! The other controllers: the state that they report, and the transport to them.
 
 use super::events::ControllerEvent;
 use super::interval_timer::IntervalTimer;
@@ -9,16 +9,16 @@
 use crossbeam::channel::Sender;
 use std::collections::HashMap;
 
-/// The latest report of another controller of the peers that it hears and that reach the
-/// key-value store.
-struct HeardPeers {
+/// The peers from which another controller receives messages and which reach the key-value
+/// store, as it last reported.
+struct PeerContacts {
     reported_at: Seconds,
     names: Vec<String>,
 }
 
-impl HeardPeers {
+impl PeerContacts {
     fn contains(&self, name: &str) -> bool {
-        self.names.iter().any(|heard| heard == name)
+        self.names.iter().any(|contact| contact == name)
     }
 }
 
@@ -35,7 +35,7 @@
     reachability: Reachability,
     /// When each peer last reported that it reaches the key-value store.
     store_reached_at: HashMap<String, Seconds>,
-    heard_peers: HashMap<String, HeardPeers>,
+    peer_contacts: HashMap<String, PeerContacts>,
     recent_cancellations: Vec<RecentCancellation>,
     keepalive_timer: IntervalTimer,
 }
@@ -68,7 +68,7 @@
                 settings.params.workers.report_s * 2.0,
             ),
             store_reached_at: HashMap::new(),
-            heard_peers: HashMap::new(),
+            peer_contacts: HashMap::new(),
             recent_cancellations: Vec::new(),
             keepalive_timer: IntervalTimer::since_process_start(),
         }
@@ -84,13 +84,13 @@
         self.reachability.record_direct_contact(name, reachable);
     }
 
-    /// Records what an envelope states about its sender.
+    /// Records what an envelope reports about its sender.
     pub(super) fn record_envelope(&mut self, envelope: &Envelope, now: Seconds) {
-        let heard = HeardPeers {
+        let contacts = PeerContacts {
             reported_at: now,
             names: envelope.heard_peers.clone(),
         };
-        self.heard_peers.insert(envelope.from.clone(), heard);
+        self.peer_contacts.insert(envelope.from.clone(), contacts);
         self.reachability.record_unreachable_peers(
             &envelope.from,
             envelope.unreachable_peers.clone(),
@@ -126,21 +126,22 @@
     }
 
     /// Returns whether a message from any peer arrived less than `max_age` ago.
-    pub(super) fn any_heard(&self, max_age: Seconds, now: Seconds) -> bool {
-        self.heard_peers
+    pub(super) fn any_contact(&self, max_age: Seconds, now: Seconds) -> bool {
+        self.peer_contacts
             .values()
-            .any(|heard| now - heard.reported_at < max_age)
+            .any(|contacts| now - contacts.reported_at < max_age)
     }
 
-    /// Returns whether `observer` last reported that it hears this node but not `target`.
-    pub(super) fn fails_to_hear(&self, observer: &str, target: &str) -> bool {
-        self.heard_peers
+    /// Returns whether `observer` last reported contact with this node but not with
+    /// `target`.
+    pub(super) fn lost_contact(&self, observer: &str, target: &str) -> bool {
+        self.peer_contacts
             .get(observer)
-            .is_some_and(|heard| heard.contains(&self.node_name) && !heard.contains(target))
+            .is_some_and(|peers| peers.contains(&self.node_name) && !peers.contains(target))
     }
 
-    /// Sends a message to a peer, together with what this node knows of the other
-    /// controllers. `store_synced` says whether this node reaches the key-value store.
+    /// Sends a message to a peer, together with this node's view of the other controllers.
+    /// `store_synced` is whether this node reaches the key-value store.
     pub(super) fn send(&self, to: &str, message: PeerMessage, store_synced: bool) {
         self.transport.send(Envelope {
             from: self.node_name.clone(),
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -36,14 +36,14 @@
     record: MachineRecord,
 }
 
-/// A machine that reports or is listed by the cloud, but is neither registered nor was
-/// rented by this leader.
+/// A machine that sends heartbeats or is listed by the cloud, but is neither in the cached
+/// registry nor was rented by this leader.
 struct FoundMachine {
     id: MachineId,
     record: MachineRecord,
 }
 
-/// A machine that reports for the first time.
+/// A registered machine that has sent its first heartbeat.
 struct StartedMachine {
     id: MachineId,
     address: Arc<str>,
@@ -58,9 +58,8 @@
     unwritten: BTreeMap<MachineId, UnwrittenMachine>,
     /// The number of groups of found machines so far. Each group gets pages of its own.
     found_groups: u64,
-    /// When the writes were answered whose outcomes the cache may not show yet, by page
-    /// key.
-    answered_at: HashMap<Arc<str>, Seconds>,
+    /// When those writes completed whose outcomes the cache may not show yet, by page key.
+    completed_at: HashMap<Arc<str>, Seconds>,
     /// The order in which changed pages are written.
     queue: PageQueue,
 }
@@ -68,7 +67,7 @@
 impl RegistryWriter {
     /// Resets what depends on the epoch, as this node begins to lead a new one.
     pub(super) fn begin_leading(&mut self) {
-        self.answered_at.clear();
+        self.completed_at.clear();
     }
 
     /// Returns whether a machine was rented or found and is not in the cached registry yet.
@@ -84,10 +83,10 @@
             .map(|(id, machine)| (id, &machine.record))
     }
 
-    /// Returns whether a page's write is in flight, or was answered so recently that the
-    /// cache may not show its outcome.
+    /// Returns whether a page's write is in flight, or completed so recently that the cache
+    /// may not show its outcome.
     fn is_page_busy(&self, key: &Arc<str>) -> bool {
-        self.writing.contains(key) || self.answered_at.contains_key(key)
+        self.writing.contains(key) || self.completed_at.contains_key(key)
     }
 }
 
@@ -140,13 +139,13 @@
         self.add_found_machines(vec![FoundMachine { id, record }]);
     }
 
-    /// Updates the registry: adds rented and found machines, marks machines that report for
-    /// the first time, and removes machines that are gone.
+    /// Updates the registry: adds rented and found machines, marks machines that have sent
+    /// their first heartbeat, and removes machines that are gone.
     pub(super) fn update_registry(&mut self, now: Seconds) {
         self.registry
-            .answered_at
+            .completed_at
             .retain(|_, at| now - *at < CACHE_LAG);
-        let started = self.add_reporting_machines();
+        let started = self.add_unregistered_machines();
         let mut pages = Pages::new();
         self.mark_started(started, &mut pages);
         self.add_unwritten_to_pages(&mut pages);
@@ -157,9 +156,9 @@
         self.forget_deleted(now);
     }
 
-    /// Records the reporting machines that are on no page, to be written to the registry.
-    /// Returns those that are on a page and report for the first time.
-    fn add_reporting_machines(&mut self) -> Vec<StartedMachine> {
+    /// Records the machines that have sent heartbeats and are on no page, to be written to
+    /// the registry. Returns those that are on a page and have sent their first heartbeat.
+    fn add_unregistered_machines(&mut self) -> Vec<StartedMachine> {
         let mut started = Vec::new();
         let mut found = Vec::new();
         for machine in self.leader.machines() {
@@ -180,8 +179,8 @@
         started
     }
 
-    /// Adds the addresses of machines that report for the first time to their pages, which
-    /// marks the machines as in use.
+    /// Adds the addresses of machines that have sent their first heartbeat to their pages,
+    /// which marks the machines as in use.
     fn mark_started(&self, started: Vec<StartedMachine>, pages: &mut Pages) {
         for machine in started {
             let Some(registered) = self.cache.registry.get(&machine.id) else {
@@ -256,9 +255,9 @@
             .forget_gone(max_age, |id| registry.contains_key(id), now);
     }
 
-    /// Writes the changed pages that have no write in flight. The limit of writes in flight
-    /// is half the operations of a transaction: the longer a page waits, the more changes
-    /// go into its next write.
+    /// Writes the changed pages that have no write in flight. As many writes may be in
+    /// flight as half a transaction has operations: the longer a page waits, the more
+    /// changes go into its next write.
     fn write_pages(&mut self, pages: Pages, copies: &PageCopies, now: Seconds) {
         let half_transaction = self.settings.params.state.lowest_txn_ops() / 2;
         let max_writes = half_transaction.max(MIN_CONCURRENT_WRITES);
@@ -337,10 +336,10 @@
                 let change = self.cache.put(&key, to_value(&page), revision);
                 self.apply_cache_change(change, now);
             }
-            // The page was deleted, or the write was not committed for certain: the next
-            // read of the key-value store shows the outcome.
+            // The page was deleted, or the write may not have been committed: the next read
+            // of the key-value store shows the outcome.
             _ => {
-                self.registry.answered_at.insert(key, now);
+                self.registry.completed_at.insert(key, now);
             }
         }
     }
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -15,8 +15,8 @@
 /// The time between publications of the report, in report intervals.
 const PUBLISH_INTERVAL_REPORTS: f64 = 1.0 / 6.0;
 
-/// The most unreadable or misfit records that a report lists.
-const MAX_RECORDS_NAMED: usize = 100;
+/// The most invalid records and dangling references that a report lists.
+const MAX_RECORDS_LISTED: usize = 100;
 
 /// The state of the feature `cold-restart`.
 pub(super) struct ColdRestart {
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Logs stored records that name a team, zone or machine type which neither the
-    /// settings nor the catalog has.
-    pub(super) fn log_misfit_records(&self) {
+    /// Logs dangling references: stored records that name a team, zone or machine type
+    /// which neither the settings nor the catalog has.
+    pub(super) fn log_dangling_references(&self) {
         for misfit in misfit_records(&self.cache, &self.settings) {
             tracing::warn!(key = misfit.key, error = %misfit.error, "a stored record doesn't fit");
         }
@@ -146,7 +146,7 @@
             leader: self.is_leader().then(progress),
             machines: self.shard.restart_record(now),
             records_left_alone_count: left_alone.len(),
-            records_left_alone: left_alone.into_iter().take(MAX_RECORDS_NAMED).collect(),
+            records_left_alone: left_alone.into_iter().take(MAX_RECORDS_LISTED).collect(),
         }
     }
 
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -29,14 +29,14 @@
 /// An upper bound of the size of one range in the stored shard map, in bytes.
 const RANGE_BYTES: usize = 120;
 
-/// How long the source or the target of a transfer may leave it unanswered, in report
+/// How long the source or the target of a transfer may take to respond, in report
 /// intervals.
 const TRANSFER_TIMEOUT_REPORTS: f64 = 3.0;
 
 /// How long a write of the shard map may take, in seconds.
 const SHARD_MAP_WRITE_TIMEOUT: Seconds = 2.0;
 
-/// The time between plannings of the next transfer, in report intervals.
+/// The time between runs of the planner, in report intervals.
 const PLAN_INTERVAL_REPORTS: f64 = 1.0 / 4.0;
 
 /// The time between publications of the report, in report intervals.
@@ -193,9 +193,9 @@
         }
     }
 
-    /// Advances the transfers by one step, if this node is the leader: applies the shard
-    /// map, aborts transfers that are not answered in time, writes the next shard map, and
-    /// begins the next transfer.
+    /// Advances the leader's transfers by one step: applies the shard map, aborts transfers
+    /// whose participants do not respond in time, writes the next shard map, and begins the
+    /// next transfer.
     pub(super) fn run_transfers(&mut self, now: Seconds) {
         let in_use = self
             .entered_epoch()
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -89,7 +89,7 @@
             move |request, responder| match request {
                 Request::RestartReport => reports.restart.answer(responder),
                 Request::ShardMapReport => reports.shard_map.answer(responder),
-                // If the queue is full, the responder is dropped and answers with 503.
+                // If the queue is full, the responder is dropped and responds with 503.
                 request => drop(events.try_send(ControllerEvent::Request(request, responder))),
             },
         )?;
--- a/src/controller/watch_events.rs
+++ b/src/controller/watch_events.rs
@@ -1,5 +1,5 @@
-//! Handling of the events of the key-value store's watch: they update the cache, and the
-//! shard and the leader are told of the changes.
+//! Handling of the events of the key-value store's watch: updates the cache, and notifies
+//! the shard and the leader of the changes.
 
 use super::interval_timer::IntervalTimer;
 use super::Controller;
@@ -35,7 +35,7 @@
     /// Replaces the contents of the cache by a snapshot, whose read began at `began_at`.
     fn apply_snapshot(&mut self, began_at: Seconds, entries: Vec<KeyValue>, now: Seconds) {
         self.cache.load(entries);
-        self.log_misfit_records();
+        self.log_dangling_references();
         self.store_sync.record_success(began_at);
         self.apply_epoch_change(now);
         let jobs: Vec<JobId> = self.cache.jobs.keys().cloned().collect();
--- a/src/controller/worker_redirects.rs
+++ b/src/controller/worker_redirects.rs
@@ -12,7 +12,7 @@
 /// The share of the sockets that relays to one other controller may use.
 const RELAY_SOCKET_SHARE: f64 = 1.0 / 500.0;
 
-/// The timeout of a relay, in report intervals: the worker waits for the answer for about
+/// The timeout of a relay, in report intervals: the worker waits for the response for about
 /// as long.
 const RELAY_TIMEOUT_REPORTS: f64 = 0.8;
 
@@ -20,7 +20,7 @@
 /// a worker's lease.
 const OWNER_ATTEMPT_LEASES: f64 = 2.0;
 
-/// What this node knows of a worker that belongs to another shard.
+/// The state that this node keeps of a worker that belongs to another shard.
 struct RedirectedWorker {
     last_heartbeat_at: Seconds,
     /// When the worker last tried to reach its owner, as far as is known.
@@ -33,7 +33,7 @@
 }
 
 impl RedirectedWorker {
-    /// Returns what is known of a worker after one more heartbeat.
+    /// Returns the state of a worker after one more heartbeat.
     fn after_heartbeat(
         previous: Option<&RedirectedWorker>,
         heartbeat: &Heartbeat,
@@ -55,7 +55,7 @@
     }
 }
 
-/// What is known of the attempts of a redirected worker to reach its owner.
+/// The latest known attempt of a redirected worker to reach its owner.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OwnerAttempt {
     /// When the worker last tried to reach its owner, if that was recent.
@@ -65,8 +65,8 @@
 }
 
 impl OwnerAttempt {
-    /// Returns whether the worker tried to reach its owner recently. As it reports to this
-    /// node again, it cannot reach the owner.
+    /// Returns whether the worker tried to reach its owner recently. As it sends its
+    /// heartbeats to this node again, it cannot reach the owner.
     pub(super) fn is_recent(&self) -> bool {
         self.tried_at.is_some()
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Returns what is known of the attempts of a worker to reach its owner.
+    /// Returns the latest known attempt of a worker to reach its owner.
     pub(super) fn owner_attempt(&self, machine: &MachineId, now: Seconds) -> OwnerAttempt {
         let tried_at = self
             .workers
