--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -7,7 +7,7 @@
     self, BootProgress, BootingMachine, MachineOffer, MachineUsage, PendingDemand, MINIMUM_CHARGE_S,
 };
 use crate::clock::{self, Seconds};
-use crate::cluster::failure_detection::{FailureDetector, MachineHealth, Verdict};
+use crate::cluster::failure_detection::{FailureDetector, HealthVerdict, MachineHealth};
 use crate::config::settings::Workers;
 use crate::scheduler::{MachineFault, MachineSnapshot};
 use crate::store::records::MachineRecord;
@@ -61,9 +61,10 @@
         let mut booting = self.review_booting(&catalog, &detector, now);
         let unreconciled = self.unreconciled_machines(now);
         let unreconciled = unreconciled.as_ref();
-        self.leader.preemption_held = self.is_held_off(Action::Preempt, None, unreconciled, now);
+        self.leader.preemption_suspended =
+            self.is_held_off(Action::Preempt, None, unreconciled, now);
         let may_consolidate = !self.is_held_off(Action::Consolidate, None, unreconciled, now);
-        let may_evict_silent = !self.is_held_off(Action::EvictUnasked, None, unreconciled, now);
+        let may_evict_silent = !self.is_held_off(Action::DeleteUnprobed, None, unreconciled, now);
         let mut running = self.review_running(&catalog, &detector, &health, may_evict_silent, now);
         if !may_consolidate {
             running.drained.clear();
@@ -97,7 +98,7 @@
         let unanswered = self.autoscaler.rentals.awaiting_answer();
         self.autoscaler.may_scale_out(report_s, now)
             && !autoscaler::rental_backlog_is_full(unanswered, self.settings.params.cloud.rps)
-            && self.leader.all_joined()
+            && self.leader.all_shards_reported()
     }
 
     /// Sends the requests that are due to the cloud: for the catalog and the machine list,
@@ -126,7 +127,7 @@
     ) -> BootingMachines {
         let wall_clock_ms = clock::wall_clock_ms();
         let report_s = self.settings.params.workers.report_s;
-        let has_heard_all = self.autoscaler.has_heard_all(report_s, now);
+        let initial_reports_complete = self.autoscaler.initial_reports_complete(report_s, now);
         let reported: HashSet<&MachineId> = self
             .leader
             .machines()
@@ -153,7 +154,7 @@
                 .get(&record.machine_type)
                 .map_or(MINIMUM_CHARGE_S, |machine_type| machine_type.boot_s);
             let progress = self.policy.scaling.boot_progress(age_s, boot_s);
-            if progress == BootProgress::TimedOut && has_heard_all {
+            if progress == BootProgress::TimedOut && initial_reports_complete {
                 review.timed_out.push(id.clone());
             } else {
                 review.booting.push(BootingMachine {
@@ -165,7 +166,7 @@
         }
         review
             .booting
-            .extend(self.autoscaler.rentals.machines_to_come());
+            .extend(self.autoscaler.rentals.pending_machines());
         review
     }
 
@@ -204,16 +205,16 @@
                 continue;
             };
             match detector.verdict(health) {
-                Verdict::Replace if !may_evict_silent && health.is_only_silent() => continue,
-                Verdict::Replace => {
+                HealthVerdict::Replace if !may_evict_silent && health.is_only_silent() => continue,
+                HealthVerdict::Replace => {
                     tracing::debug!(machine = %id, ?health, "replacing machine");
                     review.dead.push(id.clone());
                     continue;
                 }
                 // Not counted as idle: otherwise all machines of a partitioned zone would
                 // be returned, and new ones rented and booted after the partition.
-                Verdict::Wait => continue,
-                Verdict::Keep => {}
+                HealthVerdict::Wait => continue,
+                HealthVerdict::Keep => {}
             }
             self.record_healthy_machine(
                 &machine,
@@ -411,7 +412,7 @@
             .cache
             .jobs
             .values()
-            .filter(|job| job.live())
+            .filter(|job| job.is_live())
             .filter_map(|job| job.record.spec.as_ref())
             .find(|spec| spec.job_kind == JobKind::Service);
         demand.extend(service.and_then(|spec| PendingDemand::service_headroom(missing_cpus, spec)));
@@ -428,9 +429,9 @@
         now: Seconds,
     ) {
         self.autoscaler.record_scale_out(now);
-        let capacity = &self.autoscaler.capacity;
+        let capacity_backoff = &self.autoscaler.capacity_backoff;
         let is_blocked = |offer: &MachineOffer| {
-            detector.zone_unreachable(&offer.zone) || capacity.is_blocked(offer, now)
+            detector.zone_unreachable(&offer.zone) || capacity_backoff.is_blocked(offer, now)
         };
         let rentals = autoscaler::plan_scale_out(
             demand,
@@ -471,7 +472,7 @@
         let report_s = self.settings.params.workers.report_s;
         let seen = self
             .leader
-            .seen_by_other_shards(report_s * SEEN_ELSEWHERE_REPORTS);
+            .machines_seen_by_other_shards(report_s * SEEN_ELSEWHERE_REPORTS);
         let registry = &self.cache.registry;
         let is_in_use = |machine: &MachineSnapshot| {
             machine.has_reported
@@ -482,13 +483,13 @@
         let health = |machine: MachineSnapshot| {
             let health = MachineHealth {
                 zone: machine.zone.clone(),
-                state_known: machine.reconciled,
+                tasks_known: machine.reconciled,
                 silent_s: machine.silent_s,
                 unanswered_s: machine.unanswered_s,
-                zone_contact: machine.reached,
+                zone_contact: machine.zone_contact,
                 seen_by_other_controller: seen.contains(&machine.id),
                 ignores_commands: machine.ignores_commands,
-                owner_unreachable: machine.ignores_commands
+                owner_responds_late: machine.ignores_commands
                     && self.leader.owner_responds_late(&machine.id),
             };
             (machine.id.clone(), health)
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -49,7 +49,7 @@
                 .cache
                 .jobs
                 .get(&completion.job)
-                .filter(|job| job.live())
+                .filter(|job| job.is_live())
             else {
                 self.leader.commit_answered(&completion.job, now, now);
                 continue;
@@ -66,7 +66,7 @@
             if self.writer.send(WriteClass::Bulk, write).is_err() {
                 self.leader.commit_answered(&completion.job, now, now);
             } else {
-                self.pending_completions.sent(write_id, completion.job, ops);
+                self.pending_completions.insert(write_id, completion.job, ops);
             }
         }
     }
@@ -83,7 +83,7 @@
     ) {
         let ops = self
             .pending_completions
-            .answered(write_id)
+            .remove(write_id)
             .map(|write| write.1)
             .unwrap_or_default();
         let CommitOutcome::Committed(revision) = outcome else {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -257,7 +257,7 @@
     fn run_shard_round(&mut self, valid_until: Seconds, now: Seconds) {
         let deadline = now + self.round_time_budget();
         self.shard.expire_leases(now);
-        self.shard.stop_for_notices(&self.cache, now);
+        self.shard.stop_tasks_before_reclaim(&self.cache, now);
         if self.is_leader() {
             self.run_leader_round(now, deadline);
         }
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -10,7 +10,7 @@
 use crate::store::keys::page_key;
 use crate::store::pending_writes::{PendingWrites, WriteId};
 use crate::store::records::{MachineRecord, RegistryPage};
-use crate::store::registry_pages::{self, PageCopies, PageLimit, PageQueue, Pages};
+use crate::store::registry_pages::{self, DeletionConditions, PageLimit, PageQueue, Pages};
 use crate::store::{CommitOutcome, Condition, ConditionalWrite, WriteClass, WriteOp};
 use crate::wire::MachineId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -103,7 +103,7 @@
         name: &str,
         record: &MachineRecord,
     ) {
-        for (number, page_ids) in ids.chunks(self.page_limit().machines()).enumerate() {
+        for (number, page_ids) in ids.chunks(self.page_limit().max_machines()).enumerate() {
             let page_key: Arc<str> = page_key(&format!("{name}.{number}")).into();
             for id in page_ids {
                 let machine = UnwrittenMachine {
@@ -151,7 +151,7 @@
         self.add_unwritten_to_pages(&mut pages);
         self.remove_deleted_from_pages(&mut pages);
         let stored = &self.cache.registry_pages;
-        let copies = registry_pages::split_long(&mut pages, stored, self.page_limit());
+        let copies = registry_pages::split_oversized_pages(&mut pages, stored, self.page_limit());
         self.write_pages(pages, &copies, now);
         self.forget_deleted(now);
     }
@@ -258,12 +258,12 @@
     /// Writes the changed pages that have no write in flight. As many writes may be in
     /// flight as half a transaction has operations: the longer a page waits, the more
     /// changes go into its next write.
-    fn write_pages(&mut self, pages: Pages, copies: &PageCopies, now: Seconds) {
+    fn write_pages(&mut self, pages: Pages, copies: &DeletionConditions, now: Seconds) {
         let half_transaction = self.settings.params.state.lowest_txn_ops() / 2;
         let max_writes = half_transaction.max(MIN_CONCURRENT_WRITES);
         let stored = &self.cache.registry_pages;
         let stored_len = |key: &Arc<str>| stored.get(key).map(|stored| stored.value.machines.len());
-        for (key, page) in self.registry.queue.in_turn(pages, stored_len, now) {
+        for (key, page) in self.registry.queue.write_order(pages, stored_len, now) {
             if self.registry.writing.count() >= max_writes {
                 return;
             }
@@ -314,8 +314,8 @@
         let machines = page.as_ref().map_or(0, |page| page.machines.len());
         tracing::debug!(%key, revision, machines, "writing a registry page");
         // Later changes of the page begin a new wait.
-        self.registry.queue.written(&key);
-        self.registry.writing.sent(write_id, key, page);
+        self.registry.queue.record_write(&key);
+        self.registry.writing.insert(write_id, key, page);
         true
     }
 
@@ -327,7 +327,7 @@
         outcome: CommitOutcome,
         now: Seconds,
     ) {
-        let Some((key, page)) = self.registry.writing.answered(write_id) else {
+        let Some((key, page)) = self.registry.writing.remove(write_id) else {
             return;
         };
         tracing::debug!(%key, ?outcome, "registry page write completed");
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -3,13 +3,13 @@
 use super::interval_timer::IntervalTimer;
 use super::Controller;
 use crate::api::published_report::PublishedReport;
-use crate::api::restart_report::{RecordLeftAlone, RestartReport};
+use crate::api::restart_report::{InvalidRecordReport, RestartReport};
 use crate::clock::{self, Seconds};
 use crate::config::features::ColdRestartConfig;
 use crate::config::settings::Settings;
-use crate::store::consistency::misfit_records;
+use crate::store::dangling_references::find_dangling_references;
 use crate::wire::JobSpec;
-use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffLimits, Situation};
+use finchwood_reconciliation::hold_off::{Action, HoldOff, HoldOffContext, HoldOffLimits};
 use finchwood_reconciliation::unreconciled::UnreconciledMachines;
 
 /// The time between publications of the report, in report intervals.
@@ -38,7 +38,7 @@
     ) -> ColdRestart {
         let workers = &settings.params.workers;
         let limits = HoldOffLimits {
-            answer_s: workers.report_s * config.answer_reports,
+            answer_timeout_s: workers.report_s * config.answer_reports,
             lease_s: clock::with_drift_margin(workers.lease_s),
         };
         ColdRestart {
@@ -83,9 +83,9 @@
         let (Some(restart), Some(unreconciled)) = (&self.cold_restart, unreconciled) else {
             return false;
         };
-        let situation = Situation {
+        let situation = HoldOffContext {
             now,
-            all_shards_reported: self.leader.all_joined(),
+            all_shards_reported: self.leader.all_shards_reported(),
             unreconciled,
         };
         match restart.hold_off.hold_reason(action, spec, situation) {
@@ -109,7 +109,7 @@
     /// Logs dangling references: stored records that name a team, zone or machine type
     /// which neither the settings nor the catalog has.
     pub(super) fn log_dangling_references(&self) {
-        for misfit in misfit_records(&self.cache, &self.settings) {
+        for misfit in find_dangling_references(&self.cache, &self.settings) {
             tracing::warn!(key = misfit.key, error = %misfit.error, "a stored record doesn't fit");
         }
     }
@@ -131,7 +131,7 @@
     }
 
     fn restart_report(&mut self, now: Seconds) -> RestartReport {
-        let left_alone = self.records_left_alone();
+        let left_alone = self.invalid_records();
         let deletions = &self.autoscaler.deletions;
         let progress = || {
             self.leader
@@ -145,25 +145,25 @@
                 .and_then(|restart| restart.first_accepted_s),
             leader: self.is_leader().then(progress),
             machines: self.shard.restart_record(now),
-            records_left_alone_count: left_alone.len(),
-            records_left_alone: left_alone.into_iter().take(MAX_RECORDS_LISTED).collect(),
+            invalid_record_count: left_alone.len(),
+            invalid_records: left_alone.into_iter().take(MAX_RECORDS_LISTED).collect(),
         }
     }
 
-    fn records_left_alone(&self) -> Vec<RecordLeftAlone> {
-        let unreadable = self
-            .cache
-            .unreadable
-            .iter()
-            .map(|(key, record)| RecordLeftAlone {
-                key: key.clone(),
-                why: record.error.to_string(),
-            });
-        let misfits = misfit_records(&self.cache, &self.settings)
+    fn invalid_records(&self) -> Vec<InvalidRecordReport> {
+        let unreadable =
+            self.cache
+                .invalid_records
+                .iter()
+                .map(|(key, record)| InvalidRecordReport {
+                    key: key.clone(),
+                    reason: record.error.to_string(),
+                });
+        let misfits = find_dangling_references(&self.cache, &self.settings)
             .into_iter()
-            .map(|misfit| RecordLeftAlone {
+            .map(|misfit| InvalidRecordReport {
                 key: misfit.key,
-                why: misfit.error.to_string(),
+                reason: misfit.error.to_string(),
             });
         unreadable.chain(misfits).collect()
     }
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -170,7 +170,7 @@
         let (Some(state), Some(epoch)) = (&self.shard_transfers, self.entered_epoch()) else {
             return false;
         };
-        let Some(hash_owner) = membership::owner(&epoch.members, machine) else {
+        let Some(hash_owner) = membership::owner_by_hash(&epoch.members, machine) else {
             return false;
         };
         let position = position(machine);
@@ -283,7 +283,7 @@
             .shard_transfers
             .as_ref()
             .is_some_and(|state| state.plan_timer.is_due(interval, now));
-        if !due || self.store_sync.is_unreachable() || !self.leader.all_joined() {
+        if !due || self.store_sync.is_unreachable() || !self.leader.all_shards_reported() {
             return;
         }
         let Some(epoch) = self.entered_epoch() else {
@@ -319,7 +319,7 @@
     /// map.
     fn owned_machines(&self, members: &BTreeMap<String, u64>) -> Vec<OwnedMachine> {
         let owned = |id: &MachineId| {
-            let hash_owner = membership::owner(members, id)?;
+            let hash_owner = membership::owner_by_hash(members, id)?;
             let owner = self.owner_of(id)?;
             Some(OwnedMachine {
                 hash_owner: hash_owner.into(),
@@ -393,7 +393,7 @@
                 .entered_epoch()
                 .is_some_and(|epoch| epoch.uses_shard_map),
             generation: shard_map.generation,
-            shares: shard_map.ranges().map(owned_range).collect(),
+            ranges: shard_map.ranges().map(owned_range).collect(),
             machines: self.shard.registered_machines(),
             fenced: self.shard.fenced_machines(),
             leader: self
--- a/tests/common/builders/heartbeats.rs
+++ b/tests/common/builders/heartbeats.rs
@@ -30,7 +30,7 @@
         session,
         seq: sequence,
         token,
-        notice_s: None,
+        reclaimed_in_s: None,
         tasks: tasks.iter().map(line).collect(),
     }
 }
@@ -39,6 +39,6 @@
 pub(crate) fn accepted(reply: HeartbeatReply) -> (u64, Vec<Command>) {
     match reply {
         HeartbeatReply::Accepted { token, commands } => (token, commands),
-        HeartbeatReply::Refuse => panic!("refused"),
+        HeartbeatReply::Refused => panic!("refused"),
     }
 }
--- a/tests/control_plane/versions.rs
+++ b/tests/control_plane/versions.rs
@@ -6,7 +6,7 @@
 //! [`production`] holds as much of its types as reading needs, as they were.
 
 use crate::builders::*;
-use finchwood::cluster::membership::{next_epoch, owner, owner_by_shard_map};
+use finchwood::cluster::membership::{next_epoch, owner_by_hash, owner_by_shard_map};
 use finchwood::cluster::peer::{CancellationNotice, Envelope, PeerMessage};
 use finchwood::finished::{chunks_covering, tasks_per_chunk, Chunk, ChunkRange};
 use finchwood::shard::{
@@ -180,7 +180,10 @@
             capability: 0
         }
     );
-    assert!(!m.all_run_gangs(), "production does not run gangs");
+    assert!(
+        !m.all_members_support_gangs(),
+        "production does not run gangs"
+    );
     assert_eq!(m.jobs["wk-1"].finished.iter().collect::<Vec<_>>(), [0, 2]);
     assert_eq!(
         m.jobs["wk-2"].record.spec.as_ref().map(|s| s.job_kind),
@@ -246,7 +249,7 @@
     assert_eq!(
         gone,
         [
-            (72, RemovalReason::Passed, 0),
+            (72, RemovalReason::Rejected, 0),
             (71, RemovalReason::Error, 0)
         ]
     );
@@ -257,7 +260,7 @@
     assert_eq!(
         (
             deal.tasks.len(),
-            deal.zone_room.is_some(),
+            deal.zone_capacity.is_some(),
             deal.assignments.len()
         ),
         (3, true, 0)
@@ -273,7 +276,7 @@
     let deals = vec![JobAssignment {
         job: "wk-1".into(),
         tasks: vec![(0, 50), (1, 50)],
-        zone_room: Some(vec![("e".into(), 2)]),
+        zone_capacity: Some(vec![("e".into(), 2)]),
         avoid: vec!["m-9".into()],
         assignments: vec![(1, 51)],
     }];
@@ -341,7 +344,7 @@
             RemovalReason::Stopped,
             RemovalReason::Error,
             RemovalReason::Lost,
-            RemovalReason::Passed,
+            RemovalReason::Rejected,
         ]
         .into_iter()
         .map(|how| {
@@ -506,7 +509,7 @@
         .with_owner(&HashRange::whole("a"), "b")
         .with_owner(&HashRange::whole("b"), "a");
     for id in (0..20).map(|i| format!("m-{i}")) {
-        let hash_owner = owner(&all.members, &id).expect("a hash owner");
+        let hash_owner = owner_by_hash(&all.members, &id).expect("a hash owner");
         assert_eq!(owner_by_shard_map(&mixed, &table, &id), Some(hash_owner));
         assert_ne!(owner_by_shard_map(&all, &table, &id), Some(hash_owner));
     }
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -4,7 +4,7 @@
 #[path = "common/fixtures.rs"]
 mod fixtures;
 
-use finchwood::cluster::failure_detection::ZoneContact;
+use finchwood::cluster::failure_detection::ZoneContactAges;
 use finchwood::cluster::peer::{CancellationNotice, Envelope, PeerMessage};
 use finchwood::shard::{
     AssignedTaskStatus, JobAssignment, MachineStatus, Orders, RemovalReason, RemovedTask,
@@ -52,7 +52,7 @@
         preemptible: resources(3.0),
         preemptible_low: resources(2.0),
         schedulable: true,
-        spot_notice: true,
+        reclaim_notice: true,
         faulty: true,
         ignores_commands: true,
         draining: true,
@@ -75,7 +75,7 @@
         preemptible: Resources::default(),
         preemptible_low: Resources::default(),
         schedulable: false,
-        spot_notice: false,
+        reclaim_notice: false,
         faulty: false,
         ignores_commands: false,
         draining: false,
@@ -129,7 +129,7 @@
         task: task(0),
         attempt: 70,
         state,
-        why: why.map(String::from),
+        cause: why.map(String::from),
     }
 }
 
@@ -144,15 +144,15 @@
         spot: true,
         address: Some("10.0.0.1:9000".into()),
         registered: true,
-        up: true,
-        state: MachineState::Proven,
+        used: true,
+        state: MachineState::Confirmed,
         session: 2,
         seq: 88,
         token_counter: 9,
         ended_session: 1,
         last_heartbeat_ago_s: Some(1.5),
         session_seen_ago_s: 100.25,
-        notice_in_s: Some(30.0),
+        reclaimed_in_s: Some(30.0),
         reported_tasks: lines.chain([known_line(Ended, Some("done"))]).collect(),
         assigned_tasks: vec![known_task()],
         images: vec![("img-1".into(), 6.2)],
@@ -165,10 +165,10 @@
         spot: false,
         address: None,
         registered: false,
-        up: false,
+        used: false,
         state,
         last_heartbeat_ago_s: None,
-        notice_in_s: None,
+        reclaimed_in_s: None,
         reported_tasks: Vec::new(),
         assigned_tasks: Vec::new(),
         images: Vec::new(),
@@ -178,13 +178,13 @@
 
 /// One machine with all that may be known, and one in each state.
 fn machines() -> Vec<MachineTransferState> {
-    use MachineState::{Heard, LeasePast, Proven, Unheard, Unused};
-    let bare = [Unused, Unheard, Heard, Proven, LeasePast].map(bare_machine);
+    use MachineState::{Confirmed, LeaseExpired, NoHeartbeat, Unconfirmed, Unused};
+    let bare = [Unused, NoHeartbeat, Unconfirmed, Confirmed, LeaseExpired].map(bare_machine);
     [known_machine()].into_iter().chain(bare).collect()
 }
 
 fn full_part() -> ShardReport {
-    use RemovalReason::{Error, Lost, Passed, Stopped};
+    use RemovalReason::{Error, Lost, Rejected, Stopped};
     use TaskPhase::{Done, Fetching, Queued, Running, Saving, Starting};
     let phases = [Queued, Starting, Fetching, Running, Saving, Done];
     ShardReport {
@@ -200,7 +200,7 @@
             .into_iter()
             .map(|phase| held(phase, Some("m-1"), 71))
             .collect(),
-        removed: [Stopped, Error, Lost, Passed]
+        removed: [Stopped, Error, Lost, Rejected]
             .into_iter()
             .map(|how| gone(how, Some("m-1"), 72))
             .collect(),
@@ -219,12 +219,12 @@
         ],
         zone_contacts: vec![(
             "e".into(),
-            ZoneContact {
+            ZoneContactAges {
                 began_ago_s: 100.5,
                 last_ago_s: 0.25,
             },
         )],
-        seen_elsewhere: vec![("m-5".into(), 1.5)],
+        foreign_workers: vec![("m-5".into(), 1.5)],
         transfers: TransferReport {
             accepted: vec![1],
             fenced: vec![(2, machines())],
@@ -249,7 +249,7 @@
         released: Vec::new(),
         silent_machines: Vec::new(),
         zone_contacts: Vec::new(),
-        seen_elsewhere: Vec::new(),
+        foreign_workers: Vec::new(),
         transfers: TransferReport::default(),
     }
 }
@@ -263,7 +263,7 @@
     let assignment = JobAssignment {
         job: "wk-1".into(),
         tasks: vec![(0, 50), (1, 50)],
-        zone_room: Some(vec![("e".into(), 2)]),
+        zone_capacity: Some(vec![("e".into(), 2)]),
         avoid: vec!["m-9".into()],
         assignments: vec![(1, 51)],
     };
@@ -297,7 +297,7 @@
     let assignment = JobAssignment {
         job: "wk-1".into(),
         tasks: Vec::new(),
-        zone_room: None,
+        zone_capacity: None,
         avoid: Vec::new(),
         assignments: Vec::new(),
     };
