--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -64,8 +64,8 @@
         self.leader.preemption_suspended =
             self.is_held_off(Action::Preempt, None, unreconciled, now);
         let may_consolidate = !self.is_held_off(Action::Consolidate, None, unreconciled, now);
-        let may_evict_silent = !self.is_held_off(Action::DeleteUnprobed, None, unreconciled, now);
-        let mut running = self.review_running(&catalog, &detector, &health, may_evict_silent, now);
+        let delete_unprobed = !self.is_held_off(Action::DeleteUnprobed, None, unreconciled, now);
+        let mut running = self.review_running(&catalog, &detector, &health, delete_unprobed, now);
         if !may_consolidate {
             running.drained.clear();
         }
@@ -188,7 +188,7 @@
         catalog: &Catalog,
         detector: &FailureDetector,
         health: &HashMap<MachineId, MachineHealth>,
-        may_evict_silent: bool,
+        delete_unprobed: bool,
         now: Seconds,
     ) -> RunningMachines {
         let faults = self.leader.cordon_faulty_machines(&self.cache);
@@ -205,7 +205,7 @@
                 continue;
             };
             match detector.verdict(health) {
-                HealthVerdict::Replace if !may_evict_silent && health.is_only_silent() => continue,
+                HealthVerdict::Replace if !delete_unprobed && health.is_only_silent() => continue,
                 HealthVerdict::Replace => {
                     tracing::debug!(machine = %id, ?health, "replacing machine");
                     review.dead.push(id.clone());
@@ -255,7 +255,7 @@
             .push(self.machine_usage(machine, schedulable, catalog, wall_clock_ms));
     }
 
-    /// Returns what the planning of scale-in needs to know of a machine.
+    /// Returns the usage of a machine, which is the input for the planning of scale-in.
     fn machine_usage(
         &self,
         machine: &MachineSnapshot,
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -66,7 +66,8 @@
             if self.writer.send(WriteClass::Bulk, write).is_err() {
                 self.leader.commit_answered(&completion.job, now, now);
             } else {
-                self.pending_completions.insert(write_id, completion.job, ops);
+                self.pending_completions
+                    .insert(write_id, completion.job, ops);
             }
         }
     }
--- a/src/controller/job_requests.rs
+++ b/src/controller/job_requests.rs
@@ -27,9 +27,9 @@
 /// upgraded, in seconds.
 const UPGRADE_RETRY_AFTER_S: u32 = 5;
 
-/// The `Retry-After` value of a request about a job whose record cannot be read, in
-/// seconds. No other response is possible until an operator has repaired the record.
-const UNREADABLE_RETRY_AFTER_S: u32 = 30;
+/// The `Retry-After` value of a request about a job whose record is invalid, in seconds. No
+/// other response is possible until an operator has repaired the record.
+const INVALID_RECORD_RETRY_AFTER_S: u32 = 30;
 
 /// How long a request may wait before it is refused, in seconds: a fifth of the time after
 /// which users give up.
@@ -373,8 +373,7 @@
         self.wait_for_fresh_read(request, now);
     }
 
-    /// Returns whether some controller has accepted a job, even if its record cannot be
-    /// read.
+    /// Returns whether some controller has accepted a job, even if its record is invalid.
     fn is_known(&self, id: &JobId) -> bool {
         self.cache.jobs.contains_key(id) || self.cache.invalid_records.contains(&job_key(id))
     }
@@ -546,13 +545,13 @@
         send_job_status(status::OK, &status_without_counts(id, state), responder);
     }
 
-    /// Answers a request about a job that has no readable record. A job whose record exists
-    /// but cannot be read was accepted, and must not be reported as unknown.
+    /// Answers a request about a job that has no valid record. A job whose record exists
+    /// but is invalid was accepted, and must not be reported as unknown.
     fn answer_without_record(&self, id: &JobId, responder: Responder) {
         if self.cache.invalid_records.contains(&job_key(id)) {
             return responder.retry_later(
                 status::SERVICE_UNAVAILABLE,
-                UNREADABLE_RETRY_AFTER_S,
+                INVALID_RECORD_RETRY_AFTER_S,
                 "the job's record can't be read",
             );
         }
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -151,8 +151,9 @@
         self.add_unwritten_to_pages(&mut pages);
         self.remove_deleted_from_pages(&mut pages);
         let stored = &self.cache.registry_pages;
-        let copies = registry_pages::split_oversized_pages(&mut pages, stored, self.page_limit());
-        self.write_pages(pages, &copies, now);
+        let deletion_conditions =
+            registry_pages::split_oversized_pages(&mut pages, stored, self.page_limit());
+        self.write_pages(pages, &deletion_conditions, now);
         self.forget_deleted(now);
     }
 
@@ -258,7 +259,12 @@
     /// Writes the changed pages that have no write in flight. As many writes may be in
     /// flight as half a transaction has operations: the longer a page waits, the more
     /// changes go into its next write.
-    fn write_pages(&mut self, pages: Pages, copies: &DeletionConditions, now: Seconds) {
+    fn write_pages(
+        &mut self,
+        pages: Pages,
+        deletion_conditions: &DeletionConditions,
+        now: Seconds,
+    ) {
         let half_transaction = self.settings.params.state.lowest_txn_ops() / 2;
         let max_writes = half_transaction.max(MIN_CONCURRENT_WRITES);
         let stored = &self.cache.registry_pages;
@@ -270,7 +276,10 @@
             if self.registry.is_page_busy(&key) {
                 continue;
             }
-            let conditions = copies.get(&key).map(Vec::as_slice).unwrap_or_default();
+            let conditions = deletion_conditions
+                .get(&key)
+                .map(Vec::as_slice)
+                .unwrap_or_default();
             if !self.write_page(key, page, conditions, now) {
                 return;
             }
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -83,12 +83,12 @@
         let (Some(restart), Some(unreconciled)) = (&self.cold_restart, unreconciled) else {
             return false;
         };
-        let situation = HoldOffContext {
+        let context = HoldOffContext {
             now,
             all_shards_reported: self.leader.all_shards_reported(),
             unreconciled,
         };
-        match restart.hold_off.hold_reason(action, spec, situation) {
+        match restart.hold_off.hold_reason(action, spec, context) {
             Some(reason) => {
                 self.shard.record_hold_off(action, reason);
                 true
@@ -109,8 +109,8 @@
     /// Logs dangling references: stored records that name a team, zone or machine type
     /// which neither the settings nor the catalog has.
     pub(super) fn log_dangling_references(&self) {
-        for misfit in find_dangling_references(&self.cache, &self.settings) {
-            tracing::warn!(key = misfit.key, error = %misfit.error, "a stored record doesn't fit");
+        for record in find_dangling_references(&self.cache, &self.settings) {
+            tracing::warn!(key = record.key, error = %record.error, "a stored record doesn't fit");
         }
     }
 
@@ -131,7 +131,7 @@
     }
 
     fn restart_report(&mut self, now: Seconds) -> RestartReport {
-        let left_alone = self.invalid_records();
+        let invalid_records = self.invalid_records();
         let deletions = &self.autoscaler.deletions;
         let progress = || {
             self.leader
@@ -145,26 +145,29 @@
                 .and_then(|restart| restart.first_accepted_s),
             leader: self.is_leader().then(progress),
             machines: self.shard.restart_record(now),
-            invalid_record_count: left_alone.len(),
-            invalid_records: left_alone.into_iter().take(MAX_RECORDS_LISTED).collect(),
+            invalid_record_count: invalid_records.len(),
+            invalid_records: invalid_records
+                .into_iter()
+                .take(MAX_RECORDS_LISTED)
+                .collect(),
         }
     }
 
     fn invalid_records(&self) -> Vec<InvalidRecordReport> {
-        let unreadable =
-            self.cache
-                .invalid_records
-                .iter()
-                .map(|(key, record)| InvalidRecordReport {
-                    key: key.clone(),
-                    reason: record.error.to_string(),
-                });
-        let misfits = find_dangling_references(&self.cache, &self.settings)
+        let invalid = self
+            .cache
+            .invalid_records
+            .iter()
+            .map(|(key, record)| InvalidRecordReport {
+                key: key.clone(),
+                reason: record.error.to_string(),
+            });
+        let dangling = find_dangling_references(&self.cache, &self.settings)
             .into_iter()
-            .map(|misfit| InvalidRecordReport {
-                key: misfit.key,
-                reason: misfit.error.to_string(),
+            .map(|record| InvalidRecordReport {
+                key: record.key,
+                reason: record.error.to_string(),
             });
-        unreadable.chain(misfits).collect()
+        invalid.chain(dangling).collect()
     }
 }
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -34,9 +34,9 @@
         }
     }
 
-    /// Records a successful read that began at `began_at`.
-    pub(super) fn record_success(&mut self, began_at: Seconds) {
-        self.last_synced_at = Some(began_at);
+    /// Records a successful read that started at `read_started_at`.
+    pub(super) fn record_success(&mut self, read_started_at: Seconds) {
+        self.last_synced_at = Some(read_started_at);
         self.unreachable = false;
     }
 
--- a/src/controller/watch_events.rs
+++ b/src/controller/watch_events.rs
@@ -36,11 +36,12 @@
         self.serve_waiting_reads(now);
     }
 
-    /// Replaces the contents of the cache by a snapshot, whose read began at `began_at`.
-    fn apply_snapshot(&mut self, began_at: Seconds, entries: Vec<KeyValue>, now: Seconds) {
+    /// Replaces the contents of the cache by a snapshot, whose read started at
+    /// `read_started_at`.
+    fn apply_snapshot(&mut self, read_started_at: Seconds, entries: Vec<KeyValue>, now: Seconds) {
         self.cache.load(entries);
         self.log_dangling_references();
-        self.store_sync.record_success(began_at);
+        self.store_sync.record_success(read_started_at);
         self.apply_epoch_change(now);
         let jobs: Vec<JobId> = self.cache.jobs.keys().cloned().collect();
         for id in jobs {
@@ -58,7 +59,7 @@
         }
     }
 
-    fn apply_changes(&mut self, began_at: Seconds, changes: Vec<KeyChange>, now: Seconds) {
+    fn apply_changes(&mut self, read_started_at: Seconds, changes: Vec<KeyChange>, now: Seconds) {
         for change in changes {
             let change = self.cache.apply(change);
             self.apply_cache_change(change, now);
@@ -66,7 +67,7 @@
         if self.store_sync.is_unreachable() {
             tracing::info!("the state service answers again");
         }
-        self.store_sync.record_success(began_at);
+        self.store_sync.record_success(read_started_at);
     }
 
     /// Notifies the shard and the leader of a change in the cache.
