--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Tasks of one job that fit on no machine at present.
+/// Tasks of one job that currently fit on no machine.
 #[derive(Debug, Clone)]
 pub struct PendingDemand {
     /// The resources that each of the tasks needs.
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -15,9 +15,10 @@
 /// A machine with fewer pinned CPUs than this counts as having none.
 const NO_PINNED_CPUS: f64 = 1e-6;
 
-/// Plans which idle machines to return: those that have been idle for long enough and are
-/// past their minimum charge, as long as `headroom_cpus` CPUs stay free on on-demand
-/// machines, which the start objectives of services require.
+/// Plans which idle machines to return: those that have been idle for long enough and have
+/// used up their minimum charge, except for the time that a deletion takes, as long as
+/// `headroom_cpus` CPUs stay free on on-demand machines, which the start objectives of
+/// services require.
 pub fn plan_scale_in(
     machines: &[MachineUsage],
     catalog: &Catalog,
@@ -50,7 +51,8 @@
     returned
 }
 
-/// Whether a machine has been idle for long enough and is past its minimum charge.
+/// Whether a machine has been idle for long enough and has nearly used up its minimum
+/// charge.
 fn is_idle_long_enough(machine: &MachineUsage, catalog: &Catalog, policy: &ScalingPolicy) -> bool {
     let boot_s = catalog
         .get(&machine.offer.machine_type)
