--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -126,9 +126,9 @@
         }
         machine.commands.in_flight |= direct;
         let token = token(epoch, machine.token.counter);
-        let order_counts = &mut self.restart_record.commands;
-        order_counts.forgets += forgets.len() as u64;
-        *order_counts
+        let command_counts = &mut self.restart_record.commands;
+        command_counts.forgets += forgets.len() as u64;
+        *command_counts
             .stops
             .entry(StopCause::NotAssigned)
             .or_default() += stops.len() as u64;
@@ -155,7 +155,7 @@
             .map(|machine| (machine.session.id, machine.used))?;
         let attempt = self.assigned.get(task)?.attempt;
         let placement = self.assigned.placement_mut(task)?;
-        let order_counts = &mut self.restart_record.commands;
+        let command_counts = &mut self.restart_record.commands;
         let Some(stop_reason) = placement.stop_reason else {
             if placement.confirmed || !in_use {
                 return None;
@@ -163,7 +163,7 @@
             placement.start_token = Some(token);
             placement.session = session;
             placement.start_sent = true;
-            order_counts.starts += 1;
+            command_counts.starts += 1;
             return Some(Command::Start {
                 task: task.to_string(),
                 attempt,
@@ -178,7 +178,7 @@
         if placement.phase == TaskPhase::Saving && grace_s > 0.0 {
             return None;
         }
-        *order_counts.stops.entry(stop_reason.into()).or_default() += 1;
+        *command_counts.stops.entry(stop_reason.into()).or_default() += 1;
         Some(Command::Stop {
             task: task.to_string(),
             attempt,
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Applies a worker's heartbeat and returns the reply. `relayed` tells that it arrived
+    /// Applies a worker's heartbeat and returns the reply. `relayed` is true if it arrived
     /// through another controller.
     pub fn apply_heartbeat(
         &mut self,
--- a/src/shard/leases.rs
+++ b/src/shard/leases.rs
@@ -8,10 +8,10 @@
 
 impl Shard {
     /// Ends the sessions of workers whose leases have expired. A worker that has received no
-    /// reply for the length of its lease has killed its tasks, so that they run nowhere even
-    /// if the machine can't be reached. Only its owner replies to a worker; an earlier owner
-    /// may do so for a limited time, which is waited for. A session that has ended never
-    /// resumes.
+    /// reply for the length of its lease has killed its tasks, so that they are confirmed to
+    /// run on no machine even if this one can't be reached. Only its owner replies to a
+    /// worker; an earlier owner may do so for a limited time, which is waited for. A session
+    /// that has ended never resumes.
     pub fn expire_leases(&mut self, now: Seconds) {
         let limit = clock::with_drift_margin(self.timing.lease_s);
         // An earlier owner that this epoch excludes may be alive. It replies to workers until
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -1,4 +1,4 @@
-//! One machine as its owner knows it: its worker's session, what the worker last reported,
+//! The owner's state of one machine: its worker's session, what the worker last reported,
 //! and whether its heartbeats and this controller's commands arrive.
 
 use super::Timing;
@@ -39,7 +39,7 @@
     pub(super) registered: bool,
     /// Whether tasks may have been started there, by the machine registry.
     pub(super) used: bool,
-    /// How much is known of the tasks on it.
+    /// Whether the tasks on it are confirmed, and by what.
     pub(super) state: MachineState,
     /// The session of its worker.
     pub(super) session: WorkerSession,
@@ -49,7 +49,7 @@
     pub(super) commands: CommandChannel,
     /// What its worker last reported.
     pub(super) contents: MachineContents,
-    /// When this shard first knew of it.
+    /// When it was added to this shard.
     pub(super) known_since: Seconds,
     /// When the cloud reclaims it, if it has given notice.
     pub(super) reclaim_at: Option<Seconds>,
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Whether it is known which tasks are on it.
+    /// Whether the tasks on it are confirmed.
     pub(super) fn is_reconciled(&self) -> bool {
         self.state.is_reconciled()
     }
@@ -269,7 +269,7 @@
     }
 
     /// Returns the time since its last heartbeat. Without any, the time counts from
-    /// `epoch_started_at`, or from when the machine became known if that was later.
+    /// `epoch_started_at`, or from when the machine was added to the shard if that was later.
     pub(super) fn silent_for(&self, epoch_started_at: Seconds, now: Seconds) -> Seconds {
         let start = epoch_started_at.max(self.known_since);
         self.session.silent_for(start, now)
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -23,7 +23,7 @@
     Rejected,
 }
 
-/// A task that certainly runs nowhere in the shard any more.
+/// A task that is confirmed to run on no machine of the shard any more.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RemovedTask {
     /// The task.
@@ -92,7 +92,7 @@
     pub zone: Arc<str>,
     /// Whether the cloud may reclaim it at short notice.
     pub spot: bool,
-    /// Whether it is known which tasks are on it.
+    /// Whether it is reconciled: the tasks on it are confirmed.
     #[serde(rename = "certain")]
     pub reconciled: bool,
     /// Whether its worker has proved to this owner that it is alive.
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -126,7 +126,7 @@
     zone_contacts: BTreeMap<Arc<str>, ZoneContactSpan>,
     report_seq: u64,
     orders_seq: u64,
-    /// Whether something has changed that the leader should be told. The next report
+    /// Whether something has changed that must be reported to the leader. The next report
     /// clears it.
     pub report_due: bool,
     /// What was found and decided since this shard last began without state.
@@ -178,7 +178,7 @@
 
     /// Enters an epoch. The shard keeps its state only if this incarnation was a member of
     /// the epoch just before: otherwise another controller may have owned the machines in
-    /// between. `owns` tells whether this controller owns a machine in the new epoch.
+    /// between. `owns` returns whether this controller owns a machine in the new epoch.
     pub fn start_epoch(
         &mut self,
         epoch: u64,
@@ -231,7 +231,7 @@
         self.report_due = true;
     }
 
-    /// Returns the number of machines that this shard knows of, for tests.
+    /// Returns the number of machines in this shard, registered or not, for tests.
     pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -102,7 +102,7 @@
     }
 
     /// Stops a task that the leader recalls. A task that has run for less than
-    /// [`START_COUNTS_S`] is left to run for now, as its start would not count for users; the
+    /// [`MIN_COUNTED_RUN_S`] is left to run for now, as its start would not count for users; the
     /// leader repeats the recall.
     fn apply_recall(&mut self, task: &Task, attempt: u64, cache: &StoreCache, now: Seconds) {
         let placement = self
--- a/src/shard/preemption.rs
+++ b/src/shard/preemption.rs
@@ -38,7 +38,7 @@
     attempt: u64,
     priority: Priority,
     /// Whether it is the only task of its job in this shard, and has not run for
-    /// [`START_COUNTS_S`] yet.
+    /// [`MIN_COUNTED_RUN_S`] yet.
     is_first_start: bool,
     /// Whether its job becomes late if it has to start again.
     becomes_late: bool,
@@ -63,7 +63,7 @@
     /// Whether a task may be stopped for one of `priority`. Production tasks preempt the tasks
     /// of any array job of a lower priority. Tasks of other priorities preempt only tasks of
     /// low-priority array jobs whose team uses more than its guarantee, and only once these
-    /// have run for [`START_COUNTS_S`]: otherwise the largest of them would be stopped each
+    /// have run for [`MIN_COUNTED_RUN_S`]: otherwise the largest of them would be stopped each
     /// time before its start counts for users.
     pub(super) fn is_preemptible(
         &self,
@@ -235,7 +235,7 @@
     }
 
     /// Whether a task is the only one of its job in this shard, and has not run for
-    /// [`START_COUNTS_S`] yet. As the most recently started tasks are stopped first, a job
+    /// [`MIN_COUNTED_RUN_S`] yet. As the most recently started tasks are stopped first, a job
     /// that had waited for minutes would otherwise lose its only task again and again before
     /// its start counts.
     fn is_first_start(&self, task: &Task, placement: &Placement, now: Seconds) -> bool {
--- a/src/shard/removal.rs
+++ b/src/shard/removal.rs
@@ -1,5 +1,6 @@
-//! Removal of tasks from this shard: on proof that they run nowhere in it, because they are
-//! committed as finished, or because their machine belongs to another shard now.
+//! Removal of tasks from this shard: because they are confirmed to run on none of its
+//! machines, are committed as finished, or are on a machine that belongs to another shard
+//! now.
 
 use super::{ReleasedTask, RemovalReason, RemovedTask, Shard, TaskPhase, TaskStopReason};
 use crate::clock::Seconds;
@@ -28,8 +29,8 @@
         }
     }
 
-    /// Removes a task that certainly runs nowhere in this shard, and reports that to the
-    /// leader.
+    /// Removes a task that is confirmed to run on no machine of this shard, and reports that
+    /// to the leader.
     pub(super) fn remove_task(&mut self, task: &Task, reason: RemovalReason) {
         if let Some(assigned) = self.assigned.remove(task) {
             let reason = match (&assigned.placement, reason) {
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -106,7 +106,7 @@
 
 impl Shard {
     /// Applies the leader's transfer orders, which always name all transfers. A fence that
-    /// is no longer ordered is removed: the transfer was withdrawn, or it has completed.
+    /// is no longer ordered is removed: the transfer was aborted, or it has completed.
     pub(super) fn apply_transfer_orders(
         &mut self,
         orders: &[TransferOrder],
@@ -246,7 +246,7 @@
     }
 
     /// Applies a change of the shard map: releases the machines that no longer belong to this
-    /// shard, and waits for the source's state of those that now do. `owns` tells whether
+    /// shard, and waits for the source's state of those that now do. `owns` returns whether
     /// this controller owns a machine by the new shard map.
     pub fn apply_shard_map(
         &mut self,
@@ -288,8 +288,8 @@
             .push((id.clone(), self.report_seq + 1));
     }
 
-    /// Takes over a range with the source's state of its machines. A machine that the source
-    /// didn't know is registered without state, and probed like any other.
+    /// Takes over a range with the source's state of its machines. A machine without such
+    /// state is registered like a new one, and probed.
     fn take_over_range(
         &mut self,
         range: &HashRange,
