--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -6,8 +6,8 @@
 
 mod common;
 
-use common::cluster::{job, Cluster, PATIENCE};
-use common::stand_ins::worker::Seen;
+use common::cluster::{job, Cluster, WAIT_TIMEOUT};
+use common::stand_ins::worker::WorkerActivity;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -16,56 +16,59 @@
 
 #[test]
 fn three_controllers_submit_run_crash_withdraw_done() {
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let mut c = Cluster::start(3, "three", &seen);
+    let activity = Arc::new(Mutex::new(WorkerActivity::default()));
+    let mut c = Cluster::start(3, "three", &activity);
     let running = |_: u16, v: &Value| v["mood"] == "running";
     for i in 0..3 {
-        c.until(i, "GET", "/up", None, |s, _| s == 200);
+        c.request_until(i, "GET", "/up", None, |s, _| s == 200);
     }
     // A service, spread over both zones, and an array.
-    c.until(
+    c.request_until(
         0,
         "POST",
         "/v2/runs",
         Some(job("wk-000001", "standing", 2)),
         |s, _| s == 201 || s == 200,
     );
-    c.until(
+    c.request_until(
         1,
         "POST",
         "/v2/runs",
         Some(job("wk-000002", "array", 5)),
         |s, _| s == 201 || s == 200,
     );
-    c.until(2, "GET", "/v2/runs/wk-000001", None, |s, v| {
+    c.request_until(2, "GET", "/v2/runs/wk-000001", None, |s, v| {
         s == 200 && v["running"] == 2
     });
-    c.until(0, "GET", "/v2/runs/wk-000002", None, |_, v| {
+    c.request_until(0, "GET", "/v2/runs/wk-000002", None, |_, v| {
         v["mood"] == "done" && v["done"] == 5
     });
     // What is refused, and how.
-    assert_eq!(c.call(0, "GET", "/v2/runs/wk-999999", None).0, 404);
     assert_eq!(
-        c.call(0, "POST", "/v2/runs", Some(json!({"id": "wk-000009"})))
+        c.client_request(0, "GET", "/v2/runs/wk-999999", None).0,
+        404
+    );
+    assert_eq!(
+        c.client_request(0, "POST", "/v2/runs", Some(json!({"id": "wk-000009"})))
             .0,
         400
     );
     let mut wide = job("wk-000009", "array", 1);
     wide["cpus"] = 64.0.into();
-    c.until(1, "POST", "/v2/runs", Some(wide), |s, _| {
+    c.request_until(1, "POST", "/v2/runs", Some(wide), |s, _| {
         assert!(s == 422 || s == 503, "{s}");
         s == 422
     });
     let mut foreign = job("wk-000009", "array", 1);
     foreign["nest"] = "nobody".into();
-    c.until(2, "POST", "/v2/runs", Some(foreign), |s, _| {
+    c.request_until(2, "POST", "/v2/runs", Some(foreign), |s, _| {
         assert!(s == 422 || s == 503, "{s}");
         s == 422
     });
     // All in one zone, and no more than half of them in it.
     let mut both = job("wk-000009", "standing", 3);
     both["one_zone"] = true.into();
-    c.until(2, "POST", "/v2/runs", Some(both), |s, _| s == 422);
+    c.request_until(2, "POST", "/v2/runs", Some(both), |s, _| s == 422);
     for field in [
         "shape",
         "accelerators",
@@ -77,61 +80,66 @@
     ] {
         let mut odd = job("wk-000009", "array", 1);
         odd.as_object_mut().expect("a job").remove(field);
-        assert_eq!(c.call(0, "POST", "/v2/runs", Some(odd)).0, 400, "{field}");
+        assert_eq!(
+            c.client_request(0, "POST", "/v2/runs", Some(odd)).0,
+            400,
+            "{field}"
+        );
     }
-    c.until(0, "POST", "/v2/runs/wk-999999/withdraw", None, |s, _| {
+    c.request_until(0, "POST", "/v2/runs/wk-999999/withdraw", None, |s, _| {
         s == 404
     });
     // Every controller goes, one of them for longer; the work stays.
     for i in 0..3 {
-        c.kill(i);
+        c.kill_controller(i);
         if i > 0 {
-            c.boot(i);
+            c.start_controller(i);
         }
     }
-    c.until(
+    c.request_until(
         1,
         "POST",
         "/v2/runs",
         Some(job("wk-000004", "array", 4)),
         |s, _| s == 201 || s == 200,
     );
-    c.until(2, "GET", "/v2/runs/wk-000004", None, |_, v| {
+    c.request_until(2, "GET", "/v2/runs/wk-000004", None, |_, v| {
         v["mood"] == "done"
     });
-    c.until(1, "GET", "/v2/runs/wk-000001", None, running);
-    c.boot(0);
-    c.until(0, "GET", "/v2/runs/wk-000002", None, |s, v| {
+    c.request_until(1, "GET", "/v2/runs/wk-000001", None, running);
+    c.start_controller(0);
+    c.request_until(0, "GET", "/v2/runs/wk-000002", None, |s, v| {
         s == 200 && v["mood"] == "done"
     });
     // A repeated submission is harmless, also after the end.
-    let again = c.call(0, "POST", "/v2/runs", Some(job("wk-000002", "array", 5)));
+    let again = c.client_request(0, "POST", "/v2/runs", Some(job("wk-000002", "array", 5)));
     assert_eq!((again.0, again.1["mood"].as_str()), (200, Some("done")));
     // Whatever its body says by now, at every controller: it is known.
     let mut changed = job("wk-000002", "array", 5);
     changed["nest"] = "nobody".into();
     changed["cpus"] = 640.0.into();
     for i in 0..3 {
-        c.until(i, "POST", "/v2/runs", Some(changed.clone()), |s, v| {
+        c.request_until(i, "POST", "/v2/runs", Some(changed.clone()), |s, v| {
             assert!(s == 200 || s == 503, "{s}");
             v["mood"] == "done"
         });
         let path = "/v2/runs/wk-000002/withdraw";
-        c.until(i, "POST", path, None, |s, v| {
+        c.request_until(i, "POST", path, None, |s, v| {
             s == 200 && v["mood"] == "done"
         });
     }
-    c.until(0, "POST", "/v2/runs/wk-000001/withdraw", None, |s, v| {
+    c.request_until(0, "POST", "/v2/runs/wk-000001/withdraw", None, |s, v| {
         s == 200 && v["mood"] == "cancelled"
     });
-    c.until(2, "GET", "/v2/runs/wk-000001", None, |s, v| {
+    c.request_until(2, "GET", "/v2/runs/wk-000001", None, |s, v| {
         s == 200 && v["mood"] == "cancelled"
     });
     let begin = Instant::now();
     loop {
         let left: usize = {
-            let s = seen.lock().expect("seen");
-            s.on.iter()
+            let s = activity.lock().expect("activity");
+            s.machines_by_task
+                .iter()
                 .filter(|(t, _)| t.starts_with("wk-000001/"))
                 .map(|(_, on)| on.len())
                 .sum()
@@ -140,13 +148,17 @@
             break;
         }
         assert!(
-            begin.elapsed() < PATIENCE,
+            begin.elapsed() < WAIT_TIMEOUT,
             "{left} replicas are left after the cancellation"
         );
         std::thread::sleep(Duration::from_millis(100));
     }
-    let s = seen.lock().expect("seen");
-    assert!(s.twice.is_empty(), "on two machines at once: {:?}", s.twice);
+    let s = activity.lock().expect("activity");
+    assert!(
+        s.ran_twice.is_empty(),
+        "on two machines at once: {:?}",
+        s.ran_twice
+    );
     assert!(s.starts >= 11);
 }
 
@@ -156,7 +168,7 @@
     // Even ends complete by themselves.
     let n = 2 * jobs.len() + if job_kind == "array" { 2 } else { 1 };
     let id = format!("wk-{n:06}");
-    c.until(
+    c.request_until(
         node,
         "POST",
         "/v2/runs",
@@ -179,7 +191,7 @@
     ] {
         // An answer that were held back would come to nobody: the client
         // waits no longer than users do.
-        let (status, _, retry) = c.call(node, method, &path, body);
+        let (status, _, retry) = c.client_request(node, method, &path, body);
         assert_eq!(status, 503, "{method} {path}");
         assert!(retry.is_some(), "{method} {path}: no Retry-After");
     }
@@ -189,7 +201,7 @@
 fn all_known(c: &Cluster, jobs: &[String]) {
     for node in 0..NODES {
         for id in jobs {
-            c.until(node, "GET", &format!("/v2/runs/{id}"), None, |s, _| {
+            c.request_until(node, "GET", &format!("/v2/runs/{id}"), None, |s, _| {
                 assert_ne!(s, 404, "{id} is forgotten at node {node}");
                 s == 200
             });
@@ -199,11 +211,11 @@
 
 #[test]
 fn after_each_trouble_every_node_answers_about_every_job() {
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let mut c = Cluster::start(NODES, "five", &seen);
+    let activity = Arc::new(Mutex::new(WorkerActivity::default()));
+    let mut c = Cluster::start(NODES, "five", &activity);
     let mut jobs = Vec::new();
     for i in 0..NODES {
-        c.until(i, "GET", "/up", None, |s, _| s == 200);
+        c.request_until(i, "GET", "/up", None, |s, _| s == 200);
     }
     for i in 0..NODES {
         submit(
@@ -215,8 +227,8 @@
         );
     }
     // One loses the key-value store and all others, but not its workers.
-    c.cut(1, true);
-    c.until(1, "GET", "/up", None, |s, _| s == 503);
+    c.set_partitioned(1, true);
+    c.request_until(1, "GET", "/up", None, |s, _| s == 503);
     refused_at_once(&c, 1, &jobs[0]);
     // Some of these would be its own: it is fenced once none is told to stay.
     let begin = Instant::now();
@@ -224,55 +236,60 @@
         let report = json!({"perch": format!("m-x{n}"), "address": "127.0.0.1:9", "breed": "box",
             "grove": "e", "windfall": false, "flight": 1, "chirp": begin.elapsed().as_millis() as u64,
             "crest": 0, "warning_s": null, "chicks": []});
-        ![421, 503].contains(&c.call(1, "POST", "/agent/beat", Some(report)).0)
+        ![421, 503].contains(&c.client_request(1, "POST", "/agent/beat", Some(report)).0)
     };
     while (0..40).any(told_to_stay) {
         assert!(
-            begin.elapsed() < PATIENCE,
+            begin.elapsed() < WAIT_TIMEOUT,
             "a controller that is cut off keeps its workers"
         );
         std::thread::sleep(Duration::from_millis(50));
     }
     submit(&c, 2, &mut jobs, "array", 4);
-    c.cut(1, false);
-    c.until(1, "GET", "/up", None, |s, _| s == 200);
+    c.set_partitioned(1, false);
+    c.request_until(1, "GET", "/up", None, |s, _| s == 200);
     all_known(&c, &jobs);
     // Back within a moment, several at once and again in the election.
     for i in [0, 3, 0, 4, 3] {
-        c.kill(i);
-        c.boot(i);
+        c.kill_controller(i);
+        c.start_controller(i);
     }
     submit(&c, 2, &mut jobs, "array", 3);
     all_known(&c, &jobs);
     // Nobody reaches the key-value store for longer than a member's lease.
-    c.outage(true);
+    c.set_store_outage(true);
     std::thread::sleep(Duration::from_secs(5));
     refused_at_once(&c, 0, &jobs[0]);
-    c.outage(false);
+    c.set_store_outage(false);
     submit(&c, 0, &mut jobs, "array", 2);
     all_known(&c, &jobs);
     // All at once.
-    (0..NODES).for_each(|i| c.kill(i));
-    (0..NODES).for_each(|i| c.boot(i));
+    (0..NODES).for_each(|i| c.kill_controller(i));
+    (0..NODES).for_each(|i| c.start_controller(i));
     all_known(&c, &jobs);
     // What was accepted runs to its end.
     for id in jobs
         .iter()
         .filter(|id| id.ends_with(['0', '2', '4', '6', '8']))
     {
-        c.until(4, "GET", &format!("/v2/runs/{id}"), None, |_, v| {
+        c.request_until(4, "GET", &format!("/v2/runs/{id}"), None, |_, v| {
             v["mood"] == "done"
         });
     }
     let running = |_: u16, v: &Value| v["mood"] == "running";
-    c.until(3, "GET", &format!("/v2/runs/{}", jobs[0]), None, running);
-    let s = seen.lock().expect("seen");
-    assert!(s.twice.is_empty(), "on two machines at once: {:?}", s.twice);
+    c.request_until(3, "GET", &format!("/v2/runs/{}", jobs[0]), None, running);
+    let s = activity.lock().expect("activity");
+    assert!(
+        s.ran_twice.is_empty(),
+        "on two machines at once: {:?}",
+        s.ran_twice
+    );
 }
 
-fn on(seen: &Mutex<Seen>, id: &str) -> usize {
-    let s = seen.lock().expect("seen");
-    s.on.iter()
+fn on(activity: &Mutex<WorkerActivity>, id: &str) -> usize {
+    let s = activity.lock().expect("activity");
+    s.machines_by_task
+        .iter()
         .filter(|(t, _)| t.starts_with(&format!("{id}/")))
         .map(|(_, on)| on.len())
         .sum()
@@ -281,7 +298,7 @@
 fn wait(what: &str, done: impl Fn() -> bool) {
     let begin = Instant::now();
     while !done() {
-        assert!(begin.elapsed() < PATIENCE, "{what}");
+        assert!(begin.elapsed() < WAIT_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -292,44 +309,44 @@
 /// age of knowledge and the workers' leases end them, once without.
 #[test]
 fn tasks_are_gone_though_the_outage_after_their_cancellation_does_not_end() {
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let c = Cluster::start(3, "gap", &seen);
-    (0..3).for_each(|i| c.until(i, "GET", "/up", None, |s, _| s == 200));
+    let activity = Arc::new(Mutex::new(WorkerActivity::default()));
+    let c = Cluster::start(3, "gap", &activity);
+    (0..3).for_each(|i| c.request_until(i, "GET", "/up", None, |s, _| s == 200));
     for (n, apart) in [(1, true), (3, false)] {
         // A service for each node that may be refused: it owns some of the tasks.
         let id = format!("wk-00000{n}");
-        c.until(
+        c.request_until(
             0,
             "POST",
             "/v2/runs",
             Some(job(&id, "standing", 6)),
             |s, _| s == 201 || s == 200,
         );
-        wait("the service runs", || on(&seen, &id) == 6);
-        let lapsed = seen.lock().expect("seen").lapsed;
+        wait("the service runs", || on(&activity, &id) == 6);
+        let lapsed = activity.lock().expect("activity").killed_by_lease;
         if apart {
-            c.cut(0, true);
+            c.set_partitioned(0, true);
         } else {
-            c.refuse(0, true);
+            c.set_store_unreachable(0, true);
         }
         let path = format!("/v2/runs/{id}/withdraw");
-        c.until(1, "POST", &path, None, |s, v| {
+        c.request_until(1, "POST", &path, None, |s, v| {
             s == 200 && v["mood"] == "cancelled"
         });
-        c.outage(true);
+        c.set_store_outage(true);
         wait("tasks of a cancelled job are left in the outage", || {
-            on(&seen, &id) == 0
+            on(&activity, &id) == 0
         });
-        c.outage(false);
-        c.cut(0, false);
+        c.set_store_outage(false);
+        c.set_partitioned(0, false);
         for i in 0..3 {
-            c.until(i, "GET", &format!("/v2/runs/{id}"), None, |s, v| {
+            c.request_until(i, "GET", &format!("/v2/runs/{id}"), None, |s, v| {
                 s == 200 && v["mood"] == "cancelled"
             });
         }
-        assert!(!apart || seen.lock().expect("seen").lapsed >= lapsed);
+        assert!(!apart || activity.lock().expect("activity").killed_by_lease >= lapsed);
     }
-    assert!(seen.lock().expect("seen").twice.is_empty());
+    assert!(activity.lock().expect("activity").ran_twice.is_empty());
 }
 
 /// Jobs are called off at about the moment when their last task ends, asked for
@@ -337,25 +354,25 @@
 /// is carried out seconds late: each has one end, and all answers agree with it.
 #[test]
 fn a_cancellation_at_the_end_and_late_transactions_leave_one_final_state() {
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let c = Cluster::start(3, "late", &seen);
-    (0..3).for_each(|i| c.until(i, "GET", "/up", None, |s, _| s == 200));
-    c.late.store(true, Ordering::SeqCst);
+    let activity = Arc::new(Mutex::new(WorkerActivity::default()));
+    let c = Cluster::start(3, "late", &activity);
+    (0..3).for_each(|i| c.request_until(i, "GET", "/up", None, |s, _| s == 200));
+    c.delay_commits.store(true, Ordering::SeqCst);
     let ends: Vec<(String, BTreeSet<String>)> = std::thread::scope(|scope| {
         let users: Vec<_> = (0..8usize)
             .map(|n| {
-                let (c, seen) = (&c, &seen);
+                let (c, activity) = (&c, &activity);
                 scope.spawn(move || {
                     let id = format!("wk-1{n:03}2");
                     let (at, other) = (n % 3, (n + 1) % 3);
                     let body = job(&id, "array", 2);
                     let known = |s: u16| s == 201 || s == 200;
-                    c.until(at, "POST", "/v2/runs", Some(body.clone()), |s, _| known(s));
+                    c.request_until(at, "POST", "/v2/runs", Some(body.clone()), |s, _| known(s));
                     wait("it begins", || {
-                        on(seen, &id) > 0
-                            || seen
+                        on(activity, &id) > 0
+                            || activity
                                 .lock()
-                                .expect("seen")
+                                .expect("activity")
                                 .completed
                                 .iter()
                                 .any(|t| t.starts_with(&id))
@@ -371,10 +388,10 @@
                         last
                     };
                     let path = format!("/v2/runs/{id}");
-                    c.until(other, "POST", &format!("{path}/withdraw"), None, hear);
+                    c.request_until(other, "POST", &format!("{path}/withdraw"), None, hear);
                     for i in 0..3 {
-                        c.until(i, "POST", "/v2/runs", Some(body.clone()), hear);
-                        c.until(i, "GET", &path, None, hear);
+                        c.request_until(i, "POST", "/v2/runs", Some(body.clone()), hear);
+                        c.request_until(i, "GET", &path, None, hear);
                     }
                     (id, told.into_inner().expect("told"))
                 })
@@ -387,11 +404,11 @@
     });
     // What was late has been carried out by then.
     std::thread::sleep(Duration::from_secs(3));
-    c.late.store(false, Ordering::SeqCst);
+    c.delay_commits.store(false, Ordering::SeqCst);
     for (id, told) in &ends {
         assert_eq!(told.len(), 1, "{id} was told {told:?}");
         for i in 0..3 {
-            let (_, v, _) = c.call(i, "GET", &format!("/v2/runs/{id}"), None);
+            let (_, v, _) = c.client_request(i, "GET", &format!("/v2/runs/{id}"), None);
             let again = v["mood"].as_str().unwrap_or_default().to_string();
             assert!(
                 v.is_null() || told.contains(&again),
@@ -399,7 +416,7 @@
             );
         }
         if told.contains("done") {
-            let s = seen.lock().expect("seen");
+            let s = activity.lock().expect("activity");
             let completed = s
                 .completed
                 .iter()
@@ -408,5 +425,5 @@
             assert_eq!(completed, 2, "{id} is called done");
         }
     }
-    assert!(seen.lock().expect("seen").twice.is_empty());
+    assert!(activity.lock().expect("activity").ran_twice.is_empty());
 }
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -9,8 +9,8 @@
 
 mod common;
 
-use common::cluster::{job, lock, running, wait, Cluster, Options};
-use common::stand_ins::worker::Seen;
+use common::cluster::{job, lock, running_tasks, wait_until, Cluster, ClusterOptions};
+use common::stand_ins::worker::WorkerActivity;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -37,41 +37,44 @@
 }
 
 impl Before {
-    fn now(seen: &Mutex<Seen>) -> Before {
-        let tasks = running(seen, &STAYING);
-        let seen = lock(seen);
+    fn now(activity: &Mutex<WorkerActivity>) -> Before {
+        let tasks = running_tasks(activity, &STAYING);
+        let activity = lock(activity);
         Before {
-            starts_of: seen.starts_of.clone(),
-            lapsed: seen.lapsed,
-            stopped: seen.stopped.len(),
-            deleted_in_use: seen.deleted_in_use.len(),
+            starts_of: activity.starts_by_task.clone(),
+            lapsed: activity.killed_by_lease,
+            stopped: activity.stopped.len(),
+            deleted_in_use: activity.deleted_in_use.len(),
             tasks,
         }
     }
 
     /// Nothing was started again but what a lease had killed, nothing was stopped, and
     /// nothing in use was deleted.
-    fn check(&self, seen: &Mutex<Seen>, when: &str) {
-        let seen = lock(seen);
-        let again: u32 = seen
-            .starts_of
+    fn check(&self, activity: &Mutex<WorkerActivity>, when: &str) {
+        let activity = lock(activity);
+        let again: u32 = activity
+            .starts_by_task
             .iter()
             .map(|(task, n)| n - self.starts_of.get(task).copied().unwrap_or(0).min(*n))
             .filter(|n| *n > 0)
             .sum();
-        let new = seen
-            .starts_of
+        let new = activity
+            .starts_by_task
             .keys()
             .filter(|task| !self.starts_of.contains_key(*task))
             .count() as u32;
-        let lapsed = seen.lapsed - self.lapsed;
+        let lapsed = activity.killed_by_lease - self.lapsed;
         assert!(
             again <= new + lapsed,
             "{when}: {again} starts, {new} of them first, {lapsed} killed by leases"
         );
-        assert_eq!(seen.twice, [""; 0], "{when}: on two machines at once");
-        assert_eq!(seen.stopped[self.stopped..], [""; 0], "{when}: stopped");
-        let deleted = &seen.deleted_in_use[self.deleted_in_use..];
+        assert_eq!(
+            activity.ran_twice, [""; 0],
+            "{when}: on two machines at once"
+        );
+        assert_eq!(activity.stopped[self.stopped..], [""; 0], "{when}: stopped");
+        let deleted = &activity.deleted_in_use[self.deleted_in_use..];
         assert_eq!(deleted, [""; 0], "{when}: deleted with tasks on them");
     }
 }
@@ -81,10 +84,10 @@
 fn check_records(c: &Cluster, before: &Before, when: &str) {
     let records = || {
         (0..NODES)
-            .map(|i| c.ask(i, "/restart"))
+            .map(|i| c.operator_get(i, "/restart"))
             .collect::<Vec<Value>>()
     };
-    wait("doubt remains", || {
+    wait_until("doubt remains", || {
         let all = records();
         let leader = all.iter().find(|r| r["leader"].is_object());
         leader
@@ -141,7 +144,7 @@
 }
 
 fn accepted(c: &Cluster, node: usize, id: &str, job_kind: &str, tasks: u32) {
-    c.until(
+    c.request_until(
         node,
         "POST",
         "/v2/runs",
@@ -152,57 +155,59 @@
 
 #[test]
 fn all_controllers_go_down_together_and_running_work_is_trusted() {
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let options = Options {
+    let activity = Arc::new(Mutex::new(WorkerActivity::default()));
+    let options = ClusterOptions {
         report_s: 3.0,
         lease_s: 30,
         team_cpus: 260,
-        with: vec!["deploy/cold-restart.toml"],
+        feature_files: vec!["deploy/cold-restart.toml"],
     };
-    let mut c = Cluster::start_with(NODES, "cold", &seen, options);
-    (0..NODES).for_each(|i| c.until(i, "GET", "/up", None, |s, _| s == 200));
+    let mut c = Cluster::start_with(NODES, "cold", &activity, options);
+    (0..NODES).for_each(|i| c.request_until(i, "GET", "/up", None, |s, _| s == 200));
     for (n, (id, job_kind, tasks)) in STAYING.into_iter().enumerate() {
         accepted(&c, n % NODES, id, job_kind, tasks);
     }
     let all: u32 = STAYING.iter().map(|job| job.2).sum();
-    wait("all of it runs", || {
-        running(&seen, &STAYING) == all as usize
+    wait_until("all of it runs", || {
+        running_tasks(&activity, &STAYING) == all as usize
     });
     for (n, away_s) in [0.3, 5.0, 13.0].into_iter().enumerate() {
         // Some of it ends while nobody is there.
         let short = format!("wk-00{n}002");
         accepted(&c, n, &short, "array", 12);
-        wait("some of it begins", || {
-            lock(&seen)
-                .starts_of
+        wait_until("some of it begins", || {
+            lock(&activity)
+                .starts_by_task
                 .keys()
                 .any(|task| task.starts_with(&short))
         });
-        let before = Before::now(&seen);
+        let before = Before::now(&activity);
         let when = format!("away for {away_s} s");
-        (0..NODES).for_each(|i| c.kill(i));
+        (0..NODES).for_each(|i| c.kill_controller(i));
         std::thread::sleep(Duration::from_secs_f64(away_s));
         // The second time they go again while they reconcile, the third time the state
         // service is away when they come, and one of them comes later.
-        c.outage(n == 2);
-        (0..NODES - usize::from(n == 2)).for_each(|i| c.boot(i));
+        c.set_store_outage(n == 2);
+        (0..NODES - usize::from(n == 2)).for_each(|i| c.start_controller(i));
         if n == 1 {
             std::thread::sleep(Duration::from_millis(700));
-            (0..NODES).for_each(|i| c.kill(i));
-            (0..NODES).for_each(|i| c.boot(i));
+            (0..NODES).for_each(|i| c.kill_controller(i));
+            (0..NODES).for_each(|i| c.start_controller(i));
         }
         if n == 2 {
             std::thread::sleep(Duration::from_secs(2));
-            c.outage(false);
-            c.until(0, "GET", "/up", None, |s, _| s == 200);
-            c.boot(2);
+            c.set_store_outage(false);
+            c.request_until(0, "GET", "/up", None, |s, _| s == 200);
+            c.start_controller(2);
         }
-        c.until(n, "GET", &format!("/v2/runs/{short}"), None, |_, v| {
+        c.request_until(n, "GET", &format!("/v2/runs/{short}"), None, |_, v| {
             v["mood"] == "done"
         });
-        wait("the rest runs", || running(&seen, &STAYING) == all as usize);
+        wait_until("the rest runs", || {
+            running_tasks(&activity, &STAYING) == all as usize
+        });
         check_records(&c, &before, &when);
-        before.check(&seen, &when);
+        before.check(&activity, &when);
     }
 }
 
@@ -210,26 +215,30 @@
 /// unknown nor accepted again, and an operator is told of it.
 #[test]
 fn a_job_whose_record_can_not_be_read_is_not_called_unknown() {
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let options = Options {
-        with: vec!["deploy/cold-restart.toml"],
-        ..Options::default()
+    let activity = Arc::new(Mutex::new(WorkerActivity::default()));
+    let options = ClusterOptions {
+        feature_files: vec!["deploy/cold-restart.toml"],
+        ..ClusterOptions::default()
     };
-    let c = Cluster::start_with(1, "scribble", &seen, options);
-    c.until(0, "GET", "/up", None, |s, _| s == 200);
-    c.scribble("fw/j/wk-000033", "scribble".into());
-    let left_alone = || c.ask(0, "/restart")["records_left_alone"][0]["key"] == "fw/j/wk-000033";
-    wait("it is not named", left_alone);
+    let c = Cluster::start_with(1, "scribble", &activity, options);
+    c.request_until(0, "GET", "/up", None, |s, _| s == 200);
+    c.write_to_store("fw/j/wk-000033", "scribble".into());
+    let left_alone =
+        || c.operator_get(0, "/restart")["records_left_alone"][0]["key"] == "fw/j/wk-000033";
+    wait_until("it is not named", left_alone);
     for (method, path, body) in [
         ("GET", "/v2/runs/wk-000033", None),
         ("POST", "/v2/runs/wk-000033/withdraw", None),
         ("POST", "/v2/runs", Some(job("wk-000033", "array", 1))),
     ] {
-        let (status, _, retry) = c.call(0, method, path, body);
+        let (status, _, retry) = c.client_request(0, method, path, body);
         assert!(
             status == 503 && retry.is_some(),
             "{method} {path}: {status}"
         );
     }
-    assert_eq!(c.call(0, "GET", "/v2/runs/wk-000034", None).0, 404);
+    assert_eq!(
+        c.client_request(0, "GET", "/v2/runs/wk-000034", None).0,
+        404
+    );
 }
--- a/tests/common/cluster.rs
+++ b/tests/common/cluster.rs
@@ -4,7 +4,7 @@
 
 use super::stand_ins::cloud::start_cloud;
 use super::stand_ins::store::start_store;
-use super::stand_ins::worker::Seen;
+use super::stand_ins::worker::WorkerActivity;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,13 +16,13 @@
 /// A link that holds back whatever is sent while it is shut, and delivers it
 /// afterwards.
 #[derive(Clone)]
-pub struct Gate {
+pub struct Link {
     pub address: SocketAddr,
     shut: Arc<AtomicBool>,
 }
 
-impl Gate {
-    fn to(target: SocketAddr) -> Gate {
+impl Link {
+    fn to(target: SocketAddr) -> Link {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let shut = Arc::new(AtomicBool::new(false));
@@ -42,7 +42,7 @@
                 }
             }
         });
-        Gate { address, shut }
+        Link { address, shut }
     }
 
     pub fn shut(&self, shut: bool) {
@@ -64,7 +64,7 @@
 }
 
 /// Longer than anything here takes, even on a machine that is busy.
-pub const PATIENCE: Duration = Duration::from_secs(90);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
 
 pub struct Cluster {
     pub users: Vec<SocketAddr>,
@@ -72,15 +72,15 @@
     children: Vec<Option<Child>>,
     agent: ureq::Agent,
     /// Whether transactions are carried out late, see [`start_store`].
-    pub late: Arc<AtomicBool>,
+    pub delay_commits: Arc<AtomicBool>,
     /// Transactions that were over the limits.
     refused: Arc<AtomicU32>,
     /// Each node's way to the key-value store, and to each of the others.
-    state: Vec<Gate>,
-    links: Vec<Vec<Gate>>,
+    state: Vec<Link>,
+    links: Vec<Vec<Link>>,
     /// Where the controllers listen for each other, and for operators.
     backs: Vec<SocketAddr>,
-    with: Vec<&'static str>,
+    feature_files: Vec<&'static str>,
 }
 
 /// A free port below those that the system gives to whoever asks for any:
@@ -97,7 +97,7 @@
 }
 
 /// What a test may want otherwise.
-pub struct Options {
+pub struct ClusterOptions {
     /// How often workers report. One that is silent for two intervals, and doesn't answer
     /// within half of one, counts as dead: on a busy machine that must be long.
     pub report_s: f64,
@@ -106,40 +106,45 @@
     /// The team's limit.
     pub team_cpus: u32,
     /// Files that switch on shards.
-    pub with: Vec<&'static str>,
+    pub feature_files: Vec<&'static str>,
 }
 
-impl Default for Options {
-    fn default() -> Options {
-        Options {
+impl Default for ClusterOptions {
+    fn default() -> ClusterOptions {
+        ClusterOptions {
             report_s: 0.9,
             lease_s: 8,
             team_cpus: 40,
-            with: Vec::new(),
+            feature_files: Vec::new(),
         }
     }
 }
 
 impl Cluster {
     /// Starts `n` controllers; `name` keeps their files apart.
-    pub fn start(n: usize, name: &str, seen: &Arc<Mutex<Seen>>) -> Cluster {
-        Cluster::start_with(n, name, seen, Options::default())
+    pub fn start(n: usize, name: &str, activity: &Arc<Mutex<WorkerActivity>>) -> Cluster {
+        Cluster::start_with(n, name, activity, ClusterOptions::default())
     }
 
     /// Starts `n` controllers as the options say.
-    pub fn start_with(n: usize, name: &str, seen: &Arc<Mutex<Seen>>, options: Options) -> Cluster {
+    pub fn start_with(
+        n: usize,
+        name: &str,
+        activity: &Arc<Mutex<WorkerActivity>>,
+        options: ClusterOptions,
+    ) -> Cluster {
         let users: Vec<SocketAddr> = (0..n).map(|_| free_port()).collect();
         let backs: Vec<SocketAddr> = (0..n).map(|_| free_port()).collect();
-        let late = Arc::new(AtomicBool::new(false));
+        let delay_commits = Arc::new(AtomicBool::new(false));
         let refused = Arc::new(AtomicU32::new(0));
-        let service = start_store(late.clone(), refused.clone());
-        let state: Vec<Gate> = (0..n).map(|_| Gate::to(service)).collect();
-        let links: Vec<Vec<Gate>> = (0..n)
-            .map(|_| backs.iter().map(|b| Gate::to(*b)).collect())
+        let service = start_store(delay_commits.clone(), refused.clone());
+        let state: Vec<Link> = (0..n).map(|_| Link::to(service)).collect();
+        let links: Vec<Vec<Link>> = (0..n)
+            .map(|_| backs.iter().map(|b| Link::to(*b)).collect())
             .collect();
         let cloud = start_cloud(
             users.clone(),
-            seen.clone(),
+            activity.clone(),
             Duration::from_secs(u64::from(options.lease_s)),
         );
         let dir = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
@@ -184,22 +189,22 @@
             configs,
             children: (0..n).map(|_| None).collect(),
             agent,
-            late,
+            delay_commits,
             refused,
             state,
             links,
             backs,
-            with: options.with,
+            feature_files: options.feature_files,
         };
-        (0..n).for_each(|i| c.boot(i));
+        (0..n).for_each(|i| c.start_controller(i));
         c
     }
 
-    pub fn boot(&mut self, i: usize) {
+    pub fn start_controller(&mut self, i: usize) {
         let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
         let child = Command::new(env!("CARGO_BIN_EXE_finchwood"))
             .args(
-                self.with
+                self.feature_files
                     .iter()
                     .flat_map(|file| ["--with".into(), root.join(file)]),
             )
@@ -213,7 +218,7 @@
 
     /// Cuts a node off from the key-value store and the other controllers, both
     /// ways, or joins it to them again. Users and workers still reach it.
-    pub fn cut(&self, i: usize, cut: bool) {
+    pub fn set_partitioned(&self, i: usize, cut: bool) {
         self.state[i].shut(cut);
         for j in 0..self.users.len() {
             self.links[i][j].shut(cut);
@@ -222,16 +227,16 @@
     }
 
     /// The key-value store refuses one node alone, or answers it again.
-    pub fn refuse(&self, i: usize, refuse: bool) {
+    pub fn set_store_unreachable(&self, i: usize, refuse: bool) {
         self.state[i].shut(refuse);
     }
 
     /// The key-value store answers nobody, or everybody again.
-    pub fn outage(&self, out: bool) {
+    pub fn set_store_outage(&self, out: bool) {
         self.state.iter().for_each(|g| g.shut(out));
     }
 
-    pub fn kill(&mut self, i: usize) {
+    pub fn kill_controller(&mut self, i: usize) {
         if let Some(mut child) = self.children[i].take() {
             child.kill().expect("killed");
             child.wait().expect("ended");
@@ -239,7 +244,7 @@
     }
 
     /// Writes a key of the key-value store past all controllers.
-    pub fn scribble(&self, key: &str, value: Value) {
+    pub fn write_to_store(&self, key: &str, value: Value) {
         let body = json!({"if": [], "writes": [{"put": key, "value": value}]});
         let url = format!("http://{}/commit", self.state[0].address);
         self.agent
@@ -249,7 +254,7 @@
     }
 
     /// What a controller says to an operator's question; nothing if it doesn't answer.
-    pub fn ask(&self, i: usize, path: &str) -> Value {
+    pub fn operator_get(&self, i: usize, path: &str) -> Value {
         let text = match self
             .agent
             .get(&format!("http://{}{path}", self.backs[i]))
@@ -262,7 +267,7 @@
     }
 
     /// What a controller answers to what an operator wants.
-    pub fn tell(&self, i: usize, path: &str, body: &Value) -> (u16, String) {
+    pub fn operator_post(&self, i: usize, path: &str, body: &Value) -> (u16, String) {
         match self
             .agent
             .post(&format!("http://{}{path}", self.backs[i]))
@@ -275,7 +280,7 @@
         }
     }
 
-    pub fn call(
+    pub fn client_request(
         &self,
         i: usize,
         method: &str,
@@ -302,7 +307,7 @@
     }
 
     /// Repeats a call, as users do, until it is answered as wished.
-    pub fn until(
+    pub fn request_until(
         &self,
         i: usize,
         method: &str,
@@ -312,8 +317,8 @@
     ) {
         let begin = Instant::now();
         let mut last = (0, Value::Null, None);
-        while begin.elapsed() < PATIENCE {
-            last = self.call(i, method, path, body.clone());
+        while begin.elapsed() < WAIT_TIMEOUT {
+            last = self.client_request(i, method, path, body.clone());
             if ok(last.0, &last.1) {
                 return;
             }
@@ -333,7 +338,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        (0..self.users.len()).for_each(|i| self.kill(i));
+        (0..self.users.len()).for_each(|i| self.kill_controller(i));
         if !std::thread::panicking() {
             let refused = self.refused.load(Ordering::SeqCst);
             assert_eq!(
@@ -345,25 +350,27 @@
 }
 
 /// What the workers have seen.
-pub fn lock(seen: &Mutex<Seen>) -> std::sync::MutexGuard<'_, Seen> {
-    seen.lock()
+pub fn lock(activity: &Mutex<WorkerActivity>) -> std::sync::MutexGuard<'_, WorkerActivity> {
+    activity
+        .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// Waits for what must happen.
-pub fn wait(what: &str, done: impl Fn() -> bool) {
+pub fn wait_until(what: &str, done: impl Fn() -> bool) {
     let begin = Instant::now();
     while !done() {
-        assert!(begin.elapsed() < PATIENCE, "{what}");
+        assert!(begin.elapsed() < WAIT_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 /// How many tasks of these jobs are on machines.
-pub fn running(seen: &Mutex<Seen>, jobs: &[(&str, &str, u32)]) -> usize {
-    let seen = lock(seen);
+pub fn running_tasks(activity: &Mutex<WorkerActivity>, jobs: &[(&str, &str, u32)]) -> usize {
+    let activity = lock(activity);
     let theirs = |task: &str| jobs.iter().any(|(id, _, _)| task.starts_with(id));
-    seen.on
+    activity
+        .machines_by_task
         .iter()
         .filter(|(task, on)| theirs(task) && !on.is_empty())
         .count()
--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -45,26 +45,30 @@
     }
 
     /// A text is the same as the frozen one.
-    pub fn same(&self, name: &str, text: &str) {
+    pub fn assert_text(&self, name: &str, text: &str) {
         let text = text.replace('\r', "\\r").replace('\n', "\\n");
         assert_eq!(text, self.payload(name), "{name}");
     }
 
     /// A value is written as the frozen JSON.
-    pub fn written(&self, name: &str, value: &impl Serialize) {
-        self.same(name, &serde_json::to_string(value).expect("JSON"));
+    pub fn assert_json(&self, name: &str, value: &impl Serialize) {
+        self.assert_text(name, &serde_json::to_string(value).expect("JSON"));
     }
 
     /// A value is written as the frozen JSON, which is read and written back as it was.
-    pub fn both_ways<T: Serialize + DeserializeOwned>(&self, name: &str, value: &T) {
-        self.written(name, value);
-        self.written(name, &self.read::<T>(name));
+    pub fn assert_json_round_trip<T: Serialize + DeserializeOwned>(&self, name: &str, value: &T) {
+        self.assert_json(name, value);
+        self.assert_json(name, &self.read::<T>(name));
     }
 
     /// The same, for what is stored: the keys of its objects are in order there.
-    pub fn stored_both_ways<T: Serialize + DeserializeOwned>(&self, name: &str, value: &T) {
-        self.written(name, &serde_json::json!(value));
-        self.written(name, &serde_json::json!(self.read::<T>(name)));
+    pub fn assert_stored_json_round_trip<T: Serialize + DeserializeOwned>(
+        &self,
+        name: &str,
+        value: &T,
+    ) {
+        self.assert_json(name, &serde_json::json!(value));
+        self.assert_json(name, &serde_json::json!(self.read::<T>(name)));
     }
 
     /// Reads the frozen JSON.
@@ -73,9 +77,9 @@
     }
 
     /// Bytes are the same as the frozen ones.
-    pub fn same_bytes(&self, name: &str, bytes: &[u8]) {
+    pub fn assert_bytes(&self, name: &str, bytes: &[u8]) {
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-        self.same(name, &hex);
+        self.assert_text(name, &hex);
     }
 
     /// The frozen bytes.
@@ -86,7 +90,7 @@
     }
 
     /// Every line of the file was looked at.
-    pub fn all_used(&self) {
+    pub fn assert_all_used(&self) {
         let used = self.used.borrow();
         let unused: Vec<&str> = self
             .lines()
--- a/tests/common/raw_http.rs
+++ b/tests/common/raw_http.rs
@@ -13,7 +13,7 @@
 }
 
 /// Sends a request after which the connection is closed; the whole answer.
-pub fn ask(address: SocketAddr, request: &[u8]) -> String {
+pub fn exchange(address: SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
--- a/tests/common/recorder.rs
+++ b/tests/common/recorder.rs
@@ -42,7 +42,7 @@
     }
 
     /// The next call: method, path and body, if there is one: text, or hex.
-    pub fn call(&self) -> String {
+    pub fn next_call(&self) -> String {
         self.calls
             .recv_timeout(Duration::from_secs(20))
             .expect("a call")
--- a/tests/common/stand_ins/cloud.rs
+++ b/tests/common/stand_ins/cloud.rs
@@ -1,7 +1,7 @@
 //! A cloud that lists, rents out and deletes machines.
 
 use super::json_server::serve_json;
-use super::worker::{start_worker, Seen};
+use super::worker::{start_worker, WorkerActivity};
 use super::{lock, Shared};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -12,7 +12,11 @@
 /// Starts a cloud whose machines are up at once; their workers report to `nodes`, and
 /// their leases last for `lease`. Tasks of jobs whose id ends in an even digit take a
 /// moment to complete.
-pub fn start_cloud(nodes: Vec<SocketAddr>, seen: Shared<Seen>, lease: Duration) -> SocketAddr {
+pub fn start_cloud(
+    nodes: Vec<SocketAddr>,
+    activity: Shared<WorkerActivity>,
+    lease: Duration,
+) -> SocketAddr {
     let count = Shared::<u32>::default();
     let machines: Shared<BTreeMap<String, Value>> = Shared::default();
     serve_json(move |method, url, body| {
@@ -32,7 +36,7 @@
                         &name,
                         &body,
                         nodes.clone(),
-                        seen.clone(),
+                        activity.clone(),
                         machines.clone(),
                         lease,
                     );
@@ -48,15 +52,16 @@
                 {
                     let name = machine.as_str().unwrap_or_default();
                     lock(&machines).remove(name);
-                    let mut seen = lock(&seen);
-                    if seen
-                        .on
+                    let mut activity = lock(&activity);
+                    if activity
+                        .machines_by_task
                         .values()
                         .any(|on| on.iter().any(|machine| machine == name))
                     {
-                        seen.deleted_in_use.push(name.into());
+                        activity.deleted_in_use.push(name.into());
                     }
-                    seen.on
+                    activity
+                        .machines_by_task
                         .values_mut()
                         .for_each(|on| on.retain(|machine| machine != name));
                 }
--- a/tests/common/stand_ins/worker.rs
+++ b/tests/common/stand_ins/worker.rs
@@ -18,19 +18,19 @@
 
 /// What the workers did, for the checks.
 #[derive(Default)]
-pub struct Seen {
+pub struct WorkerActivity {
     /// Machines on which each task is.
-    pub on: BTreeMap<String, Vec<String>>,
+    pub machines_by_task: BTreeMap<String, Vec<String>>,
     /// How many tasks were started.
     pub starts: u32,
     /// Tasks that were started while they were on another machine.
-    pub twice: Vec<String>,
+    pub ran_twice: Vec<String>,
     /// Tasks that completed.
     pub completed: BTreeSet<String>,
     /// Tasks that were killed with their worker's lease.
-    pub lapsed: u32,
+    pub killed_by_lease: u32,
     /// How often each task was started.
-    pub starts_of: BTreeMap<String, u32>,
+    pub starts_by_task: BTreeMap<String, u32>,
     /// Running tasks that were told to stop.
     pub stopped: Vec<String>,
     /// Machines that were deleted while tasks were on them.
@@ -61,14 +61,18 @@
     }
 
     /// Kills and forgets everything when the lease is past.
-    fn expire_lease(&mut self, seen: &mut Seen) {
+    fn expire_lease(&mut self, activity: &mut WorkerActivity) {
         if self.lease_from.elapsed() <= self.lease {
             return;
         }
         let id = self.machine();
-        for on in seen.on.values_mut().filter(|on| on.contains(&id)) {
+        for on in activity
+            .machines_by_task
+            .values_mut()
+            .filter(|on| on.contains(&id))
+        {
             on.retain(|machine| *machine != id);
-            seen.lapsed += 1;
+            activity.killed_by_lease += 1;
         }
         self.ends.clear();
         self.report["chicks"] = json!([]);
@@ -77,7 +81,7 @@
     }
 
     /// Completes the tasks that are due, of those that complete by themselves.
-    fn complete_due_tasks(&mut self, seen: &mut Seen) {
+    fn complete_due_tasks(&mut self, activity: &mut WorkerActivity) {
         let id = self.machine();
         let now = Instant::now();
         let due: Vec<String> = self
@@ -92,8 +96,8 @@
                 if reported["chick"] == task.as_str() && reported["mood"] == "running" {
                     reported["mood"] = "ended".into();
                     reported["cause"] = "done".into();
-                    seen.completed.insert(task.clone());
-                    let on = seen.on.entry(task.clone()).or_default();
+                    activity.completed.insert(task.clone());
+                    let on = activity.machines_by_task.entry(task.clone()).or_default();
                     on.retain(|machine| *machine != id);
                 }
             }
@@ -101,7 +105,7 @@
     }
 
     /// Carries out the commands of a controller.
-    fn execute(&mut self, commands: &Value, seen: &mut Seen) {
+    fn execute(&mut self, commands: &Value, activity: &mut WorkerActivity) {
         let id = self.machine();
         for command in commands.as_array().map(Vec::as_slice).unwrap_or_default() {
             let task = command["chick"].as_str().unwrap_or_default().to_string();
@@ -113,20 +117,20 @@
                 (Some("start"), None) => {
                     tasks
                         .push(json!({"chick": task, "hatch": command["hatch"], "mood": "running"}));
-                    let on = seen.on.entry(task.clone()).or_default();
+                    let on = activity.machines_by_task.entry(task.clone()).or_default();
                     on.push(id.clone());
                     if on.len() > 1 {
-                        seen.twice.push(task.clone());
+                        activity.ran_twice.push(task.clone());
                     }
-                    seen.starts += 1;
-                    *seen.starts_of.entry(task.clone()).or_default() += 1;
+                    activity.starts += 1;
+                    *activity.starts_by_task.entry(task.clone()).or_default() += 1;
                     self.ends.insert(task, Instant::now() + TASK_DURATION);
                 }
                 (Some("halt"), Some(i)) if tasks[i]["mood"] == "running" => {
                     tasks[i]["mood"] = "ended".into();
                     tasks[i]["cause"] = "stopped".into();
-                    seen.stopped.push(task.clone());
-                    let on = seen.on.entry(task).or_default();
+                    activity.stopped.push(task.clone());
+                    let on = activity.machines_by_task.entry(task).or_default();
                     on.retain(|machine| *machine != id);
                 }
                 (Some("reap"), Some(i)) if tasks[i]["mood"] == "ended" => drop(tasks.remove(i)),
@@ -136,24 +140,30 @@
     }
 
     /// Answers a controller's commands: refuses those of an older token or another session.
-    fn answer_commands(&mut self, body: &Value, seen: &mut Seen) -> (u16, Value) {
+    fn answer_commands(&mut self, body: &Value, activity: &mut WorkerActivity) -> (u16, Value) {
         let stale = body["crest"].as_u64() < self.report["crest"].as_u64()
             || body["flight"] != self.report["flight"];
         if stale {
             return (409, self.report.clone());
         }
         self.report["crest"] = body["crest"].clone();
-        self.execute(&body["calls"], seen);
+        self.execute(&body["calls"], activity);
         (200, self.report.clone())
     }
 
     /// Applies the answer to a report that was sent at `sent` in `session`.
-    fn apply_answer(&mut self, answer: &Value, sent: Instant, session: &Value, seen: &mut Seen) {
+    fn apply_answer(
+        &mut self,
+        answer: &Value,
+        sent: Instant,
+        session: &Value,
+        activity: &mut WorkerActivity,
+    ) {
         let same_session = self.report["flight"] == *session;
         if same_session && answer["crest"].as_u64() >= self.report["crest"].as_u64() {
             self.lease_from = sent;
             self.report["crest"] = answer["crest"].clone();
-            self.execute(&answer["calls"], seen);
+            self.execute(&answer["calls"], activity);
         }
     }
 }
@@ -163,7 +173,7 @@
     name: &str,
     rental: &Value,
     nodes: Vec<SocketAddr>,
-    seen: Shared<Seen>,
+    activity: Shared<WorkerActivity>,
     machines: Shared<BTreeMap<String, Value>>,
     lease: Duration,
 ) {
@@ -175,7 +185,7 @@
         ends: BTreeMap::new(),
         lease_from: Instant::now(),
     }));
-    let address = serve_commands(worker.clone(), seen.clone());
+    let address = serve_commands(worker.clone(), activity.clone());
     lock(&worker).report["address"] = address.to_string().into();
     let listed = json!({"id": name, "address": address.to_string(), "breed": rental["breed"],
         "grove": rental["grove"], "windfall": rental["windfall"], "mood": "running", "held_s": 1.0});
@@ -183,18 +193,18 @@
     let name = name.to_string();
     std::thread::spawn(move || {
         let rented = || lock(&machines).contains_key(&name);
-        send_reports(&worker, &nodes, &seen, rented);
+        send_reports(&worker, &nodes, &activity, rented);
     });
 }
 
 /// Serves what controllers ask of a worker.
-fn serve_commands(worker: Shared<Worker>, seen: Shared<Seen>) -> SocketAddr {
+fn serve_commands(worker: Shared<Worker>, activity: Shared<WorkerActivity>) -> SocketAddr {
     serve_json(move |method, url, body| {
         let mut worker = lock(&worker);
-        worker.expire_lease(&mut lock(&seen));
+        worker.expire_lease(&mut lock(&activity));
         worker.next_sequence();
         if *method == Method::Post && url == "/commands" {
-            return worker.answer_commands(&body, &mut lock(&seen));
+            return worker.answer_commands(&body, &mut lock(&activity));
         }
         (200, worker.report.clone())
     })
@@ -205,7 +215,7 @@
 fn send_reports(
     worker: &Mutex<Worker>,
     nodes: &[SocketAddr],
-    seen: &Mutex<Seen>,
+    activity: &Mutex<WorkerActivity>,
     rented: impl Fn() -> bool,
 ) {
     let agent = ureq::AgentBuilder::new().timeout(HTTP_TIMEOUT).build();
@@ -213,7 +223,7 @@
     while rented() {
         std::thread::sleep(REPORT_INTERVAL);
         let sent = Instant::now();
-        let report = next_report(worker, seen);
+        let report = next_report(worker, activity);
         let answer = agent
             .post(&format!("http://{}/agent/beat", nodes[node % nodes.len()]))
             .send_string(&report.to_string());
@@ -221,7 +231,7 @@
             Ok(response) => {
                 let answer = json_of(response);
                 let mut worker = lock(worker);
-                worker.apply_answer(&answer, sent, &report["flight"], &mut lock(seen));
+                worker.apply_answer(&answer, sent, &report["flight"], &mut lock(activity));
             }
             Err(ureq::Error::Status(421, response)) => {
                 let answer = json_of(response);
@@ -236,11 +246,11 @@
 }
 
 /// The worker's state as it is now, as a report.
-fn next_report(worker: &Mutex<Worker>, seen: &Mutex<Seen>) -> Value {
+fn next_report(worker: &Mutex<Worker>, activity: &Mutex<WorkerActivity>) -> Value {
     let mut worker = lock(worker);
-    let mut seen = lock(seen);
-    worker.expire_lease(&mut seen);
-    worker.complete_due_tasks(&mut seen);
+    let mut activity = lock(activity);
+    worker.expire_lease(&mut activity);
+    worker.complete_due_tasks(&mut activity);
     worker.next_sequence();
     worker.report.clone()
 }
--- a/tests/shared_machines.rs
+++ b/tests/shared_machines.rs
@@ -7,8 +7,10 @@
 
 mod common;
 
-use common::cluster::{job, lock, running, wait, Cluster, Options, PATIENCE};
-use common::stand_ins::worker::Seen;
+use common::cluster::{
+    job, lock, running_tasks, wait_until, Cluster, ClusterOptions, WAIT_TIMEOUT,
+};
+use common::stand_ins::worker::WorkerActivity;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -28,7 +30,7 @@
 /// The leader, and what it says of the shares.
 fn leader(c: &Cluster) -> Option<(usize, Value)> {
     (0..c.users.len())
-        .map(|i| (i, c.ask(i, "/shares")))
+        .map(|i| (i, c.operator_get(i, "/shares")))
         .find(|(_, report)| report["leader"].is_object())
 }
 
@@ -45,34 +47,34 @@
     let to = (from + rng.gen_range(1..NODES)) % NODES;
     let plan = json!({"moves": [{"from": format!("n{from}"), "to": format!("n{to}"), "machines": rng.gen_range(1..12)}]});
     if let Some((i, _)) = leader(c) {
-        c.tell(i, "/shares/plan", &plan);
+        c.operator_post(i, "/shares/plan", &plan);
     }
 }
 
 /// Starts beyond the first of each task, stops, and deletions in use, so far. While the
 /// first controllers come one after the other, a gang may begin twice.
-fn counts(seen: &Mutex<Seen>) -> (u32, usize, usize, u32) {
-    let seen = lock(seen);
-    let again = seen.starts_of.values().map(|n| n - 1).sum();
+fn counts(activity: &Mutex<WorkerActivity>) -> (u32, usize, usize, u32) {
+    let activity = lock(activity);
+    let again = activity.starts_by_task.values().map(|n| n - 1).sum();
     (
         again,
-        seen.stopped.len(),
-        seen.deleted_in_use.len(),
-        seen.lapsed,
+        activity.stopped.len(),
+        activity.deleted_in_use.len(),
+        activity.killed_by_lease,
     )
 }
 
 /// Since then nothing was stopped, deleted in use, or started again but what a lease had
 /// killed.
-fn check(seen: &Mutex<Seen>, before: (u32, usize, usize, u32)) {
-    let (again, stopped, deleted, lapsed) = counts(seen);
-    let seen = lock(seen);
-    assert_eq!(seen.twice, [""; 0], "on two machines at once");
-    assert_eq!(stopped, before.1, "stopped: {:?}", seen.stopped);
+fn check(activity: &Mutex<WorkerActivity>, before: (u32, usize, usize, u32)) {
+    let (again, stopped, deleted, lapsed) = counts(activity);
+    let activity = lock(activity);
+    assert_eq!(activity.ran_twice, [""; 0], "on two machines at once");
+    assert_eq!(stopped, before.1, "stopped: {:?}", activity.stopped);
     assert_eq!(
         deleted, before.2,
         "deleted with tasks on them: {:?}",
-        seen.deleted_in_use
+        activity.deleted_in_use
     );
     let (again, lapsed) = (again - before.0, lapsed - before.3);
     assert!(
@@ -83,21 +85,21 @@
 
 #[test]
 fn shares_move_while_work_runs_and_nothing_is_lost_or_run_twice() {
-    let seen = Arc::new(Mutex::new(Seen::default()));
+    let activity = Arc::new(Mutex::new(WorkerActivity::default()));
     let with = vec![
         "deploy/cold-restart.toml",
         "tests/fixtures/shares-that-move.toml",
     ];
-    let options = Options {
+    let options = ClusterOptions {
         report_s: 3.0,
         lease_s: 30,
         team_cpus: 120,
-        with,
+        feature_files: with,
     };
-    let mut c = Cluster::start_with(NODES, "shares", &seen, options);
-    (0..NODES).for_each(|i| c.until(i, "GET", "/up", None, |s, _| s == 200));
+    let mut c = Cluster::start_with(NODES, "shares", &activity, options);
+    (0..NODES).for_each(|i| c.request_until(i, "GET", "/up", None, |s, _| s == 200));
     for (n, (id, job_kind, tasks)) in STAYING.into_iter().enumerate() {
-        c.until(
+        c.request_until(
             n % NODES,
             "POST",
             "/v2/runs",
@@ -106,13 +108,13 @@
         );
     }
     let all: u32 = STAYING.iter().map(|job| job.2).sum();
-    wait("all of it runs", || {
-        running(&seen, &STAYING) == all as usize
+    wait_until("all of it runs", || {
+        running_tasks(&activity, &STAYING) == all as usize
     });
-    wait("nobody goes by the table", || {
+    wait_until("nobody goes by the table", || {
         leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
     });
-    let before = counts(&seen);
+    let before = counts(&activity);
     let mut rng = StdRng::seed_from_u64(24);
     let for_s: u64 = std::env::var("MOVE_SHARES_FOR_S")
         .ok()
@@ -122,7 +124,7 @@
     while rounds < 3 || begin.elapsed() < Duration::from_secs(for_s) {
         // Work that ends comes and goes meanwhile.
         let short = format!("wk-{:06}", 100 + 2 * rounds);
-        c.until(
+        c.request_until(
             rounds % NODES,
             "POST",
             "/v2/runs",
@@ -131,7 +133,7 @@
         );
         let (moved_before, round) = (owned(&c), Instant::now());
         while owned(&c) < moved_before + LEAST_MOVES / 3 {
-            assert!(round.elapsed() < PATIENCE, "no shares move");
+            assert!(round.elapsed() < WAIT_TIMEOUT, "no shares move");
             move_some(&c, &mut rng);
             std::thread::sleep(Duration::from_millis(300));
         }
@@ -140,29 +142,31 @@
         move_some(&c, &mut rng);
         let i = rng.gen_range(0..NODES);
         if rounds % 2 == 0 {
-            c.kill(i);
-            c.boot(i);
+            c.kill_controller(i);
+            c.start_controller(i);
         } else {
-            c.cut(i, true);
+            c.set_partitioned(i, true);
             std::thread::sleep(Duration::from_millis(rng.gen_range(200..5000)));
-            c.cut(i, false);
+            c.set_partitioned(i, false);
         }
-        c.until(i, "GET", "/up", None, |s, _| s == 200);
-        wait("nobody goes by the table", || {
+        c.request_until(i, "GET", "/up", None, |s, _| s == 200);
+        wait_until("nobody goes by the table", || {
             leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
         });
-        c.until(i, "GET", &format!("/v2/runs/{short}"), None, |_, v| {
+        c.request_until(i, "GET", &format!("/v2/runs/{short}"), None, |_, v| {
             v["mood"] == "done"
         });
-        wait("the rest runs", || running(&seen, &STAYING) == all as usize);
-        check(&seen, before);
+        wait_until("the rest runs", || {
+            running_tasks(&activity, &STAYING) == all as usize
+        });
+        check(&activity, before);
         rounds += 1;
     }
     // Each report is of its own moment: at rest every machine is in one of them.
-    wait(
+    wait_until(
         "machines without an owner, or with two, or handovers that don't end",
         || {
-            let reports: Vec<Value> = (0..NODES).map(|i| c.ask(i, "/shares")).collect();
+            let reports: Vec<Value> = (0..NODES).map(|i| c.operator_get(i, "/shares")).collect();
             let leads = reports
                 .iter()
                 .map(|report| &report["leader"])
@@ -186,60 +190,65 @@
         "{moves} moves in {rounds} rounds; the last leader: {}",
         told["leader"]
     );
-    check(&seen, before);
+    check(&activity, before);
 }
 
 /// A controller is emptied before its process is exchanged: the others own all machines
 /// by then, and its end and return are no takeover. Afterwards it gets its share again.
 #[test]
 fn a_controller_is_drained_before_it_is_exchanged() {
-    let seen = Arc::new(Mutex::new(Seen::default()));
+    let activity = Arc::new(Mutex::new(WorkerActivity::default()));
     let with = vec![
         "deploy/cold-restart.toml",
         "tests/fixtures/shares-that-move.toml",
     ];
-    let options = Options {
+    let options = ClusterOptions {
         report_s: 3.0,
         lease_s: 30,
         team_cpus: 80,
-        with,
+        feature_files: with,
     };
-    let mut c = Cluster::start_with(NODES, "drain", &seen, options);
-    (0..NODES).for_each(|i| c.until(i, "GET", "/up", None, |s, _| s == 200));
+    let mut c = Cluster::start_with(NODES, "drain", &activity, options);
+    (0..NODES).for_each(|i| c.request_until(i, "GET", "/up", None, |s, _| s == 200));
     let (id, job_kind, tasks) = STAYING[0];
-    c.until(
+    c.request_until(
         0,
         "POST",
         "/v2/runs",
         Some(job(id, job_kind, tasks)),
         |s, _| s == 201 || s == 200,
     );
-    wait("all of it runs", || {
-        running(&seen, &STAYING) == tasks as usize
+    wait_until("all of it runs", || {
+        running_tasks(&activity, &STAYING) == tasks as usize
     });
-    wait("nobody goes by the table", || {
+    wait_until("nobody goes by the table", || {
         leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
     });
-    let before = counts(&seen);
-    let machines = |c: &Cluster, i: usize| c.ask(i, "/shares")["machines"].as_array().map(Vec::len);
+    let before = counts(&activity);
+    let machines = |c: &Cluster, i: usize| {
+        c.operator_get(i, "/shares")["machines"]
+            .as_array()
+            .map(Vec::len)
+    };
     let plan = |c: &Cluster, plan: Value| {
-        wait("the plan is not taken", || {
-            leader(c).is_some_and(|(leads, _)| c.tell(leads, "/shares/plan", &plan).0 == 200)
+        wait_until("the plan is not taken", || {
+            leader(c)
+                .is_some_and(|(leads, _)| c.operator_post(leads, "/shares/plan", &plan).0 == 200)
         });
     };
     let (leads, _) = leader(&c).expect("a leader");
     let drained = (leads + 1) % NODES;
-    wait("it owns machines", || {
+    wait_until("it owns machines", || {
         machines(&c, drained).is_some_and(|n| n > 0)
     });
     plan(&c, json!({"drain": [format!("n{drained}")]}));
-    wait("it still owns machines", || {
+    wait_until("it still owns machines", || {
         machines(&c, drained) == Some(0)
     });
-    c.kill(drained);
-    c.boot(drained);
-    c.until(drained, "GET", "/up", None, |s, _| s == 200);
-    wait("nobody goes by the table", || {
+    c.kill_controller(drained);
+    c.start_controller(drained);
+    c.request_until(drained, "GET", "/up", None, |s, _| s == 200);
+    wait_until("nobody goes by the table", || {
         leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
     });
     assert_eq!(
@@ -248,23 +257,23 @@
         "the table still says that others own its machines"
     );
     plan(&c, json!({}));
-    wait("it gets nothing back", || {
+    wait_until("it gets nothing back", || {
         machines(&c, drained).is_some_and(|n| n > 0)
     });
-    check(&seen, before);
+    check(&activity, before);
 }
 
 /// What makes no sense is refused whole, in a line; what is not switched on says so.
 #[test]
 fn senseless_plans_are_refused_and_change_nothing() {
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let options = Options {
-        with: vec!["deploy/shared-machines.toml"],
-        ..Options::default()
+    let activity = Arc::new(Mutex::new(WorkerActivity::default()));
+    let options = ClusterOptions {
+        feature_files: vec!["deploy/shared-machines.toml"],
+        ..ClusterOptions::default()
     };
-    let c = Cluster::start_with(1, "plans", &seen, options);
-    c.until(0, "GET", "/up", None, |s, _| s == 200);
-    wait("it does not lead", || {
+    let c = Cluster::start_with(1, "plans", &activity, options);
+    c.request_until(0, "GET", "/up", None, |s, _| s == 200);
+    wait_until("it does not lead", || {
         leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
     });
     for (plan, names) in [
@@ -276,18 +285,18 @@
         (json!({"moves": "all"}), "plan"),
         (json!({"dreain": []}), "dreain"),
     ] {
-        let (status, said) = c.tell(0, "/shares/plan", &plan);
+        let (status, said) = c.operator_post(0, "/shares/plan", &plan);
         assert!(
             status == 400 && said.contains(names) && said.lines().count() == 1,
             "{plan}: {status} {said}"
         );
     }
-    let report = c.ask(0, "/shares");
+    let report = c.operator_get(0, "/shares");
     assert!(
         report["leader"]["plan"] == json!({"drain": [], "moves": []}) && report["generation"] == 0
     );
     assert_eq!(
-        c.ask(0, "/restart")["error"],
+        c.operator_get(0, "/restart")["error"],
         "the part cold-restart is not switched on"
     );
 }
--- a/tests/wire_format.rs
+++ b/tests/wire_format.rs
@@ -78,7 +78,7 @@
 fn submissions_keep_their_bytes() {
     let fixtures = Fixtures::new(USERS);
     for (name, spec) in submissions() {
-        fixtures.both_ways(name, &spec);
+        fixtures.assert_json_round_trip(name, &spec);
         let parsed = JobSpec::parse(fixtures.payload(name).as_bytes());
         assert_eq!(parsed.expect(name), spec, "{name}");
     }
@@ -92,13 +92,13 @@
         running,
     };
     for state in ["pending", "running", "done", "cancelled"] {
-        fixtures.both_ways(&format!("view.{state}"), &view(state, Some(3), Some(13)));
-        fixtures.both_ways(
+        fixtures.assert_json_round_trip(&format!("view.{state}"), &view(state, Some(3), Some(13)));
+        fixtures.assert_json_round_trip(
             &format!("view.{state}.without-counts"),
             &view(state, None, None),
         );
     }
-    fixtures.same(
+    fixtures.assert_text(
         "error",
         std::str::from_utf8(&error_body("no such job")).expect("text"),
     );
@@ -107,12 +107,12 @@
         .filter_map(|(name, _)| name.strip_suffix(".refused-body"))
     {
         let error = JobSpec::parse(fixtures.text(&format!("{refused}.refused-body")).as_bytes());
-        fixtures.same(
+        fixtures.assert_text(
             &format!("{refused}.why"),
             &error.expect_err(refused).to_string(),
         );
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 fn line(state: TaskState, why: Option<&str>, saved: Option<bool>) -> TaskReport {
@@ -186,8 +186,8 @@
 #[test]
 fn what_workers_send_and_get_keeps_its_bytes() {
     let fixtures = Fixtures::new(WORKERS);
-    fixtures.both_ways("report", &report(Some(30.5), lines()));
-    fixtures.both_ways("report.empty", &report(None, Vec::new()));
+    fixtures.assert_json_round_trip("report", &report(Some(30.5), lines()));
+    fixtures.assert_json_round_trip("report.empty", &report(None, Vec::new()));
     let sparse: Heartbeat = fixtures.read("report.without-optional-fields");
     assert_eq!(sparse, report(None, Vec::new()));
     let unknown: Heartbeat = fixtures.read("report.with-an-unknown-state");
@@ -195,21 +195,21 @@
         unknown,
         report(None, vec![line(TaskState::Other, None, None)])
     );
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "answer",
         &HeartbeatResponse {
             token: 41,
             commands: calls(),
         },
     );
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "answer.empty",
         &HeartbeatResponse {
             token: 0,
             commands: Vec::new(),
         },
     );
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "commands",
         &CommandBatch {
             token: 41,
@@ -217,7 +217,7 @@
             commands: calls(),
         },
     );
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "commands.empty",
         &CommandBatch {
             token: 41,
@@ -225,14 +225,14 @@
             commands: Vec::new(),
         },
     );
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "redirect",
         &Redirect {
             report_to: Some("perch-2".into()),
         },
     );
-    fixtures.both_ways("redirect.to-any", &Redirect { report_to: None });
-    fixtures.all_used();
+    fixtures.assert_json_round_trip("redirect.to-any", &Redirect { report_to: None });
+    fixtures.assert_all_used();
 }
 
 fn machine_type(name: &str, gpus: f64) -> MachineType {
@@ -265,13 +265,13 @@
 #[test]
 fn what_the_cloud_sends_and_gets_keeps_its_bytes() {
     let fixtures = Fixtures::new(CLOUD);
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "catalog",
         &Catalog {
             types: vec![machine_type("g8", 8.0), machine_type("c4", 0.0)],
         },
     );
-    fixtures.both_ways("catalog.empty", &Catalog::default());
+    fixtures.assert_json_round_trip("catalog.empty", &Catalog::default());
     let sparse: Catalog = fixtures.read("catalog.without-optional-fields");
     assert_eq!(
         sparse,
@@ -286,16 +286,16 @@
         spot: true,
         count: 12,
     };
-    fixtures.both_ways("rental", &rental);
+    fixtures.assert_json_round_trip("rental", &rental);
     let names = MachineIds {
         machines: vec!["m-000231".into(), "m-000232".into()],
     };
-    fixtures.both_ways("machine-names", &names);
+    fixtures.assert_json_round_trip("machine-names", &names);
     let machines = vec![
         listed(Some("10.1.0.232:9000"), "running"),
         listed(None, "booting"),
     ];
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "machine-page",
         &MachineListPage {
             machines,
@@ -309,5 +309,5 @@
         (&*machine.id, machine.address.as_deref(), &*machine.state),
         ("m-000231", None, "failed")
     );
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
--- a/tests/wire_format_commands.rs
+++ b/tests/wire_format_commands.rs
@@ -20,7 +20,7 @@
 use finchwood::shard::DirectCommand;
 use finchwood::wire::{Command, CommandBatch};
 use fixtures::Fixtures;
-use raw_http::{ask, free_address};
+use raw_http::{exchange, free_address};
 use recorder::Recorder;
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
@@ -36,7 +36,7 @@
     direct_commands(&fixtures);
     relayed_reports(&fixtures);
     messages(&fixtures);
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 /// Sends commands to a worker: its report, if it answered with one.
@@ -61,7 +61,7 @@
     };
     pool.send(direct, clock::now() + PATIENCE_S)
         .expect("there is room");
-    fixtures.same(&format!("{name}.call"), &recorder.call());
+    fixtures.assert_text(&format!("{name}.call"), &recorder.next_call());
     done.recv_timeout(Duration::from_secs_f64(PATIENCE_S))
         .expect("an end")
 }
@@ -92,7 +92,7 @@
         }
     };
     listen(&settings, Listener::Public, pass_on).expect("it listens");
-    ask(
+    exchange(
         settings.client_listen,
         fixtures.text("relay.report").as_bytes(),
     )
@@ -102,17 +102,17 @@
     let later = clock::now() + 3.0 * PATIENCE_S;
     for name in ["relay", "relay-refused"] {
         let recorder = Recorder::new(&[fixtures.payload(&format!("{name}.answer"))]);
-        fixtures.same(
+        fixtures.assert_text(
             &format!("{name}.passed-back"),
             &relayed(fixtures, recorder.address, later),
         );
-        fixtures.same(&format!("{name}.call"), &recorder.call());
+        fixtures.assert_text(&format!("{name}.call"), &recorder.next_call());
     }
-    fixtures.same(
+    fixtures.assert_text(
         "relay-unreachable.passed-back",
         &relayed(fixtures, free_address(), later),
     );
-    fixtures.same(
+    fixtures.assert_text(
         "relay-too-late.passed-back",
         &relayed(fixtures, free_address(), clock::now() - 1.0),
     );
@@ -135,5 +135,5 @@
         cancellation_notices: Vec::new(),
         message: PeerMessage::KeepAlive,
     });
-    fixtures.same("message.call", &recorder.call());
+    fixtures.assert_text("message.call", &recorder.next_call());
 }
--- a/tests/wire_format_controller.rs
+++ b/tests/wire_format_controller.rs
@@ -7,30 +7,30 @@
 #[path = "common/raw_http.rs"]
 mod raw_http;
 
-use common::cluster::{wait, Cluster, Options};
+use common::cluster::{wait_until, Cluster, ClusterOptions};
 use finchwood::cluster::membership::owner_by_hash;
 use fixtures::Fixtures;
-use raw_http::ask;
+use raw_http::exchange;
 use serde_json::{json, Value};
 
 const CONTROLLER: &str = include_str!("fixtures/wire-format/controller.txt");
 
 /// What a node says to a user or worker who asks as it was frozen.
 fn said(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
-    ask(
+    exchange(
         cluster.users[node],
         fixtures.text(&format!("{name}.request")).as_bytes(),
     )
 }
 
 fn compare(cluster: &Cluster, fixtures: &Fixtures, name: &str) {
-    fixtures.same(&format!("{name}.answer"), &said(cluster, 0, fixtures, name));
+    fixtures.assert_text(&format!("{name}.answer"), &said(cluster, 0, fixtures, name));
 }
 
 /// Waits until a node answers with the frozen status.
 fn wait_for(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) {
     let status = fixtures.payload(&format!("{name}.status"));
-    wait(name, || {
+    wait_until(name, || {
         said(cluster, node, fixtures, name).starts_with(status)
     });
 }
@@ -38,21 +38,22 @@
 /// What a node says to another controller, or to an operator.
 fn told(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
     let body: Value = fixtures.read(&format!("{name}.body"));
-    let (status, text) = cluster.tell(node, fixtures.payload(&format!("{name}.path")), &body);
+    let (status, text) =
+        cluster.operator_post(node, fixtures.payload(&format!("{name}.path")), &body);
     format!("{status} {text}")
 }
 
 #[test]
 fn answers_of_a_controller_keep_their_bytes() {
     let fixtures = Fixtures::new(CONTROLLER);
-    let options = Options {
+    let options = ClusterOptions {
         report_s: 3.0,
         lease_s: 20,
-        ..Options::default()
+        ..ClusterOptions::default()
     };
     let cluster = Cluster::start_with(2, "wire-format", &Default::default(), options);
     for node in [0, 1] {
-        cluster.until(node, "GET", "/up", None, |status, _| status == 200);
+        cluster.request_until(node, "GET", "/up", None, |status, _| status == 200);
     }
     compare(&cluster, &fixtures, "up");
     // Both are members, and the catalog is known.
@@ -62,7 +63,7 @@
     workers(&cluster, &fixtures);
     operators(&cluster, &fixtures);
     outage(&cluster, &fixtures);
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 fn users(cluster: &Cluster, fixtures: &Fixtures) {
@@ -89,7 +90,7 @@
     ] {
         compare(cluster, fixtures, name);
     }
-    cluster.scribble(fixtures.payload("unreadable.key"), json!(5));
+    cluster.write_to_store(fixtures.payload("unreadable.key"), json!(5));
     compare(cluster, fixtures, "unreadable");
 }
 
@@ -110,7 +111,7 @@
             "the other node's"
         );
     }
-    fixtures.same(
+    fixtures.assert_text(
         "relay-to-another.answer",
         &told(cluster, 0, fixtures, "relay-to-another"),
     );
@@ -129,14 +130,14 @@
     let of_leader = fixtures.payload("plan.answer-of-the-leader").to_string();
     let first_leads = [of_leader.clone(), of_follower("n0")];
     let second_leads = [of_follower("n1"), of_leader];
-    wait("both refuse plans as they did", || {
+    wait_until("both refuse plans as they did", || {
         let answers = [0, 1].map(|node| told(cluster, node, fixtures, "plan"));
         answers == first_leads || answers == second_leads
     });
 }
 
 fn outage(cluster: &Cluster, fixtures: &Fixtures) {
-    cluster.outage(true);
+    cluster.set_store_outage(true);
     wait_for(cluster, 0, fixtures, "up-in-an-outage");
     for name in [
         "up-in-an-outage",
@@ -147,7 +148,7 @@
     }
     // Answered as before until the node's own lease is past.
     let fenced = fixtures.text("beat-in-an-outage.answer");
-    wait("fenced", || {
+    wait_until("fenced", || {
         said(cluster, 0, fixtures, "beat-in-an-outage") == fenced
     });
 }
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -159,7 +159,7 @@
         invalid_records: RECORD_ERRORS.map(left_alone).to_vec(),
         invalid_record_count: 10,
     };
-    fixtures.written("restart", &full);
+    fixtures.assert_json("restart", &full);
     let bare = RestartReport {
         node: "a".into(),
         first_accepted_after_s: None,
@@ -168,14 +168,14 @@
         invalid_records: Vec::new(),
         invalid_record_count: 0,
     };
-    fixtures.written("restart.bare", &bare);
+    fixtures.assert_json("restart.bare", &bare);
     let mut kept = full_record();
     kept.enter_epoch(5, true, 21.0);
-    fixtures.written(
+    fixtures.assert_json(
         "restart.kept",
         &kept.view([].into_iter(), 22.0).prior_knowledge,
     );
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 fn range(hash_owner: &str) -> HashRange {
@@ -282,7 +282,7 @@
         fenced: vec!["m-2".into()],
         leader: Some(leader),
     };
-    fixtures.written("shares", &full);
+    fixtures.assert_json("shares", &full);
     let bare = ShardMapReport {
         epoch: 0,
         in_use: false,
@@ -293,9 +293,9 @@
         leader: None,
         ..full
     };
-    fixtures.written("shares.bare", &bare);
-    fixtures.both_ways("plan", &plan());
-    fixtures.both_ways("plan.empty", &Plan::default());
+    fixtures.assert_json("shares.bare", &bare);
+    fixtures.assert_json_round_trip("plan", &plan());
+    fixtures.assert_json_round_trip("plan.empty", &Plan::default());
     assert_eq!(
         fixtures.read::<Plan>("plan.without-optional-fields"),
         Plan::default()
@@ -304,12 +304,12 @@
     plan().check(&members).expect("it makes sense");
     for name in names(&fixtures, ".senseless-plan") {
         let plan: Plan = fixtures.read(&format!("{name}.senseless-plan"));
-        fixtures.same(
+        fixtures.assert_text(
             &format!("{name}.why"),
             &plan.check(&members).expect_err(name).to_string(),
         );
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 /// The names that have a fixture of a kind.
@@ -338,9 +338,9 @@
     for name in names(&fixtures, ".refused-policy") {
         let error =
             Policy::parse(&fixtures.text(&format!("{name}.refused-policy"))).expect_err(name);
-        fixtures.same(&format!("{name}.why"), &error.to_string());
+        fixtures.assert_text(&format!("{name}.why"), &error.to_string());
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 #[test]
@@ -390,14 +390,14 @@
         let twice = shards
             .add("y.toml", &fixtures.text(name))
             .expect_err("twice");
-        fixtures.same(&format!("{name}.twice"), &twice.to_string());
+        fixtures.assert_text(&format!("{name}.twice"), &twice.to_string());
     }
     for name in names(&fixtures, ".refused-part") {
         let text = fixtures.text(&format!("{name}.refused-part"));
         let error = Features::default().add("x.toml", &text).expect_err(name);
-        fixtures.same(&format!("{name}.why"), &error.to_string());
+        fixtures.assert_text(&format!("{name}.why"), &error.to_string());
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 #[test]
@@ -491,9 +491,9 @@
         let text = fixtures.text("all");
         assert!(text.contains(&good), "{name}");
         let error = Settings::parse(&text.replacen(&good, &bad, 1)).expect_err(name);
-        fixtures.same(&format!("{name}.why"), &error.to_string());
+        fixtures.assert_text(&format!("{name}.why"), &error.to_string());
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 /// What the program says and how it ends, in a directory with the files of the fixtures.
@@ -524,13 +524,13 @@
     let fixtures = Fixtures::new(PROGRAM);
     let (status, said, _) = run(&fixtures, "help");
     assert_eq!(status, Some(0));
-    fixtures.same("help.said", &said);
+    fixtures.assert_text("help.said", &said);
     for name in names(&fixtures, ".arguments")
         .into_iter()
         .filter(|name| *name != "help")
     {
         let (status, _, said) = run(&fixtures, name);
-        fixtures.same(
+        fixtures.assert_text(
             &format!("{name}.said"),
             &format!("status {status:?}: {said}"),
         );
@@ -540,5 +540,5 @@
             "{name}: {said}"
         );
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -346,9 +346,9 @@
 }
 
 fn both_ways(fixtures: &Fixtures, name: &str, envelope: &Envelope) {
-    fixtures.same_bytes(name, &envelope.encode());
+    fixtures.assert_bytes(name, &envelope.encode());
     let read = decoded(fixtures, name);
-    fixtures.same_bytes(name, &read.encode());
+    fixtures.assert_bytes(name, &read.encode());
     assert_eq!(format!("{read:?}"), format!("{envelope:?}"), "{name}");
 }
 
@@ -381,5 +381,5 @@
         "hello.bare",
         &bare_envelope(PeerMessage::KeepAlive),
     );
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
--- a/tests/wire_format_refusals.rs
+++ b/tests/wire_format_refusals.rs
@@ -14,7 +14,7 @@
 use finchwood::clock;
 use finchwood::config::settings::Settings;
 use fixtures::Fixtures;
-use raw_http::{ask, free_address};
+use raw_http::{exchange, free_address};
 use std::net::SocketAddr;
 
 const REQUESTS: &str = include_str!("fixtures/wire-format/requests.txt");
@@ -29,8 +29,8 @@
     address
 }
 
-fn answer(ask: Request, responder: Responder) {
-    let understood = match ask {
+fn answer(exchange: Request, responder: Responder) {
+    let understood = match exchange {
         Request::Query(id) => return answer_query(&id, responder),
         // Dropped unanswered.
         Request::Cancel(id) if id == "wk-dropped" => return,
@@ -79,15 +79,18 @@
             .lines()
             .filter_map(|(name, _)| name.strip_suffix(suffix))
         {
-            let said = ask(
+            let said = exchange(
                 address,
                 fixtures.text(&format!("{name}{suffix}")).as_bytes(),
             );
-            fixtures.same(&format!("{name}.answer"), &said);
+            fixtures.assert_text(&format!("{name}.answer"), &said);
         }
     }
     let mut message = fixtures.text("message.head").into_bytes();
     message.extend_from_slice(&Fixtures::new(PEERS).bytes("hello"));
-    fixtures.same("message.answer", &ask(start(Listener::Internal), &message));
-    fixtures.all_used();
+    fixtures.assert_text(
+        "message.answer",
+        &exchange(start(Listener::Internal), &message),
+    );
+    fixtures.assert_all_used();
 }
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -133,14 +133,14 @@
 #[test]
 fn stored_values_keep_their_bytes() {
     let fixtures = Fixtures::new(STORED);
-    fixtures.stored_both_ways("epoch", &epoch(true));
-    fixtures.stored_both_ways("epoch.without-shares", &epoch(false));
+    fixtures.assert_stored_json_round_trip("epoch", &epoch(true));
+    fixtures.assert_stored_json_round_trip("epoch.without-shares", &epoch(false));
     for (name, capability) in [
         ("member.shares", 2),
         ("member.gangs", 1),
         ("member.plain", 0),
     ] {
-        fixtures.stored_both_ways(
+        fixtures.assert_stored_json_round_trip(
             name,
             &MemberRecord {
                 incarnation: 7,
@@ -148,19 +148,20 @@
             },
         );
     }
-    fixtures.stored_both_ways("member.shares", &MemberRecord::new(7, true));
-    fixtures.stored_both_ways("member.gangs", &MemberRecord::of_this_version(7));
-    fixtures.stored_both_ways("job", &job(Some(spec(Some(900.0))), None, false));
-    fixtures.stored_both_ways("job.without-wishes", &job(Some(spec(None)), None, false));
-    fixtures.stored_both_ways(
+    fixtures.assert_stored_json_round_trip("member.shares", &MemberRecord::new(7, true));
+    fixtures.assert_stored_json_round_trip("member.gangs", &MemberRecord::of_this_version(7));
+    fixtures.assert_stored_json_round_trip("job", &job(Some(spec(Some(900.0))), None, false));
+    fixtures
+        .assert_stored_json_round_trip("job.without-wishes", &job(Some(spec(None)), None, false));
+    fixtures.assert_stored_json_round_trip(
         "job.cancelled",
         &job(Some(spec(None)), Some(1_764_652_900_000), false),
     );
-    fixtures.stored_both_ways("job.done", &job(None, None, true));
+    fixtures.assert_stored_json_round_trip("job.done", &job(None, None, true));
     let sparse: JobRecord = fixtures.read("job.without-optional-fields");
     assert_eq!(sparse, job(Some(spec(None)), None, false));
-    fixtures.stored_both_ways("machine", &machine(true, Some("10.0.0.1:9000")));
-    fixtures.stored_both_ways("machine.unused", &machine(false, None));
+    fixtures.assert_stored_json_round_trip("machine", &machine(true, Some("10.0.0.1:9000")));
+    fixtures.assert_stored_json_round_trip("machine.unused", &machine(false, None));
     let sparse: MachineRecord = fixtures.read("machine.without-optional-fields");
     assert_eq!(
         sparse,
@@ -169,7 +170,7 @@
             ..machine(false, None)
         }
     );
-    fixtures.stored_both_ways(
+    fixtures.assert_stored_json_round_trip(
         "page",
         &page(&[
             ("m-2", None),
@@ -177,7 +178,7 @@
             ("m-4", Some("")),
         ]),
     );
-    fixtures.stored_both_ways("page.empty", &page(&[]));
+    fixtures.assert_stored_json_round_trip("page.empty", &page(&[]));
     let sparse: RegistryPage = fixtures.read("page.without-optional-fields");
     assert_eq!(
         sparse,
@@ -186,9 +187,9 @@
             ..page(&[])
         }
     );
-    fixtures.stored_both_ways("catalog", &catalog());
-    fixtures.stored_both_ways("shares", &table().to_stored());
-    fixtures.stored_both_ways("shares.empty", &ShardMap::default().to_stored());
+    fixtures.assert_stored_json_round_trip("catalog", &catalog());
+    fixtures.assert_stored_json_round_trip("shares", &table().to_stored());
+    fixtures.assert_stored_json_round_trip("shares.empty", &ShardMap::default().to_stored());
     assert_eq!(
         ShardMap::from_stored(&fixtures.read::<StoredShardMap>("shares")).0,
         table()
@@ -197,8 +198,8 @@
     for task in [0, 2, 9] {
         finished.add(task);
     }
-    fixtures.same("finished", &json!(finished.hex(0, 12)).to_string());
-    fixtures.all_used();
+    fixtures.assert_text("finished", &json!(finished.hex(0, 12)).to_string());
+    fixtures.assert_all_used();
 }
 
 #[test]
@@ -209,7 +210,7 @@
     transactions(&fixtures);
     joining(&fixtures);
     calls_of_the_cloud(&fixtures);
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 fn keys(fixtures: &Fixtures) {
@@ -227,7 +228,7 @@
         ("key-prefix.page", REGISTRY_PREFIX.to_string()),
     ];
     for (name, key) in &keys {
-        fixtures.same(name, key);
+        fixtures.assert_text(name, key);
     }
     let stored = Fixtures::new(STORED);
     let mut cache = StoreCache::new(8.0);
@@ -301,7 +302,7 @@
         STATE_PLACE,
         recorder.address,
     )));
-    fixtures.same(&format!("state.{name}.call"), &recorder.call());
+    fixtures.assert_text(&format!("state.{name}.call"), &recorder.next_call());
     given
 }
 
@@ -315,7 +316,7 @@
     );
     asks.send(ask).expect("sent");
     let answer = answers.recv_timeout(PATIENCE).expect("an answer");
-    fixtures.same(&format!("cloud.{name}.call"), &recorder.call());
+    fixtures.assert_text(&format!("cloud.{name}.call"), &recorder.next_call());
     answer
 }
 
@@ -421,7 +422,7 @@
     let said = news.recv_timeout(PATIENCE).expect("news");
     assert!(matches!(said, LeaseEvent::Renewed { incarnation: 7, .. }));
     for step in steps {
-        fixtures.same(&format!("{step}.call"), &recorder.call());
+        fixtures.assert_text(&format!("{step}.call"), &recorder.next_call());
     }
 }
 
