--- a/tests/common/cluster.rs
+++ b/tests/common/cluster.rs
@@ -1,6 +1,6 @@
-//! Controllers as real processes on the loopback, against stand-ins. Every
-//! link from a controller to the key-value store or to another controller leads
-//! through a gate that can be shut.
+//! Controllers as real processes on the loopback interface, against stand-ins for the
+//! key-value store, the cloud and the workers. Every connection from a controller to the
+//! store or to another controller goes through a proxy that a test can pause.
 
 use super::stand_ins::cloud::start_cloud;
 use super::stand_ins::store::start_store;
@@ -13,99 +13,108 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A link that holds back whatever is sent while it is shut, and delivers it
-/// afterwards.
+/// A TCP proxy that holds back all data while it is paused and delivers it afterwards.
 #[derive(Clone)]
-pub struct Link {
+pub struct PausableProxy {
     pub address: SocketAddr,
-    shut: Arc<AtomicBool>,
+    paused: Arc<AtomicBool>,
 }
 
-impl Link {
-    fn to(target: SocketAddr) -> Link {
+impl PausableProxy {
+    /// Starts a proxy on a free port that forwards to `target`.
+    fn start(target: SocketAddr) -> PausableProxy {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let shut = Arc::new(AtomicBool::new(false));
-        let state = shut.clone();
+        let paused = Arc::new(AtomicBool::new(false));
+        let pause_flag = paused.clone();
         std::thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let Ok(onward) = TcpStream::connect(target) else {
+            for client in listener.incoming().flatten() {
+                let Ok(server) = TcpStream::connect(target) else {
                     continue;
                 };
-                let (a, b) = (
-                    stream.try_clone().expect("cloned"),
-                    onward.try_clone().expect("cloned"),
+                let (client_copy, server_copy) = (
+                    client.try_clone().expect("a cloned stream"),
+                    server.try_clone().expect("a cloned stream"),
                 );
-                for (from, to) in [(stream, onward), (b, a)] {
-                    let state = state.clone();
-                    std::thread::spawn(move || pass(from, to, &state));
+                for (from, to) in [(client, server), (server_copy, client_copy)] {
+                    let pause_flag = pause_flag.clone();
+                    std::thread::spawn(move || forward(from, to, &pause_flag));
                 }
             }
         });
-        Link { address, shut }
+        PausableProxy { address, paused }
     }
 
-    pub fn shut(&self, shut: bool) {
-        self.shut.store(shut, Ordering::SeqCst);
+    /// Pauses or resumes both directions of all connections.
+    pub fn set_paused(&self, paused: bool) {
+        self.paused.store(paused, Ordering::SeqCst);
     }
 }
 
-fn pass(mut from: TcpStream, mut to: TcpStream, shut: &AtomicBool) {
+/// Copies data from one stream to the other until either is closed. Data read while
+/// `paused` is set waits until it is cleared.
+fn forward(mut from: TcpStream, mut to: TcpStream, paused: &AtomicBool) {
     let mut buffer = [0; 8192];
-    while let Ok(n) = from.read(&mut buffer) {
-        while shut.load(Ordering::SeqCst) {
+    while let Ok(length) = from.read(&mut buffer) {
+        while paused.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(20));
         }
-        if n == 0 || to.write_all(&buffer[..n]).is_err() {
+        if length == 0 || to.write_all(&buffer[..length]).is_err() {
             break;
         }
     }
     let _ = to.shutdown(std::net::Shutdown::Both);
 }
 
-/// Longer than anything here takes, even on a machine that is busy.
+/// How long tests wait for a condition: longer than any of them takes to become true, even
+/// on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
 
+/// Controllers that run as processes. Dropping it kills them.
 pub struct Cluster {
-    pub users: Vec<SocketAddr>,
+    /// Where each controller listens for users and workers.
+    pub client_addresses: Vec<SocketAddr>,
+    /// The settings file of each controller.
     configs: Vec<std::path::PathBuf>,
     children: Vec<Option<Child>>,
     agent: ureq::Agent,
-    /// Whether transactions are carried out late, see [`start_store`].
+    /// While set, the store carries out some transactions late (see [`start_store`]).
     pub delay_commits: Arc<AtomicBool>,
-    /// Transactions that were over the limits.
-    refused: Arc<AtomicU32>,
-    /// Each node's way to the key-value store, and to each of the others.
-    state: Vec<Link>,
-    links: Vec<Vec<Link>>,
-    /// Where the controllers listen for each other, and for operators.
-    backs: Vec<SocketAddr>,
+    /// The number of transactions that exceeded the limits of the store.
+    oversized_transactions: Arc<AtomicU32>,
+    /// The proxy of each controller to the key-value store.
+    store_proxies: Vec<PausableProxy>,
+    /// The proxies between controllers, by the index of the client and of the server.
+    peer_proxies: Vec<Vec<PausableProxy>>,
+    /// Where each controller listens for the other controllers and for operators.
+    internal_addresses: Vec<SocketAddr>,
     feature_files: Vec<&'static str>,
 }
 
-/// A free port below those that the system gives to whoever asks for any:
-/// else a gate or a client could have it before its controller does.
+/// Returns an address with a free port below the range of ephemeral ports: a proxy or a
+/// client could otherwise be given the port before the controller listens on it.
 fn free_port() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let base = 20_000 + (std::process::id() % 100) as u16 * 100;
     loop {
         let port = base + NEXT.fetch_add(1, Ordering::SeqCst) % 100;
-        if let Ok(l) = TcpListener::bind(("127.0.0.1", port)) {
-            return l.local_addr().expect("an address");
+        if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
+            return listener.local_addr().expect("an address");
         }
     }
 }
 
-/// What a test may want otherwise.
+/// The settings of a [`Cluster`] that differ between tests.
 pub struct ClusterOptions {
-    /// How often workers report. One that is silent for two intervals, and doesn't answer
-    /// within half of one, counts as dead: on a busy machine that must be long.
+    /// The interval between heartbeats of a worker, in seconds. A machine counts as dead if
+    /// it is silent for two intervals and does not respond to a probe within half of one, so
+    /// the interval must be long enough for a busy machine.
     pub report_s: f64,
-    /// A worker's lease, and twice that for cancellations, in seconds.
+    /// The duration of a worker's lease, in seconds; `cancel_s` is set to twice that.
     pub lease_s: u32,
-    /// The team's limit.
+    /// The team's CPU limit.
     pub team_cpus: u32,
-    /// Files that switch on shards.
+    /// Feature files to pass with `--with`, relative to the root of the repository.
     pub feature_files: Vec<&'static str>,
 }
 
@@ -121,51 +130,58 @@
 }
 
 impl Cluster {
-    /// Starts `n` controllers; `name` keeps their files apart.
-    pub fn start(n: usize, name: &str, activity: &Arc<Mutex<WorkerActivity>>) -> Cluster {
-        Cluster::start_with(n, name, activity, ClusterOptions::default())
+    /// Starts `count` controllers with default options. Their settings files are named
+    /// after `name`, which must differ from test to test.
+    pub fn start(count: usize, name: &str, activity: &Arc<Mutex<WorkerActivity>>) -> Cluster {
+        Cluster::start_with(count, name, activity, ClusterOptions::default())
     }
 
-    /// Starts `n` controllers as the options say.
+    /// Starts `count` controllers with the given options; see [`Cluster::start`].
     pub fn start_with(
-        n: usize,
+        count: usize,
         name: &str,
         activity: &Arc<Mutex<WorkerActivity>>,
         options: ClusterOptions,
     ) -> Cluster {
-        let users: Vec<SocketAddr> = (0..n).map(|_| free_port()).collect();
-        let backs: Vec<SocketAddr> = (0..n).map(|_| free_port()).collect();
+        let client_addresses: Vec<SocketAddr> = (0..count).map(|_| free_port()).collect();
+        let internal_addresses: Vec<SocketAddr> = (0..count).map(|_| free_port()).collect();
         let delay_commits = Arc::new(AtomicBool::new(false));
-        let refused = Arc::new(AtomicU32::new(0));
-        let service = start_store(delay_commits.clone(), refused.clone());
-        let state: Vec<Link> = (0..n).map(|_| Link::to(service)).collect();
-        let links: Vec<Vec<Link>> = (0..n)
-            .map(|_| backs.iter().map(|b| Link::to(*b)).collect())
+        let oversized_transactions = Arc::new(AtomicU32::new(0));
+        let store = start_store(delay_commits.clone(), oversized_transactions.clone());
+        let store_proxies: Vec<PausableProxy> =
+            (0..count).map(|_| PausableProxy::start(store)).collect();
+        let peer_proxies: Vec<Vec<PausableProxy>> = (0..count)
+            .map(|_| {
+                internal_addresses
+                    .iter()
+                    .map(|address| PausableProxy::start(*address))
+                    .collect()
+            })
             .collect();
         let cloud = start_cloud(
-            users.clone(),
+            client_addresses.clone(),
             activity.clone(),
             Duration::from_secs(u64::from(options.lease_s)),
         );
         let dir = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
         let mut configs = Vec::new();
-        for i in 0..n {
+        for index in 0..count {
             let mut text = format!(
-                "node_name = \"n{i}\"\nzone = \"e\"\nclient_listen = \"{}\"\nback = \"{}\"\n",
-                users[i], backs[i]
+                "node_name = \"n{index}\"\nzone = \"e\"\nclient_listen = \"{}\"\nback = \"{}\"\n",
+                client_addresses[index], internal_addresses[index]
             );
-            for j in (0..n).filter(|&j| j != i) {
+            for peer in (0..count).filter(|&peer| peer != index) {
                 text += &format!(
-                    "[[members]]\nnode_name = \"n{j}\"\nzone = \"e\"\nendpoint = \"{}\"\n",
-                    links[i][j].address
+                    "[[members]]\nnode_name = \"n{peer}\"\nzone = \"e\"\nendpoint = \"{}\"\n",
+                    peer_proxies[index][peer].address
                 );
             }
             text += &format!(
                 "[services]\ncloud = \"{cloud}\"\nstate = \"{}\"\n",
-                state[i].address
+                store_proxies[index].address
             );
             text += &format!(
-                "[params]\ninitial_size = {n}\nzones = [\"e\", \"w\"]\ntime_bound_ms = 10.0\n\
+                "[params]\ninitial_size = {count}\nzones = [\"e\", \"w\"]\ntime_bound_ms = 10.0\n\
                 [[params.teams]]\nname = \"t\"\ncpus_max = {}.0\n\
                 [params.workers]\nreport_s = {:.1}\nlease_s = {}.0\ncancel_s = {}.0\n\
                 [params.state]\nrps = 600.0\nwrite_rps = 200.0\nvalue_kb = 8.0\ntxn_ops = 12\n\
@@ -177,30 +193,31 @@
                 options.lease_s,
                 options.lease_s * 2
             );
-            let path = dir.join(format!("{name}-{i}.toml"));
-            std::fs::write(&path, text).expect("a settings file");
+            let path = dir.join(format!("{name}-{index}.toml"));
+            std::fs::write(&path, text).expect("a written settings file");
             configs.push(path);
         }
         let agent = ureq::AgentBuilder::new()
             .timeout(Duration::from_secs(5))
             .build();
-        let mut c = Cluster {
-            users,
+        let mut cluster = Cluster {
+            client_addresses,
             configs,
-            children: (0..n).map(|_| None).collect(),
+            children: (0..count).map(|_| None).collect(),
             agent,
             delay_commits,
-            refused,
-            state,
-            links,
-            backs,
+            oversized_transactions,
+            store_proxies,
+            peer_proxies,
+            internal_addresses,
             feature_files: options.feature_files,
         };
-        (0..n).for_each(|i| c.start_controller(i));
-        c
+        (0..count).for_each(|index| cluster.start_controller(index));
+        cluster
     }
 
-    pub fn start_controller(&mut self, i: usize) {
+    /// Starts the process of a controller, at the start or after it was killed.
+    pub fn start_controller(&mut self, index: usize) {
         let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
         let child = Command::new(env!("CARGO_BIN_EXE_finchwood"))
             .args(
@@ -209,120 +226,133 @@
                     .flat_map(|file| ["--with".into(), root.join(file)]),
             )
             .arg("--config")
-            .arg(&self.configs[i])
+            .arg(&self.configs[index])
             .stderr(Stdio::inherit())
             .spawn()
-            .expect("a controller");
-        self.children[i] = Some(child);
+            .expect("a controller process");
+        self.children[index] = Some(child);
     }
 
-    /// Cuts a node off from the key-value store and the other controllers, both
-    /// ways, or joins it to them again. Users and workers still reach it.
-    pub fn set_partitioned(&self, i: usize, cut: bool) {
-        self.state[i].shut(cut);
-        for j in 0..self.users.len() {
-            self.links[i][j].shut(cut);
-            self.links[j][i].shut(cut);
+    /// Partitions a controller from the key-value store and, in both directions, from the
+    /// other controllers, or ends the partition. Users and workers still reach it.
+    pub fn set_partitioned(&self, index: usize, partitioned: bool) {
+        self.store_proxies[index].set_paused(partitioned);
+        for peer in 0..self.client_addresses.len() {
+            self.peer_proxies[index][peer].set_paused(partitioned);
+            self.peer_proxies[peer][index].set_paused(partitioned);
         }
     }
 
-    /// The key-value store refuses one node alone, or answers it again.
-    pub fn set_store_unreachable(&self, i: usize, refuse: bool) {
-        self.state[i].shut(refuse);
+    /// Makes the key-value store unreachable for one controller alone, or reachable again.
+    pub fn set_store_unreachable(&self, index: usize, unreachable: bool) {
+        self.store_proxies[index].set_paused(unreachable);
     }
 
-    /// The key-value store answers nobody, or everybody again.
-    pub fn set_store_outage(&self, out: bool) {
-        self.state.iter().for_each(|g| g.shut(out));
+    /// Makes the key-value store unreachable for all controllers, or reachable again.
+    pub fn set_store_outage(&self, outage: bool) {
+        self.store_proxies
+            .iter()
+            .for_each(|proxy| proxy.set_paused(outage));
     }
 
-    pub fn kill_controller(&mut self, i: usize) {
-        if let Some(mut child) = self.children[i].take() {
-            child.kill().expect("killed");
-            child.wait().expect("ended");
+    /// Kills the process of a controller, if it runs.
+    pub fn kill_controller(&mut self, index: usize) {
+        if let Some(mut child) = self.children[index].take() {
+            child.kill().expect("a killed process");
+            child.wait().expect("the exit status");
         }
     }
 
-    /// Writes a key of the key-value store past all controllers.
+    /// Writes a key directly to the key-value store, without a controller.
     pub fn write_to_store(&self, key: &str, value: Value) {
         let body = json!({"if": [], "writes": [{"put": key, "value": value}]});
-        let url = format!("http://{}/commit", self.state[0].address);
+        let url = format!("http://{}/commit", self.store_proxies[0].address);
         self.agent
             .post(&url)
             .send_string(&body.to_string())
-            .expect("committed");
+            .expect("a committed transaction");
     }
 
-    /// What a controller says to an operator's question; nothing if it doesn't answer.
-    pub fn operator_get(&self, i: usize, path: &str) -> Value {
+    /// Returns the response of a controller to an operator's GET request; `Null` if there is
+    /// none or it is not JSON.
+    pub fn operator_get(&self, index: usize, path: &str) -> Value {
         let text = match self
             .agent
-            .get(&format!("http://{}{path}", self.backs[i]))
+            .get(&format!("http://{}{path}", self.internal_addresses[index]))
             .call()
         {
-            Ok(r) | Err(ureq::Error::Status(_, r)) => r.into_string().unwrap_or_default(),
+            Ok(response) | Err(ureq::Error::Status(_, response)) => {
+                response.into_string().unwrap_or_default()
+            }
             Err(_) => String::new(),
         };
         serde_json::from_str(&text).unwrap_or_default()
     }
 
-    /// What a controller answers to what an operator wants.
-    pub fn operator_post(&self, i: usize, path: &str, body: &Value) -> (u16, String) {
+    /// Sends an operator's POST request to a controller and returns the status and body of
+    /// the response; status 0 if there is none.
+    pub fn operator_post(&self, index: usize, path: &str, body: &Value) -> (u16, String) {
         match self
             .agent
-            .post(&format!("http://{}{path}", self.backs[i]))
+            .post(&format!("http://{}{path}", self.internal_addresses[index]))
             .send_string(&body.to_string())
         {
-            Ok(r) | Err(ureq::Error::Status(_, r)) => {
-                (r.status(), r.into_string().unwrap_or_default())
-            }
+            Ok(response) | Err(ureq::Error::Status(_, response)) => (
+                response.status(),
+                response.into_string().unwrap_or_default(),
+            ),
             Err(_) => (0, String::new()),
         }
     }
 
+    /// Sends a user's or worker's request to a controller and returns the status, the body
+    /// and the `Retry-After` header of the response; status 0 if there is none.
     pub fn client_request(
         &self,
-        i: usize,
+        index: usize,
         method: &str,
         path: &str,
         body: Option<Value>,
     ) -> (u16, Value, Option<String>) {
-        let request = self
-            .agent
-            .request(method, &format!("http://{}{path}", self.users[i]));
-        let answer = match body {
-            Some(b) => request.send_string(&b.to_string()),
+        let request = self.agent.request(
+            method,
+            &format!("http://{}{path}", self.client_addresses[index]),
+        );
+        let result = match body {
+            Some(body) => request.send_string(&body.to_string()),
             None => request.call(),
         };
-        let r = match answer {
-            Ok(r) | Err(ureq::Error::Status(_, r)) => r,
+        let response = match result {
+            Ok(response) | Err(ureq::Error::Status(_, response)) => response,
             Err(_) => return (0, Value::Null, None),
         };
-        let retry = r.header("Retry-After").map(String::from);
+        let retry_after = response.header("Retry-After").map(String::from);
         (
-            r.status(),
-            serde_json::from_str(&r.into_string().unwrap_or_default()).unwrap_or_default(),
-            retry,
+            response.status(),
+            serde_json::from_str(&response.into_string().unwrap_or_default()).unwrap_or_default(),
+            retry_after,
         )
     }
 
-    /// Repeats a call, as users do, until it is answered as wished.
+    /// Repeats a request, as users do, until the status and body of the response satisfy
+    /// `accept`. Panics after [`WAIT_TIMEOUT`], or if a response with status 429 or 503 lacks
+    /// the `Retry-After` header.
     pub fn request_until(
         &self,
-        i: usize,
+        index: usize,
         method: &str,
         path: &str,
         body: Option<Value>,
-        ok: impl Fn(u16, &Value) -> bool,
+        accept: impl Fn(u16, &Value) -> bool,
     ) {
         let begin = Instant::now();
         let mut last = (0, Value::Null, None);
         while begin.elapsed() < WAIT_TIMEOUT {
-            last = self.client_request(i, method, path, body.clone());
-            if ok(last.0, &last.1) {
+            last = self.client_request(index, method, path, body.clone());
+            if accept(last.0, &last.1) {
                 return;
             }
-            // Whatever can't be taken now says when to come back.
+            // A request that can't be served now must be told when to retry.
             if matches!(last.0, 429 | 503) {
                 assert!(
                     last.2.is_some(),
@@ -332,51 +362,54 @@
             }
             std::thread::sleep(Duration::from_millis(100));
         }
-        panic!("{method} {path}: last answer {last:?}");
+        panic!("{method} {path}: no accepted response in time, the last one was {last:?}");
     }
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        (0..self.users.len()).for_each(|i| self.kill_controller(i));
+        (0..self.client_addresses.len()).for_each(|index| self.kill_controller(index));
         if !std::thread::panicking() {
-            let refused = self.refused.load(Ordering::SeqCst);
+            let oversized = self.oversized_transactions.load(Ordering::SeqCst);
             assert_eq!(
-                refused, 0,
-                "transactions over the limits of the state service"
+                oversized, 0,
+                "transactions exceeded the limits of the key-value store"
             );
         }
     }
 }
 
-/// What the workers have seen.
+/// Locks the record of what the workers did, also after a thread that held it panicked.
 pub fn lock(activity: &Mutex<WorkerActivity>) -> std::sync::MutexGuard<'_, WorkerActivity> {
     activity
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Waits for what must happen.
-pub fn wait_until(what: &str, done: impl Fn() -> bool) {
+/// Waits until `condition` holds. Panics with `failure`, which says what did not happen,
+/// after [`WAIT_TIMEOUT`].
+pub fn wait_until(failure: &str, condition: impl Fn() -> bool) {
     let begin = Instant::now();
-    while !done() {
-        assert!(begin.elapsed() < WAIT_TIMEOUT, "{what}");
+    while !condition() {
+        assert!(begin.elapsed() < WAIT_TIMEOUT, "{failure}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// How many tasks of these jobs are on machines.
+/// Returns the number of tasks of these jobs that are on a machine. A job is given by its
+/// id, kind and number of tasks.
 pub fn running_tasks(activity: &Mutex<WorkerActivity>, jobs: &[(&str, &str, u32)]) -> usize {
     let activity = lock(activity);
-    let theirs = |task: &str| jobs.iter().any(|(id, _, _)| task.starts_with(id));
+    let is_of_jobs = |task: &str| jobs.iter().any(|(id, _, _)| task.starts_with(id));
     activity
         .machines_by_task
         .iter()
-        .filter(|(task, on)| theirs(task) && !on.is_empty())
+        .filter(|(task, machines)| is_of_jobs(task) && !machines.is_empty())
         .count()
 }
 
-/// A submission.
+/// Returns the request body that submits a job of the team `t`. A service (`standing`) is
+/// also spread over zones.
 pub fn job(id: &str, job_kind: &str, tasks: u32) -> Value {
     json!({"id": id, "flock": "f", "nest": "t", "shape": job_kind, "rank": "prod", "chicks": tasks,
         "cpus": 1.0, "accelerators": 0.0, "mem_gb": 1.0, "egg": "i", "size_gb": 1.0, "breeds": null,
--- a/tests/common/settings.rs
+++ b/tests/common/settings.rs
@@ -1,6 +1,6 @@
-//! Settings of a small deployment, for tests that need some.
+//! The settings file of a small deployment, shared by the tests.
 
-/// A node `a` alone, with a team `t`; tests replace what they are about.
+/// A single node `a` and a single team `t`. Tests replace the values that they depend on.
 pub const SETTINGS: &str = r#"
 node_name = "a"
 zone = "e"
--- a/tests/common/stand_ins/cloud.rs
+++ b/tests/common/stand_ins/cloud.rs
@@ -1,4 +1,4 @@
-//! A cloud that lists, rents out and deletes machines.
+//! A stand-in for the cloud, which lists, rents out and deletes machines.
 
 use super::json_server::serve_json;
 use super::worker::{start_worker, WorkerActivity};
@@ -9,29 +9,29 @@
 use std::time::Duration;
 use tiny_http::Method;
 
-/// Starts a cloud whose machines are up at once; their workers report to `nodes`, and
-/// their leases last for `lease`. Tasks of jobs whose id ends in an even digit take a
-/// moment to complete.
+/// Starts a cloud and returns its address. Its machines are up at once, and their workers
+/// send heartbeats to `nodes` and hold leases of duration `lease`. Only tasks of jobs whose
+/// id ends in an even digit complete by themselves, after a moment.
 pub fn start_cloud(
     nodes: Vec<SocketAddr>,
     activity: Shared<WorkerActivity>,
     lease: Duration,
 ) -> SocketAddr {
-    let count = Shared::<u32>::default();
+    let machine_count = Shared::<u32>::default();
     let machines: Shared<BTreeMap<String, Value>> = Shared::default();
     serve_json(move |method, url, body| {
         let path = url.split('?').next().unwrap_or_default();
         match (method, path) {
             (Method::Get, "/catalog") => {
-                let breed = json!({"name": "box", "cpus": 4, "accelerators": 0, "mem_gb": 16, "cache_gb": 20,
+                let machine_type = json!({"name": "box", "cpus": 4, "accelerators": 0, "mem_gb": 16, "cache_gb": 20,
                     "pull_gb_per_s": 1.0, "hourly": 1.0, "spot_price": 0.4, "ready_s": 2, "groves": ["e", "w"]});
-                (200, json!({"breeds": [breed]}))
+                (200, json!({"breeds": [machine_type]}))
             }
             (Method::Post, "/machines") => {
                 let mut names = Vec::new();
                 for _ in 0..body["number"].as_u64().unwrap_or(0) {
-                    *lock(&count) += 1;
-                    let name = format!("m-{:06}", *lock(&count));
+                    *lock(&machine_count) += 1;
+                    let name = format!("m-{:06}", *lock(&machine_count));
                     start_worker(
                         &name,
                         &body,
@@ -56,14 +56,14 @@
                     if activity
                         .machines_by_task
                         .values()
-                        .any(|on| on.iter().any(|machine| machine == name))
+                        .any(|machines| machines.iter().any(|machine| machine == name))
                     {
                         activity.deleted_in_use.push(name.into());
                     }
                     activity
                         .machines_by_task
                         .values_mut()
-                        .for_each(|on| on.retain(|machine| machine != name));
+                        .for_each(|machines| machines.retain(|machine| machine != name));
                 }
                 (200, json!({}))
             }
--- a/tests/common/stand_ins/mod.rs
+++ b/tests/common/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the systems around the controllers, each as small as the protocol allows:
-//! a key-value store, a cloud and its workers.
+//! Stand-ins for the systems that controllers talk to, each as small as the protocol allows:
+//! a key-value store, a cloud, and the workers of its machines.
 
 pub mod cloud;
 mod json_server;
@@ -11,7 +11,7 @@
 /// State that the threads of a stand-in share.
 type Shared<T> = Arc<Mutex<T>>;
 
-/// Locks shared state, also after a thread that held the lock panicked.
+/// Locks shared state, also after a thread that held it panicked.
 fn lock<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/tests/common/stand_ins/store.rs
+++ b/tests/common/stand_ins/store.rs
@@ -1,4 +1,4 @@
-//! A key-value store with transactions, leases and a log of changes.
+//! A stand-in for the key-value store, with transactions, leases and a log of changes.
 
 use super::json_server::{query_parameter, serve_json};
 use super::{lock, Shared};
@@ -10,43 +10,44 @@
 use std::time::{Duration, Instant};
 use tiny_http::Method;
 
-/// The state of the store.
+/// The contents of the store.
 #[derive(Default)]
 struct Store {
     /// The revision of the last transaction.
     revision: u64,
     entries: BTreeMap<String, Entry>,
     leases: BTreeMap<u64, Lease>,
-    /// All changes, in the order of their revisions.
+    /// The log of all changes, in the order of their revisions.
     events: Vec<Value>,
 }
 
-/// The value of a key.
+/// The value stored under a key.
 struct Entry {
     value: Value,
     /// The revision of its last change.
     revision: u64,
-    /// The lease with which it expires.
+    /// The lease with which the entry expires; `None` if it does not expire.
     lease: Option<u64>,
 }
 
-/// A lease that its holder keeps up.
+/// A lease, which expires unless its holder renews it.
 struct Lease {
     renewed_at: Instant,
     duration: Duration,
 }
 
-/// The limits to come of the tests' settings, which the key-value store has from the start.
-const LARGEST_VALUE: usize = 1024;
+/// The limits under `[params.state.next]` in the tests' settings. The stand-in applies these
+/// future limits from the start.
+const MAX_VALUE_BYTES: usize = 1024;
 const MAX_WRITES: usize = 4;
 
-/// After how long a late transaction is answered, with an error.
-const LATE_ANSWER_MS: u64 = 1200;
-/// After how long a late transaction is carried out.
-const LATE_COMMIT_MS: u64 = 2500;
+/// The delay before the error response to a delayed transaction.
+const DELAYED_RESPONSE_MS: u64 = 1200;
+/// The delay before a delayed transaction is carried out.
+const DELAYED_COMMIT_MS: u64 = 2500;
 
-/// Whether a transaction is over the limits.
-fn over_limits(body: &Value) -> bool {
+/// Whether a transaction exceeds the limits.
+fn exceeds_limits(body: &Value) -> bool {
     let empty = Vec::new();
     let writes = body["writes"].as_array().unwrap_or(&empty);
     let conditions = body["if"].as_array().unwrap_or(&empty);
@@ -54,11 +55,11 @@
         || conditions.len() > MAX_WRITES * 4
         || writes
             .iter()
-            .any(|write| write["value"].to_string().len() > LARGEST_VALUE)
+            .any(|write| write["value"].to_string().len() > MAX_VALUE_BYTES)
 }
 
 impl Store {
-    /// Deletes the keys of expired leases.
+    /// Deletes expired leases and the keys attached to them.
     fn expire_leases(&mut self) {
         let now = Instant::now();
         let expired: Vec<u64> = self
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Carries out a transaction if its conditions hold.
+    /// Carries out a transaction if its conditions hold, and returns the response.
     fn commit(&mut self, body: &Value) -> (u16, Value) {
         let empty = Vec::new();
         let failed: Vec<&Value> = body["if"]
@@ -134,28 +135,34 @@
     }
 }
 
-/// Starts a key-value store. While `late` is set, every third transaction gets no answer
-/// in time and is carried out seconds later, after newer ones. Transactions over
-/// the limits are counted in `refused`.
-pub fn start_store(late: Arc<AtomicBool>, refused: Arc<AtomicU32>) -> SocketAddr {
+/// Starts a key-value store and returns its address. While `delay_commits` is set, every
+/// third transaction times out for its writer but is carried out seconds later, after newer
+/// ones. Transactions that exceed the limits are refused and counted in
+/// `oversized_transactions`.
+pub fn start_store(
+    delay_commits: Arc<AtomicBool>,
+    oversized_transactions: Arc<AtomicU32>,
+) -> SocketAddr {
     let store: Shared<Store> = Shared::default();
-    let commits = AtomicU32::new(0);
+    let commit_count = AtomicU32::new(0);
     serve_json(move |method, url, body| {
-        let commit = *method == Method::Post && url == "/commit";
-        if commit && over_limits(&body) {
-            refused.fetch_add(1, Ordering::SeqCst);
+        let is_commit = *method == Method::Post && url == "/commit";
+        if is_commit && exceeds_limits(&body) {
+            oversized_transactions.fetch_add(1, Ordering::SeqCst);
             return (400, json!({"error": "over the limits"}));
         }
-        if commit && late.load(Ordering::SeqCst) && commits.fetch_add(1, Ordering::SeqCst) % 3 == 2
+        if is_commit
+            && delay_commits.load(Ordering::SeqCst)
+            && commit_count.fetch_add(1, Ordering::SeqCst) % 3 == 2
         {
             let store = store.clone();
             std::thread::spawn(move || {
-                std::thread::sleep(Duration::from_millis(LATE_COMMIT_MS));
+                std::thread::sleep(Duration::from_millis(DELAYED_COMMIT_MS));
                 let mut store = lock(&store);
                 store.expire_leases();
                 store.commit(&body);
             });
-            std::thread::sleep(Duration::from_millis(LATE_ANSWER_MS));
+            std::thread::sleep(Duration::from_millis(DELAYED_RESPONSE_MS));
             return (504, json!({}));
         }
         let mut store = lock(&store);
--- a/tests/shared_machines.rs
+++ b/tests/shared_machines.rs
@@ -29,7 +29,7 @@
 
 /// The leader, and what it says of the shares.
 fn leader(c: &Cluster) -> Option<(usize, Value)> {
-    (0..c.users.len())
+    (0..c.client_addresses.len())
         .map(|i| (i, c.operator_get(i, "/shares")))
         .find(|(_, report)| report["leader"].is_object())
 }
--- a/tests/wire_format_controller.rs
+++ b/tests/wire_format_controller.rs
@@ -18,7 +18,7 @@
 /// What a node says to a user or worker who asks as it was frozen.
 fn said(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
     exchange(
-        cluster.users[node],
+        cluster.client_addresses[node],
         fixtures.text(&format!("{name}.request")).as_bytes(),
     )
 }
