--- a/tests/common/builders/controllers.rs
+++ b/tests/common/builders/controllers.rs
@@ -1,4 +1,4 @@
-//! Leaders and shards of one controller that owns all machines.
+//! Builders for the leader and the shard of a single controller that owns all machines.
 
 use super::heartbeats::{accepted, heartbeat_from};
 use super::settings_text::SETTINGS;
@@ -10,28 +10,29 @@
 use finchwood::store::records::Epoch;
 use std::collections::HashMap;
 
-/// Intervals of a small deployment.
+/// The intervals and lease durations of a small deployment, in seconds.
 pub(crate) const TIMING: Timing = Timing {
     report_s: 3.0,
     lease_s: 20.0,
     member_lease_s: 8.0,
 };
 
-/// The epoch in which tests begin.
+/// The number of the epoch in which tests begin.
 pub(crate) const EPOCH: u64 = 3;
 
-/// The settings of a small deployment with these replacements.
-pub(crate) fn settings_with(change: &[(&str, &str)]) -> Result<Settings, String> {
+/// Returns the settings of a small deployment, in whose text each first string of
+/// `replacements` is replaced by the second, or the error with which they are refused.
+pub(crate) fn settings_with(replacements: &[(&str, &str)]) -> Result<Settings, String> {
     let mut text = SETTINGS.to_string();
-    for (from, to) in change {
+    for (from, to) in replacements {
         text = text.replace(from, to);
     }
-    Settings::parse(&text).map_err(|e| e.to_string())
+    Settings::parse(&text).map_err(|error| error.to_string())
 }
 
-/// The leader `a` at the start of the epoch.
+/// Returns the leader `a` at the start of the epoch [`EPOCH`].
 pub(crate) fn new_leader(cache: &StoreCache) -> Leader {
-    let mut leader = Leader::new(&settings_with(&[]).expect("settings"));
+    let mut leader = Leader::new(&settings_with(&[]).expect("valid settings"));
     let epoch = Epoch {
         number: EPOCH,
         members: [("a".to_string(), 7)].into_iter().collect(),
@@ -42,14 +43,15 @@
     leader
 }
 
-/// A shard that owns everything in the epoch, and has entered it at 0.
+/// Returns the shard `a`, which entered the epoch [`EPOCH`] at time 0 and owns all machines.
 pub(crate) fn new_shard(cache: &StoreCache) -> Shard {
     let mut shard = Shard::new("a", TIMING, HashMap::new());
     shard.start_epoch(EPOCH, 7, cache, 0.0, |_| true);
     shard
 }
 
-/// Reports until the shard is certain of a machine; returns the token.
+/// Sends heartbeats without tasks until the shard has reconciled the machine. Returns the
+/// fencing token of the last response.
 pub(crate) fn reconcile_machine(
     shard: &mut Shard,
     cache: &StoreCache,
@@ -67,11 +69,12 @@
     .0
 }
 
-/// A leader and its only shard, both sure of `machines` empty machines.
+/// Returns a leader and its only shard, after both have reconciled `machines` empty machines,
+/// and the fencing tokens of these machines.
 pub(crate) fn leader_and_shard(cache: &StoreCache, machines: usize) -> (Leader, Shard, Vec<u64>) {
     let mut shard = new_shard(cache);
     let tokens = (1..=machines)
-        .map(|i| reconcile_machine(&mut shard, cache, i, 0.2))
+        .map(|machine| reconcile_machine(&mut shard, cache, machine, 0.2))
         .collect();
     let mut leader = new_leader(cache);
     assert!(leader.apply_shard_report(shard.next_report(cache, 0.3), cache, 0.3));
@@ -79,7 +82,7 @@
     (leader, shard, tokens)
 }
 
-/// Places the tasks that wait, at any time of day.
+/// Places the queued tasks. The wall clock is left at 0.
 pub(crate) fn place_tasks(shard: &mut Shard, cache: &StoreCache, now: f64) {
     shard.place_queued(
         cache,
@@ -91,7 +94,8 @@
     );
 }
 
-/// One round of both: reports up, orders down, placing, commands taken for sent.
+/// Runs one round of leader and shard: the leader receives a report and assigns tasks, and the
+/// shard receives the orders, places tasks and reports again.
 pub(crate) fn scheduling_round(
     leader: &mut Leader,
     shard: &mut Shard,
@@ -101,7 +105,7 @@
     leader.apply_shard_report(shard.next_report(cache, now), cache, now);
     leader.reconcile(cache, &|_| false);
     leader.assign_tasks(cache, now, || true);
-    let orders = leader.orders("a").expect("orders");
+    let orders = leader.orders("a").expect("orders for the shard");
     shard.apply_orders(&orders, cache, now);
     place_tasks(shard, cache, now);
     leader.apply_shard_report(shard.next_report(cache, now), cache, now);
--- a/tests/common/builders/heartbeats.rs
+++ b/tests/common/builders/heartbeats.rs
@@ -1,12 +1,13 @@
-//! What machines report, and what they are answered.
+//! Builders for heartbeats, and access to the replies.
 
 use finchwood::shard::HeartbeatReply;
 use finchwood::wire::{Command, Heartbeat, TaskReport, TaskState};
 
-/// Task, attempt, state, and why it has ended.
+/// A task, its attempt, its state and, if it has ended, the cause.
 pub(crate) type ReportedTask<'a> = (&'a str, u64, TaskState, Option<&'a str>);
 
-/// A heartbeat of the machine `m-N`.
+/// Returns a heartbeat of the machine `m-{machine}`. Odd machines are in zone `e`, the others
+/// in `w`.
 pub(crate) fn heartbeat_from(
     machine: usize,
     session: u64,
@@ -14,11 +15,11 @@
     token: u64,
     tasks: &[ReportedTask],
 ) -> Heartbeat {
-    let line = |(task, attempt, state, why): &ReportedTask| TaskReport {
+    let report = |(task, attempt, state, cause): &ReportedTask| TaskReport {
         task: (*task).into(),
         attempt: *attempt,
         state: *state,
-        cause: why.map(String::from),
+        cause: cause.map(String::from),
         saved: None,
     };
     Heartbeat {
@@ -31,14 +32,14 @@
         seq: sequence,
         token,
         reclaimed_in_s: None,
-        tasks: tasks.iter().map(line).collect(),
+        tasks: tasks.iter().map(report).collect(),
     }
 }
 
-/// The fencing token and commands of a heartbeat that is not refused.
+/// Returns the fencing token and the commands of a reply. Panics if the heartbeat was refused.
 pub(crate) fn accepted(reply: HeartbeatReply) -> (u64, Vec<Command>) {
     match reply {
         HeartbeatReply::Accepted { token, commands } => (token, commands),
-        HeartbeatReply::Refused => panic!("refused"),
+        HeartbeatReply::Refused => panic!("the heartbeat was refused"),
     }
 }
--- a/tests/common/builders/jobs.rs
+++ b/tests/common/builders/jobs.rs
@@ -1,12 +1,12 @@
-//! Jobs and their stored records.
+//! Builders for jobs and their stored records.
 
 use finchwood::store::records::JobRecord;
 use finchwood::wire::JobSpec;
 use serde_json::{json, Value};
 use std::sync::Arc;
 
-/// A low array of so many tasks, each of which takes two of a machine's four CPUs, unless
-/// `change` says otherwise; fields have their names on the wire.
+/// Returns an array job of low priority with `tasks` tasks, each of which takes two of a
+/// machine's four CPUs. `change` may replace any fields, under their names on the wire.
 pub(crate) fn job_spec(id: &str, tasks: u32, change: impl Fn(&mut Value)) -> Arc<JobSpec> {
     let mut fields = json!({
         "id": id, "flock": "f", "nest": "t", "shape": "array", "rank": "low", "chicks": tasks, "cpus": 2.0,
@@ -14,15 +14,15 @@
         "windfall": true, "guess_s": 10.0, "molt_s": 0.0, "stash_s": 0.0
     });
     change(&mut fields);
-    Arc::new(serde_json::from_value(fields).expect("a spec"))
+    Arc::new(serde_json::from_value(fields).expect("a valid job"))
 }
 
-/// A job of so many tasks, each of which takes two of a machine's four CPUs.
+/// Returns the job of [`job_spec`] with another job kind, given by its name on the wire.
 pub(crate) fn job_of_kind(id: &str, job_kind: &str, tasks: u32) -> Arc<JobSpec> {
     job_spec(id, tasks, |fields| fields["shape"] = json!(job_kind))
 }
 
-/// What is stored of a job.
+/// Returns the stored record of a job that is not done; if `cancelled`, since 10 s.
 pub(crate) fn job_record(spec: &Arc<JobSpec>, cancelled: bool) -> Value {
     json!(JobRecord {
         task_count: spec.task_count,
--- a/tests/common/builders/mod.rs
+++ b/tests/common/builders/mod.rs
@@ -1,4 +1,4 @@
-//! Builders of jobs, machines, heartbeats, store caches, leaders and shards.
+//! Builders for jobs, machines, heartbeats, store caches, leaders and shards.
 
 mod controllers;
 mod heartbeats;
--- a/tests/common/builders/orders.rs
+++ b/tests/common/builders/orders.rs
@@ -1,9 +1,9 @@
-//! What a leader orders.
+//! Builders for the orders of a leader.
 
 use super::controllers::EPOCH;
 use finchwood::shard::{JobAssignment, Orders};
 
-/// Orders number `seq` to the controller `a`.
+/// Returns orders to the controller `a` with this sequence number and these assignments only.
 pub(crate) fn orders(sequence: u64, assignments: Vec<JobAssignment>) -> Orders {
     Orders {
         epoch: EPOCH,
@@ -19,7 +19,7 @@
     }
 }
 
-/// Starts of a job's tasks, given by index and attempt.
+/// Returns the assignment of a job's tasks, each given by its index and attempt.
 pub(crate) fn assignments(job: &str, tasks: &[(u32, u64)]) -> Vec<JobAssignment> {
     vec![JobAssignment {
         job: job.into(),
--- a/tests/common/builders/store_cache.rs
+++ b/tests/common/builders/store_cache.rs
@@ -1,4 +1,4 @@
-//! A local cache of the key-value store, filled with machines and jobs.
+//! A builder for a local cache of the key-value store that holds machines and jobs.
 
 use super::jobs::job_record;
 use finchwood::store::cache::StoreCache;
@@ -7,7 +7,8 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Machines `m-1` to `m-n`, the odd ones in zone `e`, the others in `w`.
+/// Returns a cache with the machines `m-1` to `m-{machines}` of type `k` (4 CPUs) and these
+/// jobs. Odd machines are in zone `e`, the others in `w`.
 pub(crate) fn store_cache(machines: usize, jobs: &[&Arc<JobSpec>]) -> StoreCache {
     let mut cache = StoreCache::new(8.0);
     let machine_type = json!({"breeds": [{"name": "k", "cpus": 4.0, "accelerators": 0.0, "mem_gb": 16.0, "cache_gb": 9.0,
@@ -25,10 +26,10 @@
         };
         cache.put(&format!("fw/r/m-{i}"), json!(record), 1 + i as u64);
     }
-    for (i, s) in jobs.iter().enumerate() {
+    for (i, spec) in jobs.iter().enumerate() {
         cache.put(
-            &format!("fw/j/{}", s.id),
-            job_record(s, false),
+            &format!("fw/j/{}", spec.id),
+            job_record(spec, false),
             100 + i as u64,
         );
     }
--- a/tests/common/simulated_cluster/checks.rs
+++ b/tests/common/simulated_cluster/checks.rs
@@ -1,16 +1,16 @@
-//! What must hold at every moment, and what must hold long after the last fault.
+//! Assertions on what must hold at all times, and on what must hold long after the last fault.
 
 use super::{SimulatedCluster, CONTROLLERS, TEAM_CPU_LIMIT};
 use finchwood::cluster::membership;
 use finchwood::wire::{JobKind, Task};
 use std::collections::HashSet;
 
-/// How long a task may outlive its job's cancellation beyond what the settings say: the
-/// length of the simulation's rounds.
+/// How much longer a task may run after its job's cancellation than the settings promise, due
+/// to the length of the simulation's rounds.
 const CANCELLATION_SLACK_S: f64 = 0.5;
 
 impl SimulatedCluster {
-    /// Counts tasks that a worker has just started, and checks them.
+    /// Counts the tasks that a worker has just started, and checks where each of them runs.
     pub(super) fn record_starts(&mut self, worker: usize, started: &[Task]) {
         self.statistics.starts += started.len() as u32;
         for task in started {
@@ -26,28 +26,34 @@
         self.check_team_limit();
     }
 
-    /// At every moment a task is on one machine at most.
+    /// Asserts that a task runs on exactly one machine when it starts, so on one at most at any
+    /// time.
     fn check_runs_once(&self, task: &Task) {
         let id = task.to_string();
-        let on: Vec<&str> = self
+        let machines: Vec<&str> = self
             .workers
             .iter()
             .filter(|worker| worker.alive)
             .filter(|worker| worker.tasks.get(&id).is_some_and(|task| task.is_active()))
             .map(|worker| worker.id.as_str())
             .collect();
-        assert_eq!(on.len(), 1, "{task} is on {on:?} at {}", self.now);
+        assert_eq!(
+            machines.len(),
+            1,
+            "{task} runs on {machines:?} at {} s",
+            self.now
+        );
     }
 
-    /// All tasks of a gang on machines are of one attempt, and in one zone if that is
-    /// asked for.
+    /// Asserts that all tasks of a gang that are on machines belong to one attempt, and are in
+    /// one zone if the job requires that.
     fn check_gang(&self, worker: usize, task: &Task) {
         let members = self.gang_members(&task.job);
         let attempts: HashSet<u64> = members.iter().map(|member| member.attempt).collect();
         assert_eq!(
             attempts.len(),
             1,
-            "{task} starts beside another attempt at {}: {members:?}",
+            "{task} starts while another attempt of its gang is on machines, at {} s: {members:?}",
             self.now
         );
         let zone = &self.workers[worker].zone;
@@ -56,11 +62,11 @@
             .any(|member| self.workers[member.worker].zone != *zone);
         assert!(
             !(self.specs[&task.job].one_zone && elsewhere),
-            "{task} starts in {zone}: {members:?}"
+            "{task} starts in {zone}, but its gang must be in one zone: {members:?}"
         );
     }
 
-    /// A scattered job has no more tasks in a zone than it may.
+    /// Asserts that a job that is spread over zones has at most its limit of tasks in a zone.
     fn check_scatter(&self, worker: usize, task: &Task) {
         let prefix = format!("{}/", task.job);
         let zone = &self.workers[worker].zone;
@@ -73,13 +79,13 @@
             .count();
         assert!(
             in_zone as u32 <= self.specs[&task.job].zone_cap(),
-            "{} has {in_zone} tasks in {zone} at {}",
+            "{} has {in_zone} tasks in {zone} at {} s, more than its limit per zone",
             task.job,
             self.now
         );
     }
 
-    /// The team keeps its limit; each task takes one CPU.
+    /// Asserts that the team stays within its CPU limit. Each task uses one CPU.
     fn check_team_limit(&self) {
         let used: usize = self
             .workers
@@ -90,59 +96,60 @@
             .count();
         assert!(
             used as f64 <= TEAM_CPU_LIMIT,
-            "the team uses {used} CPUs at {}",
+            "the team uses {used} CPUs at {} s, more than its limit",
             self.now
         );
     }
 
-    /// Long after a confirmed cancellation no task of the job is on a machine, whatever
-    /// became of the stops. A machine that hangs can't kill it.
+    /// Asserts that no task runs for longer after the confirmed cancellation of its job than the
+    /// settings promise, even if stop commands were lost. Workers that hang are exempt, since
+    /// they can't kill a task.
     pub(super) fn check_cancelled(&self) {
         let bound = self.settings.cancellation_bound_s() + CANCELLATION_SLACK_S;
-        let awake = self
+        let responsive = self
             .workers
             .iter()
             .filter(|worker| worker.alive && self.now >= worker.paused_until);
-        for worker in awake {
+        for worker in responsive {
             for (id, _) in worker.tasks.iter().filter(|(_, task)| task.is_active()) {
-                let job = Task::parse(id).expect("a task").job;
+                let job = Task::parse(id).expect("a valid task id").job;
                 let age = self.cancelled.get(&job).map_or(0.0, |at| self.now - at);
                 assert!(
                     age <= bound,
-                    "{id} is on {} {age:.1} s after its cancellation",
+                    "{id} still runs on {} {age:.1} s after its job was cancelled",
                     worker.id
                 );
             }
         }
     }
 
-    /// Nothing that was cancelled, and no gang that still runs, is committed as ended.
+    /// Asserts that no cancelled job, and no gang that still runs, is committed as finished.
     pub(super) fn check_finish(&self, job: &str) {
         assert!(
             !self.cancelled.contains_key(job),
-            "{job} was cancelled and its end is committed"
+            "tasks of {job} are committed as finished, but it was cancelled"
         );
         let is_gang = self.gangs.contains(job);
         assert!(
             !is_gang || self.completed_gangs.contains(job),
-            "the end of {job} is committed, and it has not ended"
+            "tasks of the gang {job} are committed as finished, but it has not completed"
         );
     }
 
-    /// Long after all faults every job is done, or was cancelled.
+    /// Asserts that every job is done or cancelled, long after all faults.
     pub(crate) fn check_all_jobs_ended(&self, seed: u64) {
         for (id, spec) in &self.specs {
             let done = self.finished.get(id).map_or(0, HashSet::len);
             let ended = self.cancelled.contains_key(id) || done as u32 == spec.task_count;
             assert!(
                 ended,
-                "seed {seed}: {id} has {done} of {} tasks done long after all faults",
+                "seed {seed}: only {done} of {} tasks of {id} are done long after all faults",
                 spec.task_count
             );
         }
     }
 
-    /// No controller tells of a machine that was deleted.
+    /// Asserts that no controller reports a machine that was deleted.
     pub(crate) fn check_deleted_machines_stay_deleted(&mut self) {
         let deleted: HashSet<&str> = self
             .workers
@@ -157,12 +164,13 @@
                     .machines
                     .iter()
                     .any(|machine| deleted.contains(&*machine.id)),
-                "a deleted machine is back"
+                "a controller reports a deleted machine"
             );
         }
     }
 
-    /// Every machine has one owner, the one that the shard map says, and none is fenced.
+    /// Asserts that every machine has one owner, the one in the shard map, and that none is
+    /// still fenced by a transfer.
     pub(crate) fn check_each_machine_has_its_owner(&self, seed: u64) {
         for worker in self.workers.iter().filter(|worker| worker.alive) {
             let owner = membership::owner_by_shard_map(&self.epoch, &self.shard_map, &worker.id);
@@ -170,15 +178,15 @@
                 .iter()
                 .zip(&self.controllers)
                 .filter(|(_, controller)| {
-                    let listed = controller.shard.registered_machines();
-                    listed.iter().any(|id| **id == *worker.id)
+                    let registered = controller.shard.registered_machines();
+                    registered.iter().any(|id| **id == *worker.id)
                 })
                 .map(|(name, _)| *name)
                 .collect();
             assert_eq!(
                 owners,
                 owner.into_iter().collect::<Vec<_>>(),
-                "seed {seed}: {}",
+                "seed {seed}: shards that list {}, and its owner by the shard map",
                 worker.id
             );
         }
@@ -186,7 +194,7 @@
             self.controllers
                 .iter()
                 .all(|controller| controller.shard.fenced_machines().is_empty()),
-            "seed {seed}: still fenced"
+            "seed {seed}: machines are still fenced"
         );
     }
 }
--- a/tests/common/simulated_cluster/controllers.rs
+++ b/tests/common/simulated_cluster/controllers.rs
@@ -1,10 +1,10 @@
-//! Controllers: the real shard, leader and transfers, fed from the log of the key-value
-//! store and asked in rounds what to do.
+//! Simulated controllers. Each drives a real shard, leader and set of transfers in rounds, and
+//! feeds them from the log of the key-value store.
 
 use super::network::{DirectCommandPacket, Packet};
-use super::state_store::DelayedFinish;
+use super::state_store::FinishWrite;
 use super::{
-    membership::controller_named, settings, Scheduled, SimulatedCluster, CONTROLLERS,
+    membership::controller_index, settings, Scheduled, SimulatedCluster, CONTROLLERS,
     MEMBER_LEASE_S, WORKER_LEASE_S,
 };
 use finchwood::clock::Moment;
@@ -19,42 +19,48 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
+/// The interval between heartbeats that the shards assume.
 const REPORT_S: f64 = 3.0;
-const CACHE_KB: f64 = 8.0;
-/// How many jobs that are not done a leader commits tasks of at a time.
-const PARTIAL_FINISHES: usize = 9;
+/// The size limit of stored values that the caches assume.
+const MAX_VALUE_KB: f64 = 8.0;
+/// The limit on commits of finished tasks per round. Commits that end a job are not limited.
+const MAX_COMMITS: usize = 9;
 
+/// A controller and what it has read of the key-value store.
 pub(super) struct Controller {
     name: &'static str,
     pub(super) incarnation: u64,
     pub(super) alive: bool,
-    /// When it last read the key-value store.
+    /// When it last read the log of the key-value store.
     pub(super) last_synced_at: f64,
-    /// Partitioned from the key-value store and the other controllers until then.
+    /// The time before which it is partitioned from the key-value store and the other
+    /// controllers.
     pub(super) partitioned_until: f64,
-    /// Refused by the key-value store alone until then.
+    /// The time before which the key-value store responds to the others but not to it.
     pub(super) refused_until: f64,
     pub(super) cache: StoreCache,
-    /// How many events of the store's log it has read.
-    events_read: usize,
+    /// The number of changes that it has read from the store's log.
+    changes_read: usize,
     pub(super) shard: Shard,
     pub(super) leader: Leader,
     pub(super) transfers: Transfers,
-    /// When a write of the shard map was refused for certain.
+    /// When a write of the shard map was refused, until a later read of the store shows the
+    /// reason; `None` otherwise.
     pub(super) shard_map_refused_at: Option<f64>,
 }
 
-/// What a leader wants done beside its orders.
+/// What a leader decided in one round.
 #[derive(Default)]
 struct LeaderDecisions {
+    /// Finished tasks to commit.
     finishes: Vec<FinishedTasks>,
-    /// Machines to delete.
-    unreachable_machines: Vec<String>,
+    /// Machines to delete and replace.
+    machines_to_replace: Vec<String>,
     orders: Vec<Orders>,
 }
 
 impl Controller {
-    /// One that is not running and knows nothing.
+    /// Returns a controller that is not running and has read nothing from the store.
     pub(super) fn stopped(index: usize) -> Controller {
         let timing = Timing {
             report_s: REPORT_S,
@@ -68,8 +74,8 @@
             last_synced_at: 0.0,
             partitioned_until: 0.0,
             refused_until: 0.0,
-            cache: StoreCache::new(CACHE_KB),
-            events_read: 0,
+            cache: StoreCache::new(MAX_VALUE_KB),
+            changes_read: 0,
             shard: Shard::new(CONTROLLERS[index], timing, HashMap::new()),
             leader: Leader::new(&settings()),
             transfers: Transfers::default(),
@@ -77,7 +83,7 @@
         }
     }
 
-    /// One that has just started in a new incarnation.
+    /// Returns a controller that has just started in this incarnation.
     pub(super) fn started(index: usize, incarnation: u64, now: f64) -> Controller {
         Controller {
             alive: true,
@@ -87,7 +93,8 @@
         }
     }
 
-    /// The epoch that it knows, if it has entered it as a member.
+    /// Returns the latest epoch that the controller has read, if it has entered that epoch as a
+    /// member.
     pub(super) fn entered_epoch(&self) -> Option<Epoch> {
         let epoch = self.cache.epoch.as_ref()?;
         let is_member = epoch.members.get(self.name) == Some(&self.incarnation);
@@ -95,7 +102,7 @@
         (is_member && has_entered && epoch.number > 0).then(|| epoch.clone())
     }
 
-    /// Tells shard and leader of a changed job record.
+    /// Passes a changed job record on to the shard and, on the leading controller, the leader.
     pub(super) fn job_changed(&mut self, job: &Arc<str>) {
         self.shard.job_changed(job, &self.cache);
         let epoch = self.cache.epoch.as_ref();
@@ -104,13 +111,13 @@
         }
     }
 
-    /// Applies the events of the key-value store that it has not read.
+    /// Reads and applies the changes in the log of the key-value store since the last read.
     fn read_store(&mut self, log: &[KeyChange], now: f64) {
         self.last_synced_at = now;
-        while self.events_read < log.len() {
-            let event = log[self.events_read].clone();
-            self.events_read += 1;
-            match self.cache.apply(event) {
+        while self.changes_read < log.len() {
+            let change = log[self.changes_read].clone();
+            self.changes_read += 1;
+            match self.cache.apply(change) {
                 CacheChange::Epoch => self.epoch_changed(now),
                 CacheChange::Job(id) => self.job_changed(&id),
                 CacheChange::Machines(ids) => {
@@ -124,9 +131,10 @@
         }
     }
 
+    /// Enters the epoch that was just read, if this controller is a member of it.
     fn epoch_changed(&mut self, now: f64) {
         let name = self.name;
-        let epoch = self.cache.epoch.clone().expect("an epoch");
+        let epoch = self.cache.epoch.clone().expect("an epoch in the cache");
         if epoch.members.get(self.name) != Some(&self.incarnation) {
             return;
         }
@@ -144,6 +152,7 @@
         }
     }
 
+    /// Adds a changed machine to the shard, or removes it, as the machine registry says.
     fn registry_changed(&mut self, id: &Arc<str>, now: f64) {
         let Some(machine) = self.cache.registry.get(id) else {
             self.shard.unregister_machine(id);
@@ -161,11 +170,12 @@
         }
     }
 
+    /// Applies the shard map that was just read, if the entered epoch uses it.
     fn shard_map_changed(&mut self, now: f64) {
         let name = self.name;
         let entered = self.shard.epoch();
-        let present = self.cache.epoch.clone();
-        let Some(epoch) = present.filter(|epoch| epoch.uses_shard_map && epoch.number == entered)
+        let current = self.cache.epoch.clone();
+        let Some(epoch) = current.filter(|epoch| epoch.uses_shard_map && epoch.number == entered)
         else {
             return;
         };
@@ -175,7 +185,7 @@
         });
     }
 
-    /// Expires leases and places tasks; returns what is to be sent.
+    /// Expires leases and places tasks. Returns the direct commands and the report to send.
     fn shard_round(&mut self, now: f64) -> (Vec<DirectCommand>, ShardReport) {
         let moment = Moment {
             now,
@@ -188,7 +198,8 @@
         (commands, self.shard.next_report(&self.cache, now))
     }
 
-    /// Assigns tasks; commits and deletes only while the key-value store is reached.
+    /// Assigns tasks and returns what is to be done. Tasks are committed and machines deleted
+    /// only while the controller reaches the key-value store.
     fn leader_round(
         &mut self,
         now: f64,
@@ -201,13 +212,13 @@
             .reconcile(&self.cache, &|id| deleted.contains(&**id));
         self.leader.assign_tasks(&self.cache, now, || true);
         if reaches_store {
-            decisions.finishes =
-                self.leader
-                    .completions_to_commit(now, PARTIAL_FINISHES, &self.cache);
+            decisions.finishes = self
+                .leader
+                .completions_to_commit(now, MAX_COMMITS, &self.cache);
             for finish in &decisions.finishes {
                 self.leader.commit_answered(&finish.job, now, now + 1.0);
             }
-            decisions.unreachable_machines = self.unreachable_machines(now, evict_after_s);
+            decisions.machines_to_replace = self.machines_to_replace(now, evict_after_s);
         }
         decisions.orders = CONTROLLERS
             .iter()
@@ -219,9 +230,9 @@
         decisions
     }
 
-    /// One machine that ignores commands or is silent, and all on which cancelled tasks
-    /// would run for too long.
-    fn unreachable_machines(&self, now: f64, evict_after_s: f64) -> Vec<String> {
+    /// Returns one machine that ignores commands or is silent, and all machines on which
+    /// cancelled tasks could run for too long.
+    fn machines_to_replace(&self, now: f64, evict_after_s: f64) -> Vec<String> {
         let mut machines: Vec<String> = self
             .leader
             .machines_at(now)
@@ -240,11 +251,11 @@
 }
 
 impl SimulatedCluster {
-    /// A controller reads the store, if it can, and does what it is entitled to.
+    /// Runs one round of a controller: it reads the store, if it can, and acts if it may.
     pub(super) fn controller_round(&mut self, index: usize) {
         let now = self.now;
         let reaches_store = self.store_answers(index) && self.reaches_peers(index);
-        // The cache lags, but a controller whose cache is old fences itself.
+        // The cache may lag behind the store, but a controller with a stale cache does not act.
         if self.controllers[index].alive && reaches_store && self.rng.gen_bool(0.8) {
             self.controllers[index].read_store(&self.store_log, now);
         }
@@ -270,7 +281,7 @@
         for command in commands {
             self.send_direct_command(index, command);
         }
-        for machine in decisions.unreachable_machines {
+        for machine in decisions.machines_to_replace {
             self.replace_machine(&machine);
         }
         for finish in decisions.finishes {
@@ -280,7 +291,7 @@
             return;
         }
         self.send(Packet::ShardReport {
-            to: controller_named(&epoch.leader).expect("a leader"),
+            to: controller_index(&epoch.leader).expect("the index of the leader"),
             report: Box::new(report),
         });
         for orders in decisions.orders {
@@ -288,18 +299,22 @@
         }
     }
 
-    /// The leader that had a machine deleted knows that it is gone; here all leaders
-    /// do, which is more than they may.
+    /// Returns the ids of all deleted machines. In the program only the leader that deleted a
+    /// machine learns at once that it no longer exists. Here every leader does, which is a
+    /// simplification.
     fn deleted_machines(&self) -> HashSet<String> {
         let deleted = self.workers.iter().filter(|worker| !worker.alive);
         deleted.map(|worker| worker.id.clone()).collect()
     }
 
+    /// Sends a direct command. Some of them time out for the sender although they arrive.
     fn send_direct_command(&mut self, index: usize, command: DirectCommand) {
-        let worker = self.worker_on(&command.machine).expect("a machine");
+        let worker = self
+            .worker_on(&command.machine)
+            .expect("a worker on the machine");
         let incarnation = self.controllers[index].incarnation;
         if self.rng.gen_bool(0.1) {
-            // No answer will come: the caller gives up, the command may live.
+            // The command times out for the sender but may still be carried out.
             let controller = &mut self.controllers[index];
             controller.shard.command_completed(
                 &command.machine,
@@ -317,12 +332,12 @@
         }));
     }
 
-    /// A commit of finished tasks, now or so late that nobody waits for it.
+    /// Commits finished tasks, either now or after the sender stopped waiting.
     fn send_finish(&mut self, index: usize, finish: FinishedTasks) {
         let Some(job) = self.controllers[index].cache.jobs.get(&finish.job) else {
             return;
         };
-        let write = DelayedFinish {
+        let write = FinishWrite {
             expected_revision: job.revision,
             job: finish.job,
             tasks: finish.tasks,
@@ -331,7 +346,7 @@
             let due_at = self.now + self.rng.gen_range(2.0..12.0);
             self.delayed_finishes.push(Scheduled {
                 due_at,
-                what: write,
+                item: write,
             });
         } else {
             self.commit_finish(write);
--- a/tests/common/simulated_cluster/faults.rs
+++ b/tests/common/simulated_cluster/faults.rs
@@ -1,15 +1,15 @@
-//! The faults of workers, controllers and the key-value store, and recovery from them.
+//! Random faults of workers, controllers and the key-value store, and the recovery from them.
 
 use super::controllers::Controller;
 use super::{SimulatedCluster, CONTROLLERS, JOB_NUMBERS, MEMBER_LEASE_S, WORKER_LEASE_S};
 use rand::Rng;
 
-/// The longest that a fault of workers lasts.
+/// The longest duration of a fault of workers.
 const LONGEST_WORKER_FAULT_S: f64 = 3.0 * WORKER_LEASE_S;
-/// Faults of single workers hit one of so many latest machines.
+/// The number of latest machines from which a fault of a single worker selects one.
 const LATEST_MACHINES: usize = 5;
 
-/// A controller that is away, and when it comes back.
+/// A failed controller and when it recovers.
 #[derive(Clone, Copy)]
 pub(super) struct PendingRecovery {
     controller: usize,
@@ -17,7 +17,8 @@
 }
 
 impl SimulatedCluster {
-    /// What fails next, and what comes back.
+    /// Injects random faults, or lets the failed controller recover when that is due. While a
+    /// recovery is pending there are no further faults.
     pub(super) fn inject_faults(&mut self) {
         if let Some(recovery) = self.recovery {
             if self.now >= recovery.at {
@@ -45,7 +46,7 @@
             self.cancel_many_and_stop_store();
         }
         if self.rng.gen_bool(0.001) {
-            // Leases have their full time again after it.
+            // After the outage all leases last for their full duration again.
             self.store_outage_until = self.now + self.rng.gen_range(1.0..2.0 * MEMBER_LEASE_S);
         }
         if self.rng.gen_bool(0.001) {
@@ -56,7 +57,8 @@
         }
     }
 
-    /// If all controllers were away, the next one follows within a moment.
+    /// Returns the recovery of another stopped controller, soon after the last one; `None` if
+    /// all run.
     fn next_recovery(&mut self) -> Option<PendingRecovery> {
         let controller = self
             .controllers
@@ -66,55 +68,57 @@
         Some(PendingRecovery { controller, at })
     }
 
+    /// Returns the index of one of the latest machines.
     fn latest_machine(&mut self) -> usize {
         let count = self.workers.len();
         self.rng
             .gen_range(count.saturating_sub(LATEST_MACHINES)..count)
     }
 
-    /// A machine that hears nothing, for less or more than its lease.
+    /// Lets a worker receive nothing, for less or more than the duration of its lease.
     fn drop_incoming_of_one_worker(&mut self) {
         let index = self.latest_machine();
         self.workers[index].drops_incoming_until =
             self.now + self.rng.gen_range(5.0..LONGEST_WORKER_FAULT_S);
     }
 
-    /// Many fall together: most of a zone, or half of all.
+    /// Lets many workers receive nothing at the same time: most of a zone, or half of all.
     fn drop_incoming_of_many_workers(&mut self) {
         let until = self.now + self.rng.gen_range(5.0..LONGEST_WORKER_FAULT_S);
         let choice = self.rng.gen_range(0..3);
         for (index, worker) in self.workers.iter_mut().enumerate() {
-            let is_hit = if choice == 2 {
+            let is_affected = if choice == 2 {
                 index % 4 < 2
             } else {
                 worker.zone == format!("z{choice}") && index % 8 > 1
             };
-            if is_hit {
+            if is_affected {
                 worker.drops_incoming_until = until;
             }
         }
     }
 
-    /// Machines whose heartbeats reach nobody, or that hang, one of them or a few.
+    /// Lets up to three workers hang, or loses the heartbeats of up to three workers.
     fn pause_or_silence_workers(&mut self) {
-        let span_s = self.rng.gen_range(5.0..LONGEST_WORKER_FAULT_S);
+        let duration_s = self.rng.gen_range(5.0..LONGEST_WORKER_FAULT_S);
         let pauses = self.rng.gen_bool(0.5);
         for _ in 0..self.rng.gen_range(1..4) {
             let index = self.latest_machine();
             let worker = &mut self.workers[index];
             if pauses {
-                worker.paused_until = self.now + span_s / 2.0;
+                worker.paused_until = self.now + duration_s / 2.0;
             } else {
-                worker.drops_outgoing_until = self.now + span_s;
+                worker.drops_outgoing_until = self.now + duration_s;
                 self.statistics.silenced_workers += 1;
             }
         }
     }
 
-    /// The store refuses one controller alone; jobs will be cancelled through others,
-    /// and then nobody is answered for longer than a cancellation has.
+    /// Lets the store refuse one controller, most often the leader, and plans the cancellation
+    /// of many jobs through the others. An outage of the store may follow that lasts longer
+    /// than a cancellation may take.
     fn refuse_one_controller(&mut self) {
-        let leader = super::membership::controller_named(&self.epoch.leader).unwrap_or(0);
+        let leader = super::membership::controller_index(&self.epoch.leader).unwrap_or(0);
         let index = if self.rng.gen_bool(0.7) {
             leader
         } else {
@@ -126,6 +130,7 @@
         self.mass_cancellation_at = Some(self.now + self.rng.gen_range(0.2..MEMBER_LEASE_S));
     }
 
+    /// Cancels many jobs and in most cases begins an outage of the store.
     fn cancel_many_and_stop_store(&mut self) {
         self.mass_cancellation_at = None;
         for number in 0..JOB_NUMBERS {
@@ -138,8 +143,8 @@
         }
     }
 
-    /// All are away, for less or more than a worker's lease; one is back before the
-    /// others.
+    /// Stops all controllers, for less or more than the duration of a worker's lease. One of
+    /// them recovers before the others.
     fn stop_all_controllers(&mut self) {
         for index in 0..CONTROLLERS.len() {
             self.controllers[index] = Controller::stopped(index);
@@ -150,37 +155,39 @@
         self.recovery = Some(PendingRecovery { controller, at });
     }
 
+    /// Restarts, removes, partitions or stops a controller.
     fn fail_one_controller(&mut self) {
         let index = self.rng.gen_range(0..CONTROLLERS.len());
         match self.rng.gen_range(0..10) {
-            // Back within a moment: the epoch never saw it go.
-            0..=2 => self.join(index),
+            // It restarts so quickly that no epoch without it begins.
+            0..=2 => self.start_controller(index),
             3 => {
-                // Several at once, one of them in the middle of the election.
+                // Several restart at once, and one of them once more during the election.
                 for offset in 0..self.rng.gen_range(2..=CONTROLLERS.len()) {
-                    self.join((index + offset) % CONTROLLERS.len());
+                    self.start_controller((index + offset) % CONTROLLERS.len());
                 }
-                self.join(index);
+                self.start_controller(index);
             }
             4..=5 => {
-                self.expel(index);
+                self.remove_member(index);
                 self.recover_within_seconds(index);
             }
             6..=7 => self.partition(index),
             _ => {
-                self.leave(index);
+                self.stop_controller(index);
                 self.recover_within_seconds(index);
             }
         }
     }
 
+    /// Plans the recovery of a failed controller.
     fn recover_within_seconds(&mut self, controller: usize) {
         let at = self.now + self.rng.gen_range(0.5..15.0);
         self.recovery = Some(PendingRecovery { controller, at });
     }
 
-    /// Its workers still reach it; the rest expel it only when its lease must have
-    /// expired.
+    /// Partitions a controller from the store and the other controllers; workers still reach
+    /// it. It is removed from the members only once its member lease must have expired.
     fn partition(&mut self, controller: usize) {
         self.statistics.partitioned_controllers += 1;
         let at = self.now
@@ -191,19 +198,20 @@
         self.recovery = Some(PendingRecovery { controller, at });
     }
 
+    /// Ends the fault of a controller and makes it a member again.
     fn recover(&mut self, index: usize) {
         let controller = &mut self.controllers[index];
         if controller.partitioned_until > 0.0 {
             controller.partitioned_until = 0.0;
             self.rejoin(index);
         } else if controller.alive {
-            self.readmit(index);
+            self.add_member(index);
         } else {
-            self.join(index);
+            self.start_controller(index);
         }
     }
 
-    /// All faults end, and all services are cancelled.
+    /// Ends all faults and cancels all services, which would never end by themselves.
     pub(crate) fn end_faults(&mut self) {
         self.faults_ended = true;
         self.store_outage_until = 0.0;
@@ -211,7 +219,7 @@
             self.controllers[index].partitioned_until = 0.0;
             self.controllers[index].refused_until = 0.0;
             if !self.controllers[index].alive || !self.is_member(index) {
-                self.join(index);
+                self.start_controller(index);
             }
         }
         for worker in &mut self.workers {
--- a/tests/common/simulated_cluster/gangs.rs
+++ b/tests/common/simulated_cluster/gangs.rs
@@ -1,5 +1,5 @@
-//! What the tasks of a gang do by themselves: gather, start together, notice the loss of
-//! one of them, and complete together.
+//! What the tasks of a gang do without a controller: they wait for each other, start to run
+//! together, detect the loss of one of them, and complete together.
 
 use super::SimulatedCluster;
 use finchwood::wire::TaskState;
@@ -7,14 +7,15 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// How long the tasks of a gang wait for each other.
+/// How long a task of a gang waits for the others before it ends.
 const GATHER_TIMEOUT_S: f64 = 45.0;
-/// How soon the tasks of a running gang notice that one is lost.
+/// How long the tasks of a running gang take to detect that one is lost.
 const PEER_TIMEOUT_S: f64 = 4.0;
 
-/// An attempt of a gang that began to run.
+/// An attempt of a gang whose tasks started to run.
 pub(super) struct GangRun {
     completes_at: f64,
+    /// When one of the tasks was lost; `None` while all run.
     lost_task_at: Option<f64>,
 }
 
@@ -28,7 +29,7 @@
 }
 
 impl SimulatedCluster {
-    /// The tasks of a gang that are on machines.
+    /// Returns the tasks of a gang that are on machines and have not ended.
     pub(super) fn gang_members(&self, job: &Arc<str>) -> Vec<GangMember> {
         let prefix = format!("{job}/");
         let mut members = Vec::new();
@@ -50,12 +51,13 @@
         members
     }
 
+    /// Runs one round of all gangs.
     pub(super) fn gang_round(&mut self) {
         let mut gangs: Vec<Arc<str>> = self.gangs.iter().cloned().collect();
         gangs.sort();
         for job in gangs {
             for member in self.gang_members(&job) {
-                self.gather(&job, &member);
+                self.wait_for_others(&job, &member);
             }
             let members = self.gang_members(&job);
             let attempts: BTreeSet<u64> = members.iter().map(|member| member.attempt).collect();
@@ -70,27 +72,33 @@
         }
     }
 
-    /// A task whose image is there waits for the others, but not for ever.
-    fn gather(&mut self, job: &Arc<str>, member: &GangMember) {
+    /// Lets a task whose image is fetched wait for the others, and ends it when they take too
+    /// long.
+    fn wait_for_others(&mut self, job: &Arc<str>, member: &GangMember) {
         let now = self.now;
         let worker = &mut self.workers[member.worker];
-        let waiting_since = worker.gang_waiting_since.get(&member.task);
-        let waiting_since = waiting_since.copied().unwrap_or(now);
-        if now < worker.paused_until || now < waiting_since {
+        let ready_at = worker.gang_ready_at.get(&member.task);
+        let ready_at = ready_at.copied().unwrap_or(now);
+        if now < worker.paused_until || now < ready_at {
             return;
         }
-        let task = worker.tasks.get_mut(&member.task).expect("it is there");
+        let task = worker
+            .tasks
+            .get_mut(&member.task)
+            .expect("the task of a gang member");
         match member.state {
             TaskState::Fetching if self.completed_gangs.contains(job) => task.end("done"),
             TaskState::Fetching => {
                 task.state = TaskState::Gathering;
-                worker.gang_waiting_since.insert(member.task.clone(), now);
+                worker.gang_ready_at.insert(member.task.clone(), now);
             }
-            TaskState::Gathering if now - waiting_since > GATHER_TIMEOUT_S => task.end("alone"),
+            TaskState::Gathering if now - ready_at > GATHER_TIMEOUT_S => task.end("alone"),
             _ => {}
         }
     }
 
+    /// Starts an attempt whose tasks all wait, ends one that has lost a task, and completes one
+    /// that has run for its time.
     fn attempt_round(&mut self, job: &Arc<str>, attempt: u64, members: Vec<GangMember>) {
         let task_count = self.specs[job].task_count as usize;
         let in_state = |state: TaskState| {
@@ -104,11 +112,11 @@
         if in_state(TaskState::Gathering) == task_count {
             return self.begin_gang_run(key, &members);
         }
-        let is_whole = in_state(TaskState::Running) == task_count;
+        let all_run = in_state(TaskState::Running) == task_count;
         let Some(run) = self.gang_runs.get_mut(&key) else {
             return;
         };
-        if !is_whole && run.lost_task_at.is_none() {
+        if !all_run && run.lost_task_at.is_none() {
             run.lost_task_at = Some(self.now);
             self.statistics.gang_failures += 1;
         }
@@ -125,11 +133,15 @@
         for member in members {
             if member.state == TaskState::Running && !self.is_paused(member.worker) {
                 let tasks = &mut self.workers[member.worker].tasks;
-                tasks.get_mut(&member.task).expect("it is there").end(cause);
+                tasks
+                    .get_mut(&member.task)
+                    .expect("the task of a gang member")
+                    .end(cause);
             }
         }
     }
 
+    /// Lets all tasks of a gang run.
     fn begin_gang_run(&mut self, key: (Arc<str>, u64), members: &[GangMember]) {
         let run = GangRun {
             completes_at: self.now + self.rng.gen_range(10.0..90.0),
@@ -139,10 +151,14 @@
         self.statistics.gang_runs += 1;
         for member in members {
             let tasks = &mut self.workers[member.worker].tasks;
-            tasks.get_mut(&member.task).expect("it is there").state = TaskState::Running;
+            tasks
+                .get_mut(&member.task)
+                .expect("the task of a gang member")
+                .state = TaskState::Running;
         }
     }
 
+    /// Whether a worker hangs.
     fn is_paused(&self, worker: usize) -> bool {
         self.now < self.workers[worker].paused_until
     }
--- a/tests/common/simulated_cluster/jobs.rs
+++ b/tests/common/simulated_cluster/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs, and the users who submit and cancel them.
+//! The submission and cancellation of jobs by users.
 
 use super::network::{CancellationNotice, Packet};
 use super::{SimulatedCluster, CONTROLLERS, JOB_NUMBERS};
@@ -7,6 +7,8 @@
 use rand::Rng;
 use std::sync::Arc;
 
+/// Returns a job whose tasks need one CPU each. Every second gang is confined to one zone, and
+/// services are spread over the zones.
 fn job_spec(number: u32, task_count: u32, job_kind: JobKind, priority: Priority) -> Arc<JobSpec> {
     Arc::new(JobSpec {
         id: job_id(number),
@@ -32,12 +34,13 @@
     })
 }
 
+/// Returns the id of the job with this number.
 fn job_id(number: u32) -> Arc<str> {
     format!("wk-{number}").into()
 }
 
 impl SimulatedCluster {
-    /// Submissions and cancellations of one step.
+    /// Submits and cancels jobs at random; one round of the users.
     pub(super) fn users_round(&mut self) {
         if self.next_job < JOB_NUMBERS && self.rng.gen_bool(0.06) {
             self.submit(self.next_job);
@@ -49,6 +52,7 @@
         }
     }
 
+    /// Submits a job. Its number determines its kind and priority.
     fn submit(&mut self, number: u32) {
         let (job_kind, priority) = match number % 6 {
             0 | 3 => (JobKind::Service, Priority::Prod),
@@ -61,7 +65,7 @@
             self.gangs.insert(spec.id.clone());
         }
         self.specs.insert(spec.id.clone(), spec.clone());
-        // The accepting controller may be an epoch behind.
+        // The accepting controller may still be in the previous epoch.
         let epochs_behind = u64::from(self.rng.gen_bool(0.2)).min(self.epoch.number - 1);
         let id = spec.id.clone();
         let record = JobRecord {
@@ -76,7 +80,7 @@
         self.put_job(&id, record);
     }
 
-    /// Cancels a job unless it is done, was cancelled or was never submitted.
+    /// Cancels a job, unless it is done, already cancelled or not submitted yet.
     pub(super) fn cancel(&mut self, number: u32) {
         let id = job_id(number);
         let Some(spec) = self.specs.get(&id).cloned() else {
@@ -101,7 +105,7 @@
             cancelled_at_ms: Some((self.now * 1000.0) as u64),
         };
         self.put_job(&id, record);
-        // Other controllers are notified as well; nothing depends on that.
+        // Some controllers are also notified directly; correctness does not depend on that.
         for to in 0..CONTROLLERS.len() {
             if self.rng.gen_bool(0.5) {
                 self.send(Packet::CancellationNotice(CancellationNotice {
--- a/tests/common/simulated_cluster/membership.rs
+++ b/tests/common/simulated_cluster/membership.rs
@@ -1,4 +1,4 @@
-//! Which controllers are members of the epoch, and what each may do.
+//! The membership of controllers in epochs, and the conditions under which they may act.
 
 use super::controllers::Controller;
 use super::{SimulatedCluster, CONTROLLERS, MEMBER_LEASE_S};
@@ -6,27 +6,31 @@
 use finchwood::store::records::{MemberRecord, Versioned};
 use std::collections::BTreeMap;
 
-/// The number of a controller.
-pub(super) fn controller_named(name: &str) -> Option<usize> {
-    CONTROLLERS.iter().position(|known| *known == name)
+/// Returns the index of the controller with this name.
+pub(super) fn controller_index(name: &str) -> Option<usize> {
+    CONTROLLERS
+        .iter()
+        .position(|controller| *controller == name)
 }
 
 impl SimulatedCluster {
-    /// A controller starts: its old incarnation is gone, so a new epoch may follow.
-    pub(super) fn join(&mut self, index: usize) {
+    /// Starts a controller in a new incarnation and adds it to the members, which begins a new
+    /// epoch.
+    pub(super) fn start_controller(&mut self, index: usize) {
         self.last_incarnation += 1;
         self.controllers[index] = Controller::started(index, self.last_incarnation, self.now);
-        self.readmit(index);
+        self.add_member(index);
     }
 
-    /// A controller dies, or has fenced itself and lost its lease.
-    pub(super) fn leave(&mut self, index: usize) {
+    /// Stops a controller and removes it from the members.
+    pub(super) fn stop_controller(&mut self, index: usize) {
         self.controllers[index] = Controller::stopped(index);
-        self.expel(index);
+        self.remove_member(index);
     }
 
-    /// A controller is no longer a member: it acts on until it reads so.
-    pub(super) fn expel(&mut self, index: usize) {
+    /// Removes a controller from the members, which begins a new epoch. The controller continues
+    /// to act until it reads that epoch.
+    pub(super) fn remove_member(&mut self, index: usize) {
         let mut members = self.epoch.members.clone();
         members.remove(CONTROLLERS[index]);
         if !members.is_empty() {
@@ -34,8 +38,8 @@
         }
     }
 
-    /// A controller becomes a member, in its present incarnation.
-    pub(super) fn readmit(&mut self, index: usize) {
+    /// Adds a controller to the members in its current incarnation, which begins a new epoch.
+    pub(super) fn add_member(&mut self, index: usize) {
         let mut members = self.epoch.members.clone();
         members.insert(
             CONTROLLERS[index].into(),
@@ -44,47 +48,49 @@
         self.begin_epoch(&members);
     }
 
-    /// A controller that lost its lease while it was partitioned comes back with a new
-    /// one, in the same process.
+    /// Adds a controller that lost its lease while it was partitioned to the members in a new
+    /// incarnation, within the same process.
     pub(super) fn rejoin(&mut self, index: usize) {
         self.last_incarnation += 1;
         self.controllers[index].incarnation = self.last_incarnation;
-        self.readmit(index);
+        self.add_member(index);
     }
 
-    /// Whether a controller is a member in its present incarnation.
+    /// Whether a controller is a member in its current incarnation.
     pub(super) fn is_member(&self, index: usize) -> bool {
         let incarnation = self.controllers[index].incarnation;
         self.epoch.members.get(CONTROLLERS[index]) == Some(&incarnation)
     }
 
-    /// Whether a controller's knowledge is recent enough to act on.
+    /// Whether a controller is alive and its cache of the store is fresh enough to act on.
     pub(super) fn may_act(&self, index: usize) -> bool {
         let controller = &self.controllers[index];
-        let knowledge_age = self.now - controller.last_synced_at;
-        controller.alive && knowledge_age < self.settings.max_staleness_s()
+        let cache_age_s = self.now - controller.last_synced_at;
+        controller.alive && cache_age_s < self.settings.max_staleness_s()
     }
 
-    /// Whether a controller reaches the other controllers.
+    /// Whether a controller reaches the other controllers, that is, is not partitioned.
     pub(super) fn reaches_peers(&self, index: usize) -> bool {
         self.now >= self.controllers[index].partitioned_until
     }
 
-    /// Whether the key-value store would answer a controller that reaches it.
+    /// Whether the key-value store responds to a controller, unless that is partitioned.
     pub(super) fn store_answers(&self, index: usize) -> bool {
         self.now >= self.store_outage_until && self.now >= self.controllers[index].refused_until
     }
 
-    /// A controller that can't renew its lease loses it, never early.
-    pub(super) fn expel_if_lease_expired(&mut self, index: usize) {
+    /// Removes a controller from the members if it could not renew its member lease and the
+    /// lease has expired, never earlier.
+    pub(super) fn remove_member_if_lease_expired(&mut self, index: usize) {
         let controller = &self.controllers[index];
-        let cut_off = controller.partitioned_until.max(controller.refused_until) > self.now;
+        let cannot_renew = controller.partitioned_until.max(controller.refused_until) > self.now;
         let expired = self.now - controller.last_synced_at > MEMBER_LEASE_S;
-        if cut_off && expired && self.now >= self.store_outage_until && self.is_member(index) {
-            self.expel(index);
+        if cannot_renew && expired && self.now >= self.store_outage_until && self.is_member(index) {
+            self.remove_member(index);
         }
     }
 
+    /// Stores the next epoch if the members differ from those of the current one.
     fn begin_epoch(&mut self, members: &BTreeMap<String, u64>) {
         let live = members
             .iter()
@@ -93,8 +99,8 @@
                 (name.clone(), Versioned::new(member, 1))
             })
             .collect();
-        let present = (self.epoch.number > 0).then_some(&self.epoch);
-        if let Some(epoch) = membership::next_epoch(present, &live) {
+        let current = (self.epoch.number > 0).then_some(&self.epoch);
+        if let Some(epoch) = membership::next_epoch(current, &live) {
             self.epoch = epoch.clone();
             self.put("fw/epoch", serde_json::to_value(epoch).expect("JSON"));
         }
--- a/tests/common/simulated_cluster/mod.rs
+++ b/tests/common/simulated_cluster/mod.rs
@@ -1,9 +1,9 @@
-//! A simulated cluster that loses, delays and repeats messages, pauses and partitions
-//! workers and controllers, and lets the key-value store go away.
+//! A simulated cluster that loses, delays and repeats messages, pauses workers, partitions
+//! workers and controllers, crashes controllers and interrupts the key-value store.
 //!
-//! The shards, leaders and shard transfers under test are the real ones; workers, the
-//! network and the order of the key-value store's events are plain models. A seed
-//! determines the whole run. Every start of a task is checked as it happens.
+//! The shards, leaders and transfers of hash ranges are the real code under test; the workers,
+//! the network and the key-value store are simple models. A seed determines the whole run.
+//! Every start of a task is checked as it happens.
 
 mod checks;
 mod controllers;
@@ -31,7 +31,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use settings_text::SETTINGS;
-use state_store::{DelayedFinish, DelayedShardMap};
+use state_store::{FinishWrite, ShardMapWrite};
 pub(crate) use statistics::Statistics;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -39,18 +39,19 @@
 
 const CONTROLLERS: [&str; 5] = ["a", "b", "c", "d", "e"];
 const INITIAL_MACHINES: usize = 5;
-/// Jobs are numbered below this.
+/// The numbers of jobs are below this.
 const JOB_NUMBERS: u32 = 60;
 const WORKER_LEASE_S: f64 = 20.0;
-/// The life of a controller's membership lease.
+/// The duration of a controller's member lease.
 const MEMBER_LEASE_S: f64 = WORKER_LEASE_S * 0.4;
 const TEAM_CPU_LIMIT: f64 = 14.0;
+/// The length of one round of the simulation.
 const STEP_S: f64 = 0.1;
 
-/// Something that happens at a time to come.
+/// A message or write that takes effect at a later time.
 struct Scheduled<T> {
     due_at: f64,
-    what: T,
+    item: T,
 }
 
 /// Controllers, workers, the network between them and the key-value store.
@@ -58,16 +59,16 @@
     settings: Settings,
     rng: StdRng,
     now: f64,
-    /// All events of the key-value store, in order.
+    /// The log of all changes to the key-value store, in order.
     store_log: Vec<KeyChange>,
     revision: u64,
     epoch: Epoch,
-    /// All controllers go by the shard map, and ranges of it move.
+    /// Whether all controllers use the shard map and hash ranges are transferred.
     uses_shard_map: bool,
     shard_map: ShardMap,
     shard_map_revision: u64,
-    /// Writes of the shard map without an answer.
-    delayed_shard_maps: Vec<Scheduled<DelayedShardMap>>,
+    /// Writes of the shard map that are carried out late and whose writer gets no response.
+    delayed_shard_map_writes: Vec<Scheduled<ShardMapWrite>>,
     last_incarnation: u64,
     controllers: Vec<Controller>,
     workers: Vec<Worker>,
@@ -75,31 +76,32 @@
     next_job: u32,
     specs: HashMap<Arc<str>, Arc<JobSpec>>,
     gangs: HashSet<Arc<str>>,
-    /// Attempts of gangs that have run, by job and attempt.
+    /// The gang attempts that have started to run, by job and attempt.
     gang_runs: HashMap<(Arc<str>, u64), GangRun>,
-    /// Gangs that have completed, whoever knows of it.
+    /// Gangs whose tasks have completed, whether or not a controller has received this.
     completed_gangs: HashSet<Arc<str>>,
-    /// Committed tasks of each job.
+    /// The tasks of each job that are committed as finished.
     finished: HashMap<Arc<str>, HashSet<u32>>,
-    /// When the cancellation of each job was confirmed.
+    /// When the cancellation of each cancelled job was confirmed.
     cancelled: HashMap<Arc<str>, f64>,
     /// The revision of each job's record.
     job_revisions: HashMap<Arc<str>, u64>,
-    /// Commits of finished tasks without an answer.
-    delayed_finishes: Vec<Scheduled<DelayedFinish>>,
-    /// The key-value store answers nobody until then.
+    /// Commits of finished tasks that are carried out late and whose writer gets no response.
+    delayed_finishes: Vec<Scheduled<FinishWrite>>,
+    /// The key-value store responds to no controller before this time.
     store_outage_until: f64,
-    /// When many jobs are cancelled while the store refuses one controller.
+    /// When many jobs are to be cancelled at once, after the store began to refuse one
+    /// controller; `None` if that is not planned.
     mass_cancellation_at: Option<f64>,
-    /// The controller that is away and when it returns.
+    /// The controller that is to recover next; `None` while none has failed.
     recovery: Option<PendingRecovery>,
-    /// No more faults.
+    /// Whether the faults and the submissions have ended for good.
     faults_ended: bool,
     statistics: Statistics,
 }
 
 impl SimulatedCluster {
-    /// A cluster whose controllers have all joined, with machines that nobody knows yet.
+    /// Returns a cluster whose controllers have all joined but have reconciled no machine.
     pub(crate) fn new(seed: u64, uses_shard_map: bool) -> SimulatedCluster {
         let mut cluster = SimulatedCluster {
             settings: settings(),
@@ -116,7 +118,7 @@
             uses_shard_map,
             shard_map: ShardMap::default(),
             shard_map_revision: 0,
-            delayed_shard_maps: Vec::new(),
+            delayed_shard_map_writes: Vec::new(),
             last_incarnation: 0,
             controllers: Vec::new(),
             workers: Vec::new(),
@@ -144,19 +146,19 @@
             cluster.controllers.push(Controller::stopped(index));
         }
         for index in 0..CONTROLLERS.len() {
-            cluster.join(index);
+            cluster.start_controller(index);
         }
         cluster
     }
 
-    /// What has happened so far.
+    /// Returns the counts of what has happened so far.
     pub(crate) fn statistics(&self) -> &Statistics {
         &self.statistics
     }
 
-    /// Runs until the time `end`, in seconds from the start.
-    pub(crate) fn run_until(&mut self, end: f64) {
-        while self.now < end {
+    /// Runs the simulation until the time `end_s`, in seconds from its start.
+    pub(crate) fn run_until(&mut self, end_s: f64) {
+        while self.now < end_s {
             self.now += STEP_S;
             self.deliver_due_packets();
             self.carry_out_delayed_writes();
@@ -169,7 +171,7 @@
                 if self.rng.gen_bool(0.5) {
                     self.controller_round(index);
                 }
-                self.expel_if_lease_expired(index);
+                self.remove_member_if_lease_expired(index);
             }
             if self.faults_ended || self.now < self.store_outage_until {
                 continue;
@@ -179,6 +181,7 @@
         }
     }
 
+    /// Stores a catalog with one machine type, which is offered in the zones `z0` and `z1`.
     fn put_catalog(&mut self) {
         let machine_type = MachineType {
             name: "k".into(),
@@ -195,20 +198,21 @@
         let catalog = Catalog {
             types: vec![machine_type],
         };
-        self.put("fw/c", serde_json::to_value(catalog).expect("JSON"));
+        self.put("fw/c", serde_json::to_value(catalog).expect("a JSON value"));
     }
 }
 
+/// Returns the settings of the simulated cluster.
 fn settings() -> Settings {
     let limit = format!("cpus_max = {TEAM_CPU_LIMIT:.1}");
-    Settings::parse(&SETTINGS.replace("cpus_max = 400.0", &limit)).expect("settings")
+    Settings::parse(&SETTINGS.replace("cpus_max = 400.0", &limit)).expect("valid settings")
 }
 
-/// Takes out what is due, in the order in which it was scheduled.
+/// Removes and returns the items that are due, in the order in which they were scheduled.
 fn take_due<T>(scheduled: &mut Vec<Scheduled<T>>, now: f64) -> Vec<T> {
     let (due, later): (Vec<_>, Vec<_>) = std::mem::take(scheduled)
         .into_iter()
         .partition(|entry| entry.due_at <= now);
     *scheduled = later;
-    due.into_iter().map(|entry| entry.what).collect()
+    due.into_iter().map(|entry| entry.item).collect()
 }
--- a/tests/common/simulated_cluster/network.rs
+++ b/tests/common/simulated_cluster/network.rs
@@ -1,7 +1,7 @@
-//! Messages between workers and controllers, which are lost, late or repeated, and what
-//! their receivers do with them.
+//! The simulated network between workers and controllers, which loses, delays and repeats
+//! messages, and what the receivers do with them.
 
-use super::membership::controller_named;
+use super::membership::controller_index;
 use super::{take_due, Scheduled, SimulatedCluster, CONTROLLERS};
 use finchwood::cluster::membership;
 use finchwood::shard::{HeartbeatReply, Orders, ShardReport};
@@ -9,17 +9,18 @@
 use rand::Rng;
 use std::sync::Arc;
 
-/// How long a controller waits for the answer to a direct command.
+/// How long a controller waits for the response to a direct command.
 const COMMAND_TIMEOUT_S: f64 = 1.5;
-/// How long a worker waits for the answer to a heartbeat.
+/// How long a worker waits for the response to a heartbeat.
 const HEARTBEAT_TIMEOUT_S: f64 = 4.0;
-/// How soon after a pause a worker takes the commands that came meanwhile.
+/// The delay after a pause with which a worker receives the commands that arrived meanwhile.
 const RESUME_DELAY_S: f64 = 0.05;
 
+/// A message between controllers or between a controller and a worker.
 #[derive(Clone)]
 pub(super) enum Packet {
     Heartbeat(HeartbeatPacket),
-    HeartbeatAnswer(HeartbeatAnswer),
+    HeartbeatResponse(HeartbeatResponse),
     DirectCommand(DirectCommandPacket),
     CommandResult(CommandResult),
     ShardReport { to: usize, report: Box<ShardReport> },
@@ -27,7 +28,7 @@
     CancellationNotice(CancellationNotice),
 }
 
-/// From a worker to a controller.
+/// A worker's heartbeat to the controller `to`.
 #[derive(Clone)]
 pub(super) struct HeartbeatPacket {
     pub(super) to: usize,
@@ -35,9 +36,9 @@
     pub(super) sent_at: f64,
 }
 
-/// From a controller to a worker.
+/// A controller's response to a heartbeat.
 #[derive(Clone)]
-pub(super) struct HeartbeatAnswer {
+pub(super) struct HeartbeatResponse {
     worker: usize,
     session: u64,
     sequence: u64,
@@ -47,7 +48,7 @@
     commands: Vec<Command>,
 }
 
-/// From a controller to a worker, without a heartbeat.
+/// A direct command from a controller to a worker, sent without a preceding heartbeat.
 #[derive(Clone)]
 pub(super) struct DirectCommandPacket {
     pub(super) from: usize,
@@ -56,7 +57,7 @@
     pub(super) batch: CommandBatch,
 }
 
-/// The worker's answer to a direct command, or that none came in time.
+/// The outcome of a direct command: the worker's response, or `None` if there was none in time.
 #[derive(Clone)]
 pub(super) struct CommandResult {
     to: usize,
@@ -66,7 +67,7 @@
     heartbeat: Option<Heartbeat>,
 }
 
-/// Between controllers: a job was cancelled.
+/// A controller's message to another that a job was cancelled.
 #[derive(Clone)]
 pub(super) struct CancellationNotice {
     pub(super) to: usize,
@@ -75,22 +76,25 @@
 }
 
 impl Packet {
-    /// Whether a late copy may arrive after it.
+    /// Whether the network may deliver a second copy later.
     fn may_be_repeated(&self) -> bool {
-        !matches!(self, Packet::HeartbeatAnswer(_) | Packet::CommandResult(_))
+        !matches!(
+            self,
+            Packet::HeartbeatResponse(_) | Packet::CommandResult(_)
+        )
     }
 }
 
 impl SimulatedCluster {
-    /// Sends a packet, which may be lost, late or repeated.
+    /// Sends a packet, which may be lost, delayed or repeated.
     pub(super) fn send(&mut self, packet: Packet) {
-        let fate: f64 = self.rng.gen();
-        if fate < 0.08 {
+        let draw: f64 = self.rng.gen();
+        if draw < 0.08 {
             return self.lose(packet);
         }
-        let delay_s = match fate {
-            fate if fate < 0.75 => self.rng.gen_range(0.01..0.3),
-            fate if fate < 0.93 => self.rng.gen_range(0.3..4.0),
+        let delay_s = match draw {
+            draw if draw < 0.75 => self.rng.gen_range(0.01..0.3),
+            draw if draw < 0.93 => self.rng.gen_range(0.3..4.0),
             _ => self.rng.gen_range(4.0..60.0),
         };
         if packet.may_be_repeated() && self.rng.gen_bool(0.05) {
@@ -100,14 +104,15 @@
         self.deliver_in(delay_s, packet);
     }
 
+    /// Schedules a packet for delivery after `delay_s`.
     fn deliver_in(&mut self, delay_s: f64, packet: Packet) {
         self.packets.push(Scheduled {
             due_at: self.now + delay_s,
-            what: packet,
+            item: packet,
         });
     }
 
-    /// A packet is lost; whoever waits for the answer to a direct command gives up.
+    /// Drops a packet. If it belongs to a direct command, that times out for its sender.
     fn lose(&mut self, packet: Packet) {
         let timed_out = match packet {
             Packet::DirectCommand(command) => CommandResult {
@@ -126,6 +131,7 @@
         self.deliver_in(COMMAND_TIMEOUT_S, Packet::CommandResult(timed_out));
     }
 
+    /// Delivers the packets that are due.
     pub(super) fn deliver_due_packets(&mut self) {
         for packet in take_due(&mut self.packets, self.now) {
             self.deliver(packet);
@@ -135,7 +141,7 @@
     fn deliver(&mut self, packet: Packet) {
         match packet {
             Packet::Heartbeat(packet) => self.deliver_heartbeat(packet),
-            Packet::HeartbeatAnswer(answer) => self.deliver_heartbeat_answer(answer),
+            Packet::HeartbeatResponse(response) => self.deliver_heartbeat_response(response),
             Packet::DirectCommand(command) => self.deliver_direct_command(command),
             Packet::CommandResult(result) => self.deliver_command_result(&result),
             Packet::ShardReport { to, report } => self.deliver_shard_report(to, *report),
@@ -144,6 +150,7 @@
         }
     }
 
+    /// Passes a heartbeat to its receiver, which ignores it unless it owns the machine.
     fn deliver_heartbeat(&mut self, packet: HeartbeatPacket) {
         let HeartbeatPacket {
             to,
@@ -162,7 +169,7 @@
         };
         let shard_map = &controller.cache.shard_map;
         let owner = membership::owner_by_shard_map(&epoch, shard_map, &heartbeat.machine);
-        if owner.expect("an owner") != CONTROLLERS[to] {
+        if owner.expect("the machine has an owner") != CONTROLLERS[to] {
             return;
         }
         let reply =
@@ -170,7 +177,7 @@
                 .shard
                 .apply_heartbeat(&heartbeat, false, &controller.cache, self.now);
         if let HeartbeatReply::Accepted { token, commands } = reply {
-            self.send(Packet::HeartbeatAnswer(HeartbeatAnswer {
+            self.send(Packet::HeartbeatResponse(HeartbeatResponse {
                 worker,
                 session: heartbeat.session,
                 sequence: heartbeat.seq,
@@ -181,27 +188,31 @@
         }
     }
 
-    fn deliver_heartbeat_answer(&mut self, answer: HeartbeatAnswer) {
+    /// Passes a response to the worker, unless it is stale or the worker can't receive it. It
+    /// renews the lease from when the heartbeat was sent.
+    fn deliver_heartbeat_response(&mut self, response: HeartbeatResponse) {
         let now = self.now;
-        let worker = &mut self.workers[answer.worker];
+        let worker = &mut self.workers[response.worker];
         let is_lost = !worker.alive
             || now < worker.paused_until
             || now < worker.drops_outgoing_until
             || now < worker.drops_incoming_until;
-        let is_stale = worker.awaited_answer != Some(answer.sequence)
-            || answer.session != worker.session
-            || now - answer.sent_at > HEARTBEAT_TIMEOUT_S
-            || answer.token < worker.token;
+        let is_stale = worker.awaited_sequence != Some(response.sequence)
+            || response.session != worker.session
+            || now - response.sent_at > HEARTBEAT_TIMEOUT_S
+            || response.token < worker.token;
         if is_lost || is_stale {
             return;
         }
-        worker.awaited_answer = None;
-        worker.token = answer.token;
-        worker.lease_renewed_at = answer.sent_at;
-        let started = worker.apply_commands(&answer.commands, &self.gangs, now);
-        self.record_starts(answer.worker, &started);
+        worker.awaited_sequence = None;
+        worker.token = response.token;
+        worker.lease_renewed_at = response.sent_at;
+        let started = worker.apply_commands(&response.commands, &self.gangs, now);
+        self.record_starts(response.worker, &started);
     }
 
+    /// Passes a direct command to its worker, which ignores one with an older fencing token or
+    /// for another session. A paused worker receives it after the pause.
     fn deliver_direct_command(&mut self, command: DirectCommandPacket) {
         let now = self.now;
         let worker = &mut self.workers[command.worker];
@@ -211,7 +222,7 @@
         if now < worker.paused_until {
             self.packets.push(Scheduled {
                 due_at: worker.paused_until + RESUME_DELAY_S,
-                what: Packet::DirectCommand(command),
+                item: Packet::DirectCommand(command),
             });
             return;
         }
@@ -232,6 +243,7 @@
         }));
     }
 
+    /// Passes the outcome of a direct command to the incarnation that sent it.
     fn deliver_command_result(&mut self, result: &CommandResult) {
         let machine: Arc<str> = self.workers[result.worker].id.as_str().into();
         let controller = &mut self.controllers[result.to];
@@ -246,7 +258,7 @@
         }
     }
 
-    /// A leader that takes a report answers with orders.
+    /// Passes a shard's report to the leader, which responds with orders if it accepts it.
     fn deliver_shard_report(&mut self, to: usize, mut report: ShardReport) {
         let now = self.now;
         let controller = &mut self.controllers[to];
@@ -271,12 +283,14 @@
         }
     }
 
+    /// Sends a leader's orders to the controller that they name.
     pub(super) fn send_orders(&mut self, orders: Orders) {
-        let to = controller_named(&orders.node).expect("a controller");
+        let to = controller_index(&orders.node).expect("the index of a controller");
         let orders = Box::new(orders);
         self.send(Packet::Orders { to, orders });
     }
 
+    /// Passes orders to a shard.
     fn deliver_orders(&mut self, to: usize, orders: &Orders) {
         let controller = &mut self.controllers[to];
         if self.now >= controller.partitioned_until && controller.alive {
@@ -286,6 +300,7 @@
         }
     }
 
+    /// Passes a cancellation to a controller that may not have read it yet.
     fn deliver_cancellation_notice(&mut self, notice: &CancellationNotice) {
         let controller = &mut self.controllers[notice.to];
         if self.now < controller.partitioned_until || !controller.alive {
@@ -296,7 +311,7 @@
             .apply_cancellation(&notice.job, notice.revision, 0);
         if is_new {
             controller.job_changed(&notice.job);
-            self.statistics.cancellation_notices += 1;
+            self.statistics.cancellations_from_peers += 1;
         }
     }
 }
--- a/tests/common/simulated_cluster/shard_transfers.rs
+++ b/tests/common/simulated_cluster/shard_transfers.rs
@@ -1,7 +1,7 @@
-//! The leader's transfers of shard ranges: the shard map is written at once, late, or
-//! with its answer lost, and ranges move faster than workers report.
+//! The leader's transfers of hash ranges. Writes of the shard map are carried out at once, or
+//! late and without a response, and ranges move faster than workers send heartbeats.
 
-use super::state_store::DelayedShardMap;
+use super::state_store::ShardMapWrite;
 use super::{Scheduled, SimulatedCluster, CONTROLLERS};
 use finchwood::cluster::membership;
 use finchwood_sharding::hash_position::position;
@@ -9,11 +9,11 @@
 use finchwood_sharding::transfer::{MoveReason, RangeMove, TransferOutcome};
 use rand::Rng;
 
-/// How old a transfer that makes no progress may become.
+/// The time after which a transfer without progress times out.
 const STALE_AFTER_S: f64 = 9.0;
 
 impl SimulatedCluster {
-    /// One round of the transfers of the controller that leads.
+    /// Runs one round of transfers on the leading controller.
     pub(super) fn transfer_round(&mut self, index: usize, reaches_store: bool) {
         let now = self.now;
         let controller = &mut self.controllers[index];
@@ -33,7 +33,7 @@
         }
         transfers.time_out_stale(STALE_AFTER_S, now);
         let moved = transfers.ended.remove(&TransferOutcome::Completed);
-        self.statistics.moved_ranges += moved.unwrap_or(0);
+        self.statistics.completed_transfers += moved.unwrap_or(0);
         if reaches_store {
             self.write_shard_map(index);
         }
@@ -42,58 +42,65 @@
         }
     }
 
+    /// Writes the shard map that completes a transfer, at once or late. After a refused write
+    /// the controller must read the store before it writes again.
     fn write_shard_map(&mut self, index: usize) {
         let now = self.now;
         let controller = &mut self.controllers[index];
         if controller.shard_map_refused_at.is_some() {
             return;
         }
-        let present = &controller.cache.shard_map;
-        let Some(write) = controller.transfers.pending_write(present, now) else {
+        let current = &controller.cache.shard_map;
+        let Some(write) = controller.transfers.pending_write(current, now) else {
             return;
         };
-        let write = DelayedShardMap {
+        let write = ShardMapWrite {
             expected_revision: controller.cache.shard_map_revision,
             expected_epoch: controller.shard.epoch(),
             shard_map: write.shard_map,
         };
         if self.rng.gen_bool(0.2) {
             let due_at = now + self.rng.gen_range(0.5..12.0);
-            self.delayed_shard_maps.push(Scheduled {
+            self.delayed_shard_map_writes.push(Scheduled {
                 due_at,
-                what: write,
+                item: write,
             });
         } else if !self.commit_shard_map(&write) {
             self.controllers[index].shard_map_refused_at = Some(now);
         }
     }
 
-    /// Begins to move the range of one machine, of many, or of a whole hash owner.
+    /// Begins to transfer a range around the position of a random machine to a random
+    /// controller: the position alone, up to half of the hash space, or all of it.
     fn begin_transfer(&mut self, index: usize) {
         let machine = self.rng.gen_range(0..self.workers.len());
         let machine = &self.workers[machine].id;
         let target = CONTROLLERS[self.rng.gen_range(0..CONTROLLERS.len())];
         let controller = &mut self.controllers[index];
-        let epoch = controller.cache.epoch.as_ref().expect("an epoch");
+        let epoch = controller
+            .cache
+            .epoch
+            .as_ref()
+            .expect("an epoch in the cache");
         let hash_owner = membership::owner_by_hash(&epoch.members, machine).expect("a hash owner");
-        let middle = position(machine);
-        let reach = [0, u64::MAX / 4, u64::MAX][self.rng.gen_range(0..3)];
+        let center = position(machine);
+        let radius = [0, u64::MAX / 4, u64::MAX][self.rng.gen_range(0..3)];
         let range = HashRange {
             hash_owner: hash_owner.into(),
-            first: middle.saturating_sub(reach),
-            last: middle.saturating_add(reach),
+            first: center.saturating_sub(radius),
+            last: center.saturating_add(radius),
         };
         let Some(source) = controller.cache.shard_map.sole_owner(&range) else {
             return;
         };
         if epoch.members.contains_key(source) && epoch.members.contains_key(target) {
-            let wanted = RangeMove {
+            let range_move = RangeMove {
                 source: source.into(),
                 range,
                 target: target.into(),
                 reason: MoveReason::Plan,
             };
-            controller.transfers.begin(wanted, self.now);
+            controller.transfers.begin(range_move, self.now);
         }
     }
 }
--- a/tests/common/simulated_cluster/state_store.rs
+++ b/tests/common/simulated_cluster/state_store.rs
@@ -1,5 +1,5 @@
-//! The key-value store: its log of events and its conditional writes, some of which are
-//! carried out long after the writer stopped waiting.
+//! The model of the key-value store: its log of changes and its conditional writes, some of
+//! which are carried out long after the writer stopped waiting.
 
 use super::{take_due, SimulatedCluster};
 use finchwood::finished::TaskSet;
@@ -9,20 +9,21 @@
 use std::sync::Arc;
 
 /// A commit of finished tasks, on the condition that the job's record is unchanged.
-pub(super) struct DelayedFinish {
+pub(super) struct FinishWrite {
     pub(super) expected_revision: u64,
     pub(super) job: Arc<str>,
     pub(super) tasks: Vec<u32>,
 }
 
 /// A write of the shard map, on the condition that neither it nor the epoch has changed.
-pub(super) struct DelayedShardMap {
+pub(super) struct ShardMapWrite {
     pub(super) expected_revision: u64,
     pub(super) expected_epoch: u64,
     pub(super) shard_map: ShardMap,
 }
 
 impl SimulatedCluster {
+    /// Writes a value without conditions.
     pub(super) fn put(&mut self, key: &str, value: serde_json::Value) {
         self.revision += 1;
         if let Some(id) = key.strip_prefix("fw/j/") {
@@ -38,11 +39,11 @@
     pub(super) fn put_job(&mut self, id: &str, record: JobRecord) {
         self.put(
             &format!("fw/j/{id}"),
-            serde_json::to_value(record).expect("JSON"),
+            serde_json::to_value(record).expect("a JSON value"),
         );
     }
 
-    /// Carries out the delayed writes that are due, unless the store is away.
+    /// Carries out the delayed writes that are due, unless the store is in an outage.
     pub(super) fn carry_out_delayed_writes(&mut self) {
         if self.now < self.store_outage_until {
             return;
@@ -50,14 +51,15 @@
         for finish in take_due(&mut self.delayed_finishes, self.now) {
             self.commit_finish(finish);
         }
-        for write in take_due(&mut self.delayed_shard_maps, self.now) {
+        for write in take_due(&mut self.delayed_shard_map_writes, self.now) {
             self.commit_shard_map(&write);
         }
     }
 
-    /// Commits finished tasks, and the end of their job with the last of them.
-    pub(super) fn commit_finish(&mut self, finish: DelayedFinish) {
-        let DelayedFinish {
+    /// Commits finished tasks if the condition holds. With the last task of a job, its record
+    /// is marked as done.
+    pub(super) fn commit_finish(&mut self, finish: FinishWrite) {
+        let FinishWrite {
             expected_revision,
             job,
             tasks,
@@ -93,14 +95,14 @@
         }
     }
 
-    /// Writes the shard map; says whether the condition held.
-    pub(super) fn commit_shard_map(&mut self, write: &DelayedShardMap) -> bool {
+    /// Writes the shard map if the condition holds, and returns whether it did.
+    pub(super) fn commit_shard_map(&mut self, write: &ShardMapWrite) -> bool {
         if self.shard_map_revision != write.expected_revision
             || self.epoch.number != write.expected_epoch
         {
             return false;
         }
-        let stored = serde_json::to_value(write.shard_map.to_stored()).expect("JSON");
+        let stored = serde_json::to_value(write.shard_map.to_stored()).expect("a JSON value");
         self.put("fw/s", stored);
         self.shard_map_revision = self.revision;
         self.shard_map = write.shard_map.clone();
--- a/tests/common/simulated_cluster/statistics.rs
+++ b/tests/common/simulated_cluster/statistics.rs
@@ -1,8 +1,8 @@
-//! Counts of what happened, which show that a run was as hostile as it should be.
+//! Counts of faults and progress. They show that a run had as many faults as intended.
 
 use std::ops::AddAssign;
 
-/// Counts over one run, or the sum over several.
+/// Counts of one run, or the sums over several runs.
 #[derive(Default)]
 pub(crate) struct Statistics {
     /// Tasks started by workers.
@@ -11,23 +11,24 @@
     pub(crate) committed: u32,
     /// Machines that were deleted and replaced.
     pub(crate) replaced_machines: u32,
-    /// Controllers partitioned from the store and the other controllers.
+    /// Partitions of a controller from the store and the other controllers.
     pub(crate) partitioned_controllers: u32,
-    /// Times that all controllers stopped at once.
+    /// Times that all controllers were stopped at once.
     pub(crate) full_outages: u32,
-    /// Controllers that the key-value store refused alone.
+    /// Times that the key-value store stopped responding to one controller alone.
     pub(crate) refused_controllers: u32,
-    /// Workers whose heartbeats were lost while commands reached them.
+    /// Times that the heartbeats of a worker were lost while commands reached it.
     pub(crate) silenced_workers: u32,
-    /// Cancellations that a controller first learnt from another controller.
-    pub(crate) cancellation_notices: u32,
-    /// Times that all tasks of a gang began to run.
+    /// Cancellations that a controller received from another controller before it read them.
+    pub(crate) cancellations_from_peers: u32,
+    /// Times that all tasks of a gang started to run.
     pub(crate) gang_runs: u32,
     /// Running gangs that lost a task.
     pub(crate) gang_failures: u32,
+    /// Gangs whose tasks all completed.
     pub(crate) completed_gangs: u32,
-    /// Shard ranges that arrived at their target.
-    pub(crate) moved_ranges: u64,
+    /// Completed transfers of hash ranges.
+    pub(crate) completed_transfers: u64,
 }
 
 impl AddAssign<&Statistics> for Statistics {
@@ -39,10 +40,10 @@
         self.full_outages += other.full_outages;
         self.refused_controllers += other.refused_controllers;
         self.silenced_workers += other.silenced_workers;
-        self.cancellation_notices += other.cancellation_notices;
+        self.cancellations_from_peers += other.cancellations_from_peers;
         self.gang_runs += other.gang_runs;
         self.gang_failures += other.gang_failures;
         self.completed_gangs += other.completed_gangs;
-        self.moved_ranges += other.moved_ranges;
+        self.completed_transfers += other.completed_transfers;
     }
 }
--- a/tests/common/simulated_cluster/workers.rs
+++ b/tests/common/simulated_cluster/workers.rs
@@ -1,4 +1,4 @@
-//! Workers as the protocol describes them, and the machines that they run on.
+//! A model of workers that follow the protocol, and of their machines.
 
 use super::network::{HeartbeatPacket, Packet};
 use super::{SimulatedCluster, CONTROLLERS, WORKER_LEASE_S};
@@ -14,16 +14,17 @@
 pub(super) struct WorkerTask {
     pub(super) attempt: u64,
     pub(super) state: TaskState,
-    /// Why it has ended.
+    /// Why the task has ended; `None` before.
     pub(super) cause: Option<String>,
 }
 
 impl WorkerTask {
-    /// Whether it still takes room on its machine.
+    /// Whether the task still uses resources of its machine, that is, has not ended.
     pub(super) fn is_active(&self) -> bool {
         self.state != TaskState::Ended
     }
 
+    /// Ends the task with this cause, a name on the wire.
     pub(super) fn end(&mut self, cause: &str) {
         self.state = TaskState::Ended;
         self.cause = Some(cause.into());
@@ -38,25 +39,26 @@
     pub(super) alive: bool,
     pub(super) session: u64,
     pub(super) sequence: u64,
-    /// The highest fencing token that it was shown.
+    /// The highest fencing token that the worker has received.
     pub(super) token: u64,
     pub(super) lease_renewed_at: f64,
     pub(super) tasks: BTreeMap<String, WorkerTask>,
-    /// The sequence number of the heartbeat whose answer it waits for.
-    pub(super) awaited_answer: Option<u64>,
-    /// Heartbeats go out, but nothing comes in until then.
+    /// The sequence number of the heartbeat whose response it waits for.
+    pub(super) awaited_sequence: Option<u64>,
+    /// The time before which no response or command reaches it, though its heartbeats arrive.
     pub(super) drops_incoming_until: f64,
-    /// Heartbeats are lost until then, but commands come in.
+    /// The time before which its heartbeats are lost, though commands reach it.
     pub(super) drops_outgoing_until: f64,
-    /// It hangs until then: what comes in meanwhile waits.
+    /// The time before which it hangs. Commands that arrive meanwhile wait.
     pub(super) paused_until: f64,
     pub(super) next_heartbeat_at: f64,
-    /// When each task of a gang has its image, or began to wait for the others.
-    pub(super) gang_waiting_since: HashMap<String, f64>,
+    /// For each task of a gang, when its image is fetched, and after that since when it waits
+    /// for the other tasks.
+    pub(super) gang_ready_at: HashMap<String, f64>,
 }
 
 impl Worker {
-    /// The next heartbeat.
+    /// Returns the next heartbeat.
     pub(super) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let report = |(id, task): (&String, &WorkerTask)| TaskReport {
@@ -87,12 +89,12 @@
             self.session += 1;
             self.sequence = 0;
             self.lease_renewed_at = now;
-            self.awaited_answer = None;
+            self.awaited_sequence = None;
         }
     }
 
-    /// Carries out commands and returns the tasks that were started; tasks of `gangs`
-    /// fetch their image first.
+    /// Carries out commands and returns the tasks that were started. Tasks of `gangs` begin
+    /// with fetching their image.
     pub(super) fn apply_commands(
         &mut self,
         commands: &[Command],
@@ -112,8 +114,8 @@
         started
     }
 
-    /// A start while the same or another attempt is active is ignored: the heartbeat
-    /// keeps showing that one.
+    /// Starts a task. The command is ignored if the same attempt is known or another one is
+    /// active, and heartbeats continue to report that one.
     fn start(
         &mut self,
         id: &str,
@@ -121,29 +123,30 @@
         gangs: &HashSet<Arc<str>>,
         now: f64,
     ) -> Option<Task> {
-        if let Some(present) = self.tasks.get(id) {
-            if present.attempt == attempt || present.is_active() {
+        if let Some(existing) = self.tasks.get(id) {
+            if existing.attempt == attempt || existing.is_active() {
                 return None;
             }
         }
-        let task = Task::parse(id).expect("a task");
+        let task = Task::parse(id).expect("a valid task id");
         let state = if gangs.contains(&task.job) {
             TaskState::Fetching
         } else {
             TaskState::Running
         };
-        let assigned = WorkerTask {
+        let started = WorkerTask {
             attempt,
             state,
             cause: None,
         };
-        self.tasks.insert(id.into(), assigned);
-        // Some images are there, others take seconds.
+        self.tasks.insert(id.into(), started);
+        // Some images are cached; others take seconds to fetch.
         let fetch_s = (self.sequence % 4) as f64;
-        self.gang_waiting_since.insert(id.into(), now + fetch_s);
+        self.gang_ready_at.insert(id.into(), now + fetch_s);
         Some(task)
     }
 
+    /// Stops an attempt if it is active.
     fn stop(&mut self, id: &str, attempt: u64) {
         if let Some(task) = self.tasks.get_mut(id) {
             if task.attempt == attempt && task.is_active() {
@@ -152,6 +155,7 @@
         }
     }
 
+    /// Forgets an attempt that has ended.
     fn forget(&mut self, id: &str, attempt: u64) {
         let ended = |task: &WorkerTask| task.attempt == attempt && !task.is_active();
         if self.tasks.get(id).is_some_and(ended) {
@@ -161,7 +165,7 @@
 }
 
 impl SimulatedCluster {
-    /// A new machine, in the machine registry and up.
+    /// Adds a machine that is up and in the machine registry.
     pub(super) fn add_machine(&mut self) {
         let number = self.workers.len();
         let id = format!("m-{number}");
@@ -176,7 +180,7 @@
         };
         self.put(
             &format!("fw/r/{id}"),
-            serde_json::to_value(record).expect("JSON"),
+            serde_json::to_value(record).expect("a JSON value"),
         );
         self.workers.push(Worker {
             id,
@@ -188,8 +192,8 @@
         });
     }
 
-    /// The leader has a machine deleted: with the answer it is gone, and controllers
-    /// read so a little later. Another comes in its place.
+    /// Deletes a machine and adds another in its place, as the leader does through the cloud.
+    /// The machine stops at once; controllers read of it a little later.
     pub(super) fn replace_machine(&mut self, id: &str) {
         let found = self
             .workers
@@ -209,12 +213,13 @@
         self.add_machine();
     }
 
-    /// The number of the worker on a machine.
+    /// Returns the index of the worker on a machine.
     pub(super) fn worker_on(&self, machine: &str) -> Option<usize> {
         self.workers.iter().position(|worker| worker.id == machine)
     }
 
-    /// Ends a task now and then, and sends the heartbeat that is due.
+    /// Runs one round of a worker: it occasionally completes a task, and sends a heartbeat if one
+    /// is due.
     pub(super) fn worker_round(&mut self, index: usize) {
         let now = self.now;
         let worker = &mut self.workers[index];
@@ -230,15 +235,16 @@
         }
     }
 
+    /// Completes a running task of an array job, if the worker has one.
     fn complete_array_task(&mut self, index: usize) {
-        let running_array = |(id, task): (&String, &WorkerTask)| {
+        let is_running_array_task = |(id, task): (&String, &WorkerTask)| {
             let kind = Task::parse(id).map(|task| self.specs[&task.job].job_kind);
             task.state == TaskState::Running && kind == Some(JobKind::Array)
         };
         let tasks = &self.workers[index].tasks;
         let Some(id) = tasks
             .iter()
-            .find(|entry| running_array(*entry))
+            .find(|entry| is_running_array_task(*entry))
             .map(|(id, _)| id.clone())
         else {
             return;
@@ -246,9 +252,9 @@
         if let Some(task) = self.workers[index].tasks.get_mut(&id) {
             task.end("done");
         }
-        // Cancelled in that very moment.
-        let users_are_served = self.now >= self.store_outage_until && !self.faults_ended;
-        if users_are_served && self.rng.gen_bool(0.1) {
+        // Sometimes the job is cancelled at the same moment.
+        let store_available = self.now >= self.store_outage_until && !self.faults_ended;
+        if store_available && self.rng.gen_bool(0.1) {
             let job = id.split_once('/').map_or("", |(job, _)| job);
             let number = job
                 .strip_prefix("wk-")
@@ -257,17 +263,18 @@
         }
     }
 
-    /// A heartbeat goes to the owner in most cases, and else to any controller.
+    /// Sends a heartbeat, in most cases to the machine's owner and otherwise to a random
+    /// controller.
     fn send_heartbeat(&mut self, index: usize) {
         let now = self.now;
         let worker = &mut self.workers[index];
         worker.next_heartbeat_at = now + self.rng.gen_range(0.5..3.0);
         let heartbeat = worker.heartbeat();
-        worker.awaited_answer = Some(heartbeat.seq);
+        worker.awaited_sequence = Some(heartbeat.seq);
         let any = self.rng.gen_range(0..CONTROLLERS.len());
         let owner =
             membership::owner_by_shard_map(&self.epoch, &self.shard_map, &heartbeat.machine)
-                .and_then(super::membership::controller_named);
+                .and_then(super::membership::controller_index);
         let to = if self.rng.gen_bool(0.8) {
             owner.unwrap_or(any)
         } else {
--- a/tests/interleavings/main.rs
+++ b/tests/interleavings/main.rs
@@ -1,15 +1,15 @@
-//! The rules that matter most, in a simulated cluster with every kind of fault: no task
-//! starts on one machine while it is on another, none outlives its job's cancellation
-//! for longer than the settings say, and nothing that was cancelled is called done. This
-//! holds whatever is lost, late or repeated, hangs or crashes, whichever controller the
-//! key-value store refuses, and whichever believes that it leads.
+//! Checks the most important guarantees in a simulated cluster with all kinds of faults: no
+//! task starts on one machine while it runs on another, none runs for longer after the
+//! cancellation of its job than the settings promise, and no cancelled job is marked as done.
+//! They must hold whichever messages are lost, late or repeated, whatever hangs or crashes,
+//! whichever controller the key-value store refuses, and whichever believes that it leads.
 
 mod moving_shard_ranges;
 #[path = "../common/simulated_cluster/mod.rs"]
 mod simulated_cluster;
 mod tasks_run_at_most_once;
 
-/// How long faults are injected, in simulated seconds.
+/// When the faults end, in simulated seconds.
 const FAULTS_UNTIL_S: f64 = 240.0;
-/// When all work must have ended.
+/// When all jobs must have ended, in simulated seconds.
 const ALL_ENDED_BY_S: f64 = 500.0;
--- a/tests/interleavings/moving_shard_ranges.rs
+++ b/tests/interleavings/moving_shard_ranges.rs
@@ -1,11 +1,12 @@
-//! The same, while ranges of the shard map move all the time: writes of the map are late,
-//! refused or lost, and sources, targets and leaders end or are partitioned in between.
+//! The guarantees also hold while hash ranges are transferred all the time: writes of the
+//! shard map are late, refused or without a response, and the source, the target or the leader
+//! of a transfer may crash or be partitioned during it.
 
 use crate::simulated_cluster::{SimulatedCluster, Statistics};
 use crate::{ALL_ENDED_BY_S, FAULTS_UNTIL_S};
 
 #[test]
-fn shard_ranges_that_move_during_faults_lose_no_task_and_run_none_twice() {
+fn transfers_of_hash_ranges_during_faults_lose_no_task_and_run_none_twice() {
     let mut total = Statistics::default();
     for seed in 100..140 {
         let mut cluster = SimulatedCluster::new(seed, true);
@@ -17,13 +18,21 @@
         total += cluster.statistics();
     }
     let Statistics {
-        moved_ranges,
+        completed_transfers,
         starts,
         committed,
         ..
     } = total;
-    println!("{moved_ranges} shard ranges moved, {starts} starts, {committed} tasks committed");
-    assert!(moved_ranges > 500, "only {moved_ranges} shard ranges moved");
-    assert!(starts > 1000, "only {starts} starts");
-    assert!(committed > 500, "only {committed} tasks committed");
+    println!(
+        "{completed_transfers} hash ranges transferred, {starts} starts, {committed} tasks committed"
+    );
+    assert!(
+        completed_transfers > 500,
+        "only {completed_transfers} hash ranges were transferred"
+    );
+    assert!(starts > 1000, "only {starts} tasks were started");
+    assert!(
+        committed > 500,
+        "only {committed} finished tasks were committed"
+    );
 }
--- a/tests/interleavings/tasks_run_at_most_once.rs
+++ b/tests/interleavings/tasks_run_at_most_once.rs
@@ -1,5 +1,5 @@
-//! No interleaving of messages, faults and elections runs a task twice, and all work is
-//! done once the faults are over.
+//! No interleaving of messages, faults and elections runs a task twice, and all jobs end after
+//! the faults have ended.
 
 use crate::simulated_cluster::{SimulatedCluster, Statistics};
 use crate::{ALL_ENDED_BY_S, FAULTS_UNTIL_S};
@@ -24,14 +24,16 @@
         full_outages,
         refused_controllers,
         silenced_workers,
-        cancellation_notices,
+        cancellations_from_peers,
         gang_runs,
         gang_failures,
         completed_gangs,
         ..
     } = total;
-    println!("{gang_runs} runs of gangs, {gang_failures} failures, {completed_gangs} done");
-    assert!(gang_runs > 200, "only {gang_runs} times did a gang run");
+    println!(
+        "{gang_runs} runs of gangs, {gang_failures} lost a task, {completed_gangs} gangs completed"
+    );
+    assert!(gang_runs > 200, "gangs ran only {gang_runs} times");
     assert!(
         gang_failures > 20,
         "only {gang_failures} running gangs lost a task"
@@ -40,31 +42,34 @@
         completed_gangs > 150,
         "only {completed_gangs} gangs completed"
     );
-    // The cluster is hostile, but work gets through it.
-    assert!(starts > 1000, "only {starts} starts");
-    assert!(committed > 500, "only {committed} tasks committed");
+    // There were many faults of each kind, and work was done nevertheless.
+    assert!(starts > 1000, "only {starts} tasks were started");
+    assert!(
+        committed > 500,
+        "only {committed} finished tasks were committed"
+    );
     assert!(
         replaced_machines > 20,
-        "only {replaced_machines} machines replaced"
+        "only {replaced_machines} machines were replaced"
     );
     assert!(
         partitioned_controllers > 20,
-        "only {partitioned_controllers} controllers partitioned"
+        "controllers were partitioned only {partitioned_controllers} times"
     );
     assert!(
         full_outages > 5,
-        "only {full_outages} times were all controllers away"
+        "all controllers were stopped only {full_outages} times"
     );
     assert!(
         refused_controllers > 20,
-        "only {refused_controllers} controllers refused alone"
+        "the store refused a single controller only {refused_controllers} times"
     );
     assert!(
         silenced_workers > 20,
-        "only {silenced_workers} workers silenced"
+        "workers lost their heartbeats only {silenced_workers} times"
     );
     assert!(
-        cancellation_notices > 20,
-        "only {cancellation_notices} cancellations learnt from other controllers"
+        cancellations_from_peers > 20,
+        "controllers received only {cancellations_from_peers} new cancellations from others"
     );
 }
