--- a/tests/cancel_bound.rs
+++ b/tests/cancel_bound.rs
@@ -1,118 +1,141 @@
-//! How long a task can outlive the confirmation of its job's cancellation: a
-//! slow plain model of one worker and its owner, at generated times of refusal,
-//! confirmation, outage and hang, against the figure that the settings give.
+//! Checks the bound on how long a task may run after the cancellation of its job was
+//! confirmed. A slow, simple model of one worker and its owner runs with generated times of
+//! refusals, outages and hangs, and is compared with the bound that the settings give.
 
 #[path = "common/settings.rs"]
-mod base;
+mod settings_text;
 
-use base::SETTINGS;
 use finchwood::clock::{self, DRIFT};
 use finchwood::config::settings::Settings;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use settings_text::SETTINGS;
 
-/// The figures that the bound is made of.
+/// The settings that determine the bound, in seconds.
 #[derive(Debug, Clone, Copy)]
-struct Figures {
+struct Timing {
+    /// The interval between heartbeats.
     report_s: f64,
+    /// The duration of a worker's lease.
     lease_s: f64,
+    /// The time within which a cancelled task must have stopped.
     cancel_s: f64,
-    /// The greatest age of the knowledge behind an answer.
-    knowledge_s: f64,
+    /// The greatest age of the owner's cache at which it may still respond to the worker.
+    max_staleness_s: f64,
 }
 
-/// What happens, and when, in seconds; the job is cancelled at 50.
+/// What happens and when, in seconds. The job is cancelled at [`CONFIRMED_AT`].
 #[derive(Debug, Clone)]
 struct Scenario {
-    /// The owner reads the key-value store so often.
+    /// The interval at which the owner reads the key-value store.
     poll_s: f64,
-    /// From then on the key-value store refuses the owner alone.
+    /// When the key-value store begins to refuse this owner alone, for good.
     refused_at: f64,
-    /// From then on nobody is answered.
+    /// When the key-value store begins to respond to nobody, for good.
     outage_at: f64,
-    /// The worker hangs then, for so long.
+    /// When the worker hangs.
     hang_at: f64,
+    /// How long the worker hangs.
     hang_s: f64,
-    /// The first report, and what part of its interval each takes.
-    first_report: f64,
-    pace: Vec<f64>,
-    /// How long a report and its answer take.
-    way_s: f64,
-    /// A start that the owner sent at the last moment it could, by direct
-    /// command, is carried out so much later.
-    late_start_s: f64,
-    /// Other owners follow: each is certain of nothing, and answers.
+    /// When the worker sends its first heartbeat.
+    first_heartbeat_at: f64,
+    /// The intervals between heartbeats, as multiples of the report interval.
+    interval_factors: Vec<f64>,
+    /// The time from sending a heartbeat to receiving the response.
+    round_trip_s: f64,
+    /// The delay with which the worker receives a start that the owner sent by direct command
+    /// at the last moment possible.
+    start_delay_s: f64,
+    /// The number of later owners. They have reconciled nothing when they respond.
     successors: u32,
 }
 
-const CONFIRMED: f64 = 50.0;
+/// When the cancellation of the job is confirmed.
+const CONFIRMED_AT: f64 = 50.0;
 const STEP: f64 = 0.05;
 
-/// The last moment at which a task of the job is on the worker and the worker
-/// runs, in seconds after the confirmation. The worker's clock is the slowest
-/// that is allowed.
-fn outlives(f: &Figures, s: &Scenario) -> f64 {
-    let hung = |t: f64| t >= s.hang_at && t < s.hang_at + s.hang_s;
-    let lease = f.lease_s * (1.0 + DRIFT);
-    let (mut read, mut polled) = (0.0, 0.0);
-    let (mut lease_from, mut session, mut on) = (0.0, 1, true);
-    let mut due = s.first_report;
-    let mut sent: Vec<(f64, f64)> = Vec::new();
-    let (mut reports, mut last, mut last_start) = (0, 0.0, (0.0, 1));
+/// Returns the last moment at which a task of the job runs on the worker and the worker does
+/// not hang, in seconds after the confirmation. The worker's clock is the slowest that is
+/// allowed.
+fn run_time_after_cancellation(timing: &Timing, scenario: &Scenario) -> f64 {
+    let hangs = |time: f64| time >= scenario.hang_at && time < scenario.hang_at + scenario.hang_s;
+    let lease = timing.lease_s * (1.0 + DRIFT);
+    let (mut cache_read_at, mut polled_at) = (0.0, 0.0);
+    let (mut lease_renewed_at, mut session, mut running) = (0.0, 1, true);
+    let mut next_heartbeat_at = scenario.first_heartbeat_at;
+    // Heartbeats in flight: when each was sent, and when the response arrives.
+    let mut in_flight: Vec<(f64, f64)> = Vec::new();
+    // The last start by direct command: when it was sent, and to which session.
+    let (mut heartbeat_count, mut last_running_at, mut last_start) = (0, 0.0, (0.0, 1));
     let mut stopped = false;
-    let mut t = 0.0;
-    while t < CONFIRMED + 4.0 * f.cancel_s {
-        t += STEP;
-        if t - polled >= s.poll_s && t < s.refused_at && t < s.outage_at {
-            (read, polled) = (t, t);
+    let mut now = 0.0;
+    while now < CONFIRMED_AT + 4.0 * timing.cancel_s {
+        now += STEP;
+        if now - polled_at >= scenario.poll_s
+            && now < scenario.refused_at
+            && now < scenario.outage_at
+        {
+            (cache_read_at, polled_at) = (now, now);
         }
-        let entitled = t - read < f.knowledge_s;
-        let knows = read >= CONFIRMED;
-        // Until it knows, the owner may start the task again whenever it likes.
-        if entitled && !knows {
-            last_start = (t, session);
+        let cache_is_fresh = now - cache_read_at < timing.max_staleness_s;
+        let knows_cancellation = cache_read_at >= CONFIRMED_AT;
+        // Until the owner has read the cancellation, it may start the task again at any time.
+        if cache_is_fresh && !knows_cancellation {
+            last_start = (now, session);
         }
-        if !hung(t) {
-            if t - lease_from > lease {
-                (on, session, lease_from) = (false, session + 1, t);
-                sent.clear();
+        if !hangs(now) {
+            if now - lease_renewed_at > lease {
+                (running, session, lease_renewed_at) = (false, session + 1, now);
+                in_flight.clear();
             }
-            if t >= due {
-                let pace = s.pace[reports % s.pace.len()];
-                reports += 1;
-                due = t + f.report_s * pace;
-                sent.push((t, t + s.way_s));
+            if now >= next_heartbeat_at {
+                let factor =
+                    scenario.interval_factors[heartbeat_count % scenario.interval_factors.len()];
+                heartbeat_count += 1;
+                next_heartbeat_at = now + timing.report_s * factor;
+                in_flight.push((now, now + scenario.round_trip_s));
             }
         }
-        // A report that arrives is answered while its sender waits for it.
-        let arrived: Vec<(f64, f64)> = sent.iter().copied().filter(|r| r.1 <= t).collect();
-        sent.retain(|r| r.1 > t);
-        for (from, _) in arrived {
-            // A successor knows of the cancellation, or doesn't answer; it may
-            // be certain of nothing, and stops what is shown to run all the same.
-            let later = t > CONFIRMED + f.knowledge_s
-                && (reports as u32).is_multiple_of(s.successors.max(1));
-            let answers = entitled || (s.successors > 0 && later && t < s.outage_at);
-            if answers && !hung(t) && t - from < 4.0 {
-                lease_from = from;
-                if knows || !entitled {
-                    (on, stopped) = (false, true);
+        let arrived: Vec<(f64, f64)> = in_flight
+            .iter()
+            .copied()
+            .filter(|heartbeat| heartbeat.1 <= now)
+            .collect();
+        in_flight.retain(|heartbeat| heartbeat.1 > now);
+        for (sent_at, _) in arrived {
+            // A successor either knows of the cancellation or does not respond. It may not have
+            // reconciled the machine, but stops the tasks that the heartbeat reports anyway.
+            let reaches_successor = now > CONFIRMED_AT + timing.max_staleness_s
+                && (heartbeat_count as u32).is_multiple_of(scenario.successors.max(1));
+            let responds = cache_is_fresh
+                || (scenario.successors > 0 && reaches_successor && now < scenario.outage_at);
+            // The worker uses a response only within the time for which it waits.
+            if responds && !hangs(now) && now - sent_at < 4.0 {
+                lease_renewed_at = sent_at;
+                if knows_cancellation || !cache_is_fresh {
+                    (running, stopped) = (false, true);
                 }
             }
         }
-        // The late start meets its session, or dies with it; and with a stop
-        // goes a higher token.
-        let late = last_start.0 + s.late_start_s;
-        if !hung(t) && !stopped && t >= late && t < late + STEP && last_start.1 == session {
-            on = true;
+        // The delayed start takes effect unless the session for which it was sent has ended or
+        // the worker has received the stop, which carries a higher fencing token.
+        let start_arrives_at = last_start.0 + scenario.start_delay_s;
+        if !hangs(now)
+            && !stopped
+            && now >= start_arrives_at
+            && now < start_arrives_at + STEP
+            && last_start.1 == session
+        {
+            running = true;
         }
-        if on && !hung(t) && t - lease_from <= lease {
-            last = t;
+        if running && !hangs(now) && now - lease_renewed_at <= lease {
+            last_running_at = now;
         }
     }
-    last - CONFIRMED
+    last_running_at - CONFIRMED_AT
 }
 
+/// Generates scenarios with faults shortly before and after the confirmation.
 fn scenarios() -> impl Strategy<Value = Scenario> {
     (
         (
@@ -131,45 +154,49 @@
         ),
     )
         .prop_map(|((poll_s, refused_at, outage_at, hang_at, hang_s), rest)| {
-            let (first_report, pace, way_s, late_start_s, successors) = rest;
+            let (first_heartbeat_at, interval_factors, round_trip_s, start_delay_s, successors) =
+                rest;
             Scenario {
                 poll_s,
                 refused_at,
                 outage_at,
                 hang_at,
                 hang_s,
-                first_report,
-                pace,
-                way_s,
-                late_start_s,
+                first_heartbeat_at,
+                interval_factors,
+                round_trip_s,
+                start_delay_s,
                 successors,
             }
         })
 }
 
+/// Returns the settings of a small deployment with these values.
 fn settings(report_s: f64, lease_s: f64, cancel_s: f64) -> Settings {
     let text = SETTINGS
         .replace("report_s = 3.0", &format!("report_s = {report_s:?}"))
         .replace("lease_s = 20.0", &format!("lease_s = {lease_s:?}"))
         .replace("cancel_s = 40.0", &format!("cancel_s = {cancel_s:?}"));
-    Settings::parse(&text).expect("settings")
+    Settings::parse(&text).expect("valid settings")
 }
 
-fn figures() -> impl Strategy<Value = Figures> {
-    (1.0..6.0f64, 3.0..9.0f64, 0.0..30.0f64).prop_map(|(report_s, leases, more)| {
-        let lease_s = report_s * leases;
-        let cancel_s = clock::with_drift_margin(lease_s) + report_s * 1.01 + more;
-        let s = settings(report_s, lease_s, cancel_s);
-        assert!(s.cancellation_bound_s() < cancel_s);
-        Figures {
+/// Generates valid settings. The bound must always be below `cancel_s`.
+fn timings() -> impl Strategy<Value = Timing> {
+    (1.0..6.0f64, 3.0..9.0f64, 0.0..30.0f64).prop_map(|(report_s, lease_intervals, extra_s)| {
+        let lease_s = report_s * lease_intervals;
+        let cancel_s = clock::with_drift_margin(lease_s) + report_s * 1.01 + extra_s;
+        let parsed = settings(report_s, lease_s, cancel_s);
+        assert!(parsed.cancellation_bound_s() < cancel_s);
+        Timing {
             report_s,
             lease_s,
             cancel_s,
-            knowledge_s: s.max_staleness_s(),
+            max_staleness_s: parsed.max_staleness_s(),
         }
     })
 }
 
+/// Returns a runner with a fixed seed.
 fn runner(cases: u32) -> TestRunner {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[13; 32]);
     TestRunner::new_with_rng(
@@ -182,46 +209,65 @@
     )
 }
 
-/// A step of the model, and the way of an answer within it.
+/// The error of the model due to its steps: one step, and a response that arrives within it.
 const SLACK: f64 = 2.0 * STEP;
 
 #[test]
-fn no_task_outlives_its_cancellation_for_longer_than_the_settings_say() {
-    let check = |(f, s): (Figures, Scenario)| {
-        let bound = settings(f.report_s, f.lease_s, f.cancel_s).cancellation_bound_s();
-        let took = outlives(&f, &s);
-        prop_assert!(took <= bound + SLACK, "{} of {} s", took, bound);
-        prop_assert!(took <= f.cancel_s, "{} of {} s", took, f.cancel_s);
+fn no_task_runs_longer_after_its_cancellation_than_the_settings_promise() {
+    let check = |(timing, scenario): (Timing, Scenario)| {
+        let bound =
+            settings(timing.report_s, timing.lease_s, timing.cancel_s).cancellation_bound_s();
+        let ran_s = run_time_after_cancellation(&timing, &scenario);
+        prop_assert!(
+            ran_s <= bound + SLACK,
+            "ran for {} s after the cancellation, the bound is {} s",
+            ran_s,
+            bound
+        );
+        prop_assert!(
+            ran_s <= timing.cancel_s,
+            "ran for {} s after the cancellation, cancel_s is {} s",
+            ran_s,
+            timing.cancel_s
+        );
         Ok(())
     };
     runner(600)
-        .run(&(figures(), scenarios()), check)
-        .unwrap_or_else(|e| panic!("{e}"));
+        .run(&(timings(), scenarios()), check)
+        .unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// With a step wider by more than a report interval the model shows a task that stays for too long: the
-/// bound is no wider than it must be, and the model sees what it is about.
+/// If the owner's cache may be older, or leases are longer, than the settings allow, by more
+/// than a report interval, the model must find a task that runs for longer than `cancel_s`.
+/// This shows that the limits are not stricter than necessary and that the model detects
+/// violations.
 #[test]
-fn wider_steps_break_the_bound() {
-    type Widen = fn(&Figures) -> Figures;
-    let wider: [(&str, Widen); 2] = [
-        ("old knowledge", |f| Figures {
-            knowledge_s: f.cancel_s - f.lease_s + f.report_s,
-            ..*f
+fn longer_staleness_or_longer_leases_violate_the_limit() {
+    type Extend = fn(&Timing) -> Timing;
+    let extensions: [(&str, Extend); 2] = [
+        ("longer staleness", |timing| Timing {
+            max_staleness_s: timing.cancel_s - timing.lease_s + timing.report_s,
+            ..*timing
         }),
-        ("longer leases", |f| Figures {
-            lease_s: f.cancel_s - f.knowledge_s + f.report_s,
-            ..*f
+        ("longer leases", |timing| Timing {
+            lease_s: timing.cancel_s - timing.max_staleness_s + timing.report_s,
+            ..*timing
         }),
     ];
-    for (name, widen) in wider {
-        let mut worst = f64::MIN;
-        let mut r = runner(1);
+    for (name, extend) in extensions {
+        let mut worst_excess_s = f64::MIN;
+        let mut runner = runner(1);
         for _ in 0..600 {
-            let tree = (figures(), scenarios()).new_tree(&mut r).expect("a case");
-            let (f, s) = proptest::strategy::ValueTree::current(&tree);
-            worst = worst.max(outlives(&widen(&f), &s) - f.cancel_s);
+            let tree = (timings(), scenarios())
+                .new_tree(&mut runner)
+                .expect("a generated case");
+            let (timing, scenario) = proptest::strategy::ValueTree::current(&tree);
+            worst_excess_s = worst_excess_s
+                .max(run_time_after_cancellation(&extend(&timing), &scenario) - timing.cancel_s);
         }
-        assert!(worst > 0.0, "{name}: nothing stays for too long, {worst}");
+        assert!(
+            worst_excess_s > 0.0,
+            "{name}: no task ran for longer than cancel_s, the largest excess was {worst_excess_s} s"
+        );
     }
 }
--- a/tests/failure_detection_model.rs
+++ b/tests/failure_detection_model.rs
@@ -1,5 +1,5 @@
-//! Who is judged dead, against a plain world that knows: machines die or hang
-//! in any number and anywhere, zones are cut off and come back.
+//! Compares the verdicts of the failure detector with a simple simulation: any number of
+//! machines may die or hang, in any zone, and zones may be partitioned for a while.
 
 use finchwood::cluster::failure_detection::{
     FailureDetector, HealthVerdict, MachineHealth, ZoneContactAges, ZoneContactSpan,
@@ -10,141 +10,179 @@
 const REPORT_S: f64 = 5.0;
 const LEASE_S: f64 = 31.0;
 const STEP_S: f64 = 0.5;
+/// The number of controllers that share the machines.
 const OWNERS: usize = 2;
-/// The longest that a worker waits for an answer before it tries elsewhere.
-const AWAY_S: f64 = 4.0 + 1.0;
+/// The longest time for which a worker waits for a response before it contacts another
+/// controller.
+const MAX_RESPONSE_WAIT_S: f64 = 4.0 + 1.0;
 
 #[derive(Debug, Clone)]
 struct Machine {
+    /// The index of its zone.
     zone: usize,
-    /// Dead, or hung for good, from then on.
-    ends: Option<f64>,
-    /// Next report; after a cut, when its worker is back.
-    due: f64,
-    /// How long it takes to come back, as a share of the longest.
-    late: f64,
-    heard: f64,
+    /// When it dies or hangs for good; `None` if it does not.
+    fails_at: Option<f64>,
+    /// When its next heartbeat is due. During a partition of its zone: when its worker reaches
+    /// its owner again.
+    heartbeat_due_at: f64,
+    /// How late its heartbeats are, from 0 to 1 of the longest delay.
+    delay_fraction: f64,
+    /// When its owner last received a heartbeat or a response to a probe.
+    last_contact_at: f64,
+    /// Since when it has left probes unanswered while others of its zone were reachable.
     unanswered_since: Option<f64>,
-    /// When its owner asks it next, if it is late, or gives up asking.
-    ask: f64,
-    asking: bool,
-    asked: Option<f64>,
+    /// When its owner sends the next probe if it is silent, or when the current one times out.
+    next_probe_at: f64,
+    probe_in_flight: bool,
+    /// When the first probe since the last contact was sent.
+    first_probe_at: Option<f64>,
 }
 
-/// Plays `span` seconds and tells of every machine that is judged dead: its
-/// number and when. A zone may be given up for new machines only while it is
-/// cut off, and is once its silence has shown.
-fn play(
+/// Simulates `span` seconds and returns each machine that is judged dead, by its index, and
+/// when. `partition` is a zone and the times at which its partition begins and ends. A zone
+/// may count as unreachable only around its partition, and must once it has been partitioned
+/// for long enough.
+fn simulate(
     mut machines: Vec<Machine>,
     zones: usize,
-    cut: Option<(usize, f64, f64)>,
+    partition: Option<(usize, f64, f64)>,
     span: f64,
 ) -> Vec<(usize, f64)> {
-    let names: Vec<Arc<str>> = (0..zones).map(|z| format!("z{z}").into()).collect();
-    // By owner and zone: a zone's machines belong to several owners.
-    let mut reached: Vec<[Option<ZoneContactSpan>; OWNERS]> = vec![[None; OWNERS]; zones];
-    let mut judged = Vec::new();
+    let names: Vec<Arc<str>> = (0..zones).map(|zone| format!("z{zone}").into()).collect();
+    // By zone and owner, as the machines of a zone belong to several owners.
+    let mut contact_spans: Vec<[Option<ZoneContactSpan>; OWNERS]> = vec![[None; OWNERS]; zones];
+    let mut judged_dead = Vec::new();
     let mut now = 0.0;
     while now < span {
-        for (i, m) in machines.iter_mut().enumerate() {
-            let known = &mut reached[m.zone][i % OWNERS];
-            let cut_off = cut.is_some_and(|(z, from, to)| z == m.zone && (from..to).contains(&now));
-            let dead = m.ends.is_some_and(|t| now >= t);
-            if cut_off {
-                m.due = cut.map_or(0.0, |c| c.2) + m.late * (AWAY_S + REPORT_S * 0.5);
+        for (index, machine) in machines.iter_mut().enumerate() {
+            let contact_span = &mut contact_spans[machine.zone][index % OWNERS];
+            let is_partitioned = partition
+                .is_some_and(|(zone, from, to)| zone == machine.zone && (from..to).contains(&now));
+            let has_failed = machine.fails_at.is_some_and(|fails_at| now >= fails_at);
+            if is_partitioned {
+                machine.heartbeat_due_at = partition.map_or(0.0, |partition| partition.2)
+                    + machine.delay_fraction * (MAX_RESPONSE_WAIT_S + REPORT_S * 0.5);
             }
-            let there = !dead && !cut_off;
-            let late = now - m.heard > REPORT_S * 1.3;
-            let mut answers = there && now >= m.due;
-            if late && now >= m.ask {
-                if there {
-                    answers = true;
-                } else if m.asking {
-                    // Given up; once more at once, then now and then.
-                    let others = known.is_some_and(|r| m.asked.is_some_and(|a| r.last_at > a));
-                    let suspect = others && m.unanswered_since.is_none();
-                    m.ask = if suspect { now } else { now + REPORT_S };
-                    if suspect {
-                        m.unanswered_since = Some(now);
+            let is_reachable = !has_failed && !is_partitioned;
+            let is_silent = now - machine.last_contact_at > REPORT_S * 1.3;
+            let mut has_contact = is_reachable && now >= machine.heartbeat_due_at;
+            if is_silent && now >= machine.next_probe_at {
+                if is_reachable {
+                    has_contact = true;
+                } else if machine.probe_in_flight {
+                    // The probe timed out. The first time that others of the zone were reached
+                    // meanwhile, it is repeated at once, and otherwise after a report interval.
+                    let others_reached = contact_span.is_some_and(|span| {
+                        machine
+                            .first_probe_at
+                            .is_some_and(|sent_at| span.last_at > sent_at)
+                    });
+                    let newly_unanswered = others_reached && machine.unanswered_since.is_none();
+                    machine.next_probe_at = if newly_unanswered {
+                        now
+                    } else {
+                        now + REPORT_S
+                    };
+                    if newly_unanswered {
+                        machine.unanswered_since = Some(now);
                     }
-                    m.asking = false;
+                    machine.probe_in_flight = false;
                 } else {
-                    m.ask = now + REPORT_S / 2.0;
-                    m.asked = m.asked.or(Some(now));
-                    m.asking = true;
+                    machine.next_probe_at = now + REPORT_S / 2.0;
+                    machine.first_probe_at = machine.first_probe_at.or(Some(now));
+                    machine.probe_in_flight = true;
                 }
             }
-            if answers {
-                m.due = now + REPORT_S * (0.75 + m.late / 2.0);
-                m.heard = now;
-                m.unanswered_since = None;
-                m.asked = None;
-                m.asking = false;
-                *known = Some(ZoneContactSpan::extend(*known, now, REPORT_S));
+            if has_contact {
+                machine.heartbeat_due_at = now + REPORT_S * (0.75 + machine.delay_fraction / 2.0);
+                machine.last_contact_at = now;
+                machine.unanswered_since = None;
+                machine.first_probe_at = None;
+                machine.probe_in_flight = false;
+                *contact_span = Some(ZoneContactSpan::extend(*contact_span, now, REPORT_S));
             }
         }
-        let signs: Vec<MachineHealth> = machines
+        let healths: Vec<MachineHealth> = machines
             .iter()
             .enumerate()
-            .map(|(i, m)| MachineHealth {
-                zone: names[m.zone].clone(),
-                // Its first report after a while may say nothing new.
-                tasks_known: m.heard > 0.0 && now - m.heard >= STEP_S || i % 3 > 0,
-                silent_s: now - m.heard,
-                unanswered_s: m.unanswered_since.map(|d| now - d),
-                zone_contact: reached[m.zone][i % OWNERS].map(|s| ZoneContactAges {
-                    began_ago_s: now - s.began_at,
-                    last_ago_s: now - s.last_at,
+            .map(|(index, machine)| MachineHealth {
+                zone: names[machine.zone].clone(),
+                // Some machines are not yet reconciled by the first heartbeat after a silence.
+                tasks_known: machine.last_contact_at > 0.0
+                    && now - machine.last_contact_at >= STEP_S
+                    || index % 3 > 0,
+                silent_s: now - machine.last_contact_at,
+                unanswered_s: machine.unanswered_since.map(|since| now - since),
+                zone_contact: contact_spans[machine.zone][index % OWNERS].map(|span| {
+                    ZoneContactAges {
+                        began_ago_s: now - span.began_at,
+                        last_ago_s: now - span.last_at,
+                    }
                 }),
                 seen_by_other_controller: false,
                 ignores_commands: false,
                 owner_responds_late: false,
             })
             .collect();
-        let judge = FailureDetector::new(REPORT_S, LEASE_S, signs.iter());
-        for (z, name) in names.iter().enumerate() {
-            let silent = cut.filter(|c| c.0 == z).map(|c| (now - c.1, now - c.2));
-            let shown = silent.is_some_and(|(begun, over)| begun > REPORT_S * 3.5 && over < 0.0);
-            let may = silent.is_some_and(|(begun, over)| begun > 0.0 && over < REPORT_S * 2.0);
+        let detector = FailureDetector::new(REPORT_S, LEASE_S, healths.iter());
+        for (zone, name) in names.iter().enumerate() {
+            // How long ago the partition began and ended; negative before that.
+            let ages = partition
+                .filter(|partition| partition.0 == zone)
+                .map(|partition| (now - partition.1, now - partition.2));
+            let must_be_unreachable = ages.is_some_and(|(since_begin, since_end)| {
+                since_begin > REPORT_S * 3.5 && since_end < 0.0
+            });
+            let may_be_unreachable = ages.is_some_and(|(since_begin, since_end)| {
+                since_begin > 0.0 && since_end < REPORT_S * 2.0
+            });
             assert!(
-                judge.zone_unreachable(name) || !shown,
-                "a cut zone still gets machines"
+                detector.zone_unreachable(name) || !must_be_unreachable,
+                "the partitioned zone {name} does not count as unreachable at {now} s"
             );
             assert!(
-                !judge.zone_unreachable(name) || may,
-                "{name} is given up at {now}"
+                !detector.zone_unreachable(name) || may_be_unreachable,
+                "{name} counts as unreachable at {now} s without a partition"
             );
         }
-        for (i, s) in signs.iter().enumerate() {
-            let verdict = judge.verdict(s);
-            if verdict == HealthVerdict::Replace && !judged.iter().any(|(j, _)| *j == i) {
-                judged.push((i, now));
+        for (index, health) in healths.iter().enumerate() {
+            let verdict = detector.verdict(health);
+            if verdict == HealthVerdict::Replace
+                && !judged_dead.iter().any(|(judged, _)| *judged == index)
+            {
+                judged_dead.push((index, now));
             }
-            // Neither idle nor of use while it shows no sign.
+            // A silent or unreconciled machine must count neither as idle nor as available.
             assert!(
-                verdict != HealthVerdict::Keep || s.silent_s <= REPORT_S * 2.0 && s.tasks_known
+                verdict != HealthVerdict::Keep
+                    || health.silent_s <= REPORT_S * 2.0 && health.tasks_known
             );
         }
         now += STEP_S;
     }
-    judged
+    judged_dead
 }
 
-fn fleet(sizes: &[usize], lates: &[f64]) -> Vec<Machine> {
-    let zones = sizes.iter().enumerate().flat_map(|(z, n)| vec![z; *n]);
-    let lates = lates.iter().cycle();
+/// Returns `sizes[zone]` machines for each zone, with these delay fractions in turn. None of
+/// them fails.
+fn fleet(sizes: &[usize], delay_fractions: &[f64]) -> Vec<Machine> {
+    let zones = sizes
+        .iter()
+        .enumerate()
+        .flat_map(|(zone, size)| vec![zone; *size]);
+    let delay_fractions = delay_fractions.iter().cycle();
     zones
-        .zip(lates)
-        .map(|(zone, &late)| Machine {
+        .zip(delay_fractions)
+        .map(|(zone, &delay_fraction)| Machine {
             zone,
-            ends: None,
-            due: late * REPORT_S,
-            late,
-            heard: 0.0,
+            fails_at: None,
+            heartbeat_due_at: delay_fraction * REPORT_S,
+            delay_fraction,
+            last_contact_at: 0.0,
             unanswered_since: None,
-            ask: 0.0,
-            asking: false,
-            asked: None,
+            next_probe_at: 0.0,
+            probe_in_flight: false,
+            first_probe_at: None,
         })
         .collect()
 }
@@ -152,69 +190,92 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_algorithm: prop::test_runner::RngAlgorithm::ChaCha, ..ProptestConfig::default() })]
 
-    /// However many die together, and be they most of a zone: each is replaced
-    /// soon, and none that lives is, as long as anybody of the zone is left.
+    /// Machines that die together, even most of a zone, must not look like a network partition.
+    /// Each of them is replaced soon, and no live one is, as long as a machine of the zone
+    /// remains reachable.
     #[test]
-    fn many_dead_are_no_cut(
+    fn machines_that_die_together_are_replaced_and_not_taken_for_a_partition(
         sizes in proptest::collection::vec(4usize..40, 2..5),
-        lates in proptest::collection::vec(0.0f64..1.0, 37),
-        share in 0.02f64..0.95,
-        first in 0usize..4,
+        delay_fractions in proptest::collection::vec(0.0f64..1.0, 37),
+        dead_fraction in 0.02f64..0.95,
+        first_zone in 0usize..4,
     ) {
-        let mut machines = fleet(&sizes, &lates);
-        let n = ((machines.len() as f64 * share) as usize).max(1);
-        // From one zone on, and over to the next; the last of each zone lives.
+        let mut machines = fleet(&sizes, &delay_fractions);
+        let count = ((machines.len() as f64 * dead_fraction) as usize).max(1);
+        // They die in order from the first machine of a zone on. The last of each zone survives.
         let order: Vec<usize> = (0..machines.len()).collect();
-        let start: usize = sizes.iter().take(first % sizes.len()).sum();
+        let start: usize = sizes.iter().take(first_zone % sizes.len()).sum();
         let mut died = Vec::new();
-        for &i in order.iter().cycle().skip(start).take(machines.len()).take(n) {
-            let zone = machines[i].zone;
-            let left = machines.iter().filter(|m| m.zone == zone && m.ends.is_none()).count();
-            if left > 1 {
-                machines[i].ends = Some(20.0);
-                died.push(i);
+        for &index in order.iter().cycle().skip(start).take(machines.len()).take(count) {
+            let zone = machines[index].zone;
+            let alive = machines
+                .iter()
+                .filter(|machine| machine.zone == zone && machine.fails_at.is_none())
+                .count();
+            if alive > 1 {
+                machines[index].fails_at = Some(20.0);
+                died.push(index);
             }
         }
-        // Where its owner has few others there, it takes a while until one is
-        // reached meanwhile; with none, what other owners reach decides.
-        let left = |i: usize| {
-            let others = machines.iter().enumerate().filter(|(j, m)| {
-                j % OWNERS == i % OWNERS && m.zone == machines[i].zone && m.ends.is_none()
+        // If the owner has few other live machines in the zone, it takes a while until it has
+        // contact with one of them. If it has none, the contact of other owners decides.
+        let live_neighbors = |index: usize| {
+            let others = machines.iter().enumerate().filter(|(other, machine)| {
+                other % OWNERS == index % OWNERS
+                    && machine.zone == machines[index].zone
+                    && machine.fails_at.is_none()
             });
             others.count()
         };
-        let soon: Vec<f64> = (0..machines.len())
-            .map(|i| match left(i) {
+        let max_intervals: Vec<f64> = (0..machines.len())
+            .map(|index| match live_neighbors(index) {
                 0 => 6.0,
                 1..=5 => 5.0,
                 _ => 4.0,
             })
             .collect();
-        let judged = play(machines, sizes.len(), None, 60.0);
-        for i in &died {
-            let at = judged.iter().find(|(j, _)| j == i).map(|j| j.1);
-            prop_assert!(at.is_some_and(|t| t < 20.0 + REPORT_S * soon[*i]), "{} of {}: {at:?}", i, died.len());
+        let judged_dead = simulate(machines, sizes.len(), None, 60.0);
+        for index in &died {
+            let judged_at = judged_dead
+                .iter()
+                .find(|(judged, _)| judged == index)
+                .map(|entry| entry.1);
+            prop_assert!(
+                judged_at.is_some_and(|time| time < 20.0 + REPORT_S * max_intervals[*index]),
+                "machine {} of {} dead ones is judged dead at {judged_at:?}",
+                index,
+                died.len()
+            );
         }
-        prop_assert_eq!(judged.len(), died.len());
+        prop_assert_eq!(judged_dead.len(), died.len());
     }
 
-    /// Nobody of a zone that is cut off is replaced for it, nor when it is back
-    /// and its workers come one after the other. What died elsewhere meanwhile
-    /// is, and what died in the zone once that is back.
+    /// No machine is replaced because its zone is partitioned, nor while workers return one
+    /// after another at the end of the partition. A machine that dies meanwhile in another zone
+    /// is replaced during the partition, and one in the partitioned zone soon after it.
     #[test]
-    fn a_cut_zone_is_kept_and_its_dead_are_found_later(
+    fn machines_of_a_partitioned_zone_are_kept_and_dead_ones_are_replaced_after_it(
         sizes in proptest::collection::vec(3usize..40, 2..5),
-        lates in proptest::collection::vec(0.0f64..1.0, 37),
-        long in 4.0f64..80.0,
-        inside in any::<bool>(),
+        delay_fractions in proptest::collection::vec(0.0f64..1.0, 37),
+        partition_s in 4.0f64..80.0,
+        in_partition in any::<bool>(),
     ) {
-        let mut machines = fleet(&sizes, &lates);
-        let dead = if inside { 0 } else { sizes[0] };
-        machines[dead].ends = Some(32.0);
-        let judged = play(machines, sizes.len(), Some((0, 30.0, 30.0 + long)), 70.0 + long);
-        prop_assert_eq!(judged.len(), 1, "{:?}", judged);
-        prop_assert_eq!(judged[0].0, dead);
-        let by = if inside { 30.0 + long + REPORT_S * 5.0 + AWAY_S } else { 32.0 + REPORT_S * 6.0 };
-        prop_assert!(judged[0].1 < by, "at {}", judged[0].1);
+        let mut machines = fleet(&sizes, &delay_fractions);
+        let dead = if in_partition { 0 } else { sizes[0] };
+        machines[dead].fails_at = Some(32.0);
+        let judged_dead =
+            simulate(machines, sizes.len(), Some((0, 30.0, 30.0 + partition_s)), 70.0 + partition_s);
+        prop_assert_eq!(judged_dead.len(), 1, "{:?}", judged_dead);
+        prop_assert_eq!(judged_dead[0].0, dead);
+        let deadline = if in_partition {
+            30.0 + partition_s + REPORT_S * 5.0 + MAX_RESPONSE_WAIT_S
+        } else {
+            32.0 + REPORT_S * 6.0
+        };
+        prop_assert!(
+            judged_dead[0].1 < deadline,
+            "judged dead at {} s, due by {deadline} s",
+            judged_dead[0].1
+        );
     }
 }
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -1,4 +1,5 @@
-//! The placement against a slow plain reading of the paper's algorithm.
+//! Compares the placement of tasks with a slow, simple model of the algorithm in the HIOBS
+//! paper.
 
 use finchwood::scheduler::bin_packing::{pick, Candidate};
 use finchwood::scheduler::capacity::{
@@ -9,22 +10,32 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const KINDS: [&str; 2] = ["small", "large"];
+const MACHINE_TYPES: [&str; 2] = ["small", "large"];
 const ZONES: [&str; 3] = ["east", "north", "west"];
 
+/// A machine in the model. Machine type and zone are indices of the constants above.
 #[derive(Debug, Clone)]
-struct Node {
+struct ModelMachine {
     id: String,
     machine_type: usize,
     zone: usize,
     spot: bool,
+    /// Free half CPUs, GPUs and GB of memory.
     free: [u32; 3],
-    cached: bool,
+    /// Whether the job's image is cached.
+    image_cached: bool,
     job_tasks_in_zone: u32,
     job_tasks_on_machine: u32,
 }
 
-fn spec(ask: [u32; 3], spot: bool, machine_type: Option<usize>, zone: Option<usize>) -> JobSpec {
+/// Returns a job of one task that needs `resources` (half CPUs, GPUs and GB of memory). `None`
+/// allows any machine type or zone.
+fn job_spec(
+    resources: [u32; 3],
+    spot: bool,
+    machine_type: Option<usize>,
+    zone: Option<usize>,
+) -> JobSpec {
     JobSpec {
         id: "wk-1".into(),
         class: "c".into(),
@@ -32,13 +43,13 @@
         job_kind: JobKind::Array,
         priority: Priority::Standard,
         task_count: 1,
-        cpus: f64::from(ask[0]) / 2.0,
-        gpus: f64::from(ask[1]),
-        mem_gb: f64::from(ask[2]),
+        cpus: f64::from(resources[0]) / 2.0,
+        gpus: f64::from(resources[1]),
+        mem_gb: f64::from(resources[2]),
         image: "i".into(),
         image_gb: 1.0,
-        types: machine_type.map(|k| vec![KINDS[k].into()]),
-        zone: zone.map(|z| ZONES[z].into()),
+        types: machine_type.map(|index| vec![MACHINE_TYPES[index].into()]),
+        zone: zone.map(|index| ZONES[index].into()),
         one_zone: false,
         scatter: false,
         spot,
@@ -49,50 +60,55 @@
     }
 }
 
-/// Filter, cost, sort, first: as the paper writes it, with our two exceptions
-/// before the cost and our ties after it, on integers only.
-fn model(
-    ask: [u32; 3],
+/// Returns the id of the machine that the algorithm selects: it filters the machines, sorts
+/// them by cost and takes the first, as in the paper. The two criteria that finchwood adds
+/// come before the cost, and its tie-breakers after it. All numbers are integers.
+fn expected_machine(
+    resources: [u32; 3],
     spot: bool,
     machine_type: Option<usize>,
     zone: Option<usize>,
     latency_sensitive: bool,
-    nodes: &[Node],
+    machines: &[ModelMachine],
 ) -> Option<String> {
-    let mut list = Vec::new();
-    for n in nodes {
-        let mut lacking = n.spot && !spot;
-        lacking |=
-            machine_type.is_some_and(|k| k != n.machine_type) || zone.is_some_and(|z| z != n.zone);
-        lacking |= n.free.iter().zip(&ask).any(|(have, demand)| have < demand);
-        if lacking {
+    let mut ranked = Vec::new();
+    for machine in machines {
+        let mut unsuitable = machine.spot && !spot;
+        unsuitable |= machine_type.is_some_and(|index| index != machine.machine_type)
+            || zone.is_some_and(|index| index != machine.zone);
+        unsuitable |= machine
+            .free
+            .iter()
+            .zip(&resources)
+            .any(|(free, needed)| free < needed);
+        if unsuitable {
             continue;
         }
-        // Half CPUs count two, GPUs two as well, so that both compare whole.
-        let leftover = if ask[1] > 0 {
-            2 * (n.free[1] - ask[1])
+        // The amount that stays free, in halves of a CPU or GPU.
+        let leftover = if resources[1] > 0 {
+            2 * (machine.free[1] - resources[1])
         } else {
-            n.free[0] - ask[0]
+            machine.free[0] - resources[0]
         };
-        let cold = u32::from(!n.cached);
-        let first = if latency_sensitive { cold } else { 0 };
-        let dear = u32::from(spot && !n.spot);
-        list.push((
-            first,
-            dear,
+        let image_missing = u32::from(!machine.image_cached);
+        let delays_start = if latency_sensitive { image_missing } else { 0 };
+        let not_on_spot = u32::from(spot && !machine.spot);
+        ranked.push((
+            delays_start,
+            not_on_spot,
             leftover,
-            n.job_tasks_in_zone,
-            n.job_tasks_on_machine,
-            cold,
-            n.id.clone(),
+            machine.job_tasks_in_zone,
+            machine.job_tasks_on_machine,
+            image_missing,
+            machine.id.clone(),
         ));
     }
-    list.sort();
-    list.first().map(|x| x.6.clone())
+    ranked.sort();
+    ranked.first().map(|rank| rank.6.clone())
 }
 
 #[test]
-fn picks_what_the_plain_model_picks() {
+fn pick_selects_the_same_machine_as_the_model() {
     let config = Config {
         cases: 3000,
         failure_persistence: None,
@@ -100,7 +116,7 @@
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let node = (
+    let machine = (
         0..2usize,
         0..3usize,
         any::<bool>(),
@@ -114,64 +130,79 @@
         prop_oneof![3 => Just(0u32), 1 => 1..3u32],
         0..12u32,
     );
-    let ask = (amounts.prop_map(|(c, g, m)| [c, g, m]), any::<bool>());
+    let resources = (
+        amounts.prop_map(|(half_cpus, gpus, mem_gb)| [half_cpus, gpus, mem_gb]),
+        any::<bool>(),
+    );
     let request = (
         proptest::option::of(0..2usize),
         proptest::option::of(0..3usize),
         any::<bool>(),
     );
-    let case = (ask, request, proptest::collection::vec(node, 0..14));
+    let case = (
+        resources,
+        request,
+        proptest::collection::vec(machine, 0..14),
+    );
     let result = runner.run(
         &case,
-        |((ask, spot), (machine_type, zone, latency_sensitive), raw)| {
-            let nodes: Vec<Node> = raw
+        |((resources, spot), (machine_type, zone, latency_sensitive), generated)| {
+            let machines: Vec<ModelMachine> = generated
                 .into_iter()
                 .enumerate()
                 .map(
                     |(
-                        i,
+                        index,
                         (
                             machine_type,
                             zone,
                             spot,
                             free,
-                            cached,
+                            image_cached,
                             job_tasks_in_zone,
                             job_tasks_on_machine,
                         ),
                     )| {
-                        Node {
-                            id: format!("m-{i:03}"),
+                        ModelMachine {
+                            id: format!("m-{index:03}"),
                             machine_type,
                             zone,
                             spot,
                             free,
-                            cached,
+                            image_cached,
                             job_tasks_in_zone,
                             job_tasks_on_machine,
                         }
                     },
                 )
                 .collect();
-            let spec = spec(ask, spot, machine_type, zone);
-            let candidates = nodes.iter().map(|n| Candidate {
-                id: &n.id,
-                machine_type: KINDS[n.machine_type],
-                zone: ZONES[n.zone],
-                spot: n.spot,
+            let spec = job_spec(resources, spot, machine_type, zone);
+            let candidates = machines.iter().map(|machine| Candidate {
+                id: &machine.id,
+                machine_type: MACHINE_TYPES[machine.machine_type],
+                zone: ZONES[machine.zone],
+                spot: machine.spot,
                 free: Resources {
-                    cpus: f64::from(n.free[0]) / 2.0,
-                    gpus: f64::from(n.free[1]),
-                    mem_gb: f64::from(n.free[2]),
+                    cpus: f64::from(machine.free[0]) / 2.0,
+                    gpus: f64::from(machine.free[1]),
+                    mem_gb: f64::from(machine.free[2]),
                 },
-                image_cached: n.cached,
-                job_tasks_in_zone: n.job_tasks_in_zone,
-                job_tasks_on_machine: n.job_tasks_on_machine,
+                image_cached: machine.image_cached,
+                job_tasks_in_zone: machine.job_tasks_in_zone,
+                job_tasks_on_machine: machine.job_tasks_on_machine,
             });
-            let real = pick(&spec, latency_sensitive, candidates).map(|c| c.id.to_string());
+            let selected = pick(&spec, latency_sensitive, candidates)
+                .map(|candidate| candidate.id.to_string());
             prop_assert_eq!(
-                real,
-                model(ask, spot, machine_type, zone, latency_sensitive, &nodes)
+                selected,
+                expected_machine(
+                    resources,
+                    spot,
+                    machine_type,
+                    zone,
+                    latency_sensitive,
+                    &machines
+                )
             );
             Ok(())
         },
@@ -179,20 +210,22 @@
     assert!(result.is_ok(), "{result:?}");
 }
 
-fn view(n: &Node) -> MachineStatus {
+/// Returns the status that a shard would report of a machine. Every machine has the image `h`
+/// cached, and some also the job's image `i`.
+fn machine_status(machine: &ModelMachine) -> MachineStatus {
     MachineStatus {
-        id: n.id.as_str().into(),
-        machine_type: KINDS[n.machine_type].into(),
-        zone: ZONES[n.zone].into(),
-        spot: n.spot,
+        id: machine.id.as_str().into(),
+        machine_type: MACHINE_TYPES[machine.machine_type].into(),
+        zone: ZONES[machine.zone].into(),
+        spot: machine.spot,
         reconciled: true,
         has_reported: true,
         registered: true,
         address: None,
         free: Resources {
-            cpus: f64::from(n.free[0]) / 2.0,
-            gpus: f64::from(n.free[1]),
-            mem_gb: f64::from(n.free[2]),
+            cpus: f64::from(machine.free[0]) / 2.0,
+            gpus: f64::from(machine.free[1]),
+            mem_gb: f64::from(machine.free[2]),
         },
         preemptible: Resources::default(),
         preemptible_low: Resources::default(),
@@ -202,7 +235,7 @@
         ignores_commands: false,
         draining: false,
         tasks: 0,
-        images: if n.cached {
+        images: if machine.image_cached {
             vec!["h".into(), "i".into()]
         } else {
             vec!["h".into()]
@@ -210,11 +243,11 @@
     }
 }
 
-/// The leader deals from an index in which room shrinks as it goes: over a
-/// whole round on hundreds of machines it chooses, job after job, what the
-/// plain model does, and gives up on no job that would fit.
+/// The leader assigns tasks from an index of free capacity, which shrinks during a round. Over
+/// a whole round on hundreds of machines, the index must select the same machine as the model
+/// for every job, and must reject no job that would fit.
 #[test]
-fn a_round_on_hundreds_of_machines_deals_what_the_plain_model_deals() {
+fn a_round_on_hundreds_of_machines_assigns_tasks_as_the_model_does() {
     let config = Config {
         cases: 60,
         failure_persistence: None,
@@ -222,14 +255,14 @@
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let node = (
+    let machine = (
         0..2usize,
         0..3usize,
         any::<bool>(),
         [0..20u32, 0..4u32, 0..24u32],
         any::<bool>(),
     );
-    let ask = (
+    let resources = (
         0..10u32,
         prop_oneof![3 => Just(0u32), 1 => 1..3u32],
         0..12u32,
@@ -241,35 +274,41 @@
         any::<bool>(),
     );
     let case = (
-        proptest::collection::vec(node, 200..400),
-        proptest::collection::vec((ask.prop_map(|(c, g, m)| [c, g, m]), request), 150..200),
+        proptest::collection::vec(machine, 200..400),
+        proptest::collection::vec(
+            (
+                resources.prop_map(|(half_cpus, gpus, mem_gb)| [half_cpus, gpus, mem_gb]),
+                request,
+            ),
+            150..200,
+        ),
     );
-    let result = runner.run(&case, |(raw, jobs)| {
-        let mut nodes: Vec<Node> = raw
+    let result = runner.run(&case, |(generated, jobs)| {
+        let mut machines: Vec<ModelMachine> = generated
             .into_iter()
             .enumerate()
-            .map(|(i, (machine_type, zone, spot, free, cached))| {
-                let id = format!("m-{i:03}");
-                Node {
+            .map(|(index, (machine_type, zone, spot, free, image_cached))| {
+                let id = format!("m-{index:03}");
+                ModelMachine {
                     id,
                     machine_type,
                     zone,
                     spot,
                     free,
-                    cached,
+                    image_cached,
                     job_tasks_in_zone: 0,
                     job_tasks_on_machine: 0,
                 }
             })
             .collect();
         let mut names = NameInterner::default();
-        let slots = nodes
+        let slots = machines
             .iter()
-            .map(|n| MachineSlot::new(&view(n), 0, &mut names))
+            .map(|machine| MachineSlot::new(&machine_status(machine), 0, &mut names))
             .collect();
         let mut capacity = FreeCapacity::new(slots, 0.0);
-        for (ask, (spot, machine_type, zone, latency_sensitive)) in jobs {
-            let spec = spec(ask, spot, machine_type, zone);
+        for (resources, (spot, machine_type, zone, latency_sensitive)) in jobs {
+            let spec = job_spec(resources, spot, machine_type, zone);
             let request = PlacementRequest::new(
                 &spec,
                 &names,
@@ -277,21 +316,31 @@
                 latency_sensitive,
                 PreemptionScope::Nothing,
             );
-            let expected = model(ask, spot, machine_type, zone, latency_sensitive, &nodes);
+            let expected = expected_machine(
+                resources,
+                spot,
+                machine_type,
+                zone,
+                latency_sensitive,
+                &machines,
+            );
             if capacity.known_not_to_fit(&request) {
                 prop_assert_eq!(None, expected);
                 continue;
             }
-            let real = capacity.best_slot(&request, None, None);
-            prop_assert_eq!(real.map(|s| capacity.slots[s].id.to_string()), expected);
-            match real {
+            let selected = capacity.best_slot(&request, None, None);
+            prop_assert_eq!(
+                selected.map(|slot| capacity.slots[slot].id.to_string()),
+                expected
+            );
+            match selected {
                 Some(slot) => {
                     capacity.allocate(slot, &request.task_resources);
-                    nodes[slot]
+                    machines[slot]
                         .free
                         .iter_mut()
-                        .zip(ask)
-                        .for_each(|(have, took)| *have -= took);
+                        .zip(resources)
+                        .for_each(|(free, allocated)| *free -= allocated);
                 }
                 None => capacity.record_no_fit(&request),
             }
@@ -301,10 +350,11 @@
     assert!(result.is_ok(), "{result:?}");
 }
 
-/// What a zone is counted to have room for, one look at each machine, is what can
-/// be placed there task by task; of a gang that waits it then keeps as much.
+/// The number of tasks that fit in a zone, counted with one look at each machine, must equal
+/// the number that can be placed there task by task. After capacity for half of them is
+/// allocated at once, as for a gang that waits, the rest must still fit.
 #[test]
-fn a_zone_is_counted_to_have_room_for_what_can_be_placed_there() {
+fn the_count_of_tasks_that_fit_in_a_zone_equals_what_can_be_placed_there() {
     let config = Config {
         cases: 60,
         failure_persistence: None,
@@ -312,109 +362,116 @@
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let node = (
+    let machine = (
         0..2usize,
         0..3usize,
         any::<bool>(),
         [0..40u32, 0..4u32, 0..48u32],
         any::<bool>(),
     );
-    let ask = (
+    let resources = (
         1..10u32,
         prop_oneof![3 => Just(0u32), 1 => 1..3u32],
         0..12u32,
     );
     let case = (
-        proptest::collection::vec(node, 1..80),
-        ask,
+        proptest::collection::vec(machine, 1..80),
+        resources,
         any::<bool>(),
         proptest::option::of(0..2usize),
     );
-    let result = runner.run(&case, |(raw, (cpus, gpus, mem), spot, machine_type)| {
-        let mut names = NameInterner::default();
-        let nodes =
-            raw.into_iter()
-                .enumerate()
-                .map(|(i, (machine_type, zone, spot, free, cached))| {
-                    let id = format!("m-{i:03}");
-                    Node {
+    let result = runner.run(
+        &case,
+        |(generated, (half_cpus, gpus, mem_gb), spot, machine_type)| {
+            let mut names = NameInterner::default();
+            let machines = generated.into_iter().enumerate().map(
+                |(index, (machine_type, zone, spot, free, image_cached))| {
+                    let id = format!("m-{index:03}");
+                    ModelMachine {
                         id,
                         machine_type,
                         zone,
                         spot,
                         free,
-                        cached,
+                        image_cached,
                         job_tasks_in_zone: 0,
                         job_tasks_on_machine: 0,
                     }
-                });
-        let slots = nodes
-            .map(|n| MachineSlot::new(&view(&n), 0, &mut names))
-            .collect();
-        let mut capacity = FreeCapacity::new(slots, 0.0);
-        let spec = spec([cpus, gpus, mem], spot, machine_type, None);
-        let request =
-            PlacementRequest::new(&spec, &names, Vec::new(), true, PreemptionScope::Nothing);
-        let counts = capacity.count_by_zone(&request);
-        for zone in ZONES.iter().filter_map(|z| names.lookup(z)) {
-            let counted = counts.get(&zone).copied().unwrap_or_default();
-            let placed = capacity.try_place(
-                &request,
-                10_000,
-                None,
-                &[ZoneAllowance::unlimited(zone)],
-                false,
-            );
-            prop_assert_eq!(counted.tasks as usize, placed.len());
-            prop_assert_eq!(
-                counted.with_image as usize,
-                capacity.count_with_cached_image(&request, &placed)
+                },
             );
-            let keep = counted.tasks / 2;
-            capacity.allocate_in_zones(&request, &[ZoneAllowance::unlimited(zone)], keep);
-            let left = capacity
-                .count_by_zone(&request)
-                .get(&zone)
-                .copied()
-                .unwrap_or_default();
-            prop_assert_eq!(left.tasks, counted.tasks - keep);
-        }
-        Ok(())
-    });
+            let slots = machines
+                .map(|machine| MachineSlot::new(&machine_status(&machine), 0, &mut names))
+                .collect();
+            let mut capacity = FreeCapacity::new(slots, 0.0);
+            let spec = job_spec([half_cpus, gpus, mem_gb], spot, machine_type, None);
+            let request =
+                PlacementRequest::new(&spec, &names, Vec::new(), true, PreemptionScope::Nothing);
+            let counts = capacity.count_by_zone(&request);
+            for zone in ZONES.iter().filter_map(|zone| names.lookup(zone)) {
+                let counted = counts.get(&zone).copied().unwrap_or_default();
+                let placed = capacity.try_place(
+                    &request,
+                    10_000,
+                    None,
+                    &[ZoneAllowance::unlimited(zone)],
+                    false,
+                );
+                prop_assert_eq!(counted.tasks as usize, placed.len());
+                prop_assert_eq!(
+                    counted.with_image as usize,
+                    capacity.count_with_cached_image(&request, &placed)
+                );
+                let allocated = counted.tasks / 2;
+                capacity.allocate_in_zones(&request, &[ZoneAllowance::unlimited(zone)], allocated);
+                let remaining = capacity
+                    .count_by_zone(&request)
+                    .get(&zone)
+                    .copied()
+                    .unwrap_or_default();
+                prop_assert_eq!(remaining.tasks, counted.tasks - allocated);
+            }
+            Ok(())
+        },
+    );
     assert!(result.is_ok(), "{result:?}");
 }
 
-/// Arrays once filled the last room of ordinary machines, and nearly every new
-/// replica stopped one of their tasks: all late jobs had lost one so.
+/// Guards against array tasks that fill the last free capacity of on-demand machines. Nearly
+/// every new replica of a service then preempted one of them, and all jobs that ended late
+/// had lost a task in this way.
 #[test]
-fn lower_work_leaves_the_room_that_is_kept_for_services() {
-    let node = |i: usize, spot: bool| Node {
-        id: format!("m-{i}"),
+fn array_tasks_leave_the_capacity_reserved_for_services_free() {
+    let machine = |index: usize, spot: bool| ModelMachine {
+        id: format!("m-{index}"),
         machine_type: 0,
         zone: 0,
         spot,
         free: [8, 0, 8],
-        cached: false,
+        image_cached: false,
         job_tasks_in_zone: 0,
         job_tasks_on_machine: 0,
     };
-    let nodes = [node(0, false), node(1, false), node(2, true)];
+    let machines = [machine(0, false), machine(1, false), machine(2, true)];
     let mut names = NameInterner::default();
-    let slots = nodes
+    let slots = machines
         .iter()
-        .map(|n| MachineSlot::new(&view(n), 0, &mut names))
+        .map(|machine| MachineSlot::new(&machine_status(machine), 0, &mut names))
         .collect();
     let mut capacity = FreeCapacity::new(slots, 4.0);
-    let array = spec([2, 0, 1], true, None, None);
+    let array = job_spec([2, 0, 1], true, None, None);
     let request =
         PlacementRequest::new(&array, &names, Vec::new(), false, PreemptionScope::Nothing);
-    let mut taken = Vec::new();
+    let mut on_spot_machine = Vec::new();
     while let Some(slot) = capacity.best_slot(&request, None, None) {
         capacity.allocate(slot, &request.task_resources);
-        taken.push(capacity.slots[slot].spot);
+        on_spot_machine.push(capacity.slots[slot].spot);
     }
-    // All four on the spot machine, then four of eight on ordinary ones.
-    assert_eq!(taken, [true, true, true, true, false, false, false, false]);
+    // The spot machine has the CPUs for four tasks. The on-demand machines have them for eight,
+    // of which half are reserved.
+    assert_eq!(
+        on_spot_machine,
+        [true, true, true, true, false, false, false, false]
+    );
     let service = PlacementRequest::new(
         &array,
         &names,
--- a/tests/reachability.rs
+++ b/tests/reachability.rs
@@ -1,9 +1,9 @@
-//! Workers that are partitioned from their owner.
+//! The redirection of workers that are partitioned from their owner.
 
 use finchwood::cluster::reachability::*;
 
-/// A restart of all controllers within a network partition: told to go to owners they could not
-/// reach, workers spent their lease on the way.
+/// Guards against workers whose lease expires while they are redirected to an owner that they
+/// cannot reach. This happened when all controllers restarted during a network partition.
 #[test]
 fn workers_partitioned_from_their_owner_report_through_another_controller() {
     let others = [("b", "west"), ("c", "north"), ("d", "west")];
@@ -11,40 +11,43 @@
         name: name.into(),
         zone: zone.into(),
     });
-    let mut ways = Reachability::new("east", peers.to_vec(), 8.0);
-    assert!(!ways.is_partitioned("east", "b", 1.0), "nothing is known");
-    ways.record_direct_contact("b", false);
-    ways.record_direct_contact("d", false);
+    let mut reachability = Reachability::new("east", peers.to_vec(), 8.0);
     assert!(
-        ways.is_partitioned("east", "b", 1.0)
-            && !ways.is_partitioned("west", "b", 1.0)
-            && !ways.is_partitioned("north", "b", 1.0)
+        !reachability.is_partitioned("east", "b", 1.0),
+        "no contact has been recorded"
+    );
+    reachability.record_direct_contact("b", false);
+    reachability.record_direct_contact("d", false);
+    assert!(
+        reachability.is_partitioned("east", "b", 1.0)
+            && !reachability.is_partitioned("west", "b", 1.0)
+            && !reachability.is_partitioned("north", "b", 1.0)
     );
     assert_eq!(
-        ways.alternate_controller("b", 1.0),
+        reachability.alternate_controller("b", 1.0),
         None,
-        "nobody has said that it reaches the owner"
+        "no peer has reported that it reaches the owner"
     );
-    ways.record_unreachable_peers("c", vec!["x".into()], 1.0);
-    ways.record_unreachable_peers("d", vec!["a".into(), "c".into()], 1.0);
-    assert_eq!(ways.alternate_controller("b", 2.0), Some("c"));
+    reachability.record_unreachable_peers("c", vec!["x".into()], 1.0);
+    reachability.record_unreachable_peers("d", vec!["a".into(), "c".into()], 1.0);
+    assert_eq!(reachability.alternate_controller("b", 2.0), Some("c"));
     assert_eq!(
-        ways.alternate_controller("c", 2.0),
+        reachability.alternate_controller("c", 2.0),
         None,
-        "this one reaches it and passes the report on"
+        "this controller reaches the owner itself and relays the heartbeat"
     );
     assert!(
-        ways.is_partitioned("west", "c", 2.0),
-        "told by a controller there"
+        reachability.is_partitioned("west", "c", 2.0),
+        "a controller in the zone has reported that it cannot reach the owner"
     );
     assert_eq!(
         (
-            ways.alternate_controller("b", 10.0),
-            ways.is_partitioned("west", "c", 10.0)
+            reachability.alternate_controller("b", 10.0),
+            reachability.is_partitioned("west", "c", 10.0)
         ),
         (None, false),
-        "long ago"
+        "the reports have expired"
     );
-    ways.record_direct_contact("b", true);
-    assert!(!ways.is_partitioned("east", "b", 2.0));
+    reachability.record_direct_contact("b", true);
+    assert!(!reachability.is_partitioned("east", "b", 2.0));
 }
