--- a/tests/control_plane/cold_restart.rs
+++ b/tests/control_plane/cold_restart.rs
@@ -1,6 +1,6 @@
-//! A new owner and a new leader, which know nothing, meet machines that were used
-//! before: one small case for each way in which stored records and reports can
-//! disagree. The real leader and shard, driven directly.
+//! Tests of a cold restart, on the real leader and shard driven directly. A new owner and a
+//! new leader, which have no state, take over machines that have been in use: one small case
+//! for each way in which stored records and heartbeats can disagree.
 
 use crate::builders::*;
 use finchwood::cluster::membership::{token, token_epoch};
@@ -19,44 +19,44 @@
 const RUNNING: TaskState = TaskState::Running;
 const ENDED: TaskState = TaskState::Ended;
 /// An attempt of the epoch before the crash.
-const BEFORE: u64 = (EPOCH - 1) << 24 | 5;
+const OLD_ATTEMPT: u64 = (EPOCH - 1) << 24 | 5;
 
-/// A shard and a leader that have just come back, and know nothing.
-fn restarted(cache: &StoreCache) -> (Leader, Shard) {
+/// Returns a leader and a shard that have just restarted and have no state.
+fn restarted_leader_and_shard(cache: &StoreCache) -> (Leader, Shard) {
     let mut shard = Shard::new("a", TIMING, Default::default());
     shard.set_restart_record_limit(100);
     shard.start_epoch(EPOCH, 7, cache, 0.0, |_| true);
     (new_leader(cache), shard)
 }
 
-/// A machine shows `tasks` under an old token, is asked, and shows them again under
-/// its owner's. Returns what it is then told.
-fn shows(
+/// Sends two heartbeats of a machine with `tasks`, the first under an old token and the second
+/// under the token that the new owner replied with. Returns the commands in the second reply.
+fn report_until_reconciled(
     shard: &mut Shard,
     cache: &StoreCache,
     machine: usize,
     tasks: &[ReportedTask],
     now: f64,
 ) -> Vec<Command> {
-    let old = token(EPOCH - 1, 3);
-    let (asked, calls) = accepted(shard.apply_heartbeat(
-        &heartbeat_from(machine, 1, 5, old, tasks),
+    let old_token = token(EPOCH - 1, 3);
+    let (new_token, commands) = accepted(shard.apply_heartbeat(
+        &heartbeat_from(machine, 1, 5, old_token, tasks),
         false,
         cache,
         now,
     ));
     assert!(
-        token_epoch(asked) == EPOCH,
-        "it is told the new owner's token"
+        token_epoch(new_token) == EPOCH,
+        "the reply should have a token of the new owner"
     );
     assert!(
-        !calls
+        !commands
             .iter()
             .any(|command| matches!(command, Command::Start { .. })),
-        "nothing starts on an old word"
+        "no task may start on an unreconciled machine"
     );
     accepted(shard.apply_heartbeat(
-        &heartbeat_from(machine, 1, 6, asked, tasks),
+        &heartbeat_from(machine, 1, 6, new_token, tasks),
         false,
         cache,
         now + 0.1,
@@ -64,8 +64,8 @@
     .1
 }
 
-/// What the leader has assigned anew after a round.
-fn assigned(
+/// Runs a round of the leader, and returns the tasks for which it has new orders.
+fn newly_assigned_tasks(
     leader: &mut Leader,
     shard: &mut Shard,
     cache: &StoreCache,
@@ -87,7 +87,7 @@
         .collect()
 }
 
-fn verdicts(shard: &mut Shard) -> Vec<(String, Verdict)> {
+fn recorded_verdicts(shard: &mut Shard) -> Vec<(String, Verdict)> {
     shard
         .restart_record(1.0)
         .entries
@@ -101,34 +101,40 @@
 }
 
 #[test]
-fn what_runs_is_trusted_and_nothing_is_ordered() {
+fn running_tasks_are_adopted_without_any_command() {
     let (service, batch) = (
         job_spec("wk-1", 2, |fields| fields["shape"] = json!("standing")),
         job("wk-2", 2),
     );
     let cache = store_cache(2, &[&service, &batch]);
-    let (mut leader, mut shard) = restarted(&cache);
+    let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
     assert!(
-        assigned(&mut leader, &mut shard, &cache, 0.0).is_empty(),
-        "all may run somewhere"
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.0).is_empty(),
+        "all tasks may run on some machine"
     );
     let first = [
-        ("wk-1/0", BEFORE, RUNNING, None),
-        ("wk-2/0", BEFORE, RUNNING, None),
+        ("wk-1/0", OLD_ATTEMPT, RUNNING, None),
+        ("wk-2/0", OLD_ATTEMPT, RUNNING, None),
     ];
-    assert_eq!(shows(&mut shard, &cache, 1, &first, 0.1), []);
+    assert_eq!(
+        report_until_reconciled(&mut shard, &cache, 1, &first, 0.1),
+        []
+    );
     assert!(
-        assigned(&mut leader, &mut shard, &cache, 0.3).is_empty(),
-        "the rest may run on the other machine"
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.3).is_empty(),
+        "the other tasks may run on the other machine"
     );
     let second = [
-        ("wk-1/1", BEFORE, RUNNING, None),
-        ("wk-2/1", BEFORE, TaskState::Fetching, None),
+        ("wk-1/1", OLD_ATTEMPT, RUNNING, None),
+        ("wk-2/1", OLD_ATTEMPT, TaskState::Fetching, None),
     ];
-    assert_eq!(shows(&mut shard, &cache, 2, &second, 0.4), []);
+    assert_eq!(
+        report_until_reconciled(&mut shard, &cache, 2, &second, 0.4),
+        []
+    );
     assert!(
-        assigned(&mut leader, &mut shard, &cache, 0.6).is_empty(),
-        "all was found"
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.6).is_empty(),
+        "all tasks were found"
     );
     assert!(leader.is_reconciled());
     let record = shard.restart_record(1.0);
@@ -152,153 +158,162 @@
 }
 
 #[test]
-fn what_is_over_by_the_record_is_stopped_and_only_that() {
+fn only_tasks_that_are_over_by_the_stored_records_are_stopped() {
     let (half_finished, cancelled, done) = (job("wk-1", 2), job("wk-2", 1), job("wk-3", 1));
     let mut cache = store_cache(1, &[&half_finished, &cancelled, &done]);
     cache.put("fw/f/wk-1/0", json!("1"), 200);
     cache.put("fw/j/wk-2", job_record(&cancelled, true), 201);
-    let over = json!({"e": 1, "t": 0, "n": 1, "d": true});
-    cache.put("fw/j/wk-3", over, 202);
-    let (_, mut shard) = restarted(&cache);
-    let lines = ["wk-1/0", "wk-1/1", "wk-2/0", "wk-3/0"].map(|task| (task, BEFORE, RUNNING, None));
-    let calls = shows(&mut shard, &cache, 1, &lines, 0.1);
+    let done_record = json!({"e": 1, "t": 0, "n": 1, "d": true});
+    cache.put("fw/j/wk-3", done_record, 202);
+    let (_, mut shard) = restarted_leader_and_shard(&cache);
+    let tasks =
+        ["wk-1/0", "wk-1/1", "wk-2/0", "wk-3/0"].map(|task| (task, OLD_ATTEMPT, RUNNING, None));
+    let commands = report_until_reconciled(&mut shard, &cache, 1, &tasks, 0.1);
     let stop = |task: &str| Command::Stop {
         task: task.into(),
-        attempt: BEFORE,
+        attempt: OLD_ATTEMPT,
         grace_s: 0.0,
     };
-    assert_eq!(calls, [stop("wk-1/0"), stop("wk-2/0"), stop("wk-3/0")]);
-    let because = [
+    assert_eq!(commands, [stop("wk-1/0"), stop("wk-2/0"), stop("wk-3/0")]);
+    let reasons = [
         StopReason::TaskFinished,
         StopReason::JobCancelled,
         StopReason::JobDone,
     ];
-    let stopped: Vec<Verdict> = verdicts(&mut shard)
+    let stopped: Vec<Verdict> = recorded_verdicts(&mut shard)
         .into_iter()
         .map(|(_, verdict)| verdict)
         .filter(|verdict| matches!(verdict, Verdict::Stop(_)))
         .collect();
-    assert_eq!(stopped, because.map(Verdict::Stop));
+    assert_eq!(stopped, reasons.map(Verdict::Stop));
 }
 
 #[test]
-fn an_end_on_its_way_is_committed_before_its_worker_may_forget_it() {
+fn a_result_is_committed_before_its_worker_may_forget_it() {
     let spec = job("wk-1", 2);
     let mut cache = store_cache(1, &[&spec]);
-    let (mut leader, mut shard) = restarted(&cache);
-    let done = [
-        ("wk-1/0", BEFORE, ENDED, Some("done")),
-        ("wk-1/1", BEFORE, ENDED, Some("error")),
+    let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
+    let ended = [
+        ("wk-1/0", OLD_ATTEMPT, ENDED, Some("done")),
+        ("wk-1/1", OLD_ATTEMPT, ENDED, Some("error")),
     ];
-    let calls = shows(&mut shard, &cache, 1, &done, 0.1);
+    let commands = report_until_reconciled(&mut shard, &cache, 1, &ended, 0.1);
     assert_eq!(
-        calls,
+        commands,
         [Command::Forget {
             task: "wk-1/1".into(),
-            attempt: BEFORE
+            attempt: OLD_ATTEMPT
         }],
-        "only what leaves no result"
+        "the worker may forget only the task without a result"
     );
     assert_eq!(
-        assigned(&mut leader, &mut shard, &cache, 0.3),
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.3),
         [("wk-1".into(), 1)]
     );
-    let finishes = leader.completions_to_commit(1.0, 9, &cache);
+    let commits = leader.completions_to_commit(1.0, 9, &cache);
     assert_eq!(
-        finishes
+        commits
             .iter()
-            .map(|finish| finish.tasks.clone())
+            .map(|commit| commit.tasks.clone())
             .collect::<Vec<_>>(),
         [vec![0]]
     );
     cache.put("fw/f/wk-1/0", json!("1"), 300);
     shard.job_changed(&"wk-1".into(), &cache);
-    let again = heartbeat_from(1, 1, 9, token(EPOCH, 1 << 10), &done);
-    let (_, calls) = accepted(shard.apply_heartbeat(&again, false, &cache, 1.0));
-    assert!(calls.contains(&Command::Forget {
+    let heartbeat = heartbeat_from(1, 1, 9, token(EPOCH, 1 << 10), &ended);
+    let (_, commands) = accepted(shard.apply_heartbeat(&heartbeat, false, &cache, 1.0));
+    assert!(commands.contains(&Command::Forget {
         task: "wk-1/0".into(),
-        attempt: BEFORE
+        attempt: OLD_ATTEMPT
     }));
 }
 
 #[test]
-fn a_worker_silent_for_minutes_is_waited_for_until_its_lease_and_is_empty_when_back() {
+fn a_silent_worker_blocks_its_task_until_its_lease_expires_and_returns_empty() {
     let spec = job("wk-1", 1);
     let cache = store_cache(2, &[&spec]);
-    let (mut leader, mut shard) = restarted(&cache);
-    shows(&mut shard, &cache, 1, &[], 0.1);
-    // It has spoken once, but never under the new owner's token.
-    let spoke = heartbeat_from(
+    let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
+    report_until_reconciled(&mut shard, &cache, 1, &[], 0.1);
+    // The other worker has sent one heartbeat, but never one under the new owner's token.
+    let heartbeat = heartbeat_from(
         2,
         1,
         5,
         token(EPOCH - 1, 3),
-        &[("wk-1/0", BEFORE, RUNNING, None)],
+        &[("wk-1/0", OLD_ATTEMPT, RUNNING, None)],
     );
-    accepted(shard.apply_heartbeat(&spoke, false, &cache, 0.2));
+    accepted(shard.apply_heartbeat(&heartbeat, false, &cache, 0.2));
     for now in [9.0, 18.0, 27.0] {
-        shows_again(&mut shard, &cache, 1, now);
+        report_empty(&mut shard, &cache, 1, now);
     }
     shard.expire_leases(27.0);
     assert!(
-        assigned(&mut leader, &mut shard, &cache, 27.0).is_empty(),
-        "it may run on the silent one"
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 27.0).is_empty(),
+        "the task may run on the silent machine"
     );
-    // Whoever was left out alive may have answered it until its own lease was over.
+    // A controller that is alive but left out of the epoch may have replied to the worker until
+    // its own member lease expired.
     shard.expire_leases(29.0);
-    shows_again(&mut shard, &cache, 1, 29.1);
+    report_empty(&mut shard, &cache, 1, 29.1);
     assert_eq!(
-        assigned(&mut leader, &mut shard, &cache, 29.2),
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 29.2),
         [("wk-1".into(), 0)]
     );
-    let late = heartbeat_from(
+    let late_heartbeat = heartbeat_from(
         2,
         1,
         90,
         token(EPOCH - 1, 3),
-        &[("wk-1/0", BEFORE, RUNNING, None)],
+        &[("wk-1/0", OLD_ATTEMPT, RUNNING, None)],
     );
     assert_eq!(
-        shard.apply_heartbeat(&late, false, &cache, 29.3),
+        shard.apply_heartbeat(&late_heartbeat, false, &cache, 29.3),
         HeartbeatReply::Refused,
-        "its session is over"
+        "the session has expired"
     );
     let (new_token, _) =
         accepted(shard.apply_heartbeat(&heartbeat_from(2, 2, 1, 0, &[]), false, &cache, 29.4));
-    let (_, calls) = accepted(shard.apply_heartbeat(
+    let (_, commands) = accepted(shard.apply_heartbeat(
         &heartbeat_from(2, 2, 2, new_token, &[]),
         false,
         &cache,
         29.5,
     ));
-    assert_eq!(calls, []);
+    assert_eq!(commands, []);
 }
 
 #[test]
-fn a_machine_past_its_lease_that_speaks_again_is_asked_before_it_is_believed() {
+fn a_machine_with_an_expired_lease_is_probed_before_its_heartbeats_count() {
     let spec = job("wk-1", 1);
     let cache = store_cache(1, &[&spec]);
-    let (mut leader, mut shard) = restarted(&cache);
+    let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
     shard.expire_leases(29.0);
-    // A copy from before the crash, of a session that nobody here has seen.
+    // A copy of a heartbeat from before the crash, of a session that this owner has not seen.
     let copy = heartbeat_from(
         1,
         1,
         5,
         token(EPOCH - 1, 3),
-        &[("wk-1/0", BEFORE, RUNNING, None)],
+        &[("wk-1/0", OLD_ATTEMPT, RUNNING, None)],
+    );
+    let (_, commands) = accepted(shard.apply_heartbeat(&copy, false, &cache, 29.1));
+    assert_eq!(
+        (commands, recorded_verdicts(&mut shard)),
+        (Vec::new(), Vec::new())
     );
-    let (_, calls) = accepted(shard.apply_heartbeat(&copy, false, &cache, 29.1));
-    assert_eq!((calls, verdicts(&mut shard)), (Vec::new(), Vec::new()));
     assert!(
-        assigned(&mut leader, &mut shard, &cache, 29.2).is_empty(),
-        "unreconciled until it answers"
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 29.2).is_empty(),
+        "the machine is unreconciled until it responds"
+    );
+    assert_eq!(
+        shard.due_commands(&cache, 29.3).len(),
+        1,
+        "the machine should be probed"
     );
-    assert_eq!(shard.due_commands(&cache, 29.3).len(), 1, "it is asked");
 }
 
-/// An empty machine reports, and shows the token that it was told.
-fn shows_again(shard: &mut Shard, cache: &StoreCache, machine: usize, now: f64) {
+/// Sends a heartbeat of an empty machine, with a token that its new owner has given it.
+fn report_empty(shard: &mut Shard, cache: &StoreCache, machine: usize, now: f64) {
     let known_token = token(EPOCH, (1 << 10) + 2 * now as u64);
     accepted(shard.apply_heartbeat(
         &heartbeat_from(machine, 1, 10 + now as u64, known_token, &[]),
@@ -309,44 +324,44 @@
 }
 
 #[test]
-fn a_machine_that_never_reports_holds_up_only_what_may_be_on_it() {
-    let here = job_spec("wk-1", 1, |fields| fields["grove"] = json!("e"));
-    let there = job_spec("wk-2", 1, |fields| fields["grove"] = json!("w"));
-    let cache = store_cache(2, &[&here, &there]);
-    let (mut leader, mut shard) = restarted(&cache);
-    shows(&mut shard, &cache, 1, &[], 0.1);
+fn a_machine_that_never_reports_delays_only_tasks_that_may_be_on_it() {
+    let job_in_e = job_spec("wk-1", 1, |fields| fields["grove"] = json!("e"));
+    let job_in_w = job_spec("wk-2", 1, |fields| fields["grove"] = json!("w"));
+    let cache = store_cache(2, &[&job_in_e, &job_in_w]);
+    let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
+    report_until_reconciled(&mut shard, &cache, 1, &[], 0.1);
     assert_eq!(
-        assigned(&mut leader, &mut shard, &cache, 0.3),
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.3),
         [("wk-1".into(), 0)],
-        "m-2 is in zone w"
+        "the silent machine m-2 is in zone w"
     );
 }
 
 #[test]
-fn an_old_report_adopts_nothing_and_proves_nothing() {
+fn an_old_heartbeat_adopts_nothing_and_proves_nothing() {
     let spec = job("wk-1", 1);
     let cache = store_cache(1, &[&spec]);
-    let (mut leader, mut shard) = restarted(&cache);
-    // Held back since before the crash; its machine has begun a new session since.
-    let old = heartbeat_from(
+    let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
+    // The heartbeat is from before the crash; its machine has started a new session since.
+    let old_heartbeat = heartbeat_from(
         1,
         1,
         5,
         token(EPOCH - 1, 3),
-        &[("wk-1/0", BEFORE, RUNNING, None)],
+        &[("wk-1/0", OLD_ATTEMPT, RUNNING, None)],
     );
-    accepted(shard.apply_heartbeat(&old, false, &cache, 0.1));
-    assert!(verdicts(&mut shard).is_empty());
-    assert!(assigned(&mut leader, &mut shard, &cache, 0.2).is_empty());
+    accepted(shard.apply_heartbeat(&old_heartbeat, false, &cache, 0.1));
+    assert!(recorded_verdicts(&mut shard).is_empty());
+    assert!(newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.2).is_empty());
     let (new_token, _) =
         accepted(shard.apply_heartbeat(&heartbeat_from(1, 2, 1, 0, &[]), false, &cache, 0.3));
     assert!(
-        assigned(&mut leader, &mut shard, &cache, 0.4).is_empty(),
-        "a start under way could still arrive"
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.4).is_empty(),
+        "a start that is in flight could still arrive"
     );
     accepted(shard.apply_heartbeat(&heartbeat_from(1, 2, 2, new_token, &[]), false, &cache, 0.5));
     assert_eq!(
-        assigned(&mut leader, &mut shard, &cache, 0.6),
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.6),
         [("wk-1".into(), 0)]
     );
 }
@@ -355,72 +370,72 @@
 fn a_task_on_two_machines_is_a_conflict_and_the_second_is_stopped() {
     let spec = job("wk-1", 1);
     let cache = store_cache(2, &[&spec]);
-    let (mut leader, mut shard) = restarted(&cache);
+    let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
     assert_eq!(
-        shows(
+        report_until_reconciled(
             &mut shard,
             &cache,
             1,
-            &[("wk-1/0", BEFORE, RUNNING, None)],
+            &[("wk-1/0", OLD_ATTEMPT, RUNNING, None)],
             0.1
         ),
         []
     );
-    let calls = shows(
+    let commands = report_until_reconciled(
         &mut shard,
         &cache,
         2,
-        &[("wk-1/0", BEFORE + 1, RUNNING, None)],
+        &[("wk-1/0", OLD_ATTEMPT + 1, RUNNING, None)],
         0.3,
     );
     assert_eq!(
-        calls,
+        commands,
         [Command::Stop {
             task: "wk-1/0".into(),
-            attempt: BEFORE + 1,
+            attempt: OLD_ATTEMPT + 1,
             grace_s: 0.0
         }]
     );
-    assert!(verdicts(&mut shard).contains(&(
+    assert!(recorded_verdicts(&mut shard).contains(&(
         "wk-1/0".into(),
         Verdict::Conflict(ConflictReason::RunsTwice)
     )));
-    assert!(assigned(&mut leader, &mut shard, &cache, 0.5).is_empty());
+    assert!(newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.5).is_empty());
 }
 
 #[test]
-fn an_absurd_attempt_runs_on_and_blocks_no_later_start() {
+fn an_attempt_of_a_far_later_epoch_runs_on_and_blocks_no_later_start() {
     let spec = job("wk-1", 1);
     let cache = store_cache(2, &[&spec]);
-    let (mut leader, mut shard) = restarted(&cache);
-    shows(&mut shard, &cache, 2, &[], 0.1);
-    let absurd = attempt(EPOCH + 1_000_000, 1);
+    let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
+    report_until_reconciled(&mut shard, &cache, 2, &[], 0.1);
+    let later_attempt = attempt(EPOCH + 1_000_000, 1);
     assert_eq!(
-        shows(
+        report_until_reconciled(
             &mut shard,
             &cache,
             1,
-            &[("wk-1/0", absurd, RUNNING, None)],
+            &[("wk-1/0", later_attempt, RUNNING, None)],
             0.1
         ),
         []
     );
     assert_eq!(
-        verdicts(&mut shard)[0].1,
+        recorded_verdicts(&mut shard)[0].1,
         Verdict::Adopt(AdoptReason::AttemptOfLaterEpoch)
     );
-    assert!(assigned(&mut leader, &mut shard, &cache, 0.3).is_empty());
-    // It is lost; the next attempt is lower, and is taken all the same.
-    let gone = heartbeat_from(
+    assert!(newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.3).is_empty());
+    // The task fails. The next attempt has a lower number, and is accepted all the same.
+    let heartbeat = heartbeat_from(
         1,
         1,
         9,
         token(EPOCH, 1 << 10),
-        &[("wk-1/0", absurd, ENDED, Some("error"))],
+        &[("wk-1/0", later_attempt, ENDED, Some("error"))],
     );
-    accepted(shard.apply_heartbeat(&gone, false, &cache, 1.0));
+    accepted(shard.apply_heartbeat(&heartbeat, false, &cache, 1.0));
     assert_eq!(
-        assigned(&mut leader, &mut shard, &cache, 1.1),
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 1.1),
         [("wk-1".into(), 0)]
     );
     let orders = leader.orders("a").expect("orders");
@@ -428,43 +443,47 @@
     assert_eq!(
         shard.next_report(&cache, 1.3).assigned.len(),
         1,
-        "it is held again"
+        "the task should be assigned to the shard again"
     );
 }
 
 #[test]
-fn tasks_that_nobody_knows_are_left_alone_and_count_for_nothing() {
+fn unknown_tasks_are_left_unreconciled_and_count_for_nothing() {
     let spec = job("wk-1", 2);
     let cache = store_cache(1, &[&spec]);
-    let (mut leader, mut shard) = restarted(&cache);
-    let lines = [
-        ("wk-1/0", BEFORE, ENDED, Some("done")),
-        ("wk-1/7", BEFORE, ENDED, Some("done")),
-        ("wk-9/0", BEFORE, RUNNING, None),
+    let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
+    let tasks = [
+        ("wk-1/0", OLD_ATTEMPT, ENDED, Some("done")),
+        ("wk-1/7", OLD_ATTEMPT, ENDED, Some("done")),
+        ("wk-9/0", OLD_ATTEMPT, RUNNING, None),
     ];
-    assert_eq!(shows(&mut shard, &cache, 1, &lines, 0.1), []);
-    let left = [
+    assert_eq!(
+        report_until_reconciled(&mut shard, &cache, 1, &tasks, 0.1),
+        []
+    );
+    let unreconciled = [
         ("wk-1/7", UnreconciledReason::NoSuchTask),
         ("wk-9/0", UnreconciledReason::UnknownJob),
     ];
-    for (task, why) in left {
+    for (task, reason) in unreconciled {
         assert!(
-            verdicts(&mut shard).contains(&(task.into(), Verdict::LeaveUnreconciled(why))),
+            recorded_verdicts(&mut shard)
+                .contains(&(task.into(), Verdict::LeaveUnreconciled(reason))),
             "{task}"
         );
     }
-    assigned(&mut leader, &mut shard, &cache, 0.3);
-    let finishes = leader.completions_to_commit(1.0, 9, &cache);
-    assert_eq!(finishes.len(), 1);
+    newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.3);
+    let commits = leader.completions_to_commit(1.0, 9, &cache);
+    assert_eq!(commits.len(), 1);
     assert_eq!(
-        finishes[0].tasks,
+        commits[0].tasks,
         [0],
-        "a task that the job doesn't have ends nothing"
+        "a task that the job doesn't have should not be committed"
     );
-    // Nor does a notice that lies in the past close the machine.
-    let mut odd = heartbeat_from(1, 1, 9, token(EPOCH, 1 << 10), &lines);
-    odd.reclaimed_in_s = Some(-5.0);
-    accepted(shard.apply_heartbeat(&odd, false, &cache, 1.0));
+    // A reclaim notice for a time in the past is ignored as well.
+    let mut heartbeat = heartbeat_from(1, 1, 9, token(EPOCH, 1 << 10), &tasks);
+    heartbeat.reclaimed_in_s = Some(-5.0);
+    accepted(shard.apply_heartbeat(&heartbeat, false, &cache, 1.0));
     assert!(!shard
         .next_report(&cache, 1.0)
         .machines
@@ -473,15 +492,15 @@
 }
 
 #[test]
-fn a_team_at_its_limit_by_work_not_yet_adopted_gets_nothing_more() {
-    let (old, new) = (
+fn a_team_whose_limit_may_be_used_up_by_unreconciled_tasks_gets_nothing_more() {
+    let (job_in_w, job_in_e) = (
         job_spec("wk-1", 1, |fields| fields["grove"] = json!("w")),
         job_spec("wk-2", 1, |fields| fields["grove"] = json!("e")),
     );
-    let mut cache = store_cache(2, &[&old]);
-    let mut fresh = job_record(&new, false);
-    fresh["e"] = json!(EPOCH);
-    cache.put("fw/j/wk-2", fresh, 300);
+    let mut cache = store_cache(2, &[&job_in_w]);
+    let mut new_job_record = job_record(&job_in_e, false);
+    new_job_record["e"] = json!(EPOCH);
+    cache.put("fw/j/wk-2", new_job_record, 300);
     let mut leader =
         Leader::new(&settings_with(&[("cpus_max = 400.0", "cpus_max = 2.0")]).expect("settings"));
     let epoch = Epoch {
@@ -492,65 +511,69 @@
     };
     assert!(
         !leader.start_epoch(&epoch, 7, &cache),
-        "it knew nothing before"
+        "a new leader has no state to keep"
     );
     let mut shard = Shard::new("a", TIMING, Default::default());
     shard.start_epoch(EPOCH, 7, &cache, 0.0, |_| true);
-    shows(&mut shard, &cache, 1, &[], 0.1);
+    report_until_reconciled(&mut shard, &cache, 1, &[], 0.1);
     assert!(
-        assigned(&mut leader, &mut shard, &cache, 0.3).is_empty(),
-        "the limit may be used up on m-2"
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.3).is_empty(),
+        "the limit may be used up by a task on m-2"
+    );
+    report_until_reconciled(&mut shard, &cache, 2, &[], 0.4);
+    let newly_assigned = newly_assigned_tasks(&mut leader, &mut shard, &cache, 0.6);
+    assert_eq!(
+        newly_assigned.len(),
+        1,
+        "one of the two tasks should be assigned: {newly_assigned:?}"
     );
-    shows(&mut shard, &cache, 2, &[], 0.4);
-    let now = assigned(&mut leader, &mut shard, &cache, 0.6);
-    assert_eq!(now.len(), 1, "one of both: {now:?}");
 }
 
-/// A page of the machine registry that can't be read hides its machines: what may run there
-/// waits until each of them has reported or its lease is past.
+// An invalid page of the machine registry hides its machines. Tasks that may run there wait
+// until each of these machines has sent a heartbeat or its lease has expired.
 #[test]
-fn an_unreadable_page_frees_nothing_before_all_leases_are_past() {
+fn an_invalid_registry_page_frees_no_task_before_all_leases_have_expired() {
     let spec = job("wk-1", 2);
-    let mut cache = store_cache(2, &[&spec]);
-    cache.put("fw/r/m-2", json!("scribble"), 400);
-    let mut hidden = StoreCache::new(8.0);
+    let mut earlier_cache = store_cache(2, &[&spec]);
+    earlier_cache.put("fw/r/m-2", json!("scribble"), 400);
+    let mut cache = StoreCache::new(8.0);
     for (key, value) in [
         ("fw/j/wk-1", job_record(&spec, false)),
         ("fw/r/m-2", json!("scribble")),
     ] {
-        hidden.put(key, value, 400);
+        cache.put(key, value, 400);
     }
     assert!(
-        cache.registry.contains_key("m-2"),
-        "what was known before stays"
+        earlier_cache.registry.contains_key("m-2"),
+        "machines that were known before should stay"
     );
-    assert!(hidden.invalid_records.contains_registry_page() && hidden.registry.is_empty());
-    hidden.put(
+    assert!(cache.invalid_records.contains_registry_page() && cache.registry.is_empty());
+    cache.put(
         "fw/c",
-        serde_json::to_value(cache.catalog.as_deref()).expect("json"),
+        serde_json::to_value(earlier_cache.catalog.as_deref()).expect("json"),
         1,
     );
-    hidden.put(
+    cache.put(
         "fw/r/m-1",
         json!({"b": "k", "z": "e", "s": false, "u": true}),
         2,
     );
-    let (mut leader, mut shard) = restarted(&hidden);
-    shows(&mut shard, &hidden, 1, &[], 0.1);
+    let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
+    report_until_reconciled(&mut shard, &cache, 1, &[], 0.1);
     for now in [0.3, 10.0, 19.0, 27.0] {
-        shows_again(&mut shard, &hidden, 1, now);
+        report_empty(&mut shard, &cache, 1, now);
         assert!(
-            assigned(&mut leader, &mut shard, &hidden, now).is_empty(),
-            "{now}"
+            newly_assigned_tasks(&mut leader, &mut shard, &cache, now).is_empty(),
+            "a task was assigned at {now} s"
         );
     }
-    // The hidden one comes by itself, with one of both tasks.
+    // The hidden machine sends a heartbeat by itself, with one of the two tasks.
     assert_eq!(
-        shows(
+        report_until_reconciled(
             &mut shard,
-            &hidden,
+            &cache,
             2,
-            &[("wk-1/0", BEFORE, RUNNING, None)],
+            &[("wk-1/0", OLD_ATTEMPT, RUNNING, None)],
             27.5
         ),
         []
@@ -558,38 +581,41 @@
     accepted(shard.apply_heartbeat(
         &heartbeat_from(1, 1, 60, token(EPOCH, 1 << 11), &[]),
         false,
-        &hidden,
+        &cache,
         28.9,
     ));
     assert_eq!(
-        assigned(&mut leader, &mut shard, &hidden, 29.0),
+        newly_assigned_tasks(&mut leader, &mut shard, &cache, 29.0),
         [("wk-1".into(), 1)]
     );
 }
 
 #[test]
-fn stored_records_that_make_no_sense_are_left_alone() {
+fn invalid_stored_records_are_skipped() {
     let spec = job("wk-1", 3);
     let mut cache = store_cache(1, &[&spec]);
-    let with = |change: &dyn Fn(&mut Value)| {
+    let changed_record = |change: &dyn Fn(&mut Value)| {
         let mut record = job_record(&spec, false);
         change(&mut record);
         record
     };
-    let odd = [
-        ("fw/j/wk-2", with(&|_| {})),
-        ("fw/j/wk-1", with(&|fields| fields["n"] = json!(2))),
+    let invalid_records = [
+        ("fw/j/wk-2", changed_record(&|_| {})),
+        (
+            "fw/j/wk-1",
+            changed_record(&|fields| fields["n"] = json!(2)),
+        ),
         ("fw/j/wk-3", json!({"e": 1, "t": 0, "n": 1})),
         ("fw/j/wk-4", json!([1, 2])),
         ("fw/f/wk-1/0", json!("9")),
         ("fw/f/wk-8/0", json!("1")),
         ("fw/epoch", json!({"n": "x"})),
     ];
-    for (i, (key, value)) in odd.iter().enumerate() {
-        cache.put(key, value.clone(), 500 + i as u64);
+    for (index, (key, value)) in invalid_records.iter().enumerate() {
+        cache.put(key, value.clone(), 500 + index as u64);
         assert!(cache.invalid_records.contains(key), "{key}");
     }
-    assert_eq!(cache.invalid_records.len(), odd.len());
+    assert_eq!(cache.invalid_records.len(), invalid_records.len());
     assert_eq!(cache.jobs.len(), 1);
     assert_eq!(
         (
@@ -597,8 +623,11 @@
             cache.jobs["wk-1"].finished.len()
         ),
         (3, 0),
-        "what was known stays"
+        "the cached record of the job should stay"
     );
     cache.put("fw/j/wk-2", job_record(&job("wk-2", 1), false), 600);
-    assert!(!cache.invalid_records.contains("fw/j/wk-2"), "mended");
+    assert!(
+        !cache.invalid_records.contains("fw/j/wk-2"),
+        "a valid record should replace the invalid one"
+    );
 }
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -1,5 +1,6 @@
-//! Two faults at once, one small case for each pair that broke a rule or could
-//! have: the real leader and shard, driven directly. `docs/concurrent-faults.md` lists them.
+//! Tests of two faults at once, on the real leader and shard driven directly: one small case
+//! for each pair of faults that broke a rule or could have. `docs/concurrent-faults.md` lists
+//! the pairs.
 
 use crate::builders::*;
 use finchwood::autoscaler::{plan_scale_out, PendingDemand, ScalingPolicy};
@@ -13,414 +14,503 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-// Unidirectional reachability: heartbeats reach nobody, direct commands arrive. The lease
-// runs out again and again, and each new session has a whole lease from when it
-// began. Broke `ran_twice`.
+// Guards against `ran_twice` under unidirectional reachability: the worker's heartbeats reach
+// no controller, but direct commands reach the worker. Its lease expires again and again, and
+// each new session has a full lease from its own start, in which its tasks may still run.
 #[test]
-fn a_session_that_began_later_has_its_whole_lease() {
-    let s = job_spec("wk-1", 1, |_| {});
-    let m = store_cache(1, &[&s]);
-    let mut p = new_shard(&m);
-    // Taken over at 0, never heard. Asked directly at 25: it is in session 4 now.
-    let ask = p.due_commands(&m, 25.0);
-    let done = |p: &mut Shard, body: &CommandBatch, r: &Heartbeat, now: f64| {
-        p.command_completed(&"m-1".into(), body, Some(r), &m, now);
+fn each_session_has_a_full_lease_from_its_own_start() {
+    let spec = job_spec("wk-1", 1, |_| {});
+    let cache = store_cache(1, &[&spec]);
+    let mut shard = new_shard(&cache);
+    // The shard took over the machine at 0 s and has received no heartbeat from it. A probe
+    // at 25 s finds it in session 4.
+    let probes = shard.due_commands(&cache, 25.0);
+    let complete = |shard: &mut Shard, body: &CommandBatch, heartbeat: &Heartbeat, now: f64| {
+        shard.command_completed(&"m-1".into(), body, Some(heartbeat), &cache, now);
     };
-    done(&mut p, &ask[0].body, &heartbeat_from(1, 4, 1, 0, &[]), 25.0);
-    let ask = p.due_commands(&m, 25.1);
-    done(
-        &mut p,
-        &ask[0].body,
+    complete(
+        &mut shard,
+        &probes[0].body,
+        &heartbeat_from(1, 4, 1, 0, &[]),
+        25.0,
+    );
+    let probes = shard.due_commands(&cache, 25.1);
+    complete(
+        &mut shard,
+        &probes[0].body,
         &heartbeat_from(1, 4, 2, token(EPOCH, 0), &[]),
         25.1,
     );
-    p.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &m, 25.2);
-    place_tasks(&mut p, &m, 25.2);
-    let start = p.due_commands(&m, 25.2);
+    shard.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &cache, 25.2);
+    place_tasks(&mut shard, &cache, 25.2);
+    let starts = shard.due_commands(&cache, 25.2);
     assert!(matches!(
-        start[0].body.commands[..],
+        starts[0].body.commands[..],
         [Command::Start { .. }]
     ));
-    let runs = [("wk-1/0", 50, TaskState::Running, None)];
-    done(
-        &mut p,
-        &start[0].body,
-        &heartbeat_from(1, 4, 3, start[0].body.token, &runs),
+    let tasks = [("wk-1/0", 50, TaskState::Running, None)];
+    complete(
+        &mut shard,
+        &starts[0].body,
+        &heartbeat_from(1, 4, 3, starts[0].body.token, &tasks),
         25.3,
     );
-    // The epoch and a lease are long past, but not this session's lease.
-    p.expire_leases(29.0);
-    let told = p.next_report(&m, 29.0);
-    assert!(told.removed.is_empty(), "it runs there: {:?}", told.removed);
-    p.expire_leases(46.0);
+    // More than a lease has passed since the epoch started, but this session's lease has not
+    // expired.
+    shard.expire_leases(29.0);
+    let report = shard.next_report(&cache, 29.0);
+    assert!(
+        report.removed.is_empty(),
+        "the task may still run there: {:?}",
+        report.removed
+    );
+    shard.expire_leases(46.0);
     assert_eq!(
-        p.next_report(&m, 46.0).removed.len(),
+        shard.next_report(&cache, 46.0).removed.len(),
         1,
-        "now its worker has killed it"
+        "the lease has expired, so that the worker has killed the task"
     );
 }
 
 #[test]
-fn a_machine_that_obeys_but_does_not_report_is_no_room_and_is_found_out() {
-    let s = job_spec("wk-1", 1, |_| {});
-    let m = store_cache(1, &[&s]);
-    let mut p = new_shard(&m);
-    let t = reconcile_machine(&mut p, &m, 1, 0.2);
-    let (mut seq, mut open_until, mut found) = (2, 0.0, None);
-    for i in 1..60 {
-        let now = 0.2 + f64::from(i) * 0.5;
-        for d in p.due_commands(&m, now) {
+fn a_machine_that_obeys_commands_but_sends_no_heartbeats_is_reported_and_unschedulable() {
+    let spec = job_spec("wk-1", 1, |_| {});
+    let cache = store_cache(1, &[&spec]);
+    let mut shard = new_shard(&cache);
+    let token = reconcile_machine(&mut shard, &cache, 1, 0.2);
+    let (mut seq, mut schedulable_until, mut reported_at) = (2, 0.0, None);
+    for step in 1..60 {
+        let now = 0.2 + f64::from(step) * 0.5;
+        for command in shard.due_commands(&cache, now) {
             seq += 1;
-            p.command_completed(
-                &d.machine,
-                &d.body,
-                Some(&heartbeat_from(1, 1, seq, t, &[])),
-                &m,
+            shard.command_completed(
+                &command.machine,
+                &command.body,
+                Some(&heartbeat_from(1, 1, seq, token, &[])),
+                &cache,
                 now,
             );
         }
-        let told = p.next_report(&m, now);
-        let view = told.machines.iter().find(|v| &*v.id == "m-1");
-        if view.is_some_and(|v| v.schedulable) {
-            open_until = now;
+        let report = shard.next_report(&cache, now);
+        let status = report.machines.iter().find(|status| &*status.id == "m-1");
+        if status.is_some_and(|status| status.schedulable) {
+            schedulable_until = now;
         }
-        if view.is_some_and(|v| v.ignores_commands) {
-            found = found.or(Some(now));
+        if status.is_some_and(|status| status.ignores_commands) {
+            reported_at = reported_at.or(Some(now));
         }
     }
     assert!(
-        open_until < TIMING.report_s * 4.0,
-        "room until {open_until}"
-    );
-    let found = found.expect("never found out");
-    assert!(found < TIMING.lease_s, "only after its lease: {found}");
-    // It reports again: nothing is wrong with it.
-    p.apply_heartbeat(&heartbeat_from(1, 1, seq + 1, t, &[]), false, &m, 31.0);
-    let told = p.next_report(&m, 31.0);
-    assert!(told
+        schedulable_until < TIMING.report_s * 4.0,
+        "schedulable until {schedulable_until} s"
+    );
+    let reported_at = reported_at.expect("the machine was never reported as ignoring commands");
+    assert!(
+        reported_at < TIMING.lease_s,
+        "reported only after its lease, at {reported_at} s"
+    );
+    // Once it sends heartbeats again, it is schedulable and no longer reported.
+    shard.apply_heartbeat(
+        &heartbeat_from(1, 1, seq + 1, token, &[]),
+        false,
+        &cache,
+        31.0,
+    );
+    let report = shard.next_report(&cache, 31.0);
+    assert!(report
         .machines
         .iter()
-        .all(|v| v.schedulable && !v.ignores_commands));
+        .all(|status| status.schedulable && !status.ignores_commands));
 }
 
-// In an outage longer than that nobody may command or answer: whoever obeyed just
-// before it and just after it is not unidirectional, and neither is one that was refused.
+// During an outage, no controller may send commands or reply to heartbeats. A machine that
+// responded to commands just before and just after a long outage is not reachable in one
+// direction only, and neither is one whose heartbeats were refused.
 #[test]
-fn an_outage_makes_no_machine_look_unidirectional() {
-    let s = job_spec("wk-1", 1, |_| {});
-    let m = store_cache(1, &[&s]);
-    let mut p = new_shard(&m);
-    let t = reconcile_machine(&mut p, &m, 1, 0.2);
+fn an_outage_does_not_make_a_machine_look_unidirectional() {
+    let spec = job_spec("wk-1", 1, |_| {});
+    let cache = store_cache(1, &[&spec]);
+    let mut shard = new_shard(&cache);
+    let token = reconcile_machine(&mut shard, &cache, 1, 0.2);
     let mut seq = 2;
-    let mut obeys = |p: &mut Shard, now: f64| {
-        for d in p.due_commands(&m, now) {
+    // Responds to all due commands, and returns whether the shard then reports the machine as
+    // ignoring commands.
+    let mut looks_unidirectional = |shard: &mut Shard, now: f64| {
+        for command in shard.due_commands(&cache, now) {
             seq += 1;
-            p.command_completed(
-                &d.machine,
-                &d.body,
-                Some(&heartbeat_from(1, 1, seq, t, &[])),
-                &m,
+            shard.command_completed(
+                &command.machine,
+                &command.body,
+                Some(&heartbeat_from(1, 1, seq, token, &[])),
+                &cache,
                 now,
             );
         }
-        p.next_report(&m, now)
+        shard
+            .next_report(&cache, now)
             .machines
             .iter()
-            .any(|v| v.ignores_commands)
+            .any(|status| status.ignores_commands)
     };
-    assert!(!obeys(&mut p, 5.0));
-    assert!(!obeys(&mut p, 65.0), "nothing was sent to it for a minute");
-    let looks_unidirectional = (0..24).any(|i| {
-        // Its reports come, and are refused.
-        p.record_heartbeat_received(&"m-1".into());
-        obeys(&mut p, 66.0 + f64::from(i))
+    assert!(!looks_unidirectional(&mut shard, 5.0));
+    assert!(
+        !looks_unidirectional(&mut shard, 65.0),
+        "no commands were sent to the machine for a minute"
+    );
+    let ever_looked_unidirectional = (0..24).any(|second| {
+        // Its heartbeats arrive, and are refused.
+        shard.record_heartbeat_received(&"m-1".into());
+        looks_unidirectional(&mut shard, 66.0 + f64::from(second))
     });
-    assert!(!looks_unidirectional);
+    assert!(!ever_looked_unidirectional);
 }
 
-// The last task's end is reported by a shard that hasn't heard of the
-// cancellation, to a leader that has. Broke `went_back`: the user had been told
-// `cancelled`, and then the job was committed as done.
+// Guards against `went_back`: a shard that has not received the cancellation reports the end
+// of the job's last task to a leader that has. The job was committed as done after the user
+// had been told that it was `cancelled`.
 #[test]
-fn an_end_that_is_reported_after_the_cancellation_makes_no_job_done() {
-    let s = job_spec("wk-1", 1, |_| {});
-    let mut m = store_cache(1, &[&s]);
-    let (mut l, mut p, tokens) = leader_and_shard(&m, 1);
-    scheduling_round(&mut l, &mut p, &m, 0.5);
-    let (t, calls) =
-        accepted(p.apply_heartbeat(&heartbeat_from(1, 1, 3, tokens[0], &[]), false, &m, 0.6));
-    let Command::Start { attempt, .. } = calls[0] else {
-        panic!("{calls:?}")
+fn a_task_end_reported_after_the_cancellation_does_not_complete_the_job() {
+    let spec = job_spec("wk-1", 1, |_| {});
+    let mut cache = store_cache(1, &[&spec]);
+    let (mut leader, mut shard, tokens) = leader_and_shard(&cache, 1);
+    scheduling_round(&mut leader, &mut shard, &cache, 0.5);
+    let (token, commands) = accepted(shard.apply_heartbeat(
+        &heartbeat_from(1, 1, 3, tokens[0], &[]),
+        false,
+        &cache,
+        0.6,
+    ));
+    let Command::Start { attempt, .. } = commands[0] else {
+        panic!("{commands:?}")
     };
-    let behind = store_cache(1, &[&s]);
-    m.put("fw/j/wk-1", job_record(&s, true), 200);
-    l.job_changed(&"wk-1".into(), &m);
+    let stale_cache = store_cache(1, &[&spec]);
+    cache.put("fw/j/wk-1", job_record(&spec, true), 200);
+    leader.job_changed(&"wk-1".into(), &cache);
     let ended = [("wk-1/0", attempt, TaskState::Ended, Some("done"))];
-    p.apply_heartbeat(&heartbeat_from(1, 1, 4, t, &ended), false, &behind, 0.7);
-    let told = p.next_report(&behind, 0.8);
+    shard.apply_heartbeat(
+        &heartbeat_from(1, 1, 4, token, &ended),
+        false,
+        &stale_cache,
+        0.7,
+    );
+    let report = shard.next_report(&stale_cache, 0.8);
     assert!(
-        told.assigned.iter().any(|h| h.phase == TaskPhase::Done),
-        "the part reports its end"
+        report
+            .assigned
+            .iter()
+            .any(|assigned| assigned.phase == TaskPhase::Done),
+        "the shard should report that the task is done"
     );
-    assert!(l.apply_shard_report(told, &m, 0.8));
-    assert_eq!(l.completions_to_commit(0.9, 9, &m), Vec::new());
+    assert!(leader.apply_shard_report(report, &cache, 0.8));
+    assert_eq!(leader.completions_to_commit(0.9, 9, &cache), Vec::new());
 }
 
-// A task saves because it was to move, and then its job is cancelled: with a
-// `stash_s` above `cancel_s` it would go on saving for too long.
+// A task is saving its state because it is to be moved, and then its job is cancelled. With
+// a `stash_s` above `cancel_s` it would go on saving for longer than a cancellation may take.
 #[test]
-fn a_task_that_saves_is_ended_when_its_job_is_cancelled() {
-    let s = job_spec("wk-1", 1, |v| {
-        v["molt_s"] = 5.0.into();
-        v["stash_s"] = 90.0.into();
+fn a_saving_task_is_stopped_at_once_when_its_job_is_cancelled() {
+    let spec = job_spec("wk-1", 1, |fields| {
+        fields["molt_s"] = 5.0.into();
+        fields["stash_s"] = 90.0.into();
     });
-    let mut m = store_cache(1, &[&s]);
-    let mut p = new_shard(&m);
-    let t = reconcile_machine(&mut p, &m, 1, 0.2);
-    p.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &m, 0.3);
-    place_tasks(&mut p, &m, 0.3);
-    accepted(p.apply_heartbeat(&heartbeat_from(1, 1, 3, t, &[]), false, &m, 0.4));
-    p.apply_heartbeat(
-        &heartbeat_from(1, 1, 4, t, &[("wk-1/0", 50, TaskState::Running, None)]),
+    let mut cache = store_cache(1, &[&spec]);
+    let mut shard = new_shard(&cache);
+    let token = reconcile_machine(&mut shard, &cache, 1, 0.2);
+    shard.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &cache, 0.3);
+    place_tasks(&mut shard, &cache, 0.3);
+    accepted(shard.apply_heartbeat(&heartbeat_from(1, 1, 3, token, &[]), false, &cache, 0.4));
+    shard.apply_heartbeat(
+        &heartbeat_from(1, 1, 4, token, &[("wk-1/0", 50, TaskState::Running, None)]),
         false,
-        &m,
+        &cache,
         0.5,
     );
     let task = finchwood::wire::Task::parse("wk-1/0").expect("a task");
-    p.apply_orders(
+    shard.apply_orders(
         &Orders {
             recall: vec![(task, 50)],
             ..orders(2, Vec::new())
         },
-        &m,
+        &cache,
         40.0,
     );
     let saving = [("wk-1/0", 50, TaskState::Saving, None)];
-    let (_, calls) =
-        accepted(p.apply_heartbeat(&heartbeat_from(1, 1, 5, t, &saving), false, &m, 40.1));
-    assert!(calls.is_empty(), "it saves: {calls:?}");
-    m.put("fw/j/wk-1", job_record(&s, true), 200);
-    p.job_changed(&"wk-1".into(), &m);
-    let direct = p.due_commands(&m, 40.2);
-    let ends = |c: &Command| matches!(c, Command::Stop { grace_s, .. } if *grace_s == 0.0);
+    let (_, commands) = accepted(shard.apply_heartbeat(
+        &heartbeat_from(1, 1, 5, token, &saving),
+        false,
+        &cache,
+        40.1,
+    ));
     assert!(
-        direct[0].body.commands.iter().any(ends),
+        commands.is_empty(),
+        "a saving task gets no command: {commands:?}"
+    );
+    cache.put("fw/j/wk-1", job_record(&spec, true), 200);
+    shard.job_changed(&"wk-1".into(), &cache);
+    let direct = shard.due_commands(&cache, 40.2);
+    let stops_at_once =
+        |command: &Command| matches!(command, Command::Stop { grace_s, .. } if *grace_s == 0.0);
+    assert!(
+        direct[0].body.commands.iter().any(stops_at_once),
         "{:?}",
         direct[0].body
     );
 }
 
-// Owners change faster than a worker reports, and each answers it before it is
-// certain of it. Each of these answers renews the lease of what runs there.
+// Owners change faster than a worker sends heartbeats, and each replies to it before its
+// machine is reconciled. Each of these replies renews the lease of the tasks there, so that it
+// also has to stop cancelled tasks.
 #[test]
-fn an_answer_to_an_unreconciled_machine_stops_cancelled_tasks() {
-    let (s, other) = (job_spec("wk-1", 1, |_| {}), job_spec("wk-2", 1, |_| {}));
-    let mut m = store_cache(1, &[&s, &other]);
-    m.put("fw/j/wk-1", job_record(&s, true), 200);
-    let mut p = new_shard(&m);
-    let runs = [
+fn a_reply_to_an_unreconciled_machine_stops_cancelled_tasks() {
+    let (spec, other) = (job_spec("wk-1", 1, |_| {}), job_spec("wk-2", 1, |_| {}));
+    let mut cache = store_cache(1, &[&spec, &other]);
+    cache.put("fw/j/wk-1", job_record(&spec, true), 200);
+    let mut shard = new_shard(&cache);
+    let tasks = [
         ("wk-1/0", 50, TaskState::Running, None),
         ("wk-2/0", 51, TaskState::Running, None),
     ];
-    let (_, calls) = accepted(p.apply_heartbeat(
-        &heartbeat_from(1, 1, 9, token(EPOCH - 1, 4), &runs),
+    let (_, commands) = accepted(shard.apply_heartbeat(
+        &heartbeat_from(1, 1, 9, token(EPOCH - 1, 4), &tasks),
         false,
-        &m,
+        &cache,
         0.2,
     ));
     assert_eq!(
-        calls,
+        commands,
         [Command::Stop {
             task: "wk-1/0".into(),
             attempt: 50,
             grace_s: 0.0
         }]
     );
-    // The same by a direct command, which may reach it when answers don't.
-    let direct = p.due_commands(&m, 0.3);
-    assert_eq!(direct[0].body.commands, calls);
+    // A direct command stops them too, as it may reach the worker when replies don't.
+    let direct = shard.due_commands(&cache, 0.3);
+    assert_eq!(direct[0].body.commands, commands);
 }
 
-// Direct commands don't reach a machine while its reports are answered: a higher
-// token for each question kept it uncertain for as long as that lasted.
+// Direct commands don't reach a machine, while its heartbeats are answered. Each probe had a
+// higher token, which kept the machine unreconciled for as long as this lasted.
 #[test]
-fn unanswered_queries_leave_no_machine_unreconciled() {
-    let s = job_spec("wk-1", 1, |_| {});
-    let m = store_cache(1, &[&s]);
-    let mut p = new_shard(&m);
-    let (mut t, mut seq) = (0, 0);
+fn unanswered_probes_do_not_keep_a_machine_unreconciled() {
+    let spec = job_spec("wk-1", 1, |_| {});
+    let cache = store_cache(1, &[&spec]);
+    let mut shard = new_shard(&cache);
+    let (mut token, mut seq) = (0, 0);
     for step in 0..160u32 {
         let now = f64::from(step) * 0.1;
-        // Slow to report, within the quarter that intervals vary by.
+        // Heartbeats come slowly, but within the quarter by which their intervals vary.
         if step % 37 == 0 {
             seq += 1;
-            t = accepted(p.apply_heartbeat(&heartbeat_from(1, 1, seq, t, &[]), false, &m, now)).0;
+            token = accepted(shard.apply_heartbeat(
+                &heartbeat_from(1, 1, seq, token, &[]),
+                false,
+                &cache,
+                now,
+            ))
+            .0;
         }
-        for d in p.due_commands(&m, now) {
-            p.command_completed(&d.machine, &d.body, None, &m, now + 0.05);
+        for probe in shard.due_commands(&cache, now) {
+            shard.command_completed(&probe.machine, &probe.body, None, &cache, now + 0.05);
         }
     }
-    let told = p.next_report(&m, 16.0);
-    assert!(told.machines[0].reconciled, "{:?}", told.machines[0]);
+    let report = shard.next_report(&cache, 16.0);
+    assert!(report.machines[0].reconciled, "{:?}", report.machines[0]);
 }
 
-// A worker that shows the highest token of an epoch can't be told a higher one:
-// no start there could ever be proven dead.
+// A worker that reports the highest token of an epoch can't be given a higher one, so that
+// no start sent to it could ever be proven to have no further effect.
 #[test]
-fn nothing_is_started_where_the_token_can_not_be_raised() {
-    let s = job_spec("wk-1", 1, |_| {});
-    let m = store_cache(1, &[&s]);
-    let mut p = new_shard(&m);
-    let top = token(EPOCH, MAX_COUNTER);
-    assert!(top < token(EPOCH + 1, 0), "epochs don't overlap");
-    p.apply_heartbeat(&heartbeat_from(1, 1, 1, top, &[]), false, &m, 0.2);
-    p.apply_heartbeat(&heartbeat_from(1, 1, 2, top, &[]), false, &m, 0.3);
-    p.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &m, 0.4);
-    place_tasks(&mut p, &m, 0.4);
-    let (t, calls) =
-        accepted(p.apply_heartbeat(&heartbeat_from(1, 1, 3, top, &[]), false, &m, 0.5));
-    assert_eq!((t, calls), (top, Vec::new()));
-    assert!(p
-        .due_commands(&m, 0.6)
+fn no_task_starts_on_a_machine_whose_token_cannot_be_raised() {
+    let spec = job_spec("wk-1", 1, |_| {});
+    let cache = store_cache(1, &[&spec]);
+    let mut shard = new_shard(&cache);
+    let highest = token(EPOCH, MAX_COUNTER);
+    assert!(
+        highest < token(EPOCH + 1, 0),
+        "the tokens of two epochs overlap"
+    );
+    shard.apply_heartbeat(&heartbeat_from(1, 1, 1, highest, &[]), false, &cache, 0.2);
+    shard.apply_heartbeat(&heartbeat_from(1, 1, 2, highest, &[]), false, &cache, 0.3);
+    shard.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &cache, 0.4);
+    place_tasks(&mut shard, &cache, 0.4);
+    let (token, commands) =
+        accepted(shard.apply_heartbeat(&heartbeat_from(1, 1, 3, highest, &[]), false, &cache, 0.5));
+    assert_eq!((token, commands), (highest, Vec::new()));
+    assert!(shard
+        .due_commands(&cache, 0.6)
         .iter()
-        .all(|d| d.body.commands.is_empty()));
+        .all(|direct| direct.body.commands.is_empty()));
     assert!(
-        p.next_report(&m, 0.7).machines[0].ignores_commands,
-        "it is to be replaced"
+        shard.next_report(&cache, 0.7).machines[0].ignores_commands,
+        "the machine should be reported as ignoring commands"
     );
 }
 
-/// The number of an attempt takes its epoch's place if it grows too large: a leader
-/// stops before, and the next epoch has all numbers anew.
+// An attempt counter that grows too large would overflow into the bits of the epoch. A leader
+// stops assigning tasks before that, and the next epoch starts with all numbers unused.
 #[test]
 fn a_leader_that_runs_out_of_attempt_numbers_waits_for_the_next_epoch() {
-    let s = job_spec("wk-1", 3, |_| {});
-    let m = store_cache(2, &[&s]);
-    let (mut l, mut p, _) = leader_and_shard(&m, 2);
-    l.attempt_limit = 2;
-    scheduling_round(&mut l, &mut p, &m, 1.0);
+    let spec = job_spec("wk-1", 3, |_| {});
+    let cache = store_cache(2, &[&spec]);
+    let (mut leader, mut shard, _) = leader_and_shard(&cache, 2);
+    leader.attempt_limit = 2;
+    scheduling_round(&mut leader, &mut shard, &cache, 1.0);
     assert_eq!(
-        l.counts().assigned_tasks,
+        leader.counts().assigned_tasks,
         0,
-        "none of three, as two numbers are left"
+        "three tasks should not be assigned with two numbers left"
     );
-    l.attempt_limit = 5;
-    scheduling_round(&mut l, &mut p, &m, 2.0);
-    assert_eq!(l.counts().assigned_tasks, 3);
-    assert!(l.needs_new_epoch());
-    let present = Epoch {
+    leader.attempt_limit = 5;
+    scheduling_round(&mut leader, &mut shard, &cache, 2.0);
+    assert_eq!(leader.counts().assigned_tasks, 3);
+    assert!(leader.needs_new_epoch());
+    let current = Epoch {
         number: EPOCH,
         members: [("a".to_string(), 7)].into_iter().collect(),
         leader: "a".into(),
         uses_shard_map: false,
     };
-    let next = renewed_epoch(&present);
+    let next = renewed_epoch(&current);
     assert_eq!(
         (next.number, &next.members, &next.leader),
-        (EPOCH + 1, &present.members, &present.leader)
+        (EPOCH + 1, &current.members, &current.leader)
     );
-    assert!(l.start_epoch(&next, 7, &m) && !l.needs_new_epoch());
+    assert!(leader.start_epoch(&next, 7, &cache) && !leader.needs_new_epoch());
 }
 
-/// Another controller notifies this one while the key-value store refuses it.
+// Another controller notifies this one of a cancellation while the key-value store refuses
+// this one's reads. The notice may arrive before or after the stored records.
 #[test]
-fn a_cancellation_notice_is_applied_in_any_order() {
-    let s = job_spec("wk-1", 2, |_| {});
-    let mut m = store_cache(1, &[&s]);
+fn a_cancellation_notice_may_arrive_in_any_order() {
+    let spec = job_spec("wk-1", 2, |_| {});
+    let mut cache = store_cache(1, &[&spec]);
     let id = "wk-1".into();
     assert!(
-        !m.apply_cancellation(&"wk-9".into(), 200, 5),
-        "a job that isn't known yet"
+        !cache.apply_cancellation(&"wk-9".into(), 200, 5),
+        "the job is not in the cache yet"
     );
     assert!(
-        !m.apply_cancellation(&id, 100, 5),
-        "older than what is known"
-    );
-    assert!(m.apply_cancellation(&id, 200, 5));
-    assert!(!m.apply_cancellation(&id, 200, 5), "said again");
-    assert!(!m.jobs["wk-1"].is_live());
-    // The record as it was before comes from a slow reading.
-    m.put("fw/j/wk-1", job_record(&s, false), 100);
-    m.put("fw/j/wk-1", job_record(&s, true), 200);
-    assert!(m.jobs["wk-1"].record.cancelled);
+        !cache.apply_cancellation(&id, 100, 5),
+        "the notice is older than the cached record"
+    );
+    assert!(cache.apply_cancellation(&id, 200, 5));
+    assert!(
+        !cache.apply_cancellation(&id, 200, 5),
+        "the notice was applied already"
+    );
+    assert!(!cache.jobs["wk-1"].is_live());
+    // A slow read returns the record as it was before the cancellation.
+    cache.put("fw/j/wk-1", job_record(&spec, false), 100);
+    cache.put("fw/j/wk-1", job_record(&spec, true), 200);
+    assert!(cache.jobs["wk-1"].record.cancelled);
     let done = JobRecord {
         done: true,
-        ..serde_json::from_value(job_record(&s, false)).expect("a record")
+        ..serde_json::from_value(job_record(&spec, false)).expect("a record")
     };
-    let mut m = store_cache(1, &[&s]);
-    m.put("fw/j/wk-1", json!(done), 150);
+    let mut cache = store_cache(1, &[&spec]);
+    cache.put("fw/j/wk-1", json!(done), 150);
     assert!(
-        !m.apply_cancellation(&id, 200, 5),
-        "what is done stays done"
+        !cache.apply_cancellation(&id, 200, 5),
+        "a job that is done stays done"
     );
 }
 
-// A worker that hangs, or obeys nothing, holds on to a cancelled task.
+// A worker that hangs or ignores commands may run a cancelled task for too long: its machine
+// has to be listed for deletion while there is time.
 #[test]
-fn machines_not_proven_rid_of_cancelled_tasks_are_named_in_time() {
-    let (s, other) = (job_spec("wk-1", 1, |_| {}), job_spec("wk-2", 1, |_| {}));
-    let mut m = store_cache(2, &[&s, &other]);
-    let (mut l, mut p, tokens) = leader_and_shard(&m, 2);
-    scheduling_round(&mut l, &mut p, &m, 0.5);
-    for (i, t) in tokens.iter().enumerate() {
-        accepted(p.apply_heartbeat(&heartbeat_from(i + 1, 1, 3, *t, &[]), false, &m, 0.6));
+fn machines_that_may_still_run_cancelled_tasks_are_listed_in_time() {
+    let (spec, other) = (job_spec("wk-1", 1, |_| {}), job_spec("wk-2", 1, |_| {}));
+    let mut cache = store_cache(2, &[&spec, &other]);
+    let (mut leader, mut shard, tokens) = leader_and_shard(&cache, 2);
+    scheduling_round(&mut leader, &mut shard, &cache, 0.5);
+    for (index, token) in tokens.iter().enumerate() {
+        accepted(shard.apply_heartbeat(
+            &heartbeat_from(index + 1, 1, 3, *token, &[]),
+            false,
+            &cache,
+            0.6,
+        ));
     }
-    let after = settings_with(&[]).expect("settings").evict_after_s();
-    m.put("fw/j/wk-1", job_record(&s, true), 200);
-    l.job_changed(&"wk-1".into(), &m);
-    p.job_changed(&"wk-1".into(), &m);
-    assert!(l.apply_shard_report(p.next_report(&m, 1.0), &m, 1.0));
-    let at_ms = 10_000;
-    let later = |s: f64| at_ms + (s * 1000.0) as u64;
+    let evict_after_s = settings_with(&[]).expect("settings").evict_after_s();
+    cache.put("fw/j/wk-1", job_record(&spec, true), 200);
+    leader.job_changed(&"wk-1".into(), &cache);
+    shard.job_changed(&"wk-1".into(), &cache);
+    assert!(leader.apply_shard_report(shard.next_report(&cache, 1.0), &cache, 1.0));
+    let cancelled_at_ms = 10_000;
+    let wall_clock_ms_after = |seconds: f64| cancelled_at_ms + (seconds * 1000.0) as u64;
     assert!(
-        l.machines_with_cancelled_tasks(&m, later(after - 1.0), after)
+        leader
+            .machines_with_cancelled_tasks(
+                &cache,
+                wall_clock_ms_after(evict_after_s - 1.0),
+                evict_after_s
+            )
             .is_empty(),
-        "it may be stopped yet"
+        "the task may still be stopped in time"
     );
     assert_eq!(
-        l.machines_with_cancelled_tasks(&m, later(after + 1.0), after)
+        leader
+            .machines_with_cancelled_tasks(
+                &cache,
+                wall_clock_ms_after(evict_after_s + 1.0),
+                evict_after_s
+            )
             .len(),
         1,
-        "the other job's machine stays"
+        "only the machine of the cancelled job should be listed"
     );
-    // Proven gone: nothing is left to do.
-    let gone = l
-        .machines_with_cancelled_tasks(&m, later(after + 1.0), after)
+    // Once the machine is unregistered, the task is proven gone and nothing is listed.
+    let machine = leader
+        .machines_with_cancelled_tasks(
+            &cache,
+            wall_clock_ms_after(evict_after_s + 1.0),
+            evict_after_s,
+        )
         .into_iter()
         .next()
         .expect("a machine");
-    p.unregister_machine(&gone);
-    assert!(l.apply_shard_report(p.next_report(&m, 2.0), &m, 2.0));
-    assert!(l
-        .machines_with_cancelled_tasks(&m, later(after + 1.0), after)
+    shard.unregister_machine(&machine);
+    assert!(leader.apply_shard_report(shard.next_report(&cache, 2.0), &cache, 2.0));
+    assert!(leader
+        .machines_with_cancelled_tasks(
+            &cache,
+            wall_clock_ms_after(evict_after_s + 1.0),
+            evict_after_s
+        )
         .is_empty());
 }
 
-// The bound on how long a task can outlive its cancellation, from the settings.
+// The bound on how long a task can outlive the cancellation of its job follows from the
+// settings and has to be below `cancel_s`.
 #[test]
-fn settings_in_which_a_cancellation_can_not_be_kept_end_the_start() {
-    for (lease, cancel) in [
+fn settings_keep_the_cancellation_bound_or_are_rejected() {
+    for (lease_s, cancel_s) in [
         (20.0, 40.0),
         (20.0, 26.0),
         (31.0, 56.0),
         (26.5, 46.5),
         (20.0, 24.0),
     ] {
-        let (l, c) = (
-            format!("lease_s = {lease:.1}"),
-            format!("cancel_s = {cancel:.1}"),
+        let (lease_line, cancel_line) = (
+            format!("lease_s = {lease_s:.1}"),
+            format!("cancel_s = {cancel_s:.1}"),
         );
-        let s = settings_with(&[("lease_s = 20.0", &l), ("cancel_s = 40.0", &c)]).expect(&c);
+        let settings = settings_with(&[
+            ("lease_s = 20.0", &lease_line),
+            ("cancel_s = 40.0", &cancel_line),
+        ])
+        .expect(&cancel_line);
         assert!(
-            s.cancellation_bound_s() < cancel,
-            "{} of {cancel}",
-            s.cancellation_bound_s()
+            settings.cancellation_bound_s() < cancel_s,
+            "the bound is {} s with cancel_s = {cancel_s}",
+            settings.cancellation_bound_s()
         );
-        assert!(s.max_staleness_s() > 0.0 && s.member_lease_s() <= lease * 0.4);
-        assert!(s.evict_after_s() < cancel);
+        assert!(settings.max_staleness_s() > 0.0 && settings.member_lease_s() <= lease_s * 0.4);
+        assert!(settings.evict_after_s() < cancel_s);
     }
-    for cancel in ["cancel_s = 10.0", "cancel_s = 20.0", "cancel_s = 23.0"] {
-        let error = settings_with(&[("cancel_s = 40.0", cancel)]).expect_err(cancel);
+    for cancel_line in ["cancel_s = 10.0", "cancel_s = 20.0", "cancel_s = 23.0"] {
+        let error = settings_with(&[("cancel_s = 40.0", cancel_line)]).expect_err(cancel_line);
         assert!(
             error.contains("cancel_s") && error.lines().count() == 1,
             "{error}"
@@ -428,17 +518,21 @@
     }
 }
 
-// What is left of a job that is bound to one zone binds the rest: a machine for
-// it is rented there, and nowhere else.
+// Tasks of a one-zone job that are already assigned determine the zone of the others: machines
+// for the rest are rented in that zone and nowhere else. For a `scatter` job they are rented
+// in another zone.
 #[test]
-fn machines_are_rented_where_the_rest_of_a_bound_job_is() {
-    let one = job_spec("wk-1", 4, |v| v["one_zone"] = true.into());
-    let m = store_cache(0, &[]);
-    let catalog: &Catalog = m.catalog.as_ref().expect("types");
-    // Zone `e` has the fewer machines, and is otherwise chosen.
-    let all = [("w".into(), 5)].into_iter().collect();
-    let rented = |spec: &Arc<JobSpec>, there: &[(&str, u32)], count: u32| -> Vec<String> {
-        let tasks_in_zone = there.iter().map(|(z, n)| ((*z).into(), *n)).collect();
+fn machines_for_the_rest_of_a_one_zone_job_are_rented_in_its_zone() {
+    let one_zone = job_spec("wk-1", 4, |fields| fields["one_zone"] = true.into());
+    let cache = store_cache(0, &[]);
+    let catalog: &Catalog = cache.catalog.as_ref().expect("types");
+    // Zone `e` has fewer machines, and is chosen if the job has no tasks in a zone yet.
+    let machines_by_zone = [("w".into(), 5)].into_iter().collect();
+    let rental_zones = |spec: &Arc<JobSpec>, assigned: &[(&str, u32)], count: u32| -> Vec<String> {
+        let tasks_in_zone = assigned
+            .iter()
+            .map(|(zone, tasks)| ((*zone).into(), *tasks))
+            .collect();
         let demand = PendingDemand {
             task_resources: spec.task_resources(),
             count,
@@ -450,26 +544,27 @@
         let offers = plan_scale_out(
             &[demand],
             &[],
-            &all,
+            &machines_by_zone,
             catalog,
             &ScalingPolicy::default(),
             &|_| false,
         );
-        offers.keys().map(|o| o.zone.to_string()).collect()
+        offers.keys().map(|offer| offer.zone.to_string()).collect()
     };
-    assert_eq!(rented(&one, &[], 4), ["e"]);
-    assert_eq!(rented(&one, &[("w", 2)], 2), ["w"]);
-    let scattered = job_spec("wk-2", 4, |v| v["scatter"] = true.into());
-    assert_eq!(rented(&scattered, &[("e", 2)], 2), ["w"]);
+    assert_eq!(rental_zones(&one_zone, &[], 4), ["e"]);
+    assert_eq!(rental_zones(&one_zone, &[("w", 2)], 2), ["w"]);
+    let scattered = job_spec("wk-2", 4, |fields| fields["scatter"] = true.into());
+    assert_eq!(rental_zones(&scattered, &[("e", 2)], 2), ["w"]);
 }
 
-/// Two controllers, machines alternating between them.
-fn two_shards(cache: &StoreCache, machines: usize) -> Leader {
-    let mut l = Leader::new(&settings_with(&[]).expect("settings"));
+/// Returns a leader with the shards of two controllers, `a` and `b`, to which the machines
+/// belong in alternating pairs.
+fn leader_of_two_shards(cache: &StoreCache, machines: usize) -> Leader {
+    let mut leader = Leader::new(&settings_with(&[]).expect("settings"));
     let members: BTreeMap<String, u64> = [("a".to_string(), 7), ("b".to_string(), 8)]
         .into_iter()
         .collect();
-    l.start_epoch(
+    leader.start_epoch(
         &Epoch {
             number: EPOCH,
             members,
@@ -479,123 +574,151 @@
         7,
         cache,
     );
-    for (n, (name, incarnation)) in [("a", 7), ("b", 8)].into_iter().enumerate() {
-        let mut p = Shard::new(name, TIMING, HashMap::new());
-        let owns = |id: &str| id[2..].parse::<usize>().is_ok_and(|i| (i - 1) / 2 % 2 == n);
-        p.start_epoch(EPOCH, incarnation, cache, 0.0, owns);
-        for i in (1..=machines).filter(|i| owns(&format!("m-{i}"))) {
-            reconcile_machine(&mut p, cache, i, 0.2);
+    for (position, (name, incarnation)) in [("a", 7), ("b", 8)].into_iter().enumerate() {
+        let mut shard = Shard::new(name, TIMING, HashMap::new());
+        let owns = |id: &str| {
+            id[2..]
+                .parse::<usize>()
+                .is_ok_and(|n| (n - 1) / 2 % 2 == position)
+        };
+        shard.start_epoch(EPOCH, incarnation, cache, 0.0, owns);
+        for machine in (1..=machines).filter(|machine| owns(&format!("m-{machine}"))) {
+            reconcile_machine(&mut shard, cache, machine, 0.2);
         }
-        assert!(l.apply_shard_report(p.next_report(cache, 0.3), cache, 0.3));
+        assert!(leader.apply_shard_report(shard.next_report(cache, 0.3), cache, 0.3));
     }
-    l.reconcile(cache, &|_| false);
-    l
+    leader.reconcile(cache, &|_| false);
+    leader
 }
 
-// A zone has room for a job that must be in one, but no controller alone has so
-// many machines there: it waited for ever.
+// Guards against a job that waits forever: a zone has enough free capacity for a one-zone
+// job, but no single controller owns enough machines there.
 #[test]
-fn a_job_for_one_zone_is_split_over_shards_that_are_too_small_for_it() {
-    let s = job_spec("wk-1", 4, |v| {
-        v["one_zone"] = true.into();
-        v["shape"] = "standing".into();
-        v["cpus"] = 4.0.into();
+fn a_one_zone_job_is_split_over_shards_that_are_too_small_for_it() {
+    let spec = job_spec("wk-1", 4, |fields| {
+        fields["one_zone"] = true.into();
+        fields["shape"] = "standing".into();
+        fields["cpus"] = 4.0.into();
     });
-    let m = store_cache(8, &[&s]);
-    let mut l = two_shards(&m, 8);
-    let touched = l.assign_tasks(&m, 0.5, || true);
-    assert_eq!(touched.len(), 2, "both take some of it");
+    let cache = store_cache(8, &[&spec]);
+    let mut leader = leader_of_two_shards(&cache, 8);
+    let shards_with_new_orders = leader.assign_tasks(&cache, 0.5, || true);
+    assert_eq!(
+        shards_with_new_orders.len(),
+        2,
+        "both shards should get tasks of the job"
+    );
     let mut zones = std::collections::BTreeSet::new();
     let mut tasks = 0;
     for node in ["a", "b"] {
-        let o = l.orders(node).expect("orders");
-        tasks += o.assignments.iter().map(|d| d.tasks.len()).sum::<usize>();
-        let room = o
+        let orders = leader.orders(node).expect("orders");
+        tasks += orders
+            .assignments
+            .iter()
+            .map(|assignment| assignment.tasks.len())
+            .sum::<usize>();
+        let capacity = orders
             .assignments
             .iter()
-            .filter_map(|d| d.zone_capacity.clone())
+            .filter_map(|assignment| assignment.zone_capacity.clone())
             .flatten();
-        zones.extend(room.map(|(z, _)| z));
+        zones.extend(capacity.map(|(zone, _)| zone));
     }
     assert_eq!((tasks, zones.len()), (4, 1));
 }
 
-// A service in one zone loses a machine, the zone has no room left, another has
-// room for all of it: it moves as a whole, once every task is proven gone.
+// A one-zone service loses a machine. Its zone has no free capacity left, while another zone
+// has enough for all of it: the service moves as a whole, once every task is proven gone.
 #[test]
-fn a_service_that_its_zone_has_no_room_for_moves_as_a_whole() {
-    let s = job_spec("wk-1", 2, |v| {
-        v["one_zone"] = true.into();
-        v["shape"] = "standing".into();
-        v["cpus"] = 4.0.into();
+fn a_one_zone_service_without_capacity_in_its_zone_moves_as_a_whole() {
+    let spec = job_spec("wk-1", 2, |fields| {
+        fields["one_zone"] = true.into();
+        fields["shape"] = "standing".into();
+        fields["cpus"] = 4.0.into();
     });
-    let mut m = store_cache(4, &[&s]);
-    let (mut l, mut p, mut tokens) = leader_and_shard(&m, 4);
-    scheduling_round(&mut l, &mut p, &m, 0.5);
-    let mut on: BTreeMap<usize, (String, u64)> = BTreeMap::new();
+    let mut cache = store_cache(4, &[&spec]);
+    let (mut leader, mut shard, mut tokens) = leader_and_shard(&cache, 4);
+    scheduling_round(&mut leader, &mut shard, &cache, 0.5);
+    let mut running: BTreeMap<usize, (String, u64)> = BTreeMap::new();
     let mut seq = 3;
-    let mut obey =
-        |p: &mut Shard, m: &StoreCache, on: &mut BTreeMap<usize, (String, u64)>, now: f64| {
-            seq += 2;
-            for i in (1..=4usize).filter(|i| m.registry.contains_key(format!("m-{i}").as_str())) {
-                for again in 0..2 {
-                    let runs: Vec<ReportedTask> = on
-                        .get(&i)
-                        .iter()
-                        .map(|(t, a)| (t.as_str(), *a, TaskState::Running, None))
-                        .collect();
-                    let r = heartbeat_from(i, 1, seq + again, tokens[i - 1], &runs);
-                    let (t, calls) = accepted(p.apply_heartbeat(&r, false, m, now));
-                    tokens[i - 1] = t;
-                    for c in calls {
-                        match c {
-                            Command::Start { task, attempt } => drop(on.insert(i, (task, attempt))),
-                            Command::Stop { .. } => drop(on.remove(&i)),
-                            Command::Forget { .. } => {}
+    let mut report_and_obey = |shard: &mut Shard,
+                               cache: &StoreCache,
+                               running: &mut BTreeMap<usize, (String, u64)>,
+                               now: f64| {
+        seq += 2;
+        for machine in (1..=4usize)
+            .filter(|machine| cache.registry.contains_key(format!("m-{machine}").as_str()))
+        {
+            for repeat in 0..2 {
+                let tasks: Vec<ReportedTask> = running
+                    .get(&machine)
+                    .iter()
+                    .map(|(task, attempt)| (task.as_str(), *attempt, TaskState::Running, None))
+                    .collect();
+                let heartbeat =
+                    heartbeat_from(machine, 1, seq + repeat, tokens[machine - 1], &tasks);
+                let (token, commands) =
+                    accepted(shard.apply_heartbeat(&heartbeat, false, cache, now));
+                tokens[machine - 1] = token;
+                for command in commands {
+                    match command {
+                        Command::Start { task, attempt } => {
+                            drop(running.insert(machine, (task, attempt)))
                         }
+                        Command::Stop { .. } => drop(running.remove(&machine)),
+                        Command::Forget { .. } => {}
                     }
                 }
             }
-            let zones: std::collections::BTreeSet<usize> = on.keys().map(|i| i % 2).collect();
-            assert!(zones.len() <= 1, "in two zones at {now}: {on:?}");
-        };
-    obey(&mut p, &m, &mut on, 0.6);
-    assert_eq!(on.len(), 2);
-    let hash_owner = on.keys().next().expect("a machine") % 2;
-    let lost = *on.keys().next().expect("a machine");
-    on.remove(&lost);
-    let id = format!("m-{lost}");
-    m.apply(finchwood::store::KeyChange::Delete {
+        }
+        let zones: std::collections::BTreeSet<usize> =
+            running.keys().map(|machine| machine % 2).collect();
+        assert!(
+            zones.len() <= 1,
+            "tasks run in two zones at {now} s: {running:?}"
+        );
+    };
+    report_and_obey(&mut shard, &cache, &mut running, 0.6);
+    assert_eq!(running.len(), 2);
+    let first_zone = running.keys().next().expect("a machine") % 2;
+    let lost_machine = *running.keys().next().expect("a machine");
+    running.remove(&lost_machine);
+    let id = format!("m-{lost_machine}");
+    cache.apply(finchwood::store::KeyChange::Delete {
         key: format!("fw/r/{id}"),
         revision: 300,
     });
-    p.unregister_machine(&id.as_str().into());
-    for i in 1..200 {
-        let now = 1.0 + f64::from(i) * 0.5;
-        scheduling_round(&mut l, &mut p, &m, now);
-        obey(&mut p, &m, &mut on, now);
+    shard.unregister_machine(&id.as_str().into());
+    for step in 1..200 {
+        let now = 1.0 + f64::from(step) * 0.5;
+        scheduling_round(&mut leader, &mut shard, &cache, now);
+        report_and_obey(&mut shard, &cache, &mut running, now);
     }
-    assert_eq!(on.len(), 2, "it runs again: {on:?}");
+    assert_eq!(
+        running.len(),
+        2,
+        "both replicas should run again: {running:?}"
+    );
     assert!(
-        on.keys().all(|i| i % 2 != hash_owner),
-        "in the other zone: {on:?}"
+        running.keys().all(|machine| machine % 2 != first_zone),
+        "all replicas should run in the other zone: {running:?}"
     );
 }
 
-// A team is at its limit when the leader changes, one of its machines can't be
-// asked, and the job that may run there is cancelled: nothing is free before it
-// is proven gone, and that proof comes.
+// A team is at its limit when the leader changes, one of its machines is silent, and the job
+// that may run there is cancelled. Its quota is free only once the tasks are proven gone,
+// which they are when the lease of the silent machine expires.
 #[test]
-fn a_team_at_its_limit_gets_nothing_for_a_cancellation_before_proof() {
-    let (old, new) = (job_spec("wk-1", 4, |_| {}), job_spec("wk-2", 4, |_| {}));
-    let mut m = store_cache(4, &[&old]);
+fn a_cancellation_frees_no_quota_before_the_tasks_are_proven_gone() {
+    let (cancelled, waiting) = (job_spec("wk-1", 4, |_| {}), job_spec("wk-2", 4, |_| {}));
+    let mut cache = store_cache(4, &[&cancelled]);
     let mut accepted_job: JobRecord =
-        serde_json::from_value(job_record(&new, false)).expect("a record");
+        serde_json::from_value(job_record(&waiting, false)).expect("a record");
     accepted_job.epoch = EPOCH;
-    m.put("fw/j/wk-2", json!(accepted_job), 150);
-    let mut l =
+    cache.put("fw/j/wk-2", json!(accepted_job), 150);
+    let mut leader =
         Leader::new(&settings_with(&[("cpus_max = 400.0", "cpus_max = 8.0")]).expect("settings"));
-    l.start_epoch(
+    leader.start_epoch(
         &Epoch {
             number: EPOCH,
             members: [("a".to_string(), 7)].into_iter().collect(),
@@ -603,68 +726,74 @@
             uses_shard_map: false,
         },
         7,
-        &m,
+        &cache,
     );
-    let mut p = new_shard(&m);
+    let mut shard = new_shard(&cache);
     let mut tokens: Vec<u64> = (1..=3)
-        .map(|i| reconcile_machine(&mut p, &m, i, 0.2))
+        .map(|machine| reconcile_machine(&mut shard, &cache, machine, 0.2))
         .collect();
     let mut seq = 2;
-    let mut dealt = |l: &mut Leader, p: &mut Shard, m: &StoreCache, now: f64| {
-        seq += 1;
-        for i in 1..=3 {
-            tokens[i - 1] = accepted(p.apply_heartbeat(
-                &heartbeat_from(i, 1, seq, tokens[i - 1], &[]),
-                false,
-                m,
+    let mut count_assigned =
+        |leader: &mut Leader, shard: &mut Shard, cache: &StoreCache, now: f64| {
+            seq += 1;
+            for machine in 1..=3 {
+                tokens[machine - 1] = accepted(shard.apply_heartbeat(
+                    &heartbeat_from(machine, 1, seq, tokens[machine - 1], &[]),
+                    false,
+                    cache,
+                    now,
+                ))
+                .0;
+            }
+            shard.expire_leases(now);
+            assert!(leader.apply_shard_report(shard.next_report(cache, now), cache, now));
+            leader.reconcile(cache, &|_| false);
+            leader.assign_tasks(cache, now, || true);
+            let orders = leader.orders("a").expect("orders");
+            shard.apply_orders(
+                &Orders {
+                    assignments: Vec::new(),
+                    ..orders.clone()
+                },
+                cache,
                 now,
-            ))
-            .0;
-        }
-        p.expire_leases(now);
-        assert!(l.apply_shard_report(p.next_report(m, now), m, now));
-        l.reconcile(m, &|_| false);
-        l.assign_tasks(m, now, || true);
-        let o = l.orders("a").expect("orders");
-        p.apply_orders(
-            &Orders {
-                assignments: Vec::new(),
-                ..o.clone()
-            },
-            m,
-            now,
-        );
-        o.assignments.iter().map(|d| d.tasks.len()).sum::<usize>()
-    };
+            );
+            orders
+                .assignments
+                .iter()
+                .map(|assignment| assignment.tasks.len())
+                .sum::<usize>()
+        };
     assert_eq!(
-        dealt(&mut l, &mut p, &m, 0.5),
+        count_assigned(&mut leader, &mut shard, &cache, 0.5),
         0,
-        "the fourth machine may hold all that is allowed"
+        "the fourth machine may have tasks up to the team's limit"
     );
-    m.put("fw/j/wk-1", job_record(&old, true), 200);
-    l.job_changed(&"wk-1".into(), &m);
-    p.job_changed(&"wk-1".into(), &m);
+    cache.put("fw/j/wk-1", job_record(&cancelled, true), 200);
+    leader.job_changed(&"wk-1".into(), &cache);
+    shard.job_changed(&"wk-1".into(), &cache);
     assert_eq!(
-        dealt(&mut l, &mut p, &m, 1.0),
+        count_assigned(&mut leader, &mut shard, &cache, 1.0),
         0,
-        "a cancellation is no proof"
+        "a cancellation does not prove that the tasks are gone"
     );
     assert_eq!(
-        dealt(&mut l, &mut p, &m, 27.0),
+        count_assigned(&mut leader, &mut shard, &cache, 27.0),
         0,
-        "its worker's lease may not be past"
+        "the worker's lease may not have expired"
     );
     assert_eq!(
-        dealt(&mut l, &mut p, &m, 29.0),
+        count_assigned(&mut leader, &mut shard, &cache, 29.0),
         4,
-        "it is: nothing is unreconciled any more"
+        "the lease has expired, so that nothing is unreconciled"
     );
 }
 
-/// Guard: a machine that is up within a second or two is used at once, while writes
-/// lag; the next leader must find on the machine registry that it may hold tasks.
+// A machine that is up within a second or two could be used at once, while the write that
+// marks it as in use is still pending. The next leader must find in the machine registry that
+// the machine may have tasks.
 #[test]
-fn a_machine_gets_no_task_before_its_mark_as_up_is_committed() {
+fn a_machine_gets_no_task_before_its_in_use_mark_is_committed() {
     let job = job_spec("wk-1", 1, |_| {});
     let mut cache = store_cache(1, &[&job]);
     let mut record = cache.registry["m-1"].record.clone();
@@ -674,22 +803,22 @@
     let token = reconcile_machine(&mut shard, &cache, 1, 0.2);
     assert!(
         !shard.next_report(&cache, 0.3).machines[0].schedulable,
-        "it reports, and takes nothing yet"
+        "a machine that is not marked as in use takes no tasks"
     );
     shard.apply_orders(&orders(1, assignments("wk-1", &[(0, 50)])), &cache, 0.4);
     place_tasks(&mut shard, &cache, 0.5);
-    let (token, calls) =
+    let (token, commands) =
         accepted(shard.apply_heartbeat(&heartbeat_from(1, 1, 3, token, &[]), false, &cache, 0.6));
-    assert_eq!(calls, []);
+    assert_eq!(commands, []);
     record.in_use = true;
     cache.put("fw/r/m-1", json!(record.clone()), 201);
     shard.register_machine(&"m-1".into(), &record, 0.7);
     shard.apply_orders(&orders(2, assignments("wk-1", &[(0, 51)])), &cache, 0.8);
     place_tasks(&mut shard, &cache, 0.9);
-    let (_, calls) =
+    let (_, commands) =
         accepted(shard.apply_heartbeat(&heartbeat_from(1, 1, 4, token, &[]), false, &cache, 1.0));
     assert!(
-        matches!(calls[..], [Command::Start { attempt: 51, .. }]),
-        "{calls:?}"
+        matches!(commands[..], [Command::Start { attempt: 51, .. }]),
+        "{commands:?}"
     );
 }
--- a/tests/control_plane/epochs.rs
+++ b/tests/control_plane/epochs.rs
@@ -1,4 +1,4 @@
-//! Who leads the next epoch, and which machines change owner with it.
+//! Tests of which member leads the next epoch, and which machines change their owner with it.
 
 use finchwood::cluster::membership::{next_epoch, owner_by_hash};
 use finchwood::store::records::{Epoch, MemberRecord, Versioned};
@@ -6,11 +6,12 @@
 
 #[test]
 fn epochs_keep_a_live_leader_and_prefer_survivors() {
-    let live = |m: &[(&str, u64)]| -> BTreeMap<String, Versioned<MemberRecord>> {
-        m.iter()
-            .map(|(n, incarnation)| {
+    let live = |members: &[(&str, u64)]| -> BTreeMap<String, Versioned<MemberRecord>> {
+        members
+            .iter()
+            .map(|(name, incarnation)| {
                 (
-                    n.to_string(),
+                    name.to_string(),
                     Versioned::new(MemberRecord::of_this_version(*incarnation), 1),
                 )
             })
@@ -22,24 +23,30 @@
         next_epoch(Some(&first), &live(&[("a", 1), ("b", 2), ("c", 3)])),
         None
     );
-    let without: Epoch =
+    let second: Epoch =
         next_epoch(Some(&first), &live(&[("a", 9), ("b", 2), ("c", 3)])).expect("an epoch");
     assert_eq!(
-        (without.number, without.leader.as_str()),
+        (second.number, second.leader.as_str()),
         (2, "b"),
-        "a restart knows nothing"
+        "a restarted controller has no state, and should not lead"
     );
-    let names: BTreeMap<String, u64> = [("a".to_string(), 1), ("b".to_string(), 2)].into();
+    let survivors: BTreeMap<String, u64> = [("a".to_string(), 1), ("b".to_string(), 2)].into();
     let moved = (0..300)
         .map(|i| format!("m-{i:06}"))
-        .filter(|m| {
-            owner_by_hash(&without.members, m) != Some("c")
-                && owner_by_hash(&names, m) != owner_by_hash(&without.members, m)
+        .filter(|machine| {
+            owner_by_hash(&second.members, machine) != Some("c")
+                && owner_by_hash(&survivors, machine) != owner_by_hash(&second.members, machine)
         })
         .count();
-    assert_eq!(moved, 0, "only the machines of one that left change hands");
-    let share = (0..300)
-        .filter(|i| owner_by_hash(&names, &format!("m-{i:06}")) == Some("a"))
+    assert_eq!(
+        moved, 0,
+        "only the machines of the member that left should change their owner"
+    );
+    let owned_by_a = (0..300)
+        .filter(|i| owner_by_hash(&survivors, &format!("m-{i:06}")) == Some("a"))
         .count();
-    assert!((100..200).contains(&share), "{share} of 300");
+    assert!(
+        (100..200).contains(&owned_by_a),
+        "{owned_by_a} of 300 machines belong to the first member"
+    );
 }
--- a/tests/control_plane/failing_tasks.rs
+++ b/tests/control_plane/failing_tasks.rs
@@ -1,5 +1,5 @@
-//! Tasks that fail: whether the job or the machine is at fault, and what becomes
-//! of either. The real leader and shard, driven directly.
+//! Tests of tasks that fail, on the real leader and shard driven directly: whether the job or
+//! the machine is at fault, and what the leader does about either.
 
 use crate::builders::*;
 use finchwood::scheduler::{Leader, MachineFault};
@@ -11,25 +11,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-const BROKEN: &str = "wk-broken";
+/// The ID of a broken job, and the prefix of the IDs of several.
+const BROKEN_JOB: &str = "wk-broken";
 
-/// A leader, its only shard and machines that run what they are told. A task of a
-/// broken job fails at once, anywhere; on a faulty machine each task does; all
-/// others complete.
+/// A leader, its only shard and machines that execute commands. Tasks of broken jobs fail at
+/// once on every machine, and all tasks fail at once on faulty machines. Other tasks complete.
 struct Fleet {
     cache: StoreCache,
     leader: Leader,
     shard: Shard,
     tokens: Vec<u64>,
-    seq: u64,
+    heartbeat_seq: u64,
     now: f64,
-    faulty: BTreeSet<usize>,
-    /// Attempt and cause; a task without a cause runs.
-    shown: Vec<BTreeMap<String, (u64, Option<&'static str>)>>,
-    /// Tasks that don't fail run on.
+    faulty_machines: BTreeSet<usize>,
+    /// The tasks that each machine reports, with their attempt and why they ended; a task
+    /// without a cause runs.
+    reported: Vec<BTreeMap<String, (u64, Option<&'static str>)>>,
+    /// Whether tasks that don't fail run on instead of completing at once.
     long_tasks: bool,
-    /// When tasks of broken jobs were started, and where.
-    failed: Vec<(f64, usize)>,
+    /// When tasks of broken jobs were started, and on which machine.
+    broken_starts: Vec<(f64, usize)>,
     completed: BTreeSet<String>,
 }
 
@@ -43,26 +44,26 @@
             leader,
             shard,
             tokens,
-            seq: 10,
+            heartbeat_seq: 10,
             now: 1.0,
-            faulty: BTreeSet::new(),
-            shown: vec![BTreeMap::new(); machines],
+            faulty_machines: BTreeSet::new(),
+            reported: vec![BTreeMap::new(); machines],
             long_tasks: false,
-            failed: Vec::new(),
+            broken_starts: Vec::new(),
             completed: BTreeSet::new(),
         }
     }
 
-    /// One round of all: the leader judges machines, assigns and commits; every
-    /// machine reports and runs what it is answered.
-    fn step(&mut self) {
+    /// Runs one round: the leader cordons faulty machines, assigns tasks and commits completed
+    /// jobs; then every machine sends a heartbeat and executes the commands in the reply.
+    fn run_round(&mut self) {
         self.now += 0.5;
         self.leader.cordon_faulty_machines(&self.cache);
         scheduling_round(&mut self.leader, &mut self.shard, &self.cache, self.now);
         self.commit_completed_jobs();
-        for machine in 0..self.shown.len() {
-            self.seq += 1;
-            let shown = &self.shown[machine];
+        for machine in 0..self.reported.len() {
+            self.heartbeat_seq += 1;
+            let reported = &self.reported[machine];
             let state = |cause: Option<&str>| {
                 if cause.is_some() {
                     TaskState::Ended
@@ -70,77 +71,88 @@
                     TaskState::Running
                 }
             };
-            let lines: Vec<ReportedTask> = shown
+            let tasks: Vec<ReportedTask> = reported
                 .iter()
-                .map(|(task, s)| (task.as_str(), s.0, state(s.1), s.1))
+                .map(|(id, task)| (id.as_str(), task.0, state(task.1), task.1))
                 .collect();
-            let r = heartbeat_from(machine + 1, 1, self.seq, self.tokens[machine], &lines);
-            let (token, calls) =
-                accepted(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
+            let heartbeat = heartbeat_from(
+                machine + 1,
+                1,
+                self.heartbeat_seq,
+                self.tokens[machine],
+                &tasks,
+            );
+            let (token, commands) =
+                accepted(
+                    self.shard
+                        .apply_heartbeat(&heartbeat, false, &self.cache, self.now),
+                );
             self.tokens[machine] = token;
-            calls.iter().for_each(|call| self.obey(machine, call));
+            commands
+                .iter()
+                .for_each(|command| self.execute(machine, command));
         }
     }
 
-    fn obey(&mut self, machine: usize, call: &Command) {
-        match call {
+    fn execute(&mut self, machine: usize, command: &Command) {
+        match command {
             Command::Start { task, attempt } => {
-                let broken = task.starts_with(BROKEN);
-                let fails = broken || self.faulty.contains(&machine);
+                let broken = task.starts_with(BROKEN_JOB);
+                let fails = broken || self.faulty_machines.contains(&machine);
                 let cause = match (fails, self.long_tasks) {
                     (true, _) => Some("error"),
                     (false, true) => None,
                     (false, false) => Some("done"),
                 };
-                self.shown[machine].insert(task.clone(), (*attempt, cause));
+                self.reported[machine].insert(task.clone(), (*attempt, cause));
                 if broken {
-                    self.failed.push((self.now, machine));
+                    self.broken_starts.push((self.now, machine));
                 } else if !fails {
                     self.completed.insert(task.clone());
                 }
             }
-            Command::Forget { task, .. } => drop(self.shown[machine].remove(task)),
+            Command::Forget { task, .. } => drop(self.reported[machine].remove(task)),
             Command::Stop { .. } => {}
         }
     }
 
-    /// Jobs of one task are done once that has completed.
+    /// Commits each sound job as done whose only task has completed.
     fn commit_completed_jobs(&mut self) {
-        let single: Vec<String> = self
+        let completed_tasks: Vec<String> = self
             .completed
             .iter()
-            .filter(|t| t.starts_with("wk-sound"))
+            .filter(|task| task.starts_with("wk-sound"))
             .cloned()
             .collect();
-        for task in single {
+        for task in completed_tasks {
             self.completed.remove(&task);
             let job = task.trim_end_matches("/0").to_string();
-            let old = self.cache.jobs[job.as_str()].clone();
+            let cached = self.cache.jobs[job.as_str()].clone();
             let done = JobRecord {
                 done: true,
                 spec: None,
-                ..old.record
+                ..cached.record
             };
             self.cache
-                .put(&format!("fw/j/{job}"), json!(done), old.revision + 1_000);
+                .put(&format!("fw/j/{job}"), json!(done), cached.revision + 1_000);
             self.shard.job_changed(&job.as_str().into(), &self.cache);
             self.leader.job_changed(&job.as_str().into(), &self.cache);
         }
     }
 
-    fn run(&mut self, steps: usize) {
-        (0..steps).for_each(|_| self.step());
+    fn run_rounds(&mut self, rounds: usize) {
+        (0..rounds).for_each(|_| self.run_round());
     }
 
-    fn open_machines(&self) -> Vec<String> {
+    fn schedulable_machines(&self) -> Vec<String> {
         self.leader
             .machines()
-            .filter(|m| m.schedulable)
-            .map(|m| m.id.to_string())
+            .filter(|machine| machine.schedulable)
+            .map(|machine| machine.id.to_string())
             .collect()
     }
 
-    fn faults(&self) -> BTreeMap<String, MachineFault> {
+    fn machine_faults(&self) -> BTreeMap<String, MachineFault> {
         let faults = self.leader.machine_faults(&self.cache);
         faults
             .into_iter()
@@ -149,100 +161,119 @@
     }
 }
 
-/// Jobs of one task that are not broken.
+/// Returns jobs of one task that are not broken.
 fn sound_jobs(count: usize) -> Vec<Arc<JobSpec>> {
     (0..count)
-        .map(|i| job_spec(&format!("wk-sound-{i}"), 1, |_| {}))
+        .map(|index| job_spec(&format!("wk-sound-{index}"), 1, |_| {}))
         .collect()
 }
 
 #[test]
-fn broken_jobs_take_no_machine_out_of_use() {
+fn broken_jobs_take_no_machine_out_of_service() {
     let jobs: Vec<Arc<JobSpec>> = (0..3)
-        .map(|i| job_spec(&format!("{BROKEN}-{i}"), 6, |_| {}))
+        .map(|index| job_spec(&format!("{BROKEN_JOB}-{index}"), 6, |_| {}))
         .collect();
     let mut fleet = Fleet::new(6, &jobs);
-    fleet.run(60);
-    assert!(fleet.failed.len() > 10, "they are tried");
-    assert_eq!(fleet.faults(), BTreeMap::new());
-    assert_eq!(fleet.open_machines().len(), 6, "all machines take work");
+    fleet.run_rounds(60);
+    assert!(
+        fleet.broken_starts.len() > 10,
+        "the broken jobs should be started"
+    );
+    assert_eq!(fleet.machine_faults(), BTreeMap::new());
+    assert_eq!(
+        fleet.schedulable_machines().len(),
+        6,
+        "all machines should take tasks"
+    );
 }
 
 #[test]
-fn a_broken_job_is_tried_with_one_task_less_and_less_often_but_never_forgotten() {
-    let mut fleet = Fleet::new(6, &[job_spec(BROKEN, 12, |_| {})]);
-    fleet.run(40);
-    let tried = fleet.failed.len();
-    fleet.run(1200);
-    let later = &fleet.failed[tried..];
+fn a_broken_job_is_retried_with_one_task_at_growing_but_bounded_intervals() {
+    let mut fleet = Fleet::new(6, &[job_spec(BROKEN_JOB, 12, |_| {})]);
+    fleet.run_rounds(40);
+    let early_starts = fleet.broken_starts.len();
+    fleet.run_rounds(1200);
+    let later_starts = &fleet.broken_starts[early_starts..];
     assert!(
-        later.windows(2).all(|w| w[1].0 > w[0].0),
-        "one task at a time"
+        later_starts.windows(2).all(|pair| pair[1].0 > pair[0].0),
+        "only one task should be started at a time"
     );
-    let gaps: Vec<f64> = later.windows(2).map(|w| w[1].0 - w[0].0).collect();
+    let gaps: Vec<f64> = later_starts
+        .windows(2)
+        .map(|pair| pair[1].0 - pair[0].0)
+        .collect();
     assert!(
         gaps.iter().all(|gap| *gap < 80.0),
-        "no job waits 90 s while there is room: {gaps:?}"
+        "no job may wait 90 s while there is free capacity: {gaps:?}"
+    );
+    assert!(
+        later_starts.len() < 25,
+        "{} starts in ten minutes",
+        later_starts.len()
     );
-    assert!(later.len() < 25, "{} tries in ten minutes", later.len());
     assert!(
         fleet.leader.pending_demand.is_empty(),
-        "no machine is rented for it"
+        "no machine should be rented for a broken job"
     );
-    let machines: BTreeSet<usize> = later.iter().map(|l| l.1).collect();
+    let machines: BTreeSet<usize> = later_starts.iter().map(|start| start.1).collect();
     assert!(
         machines.len() > 2,
-        "not always the same machines: {machines:?}"
+        "a broken job should not be started on the same machines only: {machines:?}"
     );
 }
 
 #[test]
-fn a_machine_that_fails_what_succeeds_elsewhere_is_replaced() {
+fn a_machine_that_fails_tasks_that_complete_elsewhere_is_proven_faulty() {
     let mut fleet = Fleet::new(4, &sound_jobs(30));
-    fleet.faulty.insert(2);
-    fleet.run(60);
+    fleet.faulty_machines.insert(2);
+    fleet.run_rounds(60);
     assert_eq!(
-        fleet.faults(),
+        fleet.machine_faults(),
         [("m-3".to_string(), MachineFault::Proven)]
             .into_iter()
             .collect()
     );
-    let done = fleet.cache.jobs.values().filter(|j| j.record.done).count();
-    assert_eq!(done, 30, "all jobs run elsewhere");
-    assert_eq!(fleet.open_machines(), ["m-1", "m-2", "m-4"]);
+    let done = fleet
+        .cache
+        .jobs
+        .values()
+        .filter(|job| job.record.done)
+        .count();
+    assert_eq!(done, 30, "all jobs should complete on the other machines");
+    assert_eq!(fleet.schedulable_machines(), ["m-1", "m-2", "m-4"]);
 }
 
 #[test]
-fn a_job_that_met_two_faulty_machines_is_not_held_back_once_a_task_has_completed() {
+fn a_job_that_failed_on_two_faulty_machines_runs_whole_once_a_task_has_completed() {
     let mut fleet = Fleet::new(3, &[job_spec("wk-array", 12, |_| {})]);
-    fleet.faulty.extend([0, 1]);
-    fleet.run(30);
+    fleet.faulty_machines.extend([0, 1]);
+    fleet.run_rounds(30);
     assert!(
-        fleet.completed.is_empty() || fleet.shown[2].len() > 1,
+        fleet.completed.is_empty() || fleet.reported[2].len() > 1,
         "{:?}",
-        fleet.shown
+        fleet.reported
     );
-    let on_sound = fleet.shown[2]
+    let on_sound = fleet.reported[2]
         .values()
-        .filter(|s| s.1 == Some("done"))
+        .filter(|task| task.1 == Some("done"))
         .count();
     assert_eq!(
         on_sound, 12,
-        "all its tasks complete on the machine that works"
+        "all tasks should complete on the machine that is not faulty"
     );
 }
 
 #[test]
-fn a_job_that_only_met_faulty_machines_runs_whole_as_soon_as_its_tasks_are_seen_to_run() {
+fn a_job_that_failed_on_faulty_machines_runs_whole_once_its_tasks_are_seen_to_run() {
     let mut fleet = Fleet::new(10, &[job_spec("wk-array", 16, |_| {})]);
-    fleet.faulty.extend([0, 1]);
+    fleet.faulty_machines.extend([0, 1]);
     fleet.long_tasks = true;
-    fleet.run(60);
+    fleet.run_rounds(60);
     let running = fleet
-        .shown
+        .reported
         .iter()
         .flat_map(BTreeMap::values)
-        .filter(|s| s.1.is_none())
+        .filter(|task| task.1.is_none())
         .count();
-    assert_eq!(running, 16, "none waits for the end of another");
+    assert_eq!(running, 16, "no task should wait until another has ended");
 }
--- a/tests/control_plane/gangs.rs
+++ b/tests/control_plane/gangs.rs
@@ -1,5 +1,5 @@
-//! Gangs: all tasks start together or none, all under one attempt. The real
-//! leader and shard, driven directly.
+//! Tests of gangs, on the real leader and shard driven directly. The tasks of a gang start all
+//! together or not at all, and under one attempt.
 
 use crate::builders::*;
 use finchwood::scheduler::Leader;
@@ -11,108 +11,132 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A gang whose tasks fill a machine each, unless `change` says otherwise.
+/// Returns a gang whose tasks fill a machine each, unless `change` sets other fields.
 fn gang(id: &str, tasks: u32, change: impl Fn(&mut Value)) -> Arc<JobSpec> {
-    job_spec(id, tasks, |v| {
-        v["shape"] = "ensemble".into();
-        v["rank"] = "standard".into();
-        v["cpus"] = 4.0.into();
-        v["molt_s"] = 20.0.into();
-        v["stash_s"] = 3.0.into();
-        change(v);
+    job_spec(id, tasks, |fields| {
+        fields["shape"] = "ensemble".into();
+        fields["rank"] = "standard".into();
+        fields["cpus"] = 4.0.into();
+        fields["molt_s"] = 20.0.into();
+        fields["stash_s"] = 3.0.into();
+        change(fields);
     })
 }
 
-/// What one machine shows of a task: attempt, state, cause.
-type Shown = (u64, TaskState, Option<&'static str>);
+/// What a machine reports of a task: its attempt, its state and why it ended.
+type ReportedState = (u64, TaskState, Option<&'static str>);
 
-/// A leader, its only shard and machines that obey, without a network between.
-struct Bench {
+/// A leader, its only shard and machines that execute commands, without a network between.
+struct TestCluster {
     cache: StoreCache,
     leader: Leader,
     shard: Shard,
     tokens: Vec<u64>,
-    seq: u64,
+    heartbeat_seq: u64,
     now: f64,
-    /// What each machine shows: a started task gathers.
-    shown: Vec<BTreeMap<String, Shown>>,
-    /// Commands that the last reports were answered with.
+    /// The tasks that each machine reports; a task that has been started is `Gathering`.
+    reported: Vec<BTreeMap<String, ReportedState>>,
+    /// The commands in the replies of the last round, each with the index of the machine.
     commands: Vec<(usize, Command)>,
 }
 
-impl Bench {
-    fn new(cache: StoreCache, machines: usize) -> Bench {
+impl TestCluster {
+    fn new(cache: StoreCache, machines: usize) -> TestCluster {
         let (leader, shard, tokens) = leader_and_shard(&cache, machines);
-        let shown = vec![BTreeMap::new(); machines];
-        Bench {
+        let reported = vec![BTreeMap::new(); machines];
+        TestCluster {
             cache,
             leader,
             shard,
             tokens,
-            seq: 10,
+            heartbeat_seq: 10,
             now: 1.0,
-            shown,
+            reported,
             commands: Vec::new(),
         }
     }
 
-    /// Every machine reports and obeys the answer; leader and shard take a round.
-    fn step(&mut self) {
+    /// Runs one round of the leader and the shard. Then every machine sends a heartbeat and
+    /// executes the commands in the reply.
+    fn run_round(&mut self) {
         self.now += 0.5;
         scheduling_round(&mut self.leader, &mut self.shard, &self.cache, self.now);
         self.commands.clear();
-        for i in 0..self.shown.len() {
-            self.seq += 1;
-            let lines: Vec<ReportedTask> = self.shown[i]
+        for machine in 0..self.reported.len() {
+            self.heartbeat_seq += 1;
+            let tasks: Vec<ReportedTask> = self.reported[machine]
                 .iter()
-                .map(|(t, s)| (t.as_str(), s.0, s.1, s.2))
+                .map(|(id, task)| (id.as_str(), task.0, task.1, task.2))
                 .collect();
-            let r = heartbeat_from(i + 1, 1, self.seq, self.tokens[i], &lines);
-            let (token, calls) =
-                accepted(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
-            self.tokens[i] = token;
-            for call in calls {
-                self.obey(i, &call);
-                self.commands.push((i, call));
+            let heartbeat = heartbeat_from(
+                machine + 1,
+                1,
+                self.heartbeat_seq,
+                self.tokens[machine],
+                &tasks,
+            );
+            let (token, commands) =
+                accepted(
+                    self.shard
+                        .apply_heartbeat(&heartbeat, false, &self.cache, self.now),
+                );
+            self.tokens[machine] = token;
+            for command in commands {
+                self.execute(machine, &command);
+                self.commands.push((machine, command));
             }
         }
     }
 
-    fn obey(&mut self, machine: usize, call: &Command) {
-        let shown = &mut self.shown[machine];
-        match call {
+    fn execute(&mut self, machine: usize, command: &Command) {
+        let tasks = &mut self.reported[machine];
+        match command {
             Command::Start { task, attempt } => {
-                shown
+                tasks
                     .entry(task.clone())
                     .or_insert((*attempt, TaskState::Gathering, None));
             }
             Command::Stop { task, .. } => {
-                if let Some(s) = shown.get_mut(task).filter(|s| s.1 != TaskState::Ended) {
-                    (s.1, s.2) = (TaskState::Ended, Some("stopped"));
+                if let Some(running) = tasks
+                    .get_mut(task)
+                    .filter(|state| state.1 != TaskState::Ended)
+                {
+                    (running.1, running.2) = (TaskState::Ended, Some("stopped"));
                 }
             }
-            Command::Forget { task, .. } => drop(shown.remove(task)),
+            Command::Forget { task, .. } => drop(tasks.remove(task)),
         }
     }
 
-    /// A machine reports that it will be taken; returns what it is answered.
-    fn notice(&mut self, machine: usize) -> Vec<Command> {
-        let shown = &self.shown[machine];
-        let lines: Vec<ReportedTask> = shown
+    /// Sends a heartbeat with a reclaim notice from a machine, and returns the commands in the
+    /// reply without executing them.
+    fn send_reclaim_notice(&mut self, machine: usize) -> Vec<Command> {
+        let reported = &self.reported[machine];
+        let tasks: Vec<ReportedTask> = reported
             .iter()
-            .map(|(t, s)| (t.as_str(), s.0, s.1, s.2))
+            .map(|(id, task)| (id.as_str(), task.0, task.1, task.2))
             .collect();
-        self.seq += 1;
-        let mut r = heartbeat_from(machine + 1, 1, self.seq, self.tokens[machine], &lines);
-        r.reclaimed_in_s = Some(8.0);
-        let (token, calls) = accepted(self.shard.apply_heartbeat(&r, false, &self.cache, self.now));
+        self.heartbeat_seq += 1;
+        let mut heartbeat = heartbeat_from(
+            machine + 1,
+            1,
+            self.heartbeat_seq,
+            self.tokens[machine],
+            &tasks,
+        );
+        heartbeat.reclaimed_in_s = Some(8.0);
+        let (token, commands) =
+            accepted(
+                self.shard
+                    .apply_heartbeat(&heartbeat, false, &self.cache, self.now),
+            );
         self.tokens[machine] = token;
-        calls
+        commands
     }
 
-    /// The next epoch has a new leader, and a new owner if `incarnation` is not
-    /// that of the shard, which then knows nothing of what was.
-    fn take_over(&mut self, incarnation: u64) {
+    /// Starts the next epoch with a new leader. The shard keeps its state if `incarnation` is
+    /// 7 as before; otherwise it is a new owner that has no state yet.
+    fn start_next_epoch(&mut self, incarnation: u64) {
         let members = [("a".to_string(), incarnation)].into_iter().collect();
         let epoch = Epoch {
             number: EPOCH + 1,
@@ -126,86 +150,97 @@
         self.leader.start_epoch(&epoch, incarnation, &self.cache);
     }
 
-    fn steps(&mut self, count: usize) {
-        (0..count).for_each(|_| self.step());
+    fn run_rounds(&mut self, count: usize) {
+        (0..count).for_each(|_| self.run_round());
     }
 
-    /// Machine, attempt and state of every task that has not ended.
+    /// Returns the machine, the attempt and the state of every task that has not ended.
     fn on_machines(&self) -> Vec<(usize, u64, TaskState)> {
-        let all = self
-            .shown
+        let tasks = self
+            .reported
             .iter()
             .enumerate()
-            .flat_map(|(i, m)| m.values().map(move |s| (i, s.0, s.1)));
-        all.filter(|s| s.2 != TaskState::Ended).collect()
+            .flat_map(|(machine, tasks)| tasks.values().map(move |task| (machine, task.0, task.1)));
+        tasks.filter(|task| task.2 != TaskState::Ended).collect()
     }
 
-    /// The attempt that all tasks share, of which there are `count`.
+    /// Returns the attempt that all tasks on the machines share; there have to be `count` tasks.
     fn shared_attempt(&self, count: usize) -> u64 {
-        let on = self.on_machines();
-        let attempts: BTreeSet<u64> = on.iter().map(|s| s.1).collect();
-        assert_eq!((on.len(), attempts.len()), (count, 1), "{on:?}");
-        on[0].1
+        let on_machines = self.on_machines();
+        let attempts: BTreeSet<u64> = on_machines.iter().map(|task| task.1).collect();
+        assert_eq!(
+            (on_machines.len(), attempts.len()),
+            (count, 1),
+            "{on_machines:?}"
+        );
+        on_machines[0].1
     }
 
-    /// Every task that has not ended shows this from now on.
-    fn all_show(&mut self, state: TaskState, cause: Option<&'static str>) {
-        let lines = self.shown.iter_mut().flat_map(|m| m.values_mut());
-        lines
-            .filter(|s| s.1 != TaskState::Ended)
-            .for_each(|s| (s.1, s.2) = (state, cause));
+    /// Makes every task that has not ended report this state and cause from now on.
+    fn set_all_tasks(&mut self, state: TaskState, cause: Option<&'static str>) {
+        let tasks = self
+            .reported
+            .iter_mut()
+            .flat_map(|tasks| tasks.values_mut());
+        tasks
+            .filter(|task| task.1 != TaskState::Ended)
+            .for_each(|task| (task.1, task.2) = (state, cause));
     }
 }
 
 #[test]
 fn a_gang_starts_whole_under_one_attempt_in_one_zone() {
-    let s = gang("wk-1", 3, |v| v["one_zone"] = true.into());
-    let mut b = Bench::new(store_cache(6, &[&s]), 6);
-    b.step();
-    b.shared_attempt(3);
-    let zones: BTreeSet<usize> = b.on_machines().iter().map(|s| s.0 % 2).collect();
+    let spec = gang("wk-1", 3, |fields| fields["one_zone"] = true.into());
+    let mut cluster = TestCluster::new(store_cache(6, &[&spec]), 6);
+    cluster.run_round();
+    cluster.shared_attempt(3);
+    let zones: BTreeSet<usize> = cluster
+        .on_machines()
+        .iter()
+        .map(|task| task.0 % 2)
+        .collect();
     assert_eq!(zones.len(), 1);
 }
 
 #[test]
-fn a_gang_without_room_for_all_starts_nothing_and_keeps_what_room_there_is() {
-    let (s, small) = (gang("wk-1", 3, |_| {}), job_spec("wk-2", 8, |_| {}));
-    let mut m = store_cache(2, &[&s, &small]);
-    // Both have only just been accepted: what waits for very long comes first,
-    // and keeps no room from others.
-    for (job, revision) in [(&s, 400), (&small, 401)] {
+fn a_gang_without_capacity_for_all_tasks_starts_none_and_reserves_capacity() {
+    let (spec, array) = (gang("wk-1", 3, |_| {}), job_spec("wk-2", 8, |_| {}));
+    let mut cache = store_cache(2, &[&spec, &array]);
+    // Both jobs are accepted only now: a gang that has waited for very long comes first, but
+    // no capacity is reserved for it.
+    for (job, revision) in [(&spec, 400), (&array, 401)] {
         let mut accepted_job = job_record(job, false);
         accepted_job["t"] = finchwood::clock::wall_clock_ms().into();
-        m.put(&format!("fw/j/{}", job.id), accepted_job, revision);
+        cache.put(&format!("fw/j/{}", job.id), accepted_job, revision);
     }
-    let mut b = Bench::new(m, 2);
-    b.steps(3);
+    let mut cluster = TestCluster::new(cache, 2);
+    cluster.run_rounds(3);
     assert!(
-        b.on_machines().is_empty(),
-        "neither part of the gang nor the job after it starts"
+        cluster.on_machines().is_empty(),
+        "neither a part of the gang nor the job after it should start"
     );
-    let wanted: u32 = b
+    let demanded: u32 = cluster
         .leader
         .pending_demand
         .iter()
-        .filter(|w| w.spec.id == s.id)
-        .map(|w| w.count)
+        .filter(|demand| demand.spec.id == spec.id)
+        .map(|demand| demand.count)
         .sum();
-    assert_eq!(wanted, 3, "machines are rented for the whole gang");
+    assert_eq!(demanded, 3, "machines should be rented for the whole gang");
 }
 
-// The team's limit leaves room for two of three tasks: none starts.
+// The team's limit leaves CPUs for two of the gang's three tasks: none starts.
 #[test]
-fn a_gang_beyond_what_its_team_has_left_starts_nothing() {
-    let (first, s) = (
-        job_spec("wk-1", 1, |v| v["rank"] = "urgent".into()),
+fn a_gang_that_does_not_fit_in_its_team_limit_starts_nothing() {
+    let (urgent, spec) = (
+        job_spec("wk-1", 1, |fields| fields["rank"] = "urgent".into()),
         gang("wk-2", 3, |_| {}),
     );
-    let m = store_cache(6, &[&first, &s]);
-    let mut l =
+    let cache = store_cache(6, &[&urgent, &spec]);
+    let mut leader =
         Leader::new(&settings_with(&[("cpus_max = 400.0", "cpus_max = 12.0")]).expect("settings"));
     let members = [("a".to_string(), 7)].into_iter().collect();
-    l.start_epoch(
+    leader.start_epoch(
         &Epoch {
             number: EPOCH,
             members,
@@ -213,160 +248,190 @@
             uses_shard_map: false,
         },
         7,
-        &m,
+        &cache,
     );
-    let mut p = new_shard(&m);
+    let mut shard = new_shard(&cache);
     for machine in 1..=6 {
-        reconcile_machine(&mut p, &m, machine, 0.2);
+        reconcile_machine(&mut shard, &cache, machine, 0.2);
     }
-    assert!(l.apply_shard_report(p.next_report(&m, 0.3), &m, 0.3));
-    l.reconcile(&m, &|_| false);
-    l.assign_tasks(&m, 0.5, || true);
-    let deals = l.orders("a").expect("orders").assignments;
-    let dealt: Vec<(&str, usize)> = deals.iter().map(|d| (&*d.job, d.tasks.len())).collect();
-    assert_eq!(dealt, [("wk-1", 1)]);
+    assert!(leader.apply_shard_report(shard.next_report(&cache, 0.3), &cache, 0.3));
+    leader.reconcile(&cache, &|_| false);
+    leader.assign_tasks(&cache, 0.5, || true);
+    let new_assignments = leader.orders("a").expect("orders").assignments;
+    let assigned: Vec<(&str, usize)> = new_assignments
+        .iter()
+        .map(|assignment| (&*assignment.job, assignment.tasks.len()))
+        .collect();
+    assert_eq!(assigned, [("wk-1", 1)]);
 }
 
-// A worker refuses one task: it never had its image, so that the gang can't have
-// run, and the others wait for a replacement under the same attempt. The shard
-// says again and again that the refused one is gone.
+// A worker refuses one task of a gang. The task never had its image, so that the gang can't
+// have run, and the other tasks wait for a replacement under the same attempt. The shard
+// reports again and again that the refused task was removed, which must not free the
+// replacement.
 #[test]
 fn a_refused_task_is_replaced_under_the_same_attempt_and_a_stale_report_frees_nothing() {
-    let s = gang("wk-1", 3, |_| {});
-    let mut b = Bench::new(store_cache(4, &[&s]), 4);
-    b.step();
-    let attempt = b.shared_attempt(3);
-    let refused = b.on_machines()[0].0;
-    b.shown[refused]
+    let spec = gang("wk-1", 3, |_| {});
+    let mut cluster = TestCluster::new(store_cache(4, &[&spec]), 4);
+    cluster.run_round();
+    let attempt = cluster.shared_attempt(3);
+    let refusing_machine = cluster.on_machines()[0].0;
+    cluster.reported[refusing_machine]
         .values_mut()
-        .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("no_room")));
-    b.step();
-    let told = b.shard.next_report(&b.cache, b.now);
-    let gone = told.removed.clone();
-    assert_eq!(gone.len(), 1, "it is told as gone");
-    b.steps(3);
-    assert_eq!(b.shared_attempt(3), attempt);
+        .for_each(|task| (task.1, task.2) = (TaskState::Ended, Some("no_room")));
+    cluster.run_round();
+    let report = cluster.shard.next_report(&cluster.cache, cluster.now);
+    let removed = report.removed.clone();
+    assert_eq!(
+        removed.len(),
+        1,
+        "the refused task should be reported as removed"
+    );
+    cluster.run_rounds(3);
+    assert_eq!(cluster.shared_attempt(3), attempt);
     assert!(
-        b.on_machines().iter().all(|s| s.0 != refused),
-        "on another machine"
+        cluster
+            .on_machines()
+            .iter()
+            .all(|task| task.0 != refusing_machine),
+        "the replacement should be on another machine"
     );
-    // The report about the first assignment comes once more.
-    let mut again = b.shard.next_report(&b.cache, b.now);
-    again.removed = gone;
-    assert!(b.leader.apply_shard_report(again, &b.cache, b.now));
-    b.leader.assign_tasks(&b.cache, b.now, || true);
-    let deals = b.leader.orders("a").expect("orders").assignments;
+    // The removal of the first assignment is reported once more.
+    let mut repeated_report = cluster.shard.next_report(&cluster.cache, cluster.now);
+    repeated_report.removed = removed;
+    assert!(cluster
+        .leader
+        .apply_shard_report(repeated_report, &cluster.cache, cluster.now));
+    cluster
+        .leader
+        .assign_tasks(&cluster.cache, cluster.now, || true);
+    let new_assignments = cluster.leader.orders("a").expect("orders").assignments;
     assert!(
-        deals.is_empty(),
-        "the replacement counts as gone: {deals:?}"
+        new_assignments.is_empty(),
+        "the replacement was taken to be removed: {new_assignments:?}"
     );
 }
 
 #[test]
-fn a_running_gang_that_loses_a_task_is_stopped_and_begins_again_when_all_are_gone() {
-    let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(store_cache(4, &[&s]), 4);
-    b.step();
-    let first = b.shared_attempt(2);
-    b.all_show(TaskState::Running, None);
-    b.step();
-    // One exits as another is gone; the other has not noticed yet.
-    let (one, other) = (b.on_machines()[0].0, b.on_machines()[1].0);
-    b.shown[one]
+fn a_running_gang_that_loses_a_task_is_stopped_and_restarts_when_all_are_removed() {
+    let spec = gang("wk-1", 2, |_| {});
+    let mut cluster = TestCluster::new(store_cache(4, &[&spec]), 4);
+    cluster.run_round();
+    let first = cluster.shared_attempt(2);
+    cluster.set_all_tasks(TaskState::Running, None);
+    cluster.run_round();
+    // One task ends because it lost a peer; the other has not noticed yet.
+    let (machine, other_machine) = (cluster.on_machines()[0].0, cluster.on_machines()[1].0);
+    cluster.reported[machine]
         .values_mut()
-        .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("peers")));
-    b.steps(2);
-    let on = b.on_machines();
+        .for_each(|task| (task.1, task.2) = (TaskState::Ended, Some("peers")));
+    cluster.run_rounds(2);
+    let on_machines = cluster.on_machines();
+    assert!(
+        on_machines
+            .iter()
+            .all(|task| task.1 == first || !on_machines.iter().any(|other| other.1 == first)),
+        "tasks of a new attempt run beside the old one: {on_machines:?}"
+    );
+    cluster.run_rounds(4);
+    let second = cluster.shared_attempt(2);
     assert!(
-        on.iter()
-            .all(|s| s.1 == first || !on.iter().any(|o| o.1 == first)),
-        "beside the old: {on:?}"
+        second > first,
+        "the gang should restart under a new attempt"
     );
-    b.steps(4);
-    let second = b.shared_attempt(2);
-    assert!(second > first, "a new attempt");
-    assert!(b.shown[other]
+    assert!(cluster.reported[other_machine]
         .values()
-        .all(|s| s.1 == TaskState::Ended || s.0 == second));
-    // `peers` is neither the machines' fault nor the job's.
-    let told = b.shard.next_report(&b.cache, b.now);
-    assert!(!told.machines.iter().any(|m| m.faulty));
+        .all(|task| task.1 == TaskState::Ended || task.0 == second));
+    // The cause `peers` is the fault of neither the machines nor the job.
+    let report = cluster.shard.next_report(&cluster.cache, cluster.now);
+    assert!(!report.machines.iter().any(|machine| machine.faulty));
 }
 
-// It may have had its image in the moment before it was lost, and the gang may
-// have run: the others don't wait for a replacement.
+// The lost task may have had its image in the moment before it was lost, so that the gang may
+// have run: the other tasks don't wait for a replacement.
 #[test]
-fn a_gathering_gang_that_loses_a_task_begins_anew() {
-    let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(store_cache(4, &[&s]), 4);
-    b.steps(2);
-    let first = b.shared_attempt(2);
-    let lost = b.on_machines()[1].0;
-    b.shown[lost].clear();
-    b.steps(8);
-    assert!(b.shared_attempt(2) > first);
+fn a_gathering_gang_that_loses_a_task_starts_a_new_attempt() {
+    let spec = gang("wk-1", 2, |_| {});
+    let mut cluster = TestCluster::new(store_cache(4, &[&spec]), 4);
+    cluster.run_rounds(2);
+    let first = cluster.shared_attempt(2);
+    let machine = cluster.on_machines()[1].0;
+    cluster.reported[machine].clear();
+    cluster.run_rounds(8);
+    assert!(cluster.shared_attempt(2) > first);
 }
 
-// A task is refused on a machine that will be taken: its zone has no other room,
-// another zone has.
+// A task is refused on a machine that is about to be reclaimed. Its zone has no other free
+// capacity, while another zone has.
 #[test]
-fn a_refused_task_of_a_gang_for_one_zone_is_replaced_nowhere_else() {
-    let s = gang("wk-1", 2, |v| v["one_zone"] = true.into());
-    let mut b = Bench::new(store_cache(3, &[&s]), 3);
-    b.step();
-    b.shared_attempt(2);
-    for line in b.shown[2].values_mut() {
-        (line.1, line.2) = (TaskState::Ended, Some("no_room"));
+fn a_refused_task_of_a_one_zone_gang_is_not_replaced_in_another_zone() {
+    let spec = gang("wk-1", 2, |fields| fields["one_zone"] = true.into());
+    let mut cluster = TestCluster::new(store_cache(3, &[&spec]), 3);
+    cluster.run_round();
+    cluster.shared_attempt(2);
+    for task in cluster.reported[2].values_mut() {
+        (task.1, task.2) = (TaskState::Ended, Some("no_room"));
     }
-    b.notice(2);
+    cluster.send_reclaim_notice(2);
     for _ in 0..20 {
-        b.step();
-        assert!(b.shown[1].is_empty(), "in the other zone: {:?}", b.shown);
+        cluster.run_round();
+        assert!(
+            cluster.reported[1].is_empty(),
+            "a task was started in the other zone: {:?}",
+            cluster.reported
+        );
     }
 }
 
 #[test]
-fn done_of_one_task_is_done_of_all() {
-    let s = gang("wk-1", 3, |_| {});
-    let mut b = Bench::new(store_cache(3, &[&s]), 3);
-    b.step();
-    b.all_show(TaskState::Running, None);
-    b.step();
-    let first = b.on_machines()[0].0;
-    b.shown[first]
+fn a_gang_is_done_as_soon_as_one_task_is_done() {
+    let spec = gang("wk-1", 3, |_| {});
+    let mut cluster = TestCluster::new(store_cache(3, &[&spec]), 3);
+    cluster.run_round();
+    cluster.set_all_tasks(TaskState::Running, None);
+    cluster.run_round();
+    let machine = cluster.on_machines()[0].0;
+    cluster.reported[machine]
         .values_mut()
-        .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("done")));
-    b.step();
-    b.step();
-    let finishes = b.leader.completions_to_commit(b.now, 9, &b.cache);
+        .for_each(|task| (task.1, task.2) = (TaskState::Ended, Some("done")));
+    cluster.run_round();
+    cluster.run_round();
+    let commits = cluster
+        .leader
+        .completions_to_commit(cluster.now, 9, &cluster.cache);
     assert_eq!(
-        finishes.iter().map(|f| f.tasks.len()).collect::<Vec<_>>(),
+        commits
+            .iter()
+            .map(|commit| commit.tasks.len())
+            .collect::<Vec<_>>(),
         [3],
-        "the whole at once"
+        "all tasks should be committed at once"
     );
 }
 
-// A machine will be taken: every task is told to save in the same moment, also
-// those that have only just begun.
+// A machine is about to be reclaimed: all tasks of the gang are commanded to save in the same
+// round, also those that have started only recently.
 #[test]
-fn a_notice_stops_the_whole_gang_with_time_to_save() {
-    let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(store_cache(3, &[&s]), 3);
-    b.step();
-    b.all_show(TaskState::Running, None);
-    b.step();
-    let noticed = b.on_machines()[0].0;
-    b.notice(noticed);
-    b.shard.stop_tasks_before_reclaim(&b.cache, b.now);
+fn a_reclaim_notice_stops_the_whole_gang_with_time_to_save() {
+    let spec = gang("wk-1", 2, |_| {});
+    let mut cluster = TestCluster::new(store_cache(3, &[&spec]), 3);
+    cluster.run_round();
+    cluster.set_all_tasks(TaskState::Running, None);
+    cluster.run_round();
+    let machine = cluster.on_machines()[0].0;
+    cluster.send_reclaim_notice(machine);
+    cluster
+        .shard
+        .stop_tasks_before_reclaim(&cluster.cache, cluster.now);
     assert!(
-        b.notice(noticed).is_empty(),
-        "the shard alone stops none of it"
+        cluster.send_reclaim_notice(machine).is_empty(),
+        "the shard should stop no task of a gang by itself"
     );
-    b.step();
-    let graces: Vec<f64> = b
+    cluster.run_round();
+    let graces: Vec<f64> = cluster
         .commands
         .iter()
-        .filter_map(|(_, c)| match c {
+        .filter_map(|(_, command)| match command {
             Command::Stop { grace_s, .. } => Some(*grace_s),
             _ => None,
         })
@@ -375,166 +440,180 @@
 }
 
 #[test]
-fn a_cancelled_gang_that_gathers_is_stopped_at_once() {
-    let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(store_cache(2, &[&s]), 2);
-    b.step();
-    b.shared_attempt(2);
-    b.cache.put("fw/j/wk-1", job_record(&s, true), 500);
-    b.leader.job_changed(&"wk-1".into(), &b.cache);
-    b.shard.job_changed(&"wk-1".into(), &b.cache);
-    b.step();
-    assert!(b.on_machines().is_empty());
+fn a_cancelled_gathering_gang_is_stopped_at_once() {
+    let spec = gang("wk-1", 2, |_| {});
+    let mut cluster = TestCluster::new(store_cache(2, &[&spec]), 2);
+    cluster.run_round();
+    cluster.shared_attempt(2);
+    cluster.cache.put("fw/j/wk-1", job_record(&spec, true), 500);
+    cluster.leader.job_changed(&"wk-1".into(), &cluster.cache);
+    cluster.shard.job_changed(&"wk-1".into(), &cluster.cache);
+    cluster.run_round();
+    assert!(cluster.on_machines().is_empty());
 }
 
-// A new leader finds one task of two: what became of the other is not known, so
-// that the attempt may have run. It is withdrawn, and the next has a new number.
+// A new leader finds one of two tasks. It is not known what became of the other, so that the
+// attempt may have run: it is withdrawn, and the next has a new number.
 #[test]
-fn a_new_leader_completes_no_attempt_of_which_a_task_is_missing() {
-    a_gang_with_a_missing_task_is_taken_over(7);
+fn a_new_leader_withdraws_an_attempt_with_a_missing_task() {
+    check_takeover_of_a_gang_with_a_missing_task(7);
 }
 
-// The machines have a new owner as well: nobody says that the missing task is
-// lost, only that it is nowhere. The attempt may have run.
+// The machines have a new owner as well. It does not report the missing task as removed: the
+// task is only found to run on no machine. The attempt may have run.
 #[test]
-fn a_task_that_turns_out_to_be_nowhere_ends_the_attempt() {
-    a_gang_with_a_missing_task_is_taken_over(8);
+fn a_task_confirmed_to_run_on_no_machine_ends_the_attempt() {
+    check_takeover_of_a_gang_with_a_missing_task(8);
 }
 
-/// One of two tasks is gone as the next epoch begins, with a new leader.
-fn a_gang_with_a_missing_task_is_taken_over(incarnation: u64) {
-    let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(store_cache(3, &[&s]), 3);
-    b.steps(2);
-    let first = b.shared_attempt(2);
-    let lost = b.on_machines()[1].0;
-    b.shown[lost].clear();
-    b.take_over(incarnation);
+/// Loses one of a gang's two tasks as the next epoch starts with a new leader, and checks that
+/// the gang restarts under a new attempt.
+fn check_takeover_of_a_gang_with_a_missing_task(incarnation: u64) {
+    let spec = gang("wk-1", 2, |_| {});
+    let mut cluster = TestCluster::new(store_cache(3, &[&spec]), 3);
+    cluster.run_rounds(2);
+    let first = cluster.shared_attempt(2);
+    let machine = cluster.on_machines()[1].0;
+    cluster.reported[machine].clear();
+    cluster.start_next_epoch(incarnation);
     for _ in 0..12 {
-        b.step();
-        let attempts: BTreeSet<u64> = b.on_machines().iter().map(|s| s.1).collect();
+        cluster.run_round();
+        let attempts: BTreeSet<u64> = cluster.on_machines().iter().map(|task| task.1).collect();
         assert!(attempts.len() <= 1, "{attempts:?}");
     }
-    assert!(b.shared_attempt(2) > first);
+    assert!(cluster.shared_attempt(2) > first);
 }
 
-// A shard that is full by the time its orders come can't start its task. What
-// can't be completed within a share of the time that tasks wait is withdrawn.
+// A shard that is full by the time its orders arrive can't start its task. An attempt that
+// can't be completed within a share of the time that tasks wait for each other is withdrawn.
 #[test]
-fn a_gang_that_stays_incomplete_gives_its_room_back() {
-    let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(store_cache(2, &[&s]), 2);
-    b.step();
-    b.shared_attempt(2);
-    b.now += 1.0;
-    let second = b.on_machines()[1].0;
-    b.shown[second]
+fn a_gang_that_stays_incomplete_is_withdrawn_and_frees_its_capacity() {
+    let spec = gang("wk-1", 2, |_| {});
+    let mut cluster = TestCluster::new(store_cache(2, &[&spec]), 2);
+    cluster.run_round();
+    cluster.shared_attempt(2);
+    cluster.now += 1.0;
+    let refusing_machine = cluster.on_machines()[1].0;
+    cluster.reported[refusing_machine]
         .values_mut()
-        .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("no_room")));
-    // From now on that machine refuses whatever is started there.
-    let wait = settings_with(&[])
+        .for_each(|task| (task.1, task.2) = (TaskState::Ended, Some("no_room")));
+    // From now on that machine refuses every task.
+    let gang_wait_s = settings_with(&[])
         .expect("settings")
         .params
         .workers
         .gang_wait_s;
-    let deadline = b.now + wait / 2.0;
+    let deadline = cluster.now + gang_wait_s / 2.0;
     let mut withdrawn = false;
-    while b.now < deadline {
-        b.step();
-        for s in b.shown[second]
+    while cluster.now < deadline {
+        cluster.run_round();
+        for task in cluster.reported[refusing_machine]
             .values_mut()
-            .filter(|s| s.1 == TaskState::Gathering)
+            .filter(|task| task.1 == TaskState::Gathering)
         {
-            (s.1, s.2) = (TaskState::Ended, Some("no_room"));
+            (task.1, task.2) = (TaskState::Ended, Some("no_room"));
         }
-        withdrawn |= b.on_machines().is_empty();
+        withdrawn |= cluster.on_machines().is_empty();
     }
-    assert!(withdrawn, "the first task holds its machine for nothing");
+    assert!(withdrawn, "the first task should have released its machine");
 }
 
 #[test]
-fn gangs_wait_until_every_controller_runs_them() {
-    let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(store_cache(2, &[&s]), 2);
-    let member =
-        |revision: u64, value: Value, m: &mut StoreCache| drop(m.put("fw/m/b", value, revision));
-    member(600, json!({"inc": 4}), &mut b.cache);
+fn gangs_wait_until_every_controller_supports_them() {
+    let spec = gang("wk-1", 2, |_| {});
+    let mut cluster = TestCluster::new(store_cache(2, &[&spec]), 2);
+    let put_member = |revision: u64, value: Value, cache: &mut StoreCache| {
+        drop(cache.put("fw/m/b", value, revision))
+    };
+    put_member(600, json!({"inc": 4}), &mut cluster.cache);
     assert!(
-        !b.cache.all_members_support_gangs(),
-        "a member of the version before says nothing of gangs"
+        !cluster.cache.all_members_support_gangs(),
+        "a member of the previous version does not support gangs"
     );
-    b.leader
-        .set_gangs_allowed(b.cache.all_members_support_gangs());
-    b.steps(2);
-    assert!(b.on_machines().is_empty());
-    member(
+    cluster
+        .leader
+        .set_gangs_allowed(cluster.cache.all_members_support_gangs());
+    cluster.run_rounds(2);
+    assert!(cluster.on_machines().is_empty());
+    put_member(
         601,
         json!(finchwood::store::records::MemberRecord::of_this_version(5)),
-        &mut b.cache,
+        &mut cluster.cache,
     );
-    b.leader
-        .set_gangs_allowed(b.cache.all_members_support_gangs());
-    b.steps(2);
-    b.shared_attempt(2);
-    // Its process ends and comes back as it was before the upgrade.
-    member(602, json!({"inc": 6}), &mut b.cache);
-    assert!(!b.cache.all_members_support_gangs());
+    cluster
+        .leader
+        .set_gangs_allowed(cluster.cache.all_members_support_gangs());
+    cluster.run_rounds(2);
+    cluster.shared_attempt(2);
+    // The member's process is restarted with the previous version.
+    put_member(602, json!({"inc": 6}), &mut cluster.cache);
+    assert!(!cluster.cache.all_members_support_gangs());
 }
 
-// A state that this version doesn't know: the task is on its machine, whatever it
-// does there.
+// A task in a state that this version doesn't know still counts as running on its machine.
 #[test]
-fn a_task_in_an_unknown_state_is_on_its_machine() {
-    let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(store_cache(4, &[&s]), 4);
-    b.step();
-    let first = b.shared_attempt(2);
-    b.all_show(TaskState::Other, None);
-    b.steps(2);
-    assert_eq!(b.shared_attempt(2), first);
-    let told = b.shard.next_report(&b.cache, b.now);
-    assert!(told.assigned.iter().all(|h| h.phase == TaskPhase::Running));
+fn a_task_in_an_unknown_state_stays_on_its_machine() {
+    let spec = gang("wk-1", 2, |_| {});
+    let mut cluster = TestCluster::new(store_cache(4, &[&spec]), 4);
+    cluster.run_round();
+    let first = cluster.shared_attempt(2);
+    cluster.set_all_tasks(TaskState::Other, None);
+    cluster.run_rounds(2);
+    assert_eq!(cluster.shared_attempt(2), first);
+    let report = cluster.shard.next_report(&cluster.cache, cluster.now);
+    assert!(report
+        .assigned
+        .iter()
+        .all(|assigned| assigned.phase == TaskPhase::Running));
 }
 
 #[test]
-fn a_cause_that_this_version_does_not_know_ends_the_attempt_and_is_no_fault() {
-    let s = gang("wk-1", 2, |_| {});
-    let mut b = Bench::new(store_cache(4, &[&s]), 4);
-    b.steps(2);
-    let first = b.shared_attempt(2);
-    let one = b.on_machines()[0].0;
-    b.shown[one]
+fn an_unknown_cause_ends_the_attempt_and_is_no_machine_fault() {
+    let spec = gang("wk-1", 2, |_| {});
+    let mut cluster = TestCluster::new(store_cache(4, &[&spec]), 4);
+    cluster.run_rounds(2);
+    let first = cluster.shared_attempt(2);
+    let machine = cluster.on_machines()[0].0;
+    cluster.reported[machine]
         .values_mut()
-        .for_each(|s| (s.1, s.2) = (TaskState::Ended, Some("weather")));
-    b.steps(6);
-    assert!(b.shared_attempt(2) > first);
-    assert!(!b
+        .for_each(|task| (task.1, task.2) = (TaskState::Ended, Some("weather")));
+    cluster.run_rounds(6);
+    assert!(cluster.shared_attempt(2) > first);
+    assert!(!cluster
         .shard
-        .next_report(&b.cache, b.now)
+        .next_report(&cluster.cache, cluster.now)
         .machines
         .iter()
-        .any(|m| m.faulty));
+        .any(|machine| machine.faulty));
 }
 
 #[test]
-fn orders_of_a_version_without_gangs_are_still_understood() {
-    // A deal without assignments: the attempt stands for them.
-    let s = gang("wk-1", 2, |_| {});
-    let m = store_cache(2, &[&s]);
-    let mut p = new_shard(&m);
+fn orders_of_a_version_without_gangs_are_accepted() {
+    // Such orders have no assignment numbers: the attempts stand for them.
+    let spec = gang("wk-1", 2, |_| {});
+    let cache = store_cache(2, &[&spec]);
+    let mut shard = new_shard(&cache);
     for machine in 1..=2 {
-        reconcile_machine(&mut p, &m, machine, 0.2);
+        reconcile_machine(&mut shard, &cache, machine, 0.2);
     }
-    let deals = assignments("wk-1", &[(0, 50), (1, 50)]);
-    p.apply_orders(&Orders { ..orders(1, deals) }, &m, 0.4);
-    place_tasks(&mut p, &m, 0.5);
-    let held = p.next_report(&m, 0.6).assigned;
+    let job_assignments = assignments("wk-1", &[(0, 50), (1, 50)]);
+    shard.apply_orders(
+        &Orders {
+            ..orders(1, job_assignments)
+        },
+        &cache,
+        0.4,
+    );
+    place_tasks(&mut shard, &cache, 0.5);
+    let assigned = shard.next_report(&cache, 0.6).assigned;
     assert_eq!(
-        held.iter()
-            .map(|h| (h.attempt, h.assignment))
+        assigned
+            .iter()
+            .map(|task| (task.attempt, task.assignment))
             .collect::<Vec<_>>(),
         [(50, 50), (50, 50)]
     );
-    let accepted_job: JobRecord = serde_json::from_value(job_record(&s, false)).expect("a record");
+    let accepted_job: JobRecord =
+        serde_json::from_value(job_record(&spec, false)).expect("a record");
     assert!(accepted_job.spec.is_some());
 }
--- a/tests/control_plane/incremental_reports.rs
+++ b/tests/control_plane/incremental_reports.rs
@@ -1,5 +1,5 @@
-//! Reports from a shard to the leader that hold only what has changed, and what a leader
-//! makes of them when they are lost, repeated or late.
+//! Tests of incremental reports, with which a shard sends the leader only what has changed, and
+//! of how the leader applies them when they are lost, repeated or late.
 
 use crate::builders::*;
 use finchwood::cluster::membership::token;
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Two hundred machines, one job whose tasks come and go on them.
+/// A shard with two hundred machines, on which tasks of one job start and end.
 struct Fleet {
     cache: StoreCache,
     shard: Shard,
@@ -35,8 +35,9 @@
         }
     }
 
-    /// A machine reports tasks by index: those that run, or have ended.
-    fn report(&mut self, machine: usize, now: f64, tasks: &[(u32, bool)]) {
+    /// Sends a heartbeat of a machine with tasks, given by their index and whether they have
+    /// ended.
+    fn send_heartbeat(&mut self, machine: usize, now: f64, tasks: &[(u32, bool)]) {
         self.sequences[machine] += 1;
         let ids: Vec<String> = tasks
             .iter()
@@ -59,51 +60,59 @@
     }
 }
 
-/// What a leader believes of each machine.
-fn belief(leader: &Leader) -> BTreeMap<String, (bool, u32)> {
+/// Returns what the leader knows of each machine: whether it has reported, and its number of
+/// tasks.
+fn known_machines(leader: &Leader) -> BTreeMap<String, (bool, u32)> {
     leader
         .machines()
-        .map(|m| (m.id.to_string(), (m.has_reported, m.tasks)))
+        .map(|machine| {
+            (
+                machine.id.to_string(),
+                (machine.has_reported, machine.tasks),
+            )
+        })
         .collect()
 }
 
-/// Messages that hold only changes are lost, repeated and late; what the
-/// leader then believes is what one whole message would have told it.
+// Incremental reports are lost, repeated and late. Afterwards the leader has the same state as
+// one that received a single full report.
 #[test]
 fn incremental_reports_lost_repeated_or_late_lead_to_the_full_state() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut fleet = Fleet::new();
         let mut leader = new_leader(&fleet.cache);
-        let mut late: Vec<ShardReport> = Vec::new();
-        let mut on: Vec<BTreeSet<u32>> = vec![BTreeSet::new(); MACHINES];
-        let mut next = 0;
+        let mut delayed: Vec<ShardReport> = Vec::new();
+        let mut running: Vec<BTreeSet<u32>> = vec![BTreeSet::new(); MACHINES];
+        let mut next_task = 0;
         let (mut small, mut sent) = (0, 0);
         for round in 0..150 {
             let now = 1.0 + f64::from(round) * 0.1;
             for _ in 0..3 {
-                let i = rng.gen_range(0..MACHINES);
-                let ended: Vec<u32> = on[i]
+                let machine = rng.gen_range(0..MACHINES);
+                let ended: Vec<u32> = running[machine]
                     .iter()
                     .copied()
                     .filter(|_| rng.gen_bool(0.5))
                     .collect();
-                on[i].insert(next);
-                next += 1;
-                let lines: Vec<(u32, bool)> =
-                    on[i].iter().map(|t| (*t, ended.contains(t))).collect();
-                fleet.report(i, now, &lines);
-                on[i].retain(|t| !ended.contains(t));
+                running[machine].insert(next_task);
+                next_task += 1;
+                let tasks: Vec<(u32, bool)> = running[machine]
+                    .iter()
+                    .map(|task| (*task, ended.contains(task)))
+                    .collect();
+                fleet.send_heartbeat(machine, now, &tasks);
+                running[machine].retain(|task| !ended.contains(task));
             }
             let report = fleet.shard.next_report(&fleet.cache, now);
             sent += 1;
             small += usize::from(report.since > 0 && report.machines.len() < MACHINES / 2);
             match rng.gen_range(0..10) {
                 0..=2 => {}
-                3 => late.push(report),
+                3 => delayed.push(report),
                 fate => {
                     if fate == 4 {
-                        late.push(report.clone());
+                        delayed.push(report.clone());
                     }
                     leader.apply_shard_report(report, &fleet.cache, now);
                     if rng.gen_bool(0.8) {
@@ -113,37 +122,37 @@
                     }
                 }
             }
-            if rng.gen_bool(0.2) && !late.is_empty() {
-                let old = late.swap_remove(rng.gen_range(0..late.len()));
-                leader.apply_shard_report(old, &fleet.cache, now);
+            if rng.gen_bool(0.2) && !delayed.is_empty() {
+                let delayed_report = delayed.swap_remove(rng.gen_range(0..delayed.len()));
+                leader.apply_shard_report(delayed_report, &fleet.cache, now);
             }
         }
         assert!(
             small * 2 > sent,
-            "only {small} of {sent} messages were small"
+            "only {small} of {sent} reports were small"
         );
-        let last = fleet.shard.next_report(&fleet.cache, 20.0);
+        let last_report = fleet.shard.next_report(&fleet.cache, 20.0);
         assert!(
-            leader.apply_shard_report(last, &fleet.cache, 20.0),
-            "the last is whole enough to be taken"
+            leader.apply_shard_report(last_report, &fleet.cache, 20.0),
+            "the leader should be able to apply the last report"
         );
-        // The same shard, told to a leader that has heard nothing.
+        // The same shard sends a full report to a leader that has received none before.
         fleet
             .shard
             .apply_orders(&orders(u64::MAX, Vec::new()), &fleet.cache, 20.0);
-        let whole = fleet.shard.next_report(&fleet.cache, 20.0);
-        assert_eq!(whole.since, 0);
-        let mut fresh = new_leader(&fleet.cache);
-        assert!(fresh.apply_shard_report(whole, &fleet.cache, 20.0));
-        assert_eq!(belief(&leader), belief(&fresh));
-        let held: usize = on.iter().map(BTreeSet::len).sum();
-        assert!(held > 50, "something is left to compare");
+        let full_report = fleet.shard.next_report(&fleet.cache, 20.0);
+        assert_eq!(full_report.since, 0);
+        let mut fresh_leader = new_leader(&fleet.cache);
+        assert!(fresh_leader.apply_shard_report(full_report, &fleet.cache, 20.0));
+        assert_eq!(known_machines(&leader), known_machines(&fresh_leader));
+        let assigned: usize = running.iter().map(BTreeSet::len).sum();
+        assert!(assigned > 50, "too few tasks are left to compare");
         assert_eq!(
             (
                 leader.counts().assigned_tasks,
-                fresh.counts().assigned_tasks
+                fresh_leader.counts().assigned_tasks
             ),
-            (held, held)
+            (assigned, assigned)
         );
     }
 }
@@ -151,18 +160,18 @@
 #[test]
 fn an_incremental_report_on_an_unknown_base_is_dropped() {
     let mut fleet = Fleet::new();
-    fleet.report(0, 1.0, &[(1, false)]);
+    fleet.send_heartbeat(0, 1.0, &[(1, false)]);
     let first = fleet.shard.next_report(&fleet.cache, 1.0);
     let mut leader = new_leader(&fleet.cache);
-    let gap = ShardReport {
+    let unknown_base = ShardReport {
         since: first.seq,
         seq: first.seq + 1,
         assigned: Vec::new(),
         ..first.clone()
     };
     assert!(
-        !leader.apply_shard_report(gap, &fleet.cache, 1.1),
-        "nothing to build on"
+        !leader.apply_shard_report(unknown_base, &fleet.cache, 1.1),
+        "the leader has not received the report that this one builds on"
     );
     assert_eq!(leader.counts().assigned_tasks, 0);
     assert!(!leader.apply_shard_report(
@@ -186,30 +195,31 @@
     assert_eq!(first.assigned[0].phase, TaskPhase::Running);
     assert!(
         !leader.apply_shard_report(first, &fleet.cache, 1.4),
-        "a copy changes nothing"
+        "a repeated report should not be applied"
     );
 }
 
-/// One controller's return left everything that a partitioned zone had lost
-/// unreconciled until the last of its machines was heard. A shard that lived on and kept its
-/// machines proves by itself what became of its own tasks; one that knows only
-/// what it has heard since, or that handed machines over, does not.
+// Guards against a fault in which the return of one controller left all tasks that a
+// partitioned zone had lost unreconciled until the last machine of that zone had sent a
+// heartbeat. A shard that has retained its state and its machines proves by itself what became
+// of its own tasks. One that has only what was reported since, or that has lost machines to
+// another owner, does not.
 #[test]
 fn a_shard_that_retained_its_state_proves_its_own_tasks_gone() {
-    let unknown_after = |a: u64, others: &[(&str, u64)], kept: bool| {
+    let unreconciled_after = |incarnation: u64, others: &[(&str, u64)], retained: bool| {
         let mut fleet = Fleet::new();
         let mut leader = Leader::new(&settings_with(&[]).expect("settings"));
-        let epoch = |n: u64, members: &[(&str, u64)]| Epoch {
-            number: n,
+        let epoch = |number: u64, members: &[(&str, u64)]| Epoch {
+            number,
             members: members
                 .iter()
-                .map(|(m, incarnation)| (m.to_string(), *incarnation))
+                .map(|(name, incarnation)| (name.to_string(), *incarnation))
                 .collect(),
             leader: "a".into(),
             uses_shard_map: false,
         };
         leader.start_epoch(&epoch(EPOCH, &[("a", 7), ("b", 8)]), 9, &fleet.cache);
-        fleet.report(0, 1.0, &[(1, false)]);
+        fleet.send_heartbeat(0, 1.0, &[(1, false)]);
         assert!(leader.apply_shard_report(
             fleet.shard.next_report(&fleet.cache, 1.0),
             &fleet.cache,
@@ -222,19 +232,19 @@
             ),
             (1, 999)
         );
-        // It ends, and before the leader hears of it another epoch begins.
-        fleet.report(0, 2.0, &[(1, true)]);
-        let mut members = vec![("a", a)];
+        // The task ends, and the next epoch starts before the leader receives a report of it.
+        fleet.send_heartbeat(0, 2.0, &[(1, true)]);
+        let mut members = vec![("a", incarnation)];
         members.extend(others);
         leader.start_epoch(&epoch(EPOCH + 1, &members), 9, &fleet.cache);
         fleet
             .shard
-            .start_epoch(EPOCH + 1, a, &fleet.cache, 2.1, |_| true);
+            .start_epoch(EPOCH + 1, incarnation, &fleet.cache, 2.1, |_| true);
         let report = fleet.shard.next_report(&fleet.cache, 2.2);
         assert!(report.since == 0 && report.assigned.is_empty());
         assert!(leader.apply_shard_report(
             ShardReport {
-                state_retained: report.state_retained && kept,
+                state_retained: report.state_retained && retained,
                 ..report
             },
             &fleet.cache,
@@ -243,24 +253,28 @@
         leader.counts().unreconciled_tasks
     };
     assert_eq!(
-        unknown_after(7, &[("b", 10)], true),
+        unreconciled_after(7, &[("b", 10)], true),
+        999,
+        "another controller has restarted"
+    );
+    assert_eq!(
+        unreconciled_after(7, &[], true),
         999,
-        "another came back"
+        "another controller has left"
     );
-    assert_eq!(unknown_after(7, &[], true), 999, "another is gone");
     assert_eq!(
-        unknown_after(7, &[("b", 8), ("c", 11)], true),
+        unreconciled_after(7, &[("b", 8), ("c", 11)], true),
         1000,
-        "machines went to a new one"
+        "machines went to a new controller"
     );
     assert_eq!(
-        unknown_after(12, &[("b", 8)], true),
+        unreconciled_after(12, &[("b", 8)], true),
         1000,
-        "it came back itself"
+        "the controller itself has restarted"
     );
     assert_eq!(
-        unknown_after(7, &[("b", 10)], false),
+        unreconciled_after(7, &[("b", 10)], false),
         1000,
-        "it knows only what it heard since"
+        "the shard has only what was reported since"
     );
 }
--- a/tests/control_plane/main.rs
+++ b/tests/control_plane/main.rs
@@ -1,5 +1,5 @@
-//! The real leaders and shards driven directly, without threads or a network: each module
-//! shows one part of what they decide.
+//! Tests of the real leaders and shards, driven directly without threads or a network. Each
+//! module covers one part of their decisions.
 
 #[path = "../common/builders/mod.rs"]
 mod builders;
