--- a/tests/control_plane/cold_restart.rs
+++ b/tests/control_plane/cold_restart.rs
@@ -64,7 +64,8 @@
     .1
 }
 
-/// Runs a round of the leader, and returns the tasks for which it has new orders.
+/// Runs a round of the leader, and returns the tasks that it has assigned and the shard has not
+/// reported yet.
 fn newly_assigned_tasks(
     leader: &mut Leader,
     shard: &mut Shard,
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn only_tasks_that_are_over_by_the_stored_records_are_stopped() {
+fn only_tasks_that_are_over_according_to_the_store_are_stopped() {
     let (half_finished, cancelled, done) = (job("wk-1", 2), job("wk-2", 1), job("wk-3", 1));
     let mut cache = store_cache(1, &[&half_finished, &cancelled, &done]);
     cache.put("fw/f/wk-1/0", json!("1"), 200);
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -247,13 +247,13 @@
     );
     cache.put("fw/j/wk-1", job_record(&spec, true), 200);
     shard.job_changed(&"wk-1".into(), &cache);
-    let direct = shard.due_commands(&cache, 40.2);
+    let direct_commands = shard.due_commands(&cache, 40.2);
     let stops_at_once =
         |command: &Command| matches!(command, Command::Stop { grace_s, .. } if *grace_s == 0.0);
     assert!(
-        direct[0].body.commands.iter().any(stops_at_once),
+        direct_commands[0].body.commands.iter().any(stops_at_once),
         "{:?}",
-        direct[0].body
+        direct_commands[0].body
     );
 }
 
@@ -285,8 +285,8 @@
         }]
     );
     // A direct command stops them too, as it may reach the worker when replies don't.
-    let direct = shard.due_commands(&cache, 0.3);
-    assert_eq!(direct[0].body.commands, commands);
+    let direct_commands = shard.due_commands(&cache, 0.3);
+    assert_eq!(direct_commands[0].body.commands, commands);
 }
 
 // Direct commands don't reach a machine, while its heartbeats are answered. Each probe had a
@@ -380,7 +380,7 @@
 }
 
 // Another controller notifies this one of a cancellation while the key-value store refuses
-// this one's reads. The notice may arrive before or after the stored records.
+// this one's requests. The notice may arrive before or after the stored records.
 #[test]
 fn a_cancellation_notice_may_arrive_in_any_order() {
     let spec = job_spec("wk-1", 2, |_| {});
--- a/tests/control_plane/failing_tasks.rs
+++ b/tests/control_plane/failing_tasks.rs
@@ -16,7 +16,7 @@
 
 /// A leader, its only shard and machines that execute commands. Tasks of broken jobs fail at
 /// once on every machine, and all tasks fail at once on faulty machines. Other tasks complete.
-struct Fleet {
+struct TestCluster {
     cache: StoreCache,
     leader: Leader,
     shard: Shard,
@@ -34,12 +34,12 @@
     completed: BTreeSet<String>,
 }
 
-impl Fleet {
-    fn new(machines: usize, jobs: &[Arc<JobSpec>]) -> Fleet {
+impl TestCluster {
+    fn new(machines: usize, jobs: &[Arc<JobSpec>]) -> TestCluster {
         let jobs: Vec<&Arc<JobSpec>> = jobs.iter().collect();
         let cache = store_cache(machines, &jobs);
         let (leader, shard, tokens) = leader_and_shard(&cache, machines);
-        Fleet {
+        TestCluster {
             cache,
             leader,
             shard,
@@ -173,15 +173,15 @@
     let jobs: Vec<Arc<JobSpec>> = (0..3)
         .map(|index| job_spec(&format!("{BROKEN_JOB}-{index}"), 6, |_| {}))
         .collect();
-    let mut fleet = Fleet::new(6, &jobs);
-    fleet.run_rounds(60);
+    let mut cluster = TestCluster::new(6, &jobs);
+    cluster.run_rounds(60);
     assert!(
-        fleet.broken_starts.len() > 10,
+        cluster.broken_starts.len() > 10,
         "the broken jobs should be started"
     );
-    assert_eq!(fleet.machine_faults(), BTreeMap::new());
+    assert_eq!(cluster.machine_faults(), BTreeMap::new());
     assert_eq!(
-        fleet.schedulable_machines().len(),
+        cluster.schedulable_machines().len(),
         6,
         "all machines should take tasks"
     );
@@ -189,11 +189,11 @@
 
 #[test]
 fn a_broken_job_is_retried_with_one_task_at_growing_but_bounded_intervals() {
-    let mut fleet = Fleet::new(6, &[job_spec(BROKEN_JOB, 12, |_| {})]);
-    fleet.run_rounds(40);
-    let early_starts = fleet.broken_starts.len();
-    fleet.run_rounds(1200);
-    let later_starts = &fleet.broken_starts[early_starts..];
+    let mut cluster = TestCluster::new(6, &[job_spec(BROKEN_JOB, 12, |_| {})]);
+    cluster.run_rounds(40);
+    let early_starts = cluster.broken_starts.len();
+    cluster.run_rounds(1200);
+    let later_starts = &cluster.broken_starts[early_starts..];
     assert!(
         later_starts.windows(2).all(|pair| pair[1].0 > pair[0].0),
         "only one task should be started at a time"
@@ -212,7 +212,7 @@
         later_starts.len()
     );
     assert!(
-        fleet.leader.pending_demand.is_empty(),
+        cluster.leader.pending_demand.is_empty(),
         "no machine should be rented for a broken job"
     );
     let machines: BTreeSet<usize> = later_starts.iter().map(|start| start.1).collect();
@@ -224,52 +224,52 @@
 
 #[test]
 fn a_machine_that_fails_tasks_that_complete_elsewhere_is_proven_faulty() {
-    let mut fleet = Fleet::new(4, &sound_jobs(30));
-    fleet.faulty_machines.insert(2);
-    fleet.run_rounds(60);
+    let mut cluster = TestCluster::new(4, &sound_jobs(30));
+    cluster.faulty_machines.insert(2);
+    cluster.run_rounds(60);
     assert_eq!(
-        fleet.machine_faults(),
+        cluster.machine_faults(),
         [("m-3".to_string(), MachineFault::Proven)]
             .into_iter()
             .collect()
     );
-    let done = fleet
+    let done = cluster
         .cache
         .jobs
         .values()
         .filter(|job| job.record.done)
         .count();
     assert_eq!(done, 30, "all jobs should complete on the other machines");
-    assert_eq!(fleet.schedulable_machines(), ["m-1", "m-2", "m-4"]);
+    assert_eq!(cluster.schedulable_machines(), ["m-1", "m-2", "m-4"]);
 }
 
 #[test]
 fn a_job_that_failed_on_two_faulty_machines_runs_whole_once_a_task_has_completed() {
-    let mut fleet = Fleet::new(3, &[job_spec("wk-array", 12, |_| {})]);
-    fleet.faulty_machines.extend([0, 1]);
-    fleet.run_rounds(30);
+    let mut cluster = TestCluster::new(3, &[job_spec("wk-array", 12, |_| {})]);
+    cluster.faulty_machines.extend([0, 1]);
+    cluster.run_rounds(30);
     assert!(
-        fleet.completed.is_empty() || fleet.reported[2].len() > 1,
+        cluster.completed.is_empty() || cluster.reported[2].len() > 1,
         "{:?}",
-        fleet.reported
+        cluster.reported
     );
-    let on_sound = fleet.reported[2]
+    let completed_on_sound_machine = cluster.reported[2]
         .values()
         .filter(|task| task.1 == Some("done"))
         .count();
     assert_eq!(
-        on_sound, 12,
+        completed_on_sound_machine, 12,
         "all tasks should complete on the machine that is not faulty"
     );
 }
 
 #[test]
 fn a_job_that_failed_on_faulty_machines_runs_whole_once_its_tasks_are_seen_to_run() {
-    let mut fleet = Fleet::new(10, &[job_spec("wk-array", 16, |_| {})]);
-    fleet.faulty_machines.extend([0, 1]);
-    fleet.long_tasks = true;
-    fleet.run_rounds(60);
-    let running = fleet
+    let mut cluster = TestCluster::new(10, &[job_spec("wk-array", 16, |_| {})]);
+    cluster.faulty_machines.extend([0, 1]);
+    cluster.long_tasks = true;
+    cluster.run_rounds(60);
+    let running = cluster
         .reported
         .iter()
         .flat_map(BTreeMap::values)
--- a/tests/control_plane/incremental_reports.rs
+++ b/tests/control_plane/incremental_reports.rs
@@ -65,12 +65,7 @@
 fn known_machines(leader: &Leader) -> BTreeMap<String, (bool, u32)> {
     leader
         .machines()
-        .map(|machine| {
-            (
-                machine.id.to_string(),
-                (machine.has_reported, machine.tasks),
-            )
-        })
+        .map(|status| (status.id.to_string(), (status.has_reported, status.tasks)))
         .collect()
 }
 
@@ -108,10 +103,12 @@
             sent += 1;
             small += usize::from(report.since > 0 && report.machines.len() < MACHINES / 2);
             match rng.gen_range(0..10) {
+                // The report is lost.
                 0..=2 => {}
                 3 => delayed.push(report),
-                fate => {
-                    if fate == 4 {
+                outcome => {
+                    // The report arrives now, and once more later.
+                    if outcome == 4 {
                         delayed.push(report.clone());
                     }
                     leader.apply_shard_report(report, &fleet.cache, now);
