--- a/tests/control_plane/many_small_jobs.rs
+++ b/tests/control_plane/many_small_jobs.rs
@@ -1,6 +1,7 @@
-//! Jobs of one task, several a second for minutes, a quarter of them cancelled: what is
-//! cancelled does not start and is gone, the rest runs once and ends, nothing is kept of
-//! either. The real leader and shard, driven directly.
+//! Jobs of one task, four per second for two minutes, of which up to a quarter are cancelled.
+//! A cancelled task must not start, or must stop; the other tasks must run once and end; no
+//! state may be kept of either. The real leader and shard are driven directly, without threads
+//! or a network.
 
 use crate::builders::*;
 use finchwood::scheduler::Leader;
@@ -13,24 +14,30 @@
 
 const MACHINES: usize = 10;
 const JOBS: usize = 480;
-const JOBS_A_STEP: usize = 2;
-/// Steps of half a second that a task runs.
+/// The number of jobs that are submitted in a step of half a second.
+const JOBS_PER_STEP: usize = 2;
+/// The number of steps that a task runs for.
 const RUN_STEPS: u32 = 8;
-/// How soon a cancelled task is gone.
-const STOPPED_STEPS: u32 = 2;
+/// The number of steps within which a task must stop after its job was cancelled.
+const MAX_STEPS_TO_STOP: u32 = 2;
 
+/// The leader, its only shard, and simulated machines, which run each task for [`RUN_STEPS`].
 struct Fleet {
     cache: StoreCache,
     leader: Leader,
     shard: Shard,
+    /// The fencing token that each machine's worker has seen.
     tokens: Vec<u64>,
     revision: u64,
     step: u32,
-    /// The step in which each task of a machine was started.
+    /// The running tasks of each machine, with their attempts and the step in which they were
+    /// started.
     running: Vec<BTreeMap<String, (u64, u32)>>,
+    /// The ended tasks that each machine still reports, with their attempts and causes.
     ended: Vec<BTreeMap<String, (u64, &'static str)>>,
+    /// How often each task was started.
     starts: BTreeMap<String, u32>,
-    /// The step in which each was cancelled.
+    /// The step in which each cancelled job was cancelled.
     cancelled: BTreeMap<String, u32>,
 }
 
@@ -52,7 +59,8 @@
         }
     }
 
-    fn commit(&mut self, id: &JobId, record: &JobRecord) {
+    /// Stores the record of a job, and applies the change to the shard and the leader.
+    fn store_record(&mut self, id: &JobId, record: &JobRecord) {
         self.revision += 1;
         self.cache
             .put(&format!("fw/j/{id}"), json!(record), self.revision);
@@ -60,6 +68,7 @@
         self.leader.job_changed(id, &self.cache);
     }
 
+    /// Submits the job with this number.
     fn submit(&mut self, number: usize) {
         let spec = job_spec(&format!("wk-{number}"), 1, |_| {});
         let id = spec.id.clone();
@@ -72,7 +81,7 @@
             done: false,
             cancelled_at_ms: None,
         };
-        self.commit(&id, &record);
+        self.store_record(&id, &record);
     }
 
     /// Cancels a job, unless it is done.
@@ -81,7 +90,7 @@
         let record = self.cache.jobs[&id].record.clone();
         if !record.done {
             self.cancelled.insert(id.to_string(), self.step);
-            self.commit(
+            self.store_record(
                 &id,
                 &JobRecord {
                     cancelled: true,
@@ -92,65 +101,74 @@
         }
     }
 
+    /// Runs a step of half a second: a round of the leader and the shard, the commits of
+    /// completed tasks, and the heartbeats of all machines.
     fn advance(&mut self) {
         self.step += 1;
         let now = 1.0 + f64::from(self.step) * 0.5;
         scheduling_round(&mut self.leader, &mut self.shard, &self.cache, now);
-        for finish in self.leader.completions_to_commit(now, 100, &self.cache) {
-            let record = self.cache.jobs[&finish.job].record.clone();
-            self.commit(
-                &finish.job,
+        for completion in self.leader.completions_to_commit(now, 100, &self.cache) {
+            let record = self.cache.jobs[&completion.job].record.clone();
+            self.store_record(
+                &completion.job,
                 &JobRecord {
                     done: true,
                     spec: None,
                     ..record
                 },
             );
-            self.leader.commit_answered(&finish.job, now, now);
+            self.leader.commit_answered(&completion.job, now, now);
         }
         for machine in 0..MACHINES {
-            self.report(machine, now);
+            self.send_heartbeat(machine, now);
         }
         self.shard.forget_finished(&self.cache, now);
     }
 
-    fn report(&mut self, machine: usize, now: f64) {
+    /// Ends the tasks of a machine that have run long enough, sends the machine's heartbeat and
+    /// executes the commands of the reply.
+    fn send_heartbeat(&mut self, machine: usize, now: f64) {
         let step = self.step;
         for task in self.running[machine].keys() {
             let cancelled = self.cancelled.get(task.trim_end_matches("/0"));
             assert!(
-                cancelled.is_none_or(|at| step - at <= STOPPED_STEPS),
-                "{task} runs on"
+                cancelled.is_none_or(|at| step - at <= MAX_STEPS_TO_STOP),
+                "{task} still runs although its job was cancelled"
             );
         }
-        let over = self.running[machine].extract_if(.., |_, (_, since)| step - *since >= RUN_STEPS);
-        let over: Vec<_> = over
+        let completed =
+            self.running[machine].extract_if(.., |_, (_, since)| step - *since >= RUN_STEPS);
+        let completed: Vec<_> = completed
             .map(|(task, (attempt, _))| (task, (attempt, "done")))
             .collect();
-        self.ended[machine].extend(over);
+        self.ended[machine].extend(completed);
         let running = self.running[machine]
             .iter()
             .map(|(task, (attempt, _))| (task.as_str(), *attempt, TaskState::Running, None));
         let ended = self.ended[machine].iter().map(|(task, (attempt, cause))| {
             (task.as_str(), *attempt, TaskState::Ended, Some(*cause))
         });
-        let lines: Vec<ReportedTask> = running.chain(ended).collect();
-        let report = heartbeat_from(
+        let reported_tasks: Vec<ReportedTask> = running.chain(ended).collect();
+        let heartbeat = heartbeat_from(
             machine + 1,
             1,
             10 + u64::from(step),
             self.tokens[machine],
-            &lines,
+            &reported_tasks,
         );
-        let (token, calls) = accepted(self.shard.apply_heartbeat(&report, false, &self.cache, now));
+        let (token, commands) =
+            accepted(
+                self.shard
+                    .apply_heartbeat(&heartbeat, false, &self.cache, now),
+            );
         self.tokens[machine] = token;
-        for call in calls {
-            match call {
+        for command in commands {
+            match command {
                 Command::Start { task, attempt } => {
                     let job = task.trim_end_matches("/0");
                     assert!(
                         !self.cancelled.contains_key(job),
-                        "{task} starts after its cancellation"
+                        "{task} was started after its job was cancelled"
                     );
                     *self.starts.entry(task.clone()).or_default() += 1;
                     self.running[machine].insert(task, (attempt, step));
@@ -167,14 +185,15 @@
 }
 
 #[test]
-fn small_jobs_run_once_or_are_gone_and_leave_nothing_behind() {
+fn small_jobs_run_once_or_are_cancelled_and_leave_no_state_behind() {
     let mut fleet = Fleet::new();
-    for first in (0..JOBS).step_by(JOBS_A_STEP) {
-        (first..first + JOBS_A_STEP).for_each(|number| fleet.submit(number));
-        // At once after it was accepted, while it runs, or as it ends.
-        let waited = [0, 3, 5][first / 8 % 3];
-        if first % 4 == 0 && first >= waited * JOBS_A_STEP {
-            fleet.cancel(first - waited * JOBS_A_STEP);
+    for first in (0..JOBS).step_by(JOBS_PER_STEP) {
+        (first..first + JOBS_PER_STEP).for_each(|number| fleet.submit(number));
+        // A job is cancelled right after it was submitted, while its task runs, or about when
+        // the task ends.
+        let steps_until_cancel = [0, 3, 5][first / 8 % 3];
+        if first % 4 == 0 && first >= steps_until_cancel * JOBS_PER_STEP {
+            fleet.cancel(first - steps_until_cancel * JOBS_PER_STEP);
         }
         fleet.advance();
     }
@@ -183,11 +202,14 @@
     }
     assert!(
         fleet.cancelled.len() > JOBS / 8,
-        "{} were cancelled",
+        "only {} jobs were cancelled",
         fleet.cancelled.len()
     );
     for (id, job) in &fleet.cache.jobs {
-        assert_ne!(job.record.done, job.record.cancelled, "{id} has one end");
+        assert_ne!(
+            job.record.done, job.record.cancelled,
+            "{id} is both done and cancelled, or neither"
+        );
     }
     assert!(
         fleet.starts.values().all(|starts| *starts == 1),
@@ -196,11 +218,11 @@
     );
     assert!(
         fleet.running.iter().all(BTreeMap::is_empty),
-        "nothing runs any more"
+        "tasks still run"
     );
     assert!(
         fleet.ended.iter().all(BTreeMap::is_empty),
-        "workers need keep no result"
+        "workers still keep results of ended tasks"
     );
     assert_eq!(
         fleet.leader.counts(),
--- a/tests/control_plane/one_machine.rs
+++ b/tests/control_plane/one_machine.rs
@@ -1,4 +1,4 @@
-//! One machine, `m-1`, and the shard that owns it.
+//! Builders for tests with one machine, `m-1`, and the shard that owns it.
 
 use crate::builders::{
     accepted, assignments, heartbeat_from, job_record, job_spec, new_shard, orders, store_cache,
@@ -11,15 +11,16 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Tasks of each job in the cache.
+/// The number of tasks of each job in the cache.
 const TASKS: u32 = 4;
 
-/// An array whose tasks take half of the machine each.
+/// Returns an array job whose tasks need half of the machine each.
 pub(crate) fn job_of_priority(id: &str, tasks: u32, priority: Priority) -> Arc<JobSpec> {
     job_spec(id, tasks, |fields| fields["rank"] = json!(priority))
 }
 
-/// The machine and jobs: their names, priorities and whether they are cancelled.
+/// Returns a cache with the machine and these jobs, each given by its id, its priority and
+/// whether it is cancelled.
 pub(crate) fn cache_with(jobs: &[(&str, Priority, bool)]) -> StoreCache {
     let mut cache = store_cache(1, &[]);
     for (revision, (id, priority, cancelled)) in (3..).zip(jobs) {
@@ -33,7 +34,7 @@
     cache
 }
 
-/// What the machine reports.
+/// Returns a heartbeat of the machine.
 pub(crate) fn heartbeat(
     session: u64,
     sequence: u64,
@@ -43,32 +44,34 @@
     heartbeat_from(1, session, sequence, token, tasks)
 }
 
-/// A shard that is certain of its one empty machine, and the machine's fencing token.
+/// Returns a shard that has reconciled the machine, which has no tasks, and the machine's
+/// fencing token.
 pub(crate) fn reconciled_shard(cache: &StoreCache) -> (Shard, u64) {
     let mut shard = new_shard(cache);
-    let first = shard.apply_heartbeat(&heartbeat(1, 1, 0, &[]), false, cache, 0.1);
+    let first_reply = shard.apply_heartbeat(&heartbeat(1, 1, 0, &[]), false, cache, 0.1);
     let HeartbeatReply::Accepted {
         token: fencing_token,
         commands,
-    } = first
+    } = first_reply
     else {
-        panic!("refused")
+        panic!("the heartbeat was refused")
     };
     assert!(
         commands.is_empty(),
-        "no commands before the content is certain"
+        "commands were sent before the machine was reconciled"
     );
     assert_eq!(fencing_token, token(EPOCH, 0));
     shard.apply_heartbeat(&heartbeat(1, 2, fencing_token, &[]), false, cache, 0.2);
     (shard, fencing_token)
 }
 
-/// The fencing token that a heartbeat is answered with.
+/// Returns the fencing token of the reply to a heartbeat, which must not be refused.
 pub(crate) fn token_of(reply: HeartbeatReply) -> u64 {
     accepted(reply).0
 }
 
-/// Orders number `sequence`: start tasks of a job, given by index and attempt.
+/// Assigns tasks of a job to the shard, given by index and attempt, with orders number
+/// `sequence`.
 pub(crate) fn assign(
     shard: &mut Shard,
     cache: &StoreCache,
@@ -79,7 +82,7 @@
     shard.apply_orders(&orders(sequence, assignments(job, tasks)), cache, 0.3);
 }
 
-/// Orders number `sequence`: give back one task.
+/// Recalls a task from the shard, with orders number `sequence`.
 pub(crate) fn recall(
     shard: &mut Shard,
     cache: &StoreCache,
@@ -87,10 +90,10 @@
     attempt: u64,
     sequence: u64,
 ) {
-    let task = Task::parse(task).expect("a task");
-    let recalled = Orders {
+    let task = Task::parse(task).expect("a task id");
+    let orders = Orders {
         recall: vec![(task, attempt)],
         ..orders(sequence, Vec::new())
     };
-    shard.apply_orders(&recalled, cache, 0.6);
+    shard.apply_orders(&orders, cache, 0.6);
 }
--- a/tests/control_plane/preemption.rs
+++ b/tests/control_plane/preemption.rs
@@ -1,5 +1,5 @@
-//! Which work is stopped for other work, and which machines are rented for work that
-//! may wait. The real leader and shard, driven directly.
+//! Preemption: which tasks are stopped for others, and which machines are rented for tasks
+//! that can wait. The real leader and shard are driven directly, without threads or a network.
 
 use crate::builders::*;
 use finchwood::clock::{wall_clock_ms, Moment};
@@ -12,39 +12,44 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Tasks fill a machine each, and run until they are stopped.
+/// The leader, its only shard, and machines whose workers run every task until it is stopped.
+/// Each task needs all CPUs of a machine.
 struct Fleet {
     cache: StoreCache,
     leader: Leader,
     shard: Shard,
+    /// The fencing token that each machine's worker has seen.
     tokens: Vec<u64>,
-    seq: u64,
+    /// The sequence number of the last heartbeat of any machine.
+    sequence: u64,
     now: f64,
+    /// The running tasks of each machine, with their attempts.
     running: Vec<BTreeMap<String, u64>>,
-    /// Job and time of each stop.
+    /// Each task that was stopped, and when.
     stopped: Vec<(String, f64)>,
 }
 
-/// An array of `priority` whose tasks fill a machine each.
+/// Returns an array job whose tasks need all CPUs of a machine each.
 fn array(id: &str, tasks: u32, priority: &str) -> Arc<JobSpec> {
-    job_spec(id, tasks, |v| {
-        v["rank"] = priority.into();
-        v["cpus"] = 4.0.into();
+    job_spec(id, tasks, |fields| {
+        fields["rank"] = priority.into();
+        fields["cpus"] = 4.0.into();
     })
 }
 
 impl Fleet {
-    /// Machines of a deployment in which the only team is guaranteed so many CPUs.
+    /// Creates a fleet of machines that are all reconciled, with a single team that is
+    /// guaranteed `guaranteed_cpus` CPUs. `objectives` is added to the settings.
     fn new(machines: usize, guaranteed_cpus: f64, objectives: &str) -> Fleet {
         let cache = store_cache(machines, &[]);
         let mut shard = new_shard(&cache);
         let tokens = (1..=machines)
             .map(|machine| reconcile_machine(&mut shard, &cache, machine, 0.2))
             .collect();
-        let team = format!("cpus = {guaranteed_cpus:.1}\ncpus_max = 400.0");
+        let team_limits = format!("cpus = {guaranteed_cpus:.1}\ncpus_max = 400.0");
         let objectives = format!("{objectives}[params.workers]");
         let changes = [
-            ("cpus_max = 400.0", team.as_str()),
+            ("cpus_max = 400.0", team_limits.as_str()),
             ("[params.workers]", objectives.as_str()),
         ];
         let mut leader = Leader::new(&settings_with(&changes).expect("settings"));
@@ -67,14 +72,15 @@
             leader,
             shard,
             tokens,
-            seq: 10,
+            sequence: 10,
             now: 1.0,
             running,
             stopped: Vec::new(),
         }
     }
 
-    /// A job that was accepted so many seconds ago by the time of day, in this epoch.
+    /// Stores a job that was accepted in this epoch, `seconds_ago` seconds ago by the wall
+    /// clock.
     fn submit(&mut self, spec: &Arc<JobSpec>, seconds_ago: i64) {
         let record = JobRecord {
             task_count: spec.task_count,
@@ -91,6 +97,8 @@
         self.leader.job_changed(&spec.id, &self.cache);
     }
 
+    /// Runs a round of half a second: the shard reports, the leader assigns tasks, the shard
+    /// places or preempts tasks, and the machines send heartbeats.
     fn step(&mut self) {
         self.now += 0.5;
         self.leader.apply_shard_report(
@@ -110,26 +118,33 @@
             || true,
         );
         for machine in 0..self.running.len() {
-            self.report(machine);
+            self.send_heartbeat(machine);
         }
     }
 
-    fn report(&mut self, machine: usize) {
-        self.seq += 1;
+    /// Sends the heartbeat of a machine, and executes the commands of the reply.
+    fn send_heartbeat(&mut self, machine: usize) {
+        self.sequence += 1;
         let running = &self.running[machine];
-        let lines: Vec<ReportedTask> = running
+        let reported_tasks: Vec<ReportedTask> = running
             .iter()
             .map(|(task, attempt)| (task.as_str(), *attempt, TaskState::Running, None))
             .collect();
-        let report = heartbeat_from(machine + 1, 1, self.seq, self.tokens[machine], &lines);
-        let (token, calls) =
+        let heartbeat = heartbeat_from(
+            machine + 1,
+            1,
+            self.sequence,
+            self.tokens[machine],
+            &reported_tasks,
+        );
+        let (token, commands) =
             accepted(
                 self.shard
-                    .apply_heartbeat(&report, false, &self.cache, self.now),
+                    .apply_heartbeat(&heartbeat, false, &self.cache, self.now),
             );
         self.tokens[machine] = token;
-        for call in calls {
-            match call {
+        for command in commands {
+            match command {
                 Command::Start { task, attempt } => {
                     self.running[machine].insert(task, attempt);
                 }
@@ -142,10 +157,12 @@
         }
     }
 
+    /// Runs rounds for so many seconds.
     fn run_for(&mut self, seconds: f64) {
         (0..(seconds * 2.0) as usize).for_each(|_| self.step());
     }
 
+    /// Returns the number of running tasks of a job.
     fn tasks_of(&self, job: &str) -> usize {
         self.running
             .iter()
@@ -156,11 +173,15 @@
 }
 
 #[test]
-fn higher_priority_work_preempts_low_arrays_that_borrow() {
+fn standard_jobs_preempt_low_priority_arrays_of_borrowing_teams() {
     let mut fleet = Fleet::new(4, 0.0, "");
     fleet.submit(&array("wk-low", 8, "low"), 0);
     fleet.run_for(40.0);
-    assert_eq!(fleet.tasks_of("wk-low"), 4, "they fill all machines");
+    assert_eq!(
+        fleet.tasks_of("wk-low"),
+        4,
+        "the low-priority tasks do not fill all machines"
+    );
     fleet.submit(&array("wk-standard", 2, "standard"), 60);
     fleet.run_for(5.0);
     assert_eq!(
@@ -172,7 +193,7 @@
 }
 
 #[test]
-fn low_arrays_within_their_teams_guarantee_are_not_preempted() {
+fn low_priority_arrays_within_their_teams_guarantee_are_not_preempted() {
     let mut fleet = Fleet::new(4, 400.0, "");
     fleet.submit(&array("wk-low", 8, "low"), 0);
     fleet.run_for(40.0);
@@ -185,7 +206,7 @@
 }
 
 #[test]
-fn a_start_that_does_not_count_yet_is_not_preempted_by_middle_priorities() {
+fn standard_jobs_do_not_preempt_tasks_whose_start_does_not_count_yet() {
     let mut fleet = Fleet::new(4, 0.0, "");
     fleet.submit(&array("wk-low", 8, "low"), 0);
     fleet.run_for(3.0);
@@ -194,7 +215,7 @@
     assert_eq!(
         fleet.tasks_of("wk-standard"),
         0,
-        "it waits for the starts to count"
+        "tasks were preempted before their starts counted"
     );
     fleet.run_for(20.0);
     assert_eq!(fleet.tasks_of("wk-standard"), 2);
@@ -206,11 +227,12 @@
 }
 
 #[test]
-fn a_job_that_was_only_just_submitted_preempts_nothing() {
+fn a_job_submitted_just_now_preempts_nothing() {
     let mut fleet = Fleet::new(4, 0.0, "");
     fleet.submit(&array("wk-low", 8, "low"), 0);
     fleet.run_for(40.0);
-    // Ahead of the time of day: the test doesn't depend on how long it takes.
+    // The job is accepted an hour from now, so that it counts as just submitted however long the
+    // test takes.
     fleet.submit(&array("wk-standard", 2, "standard"), -3600);
     fleet.run_for(20.0);
     assert_eq!(fleet.stopped, []);
@@ -227,10 +249,10 @@
         (fleet.tasks_of("wk-many"), fleet.tasks_of("wk-single")),
         (2, 1)
     );
-    let service = job_spec("wk-service", 1, |v| {
-        v["rank"] = "prod".into();
-        v["shape"] = "standing".into();
-        v["cpus"] = 4.0.into();
+    let service = job_spec("wk-service", 1, |fields| {
+        fields["rank"] = "prod".into();
+        fields["shape"] = "standing".into();
+        fields["cpus"] = 4.0.into();
     });
     fleet.submit(&service, 0);
     fleet.run_for(5.0);
@@ -238,7 +260,7 @@
     assert_eq!(
         fleet.tasks_of("wk-single"),
         1,
-        "though it is the youngest: {:?}",
+        "the only task of a job, the most recently started, was preempted: {:?}",
         fleet.stopped
     );
 }
@@ -246,9 +268,10 @@
 const OBJECTIVE: &str =
     "[[params.objectives]]\nkind = \"finished\"\nclass = \"f\"\nwithin_s = 100.0\nshare = 0.9\n";
 
-/// What is wanted for a low array of ten that has waited so long, beside another
-/// that fills the machines: the number of tasks, and whether spot machines only.
-fn wanted(guaranteed_cpus: f64, objectives: &str, seconds_ago: i64) -> (u32, bool) {
+/// Returns the pending demand of a low-priority array of ten tasks that was accepted
+/// `seconds_ago` seconds ago, while another one occupies all machines: the number of tasks,
+/// and whether they wait for spot machines only.
+fn pending_demand(guaranteed_cpus: f64, objectives: &str, seconds_ago: i64) -> (u32, bool) {
     let mut fleet = Fleet::new(2, guaranteed_cpus, objectives);
     fleet.submit(&array("wk-first", 2, "low"), 0);
     fleet.run_for(3.0);
@@ -258,27 +281,27 @@
         .leader
         .pending_demand
         .iter()
-        .find(|w| &*w.spec.id == "wk-low")
-        .expect("it has no room");
+        .find(|demand| &*demand.spec.id == "wk-low")
+        .expect("not all tasks of the job fit");
     (demand.count, demand.spot_only)
 }
 
 #[test]
-fn ordinary_machines_are_rented_for_low_borrowed_work_only_to_begin_it_or_for_an_objective() {
-    assert_eq!(wanted(0.0, "", 20), (10, true));
+fn borrowing_low_priority_jobs_get_on_demand_machines_only_when_overdue_or_with_an_objective() {
+    assert_eq!(pending_demand(0.0, "", 20), (10, true));
     assert_eq!(
-        wanted(0.0, "", 100),
+        pending_demand(0.0, "", 100),
         (1, false),
-        "one machine, so that it begins"
+        "expected a machine of any kind for one task of a job whose start is overdue"
     );
     assert_eq!(
-        wanted(0.0, OBJECTIVE, 20),
+        pending_demand(0.0, OBJECTIVE, 20),
         (10, false),
-        "its class has an objective"
+        "expected machines of any kind for a job whose class has an objective"
     );
     assert_eq!(
-        wanted(400.0, "", 20),
+        pending_demand(400.0, "", 20),
         (10, false),
-        "it is within its team's guarantee"
+        "expected machines of any kind for a job within its team's guarantee"
     );
 }
--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -1,6 +1,7 @@
-//! One shard range that moves from controller `a` to controller `b`, step by step, with the real
-//! cores: what its machines are told in every state, and what becomes of it when the
-//! source, the target, the leader or the key-value store ends in any of them.
+//! The transfer of a hash range from controller `a` to controller `b`, with the real leader and
+//! shards but without threads or a network: which commands the machines execute in each state
+//! of the transfer, and what happens when the source, the target, the leader or the key-value
+//! store fails in that state.
 
 use crate::builders::{job_of_kind as job, job_record, settings_with, store_cache, TIMING};
 use finchwood::clock::Moment;
@@ -27,36 +28,44 @@
     TransferState::Committed,
 ];
 
+/// A simulated worker, which keeps its first session and runs tasks until they are stopped.
 #[derive(Default)]
 struct Worker {
+    /// The highest fencing token that it has seen.
     token: u64,
-    seq: u64,
+    /// The sequence number of its last heartbeat.
+    sequence: u64,
+    /// The attempts of the running tasks, by task.
     tasks: BTreeMap<String, u64>,
 }
 
-/// Two controllers, their machines, and a key-value store that may be away.
-struct Two {
+/// Two controllers, their machines, and a key-value store that may be unreachable.
+struct TwoControllers {
     cache: StoreCache,
     revision: u64,
     epoch: Epoch,
-    incs: u64,
+    last_incarnation: u64,
     shards: BTreeMap<String, Shard>,
     leader: Leader,
     transfers: Transfers,
     workers: BTreeMap<MachineId, Worker>,
-    /// Commands that workers were given, and by whom.
-    given: Vec<(String, MachineId, Command)>,
-    questions: usize,
-    bytes: usize,
-    state_away: bool,
-    /// The leader has not come to write the table yet.
-    table_waits: bool,
+    /// The commands that workers executed, each with the controller that sent it and the
+    /// machine.
+    executed_commands: Vec<(String, MachineId, Command)>,
+    /// The number of direct commands that were sent, probes included.
+    direct_commands: usize,
+    /// The size of all reports and orders between the shards and the leader.
+    message_bytes: usize,
+    store_unreachable: bool,
+    /// Whether the leader does not start to write the shard map yet.
+    shard_map_write_delayed: bool,
     now: f64,
 }
 
-impl Two {
-    /// Two services and an array run on eight machines.
-    fn new() -> Two {
+impl TwoControllers {
+    /// Creates controllers `a` and `b` with eight machines, on which a service, an array and
+    /// a gang run with 12 tasks in total.
+    fn new() -> TwoControllers {
         let specs = [
             job("wk-1", "standing", 4),
             job("wk-2", "array", 6),
@@ -66,7 +75,7 @@
         let workers = (1..=8)
             .map(|i| (format!("m-{i}").into(), Worker::default()))
             .collect();
-        let mut two = Two {
+        let mut cluster = TwoControllers {
             cache,
             revision: 1000,
             epoch: Epoch {
@@ -75,53 +84,62 @@
                 leader: "a".into(),
                 uses_shard_map: true,
             },
-            incs: 10,
+            last_incarnation: 10,
             shards: BTreeMap::new(),
             leader: Leader::new(&settings_with(&[]).expect("settings")),
             transfers: Transfers::default(),
             workers,
-            given: Vec::new(),
-            questions: 0,
-            bytes: 0,
-            state_away: false,
-            table_waits: false,
+            executed_commands: Vec::new(),
+            direct_commands: 0,
+            message_bytes: 0,
+            store_unreachable: false,
+            shard_map_write_delayed: false,
             now: 0.0,
         };
-        two.begins("a");
-        two.begins("b");
-        two.next_epoch("a");
-        (0..12).for_each(|_| two.turn());
-        assert_eq!(two.tasks(), 12, "all of it runs");
-        two.given.clear();
-        two
+        cluster.start_controller("a");
+        cluster.start_controller("b");
+        cluster.start_next_epoch("a");
+        (0..12).for_each(|_| cluster.run_round());
+        assert_eq!(
+            cluster.running_task_count(),
+            12,
+            "not all tasks run after 12 rounds"
+        );
+        cluster.executed_commands.clear();
+        cluster
     }
 
-    /// A controller's process is new.
-    fn begins(&mut self, name: &str) {
-        self.incs += 1;
-        self.epoch.members.insert(name.into(), self.incs);
+    /// Starts a controller, or restarts it without state; either way it has a new incarnation.
+    fn start_controller(&mut self, name: &str) {
+        self.last_incarnation += 1;
+        self.epoch
+            .members
+            .insert(name.into(), self.last_incarnation);
         self.shards
             .insert(name.into(), Shard::new(name, TIMING, HashMap::new()));
     }
 
-    fn ends(&mut self, name: &str) {
+    /// Stops a controller for good.
+    fn stop_controller(&mut self, name: &str) {
         self.epoch.members.remove(name);
         self.shards.remove(name);
     }
 
+    /// Stores a value under the next revision.
     fn put(&mut self, key: &str, value: serde_json::Value) {
         self.revision += 1;
         self.cache.put(key, value, self.revision);
     }
 
-    fn next_epoch(&mut self, leader: &str) {
+    /// Begins the next epoch, with the current members and this leader, at all controllers.
+    fn start_next_epoch(&mut self, leader: &str) {
         self.epoch.number += 1;
         self.epoch.leader = leader.into();
         let epoch = self.epoch.clone();
         self.put("fw/epoch", json!(epoch));
-        let table = self.cache.shard_map.clone();
+        let shard_map = self.cache.shard_map.clone();
         for (name, shard) in &mut self.shards {
-            let owns = |id: &str| owner_by_shard_map(&epoch, &table, id) == Some(name.as_str());
+            let owns = |id: &str| owner_by_shard_map(&epoch, &shard_map, id) == Some(name.as_str());
             shard.start_epoch(
                 epoch.number,
                 epoch.members[name],
@@ -138,19 +156,21 @@
         self.transfers.abort_all(self.now);
     }
 
+    /// Returns the owner of a machine, by the shard map if the epoch uses it.
     fn owner(&self, id: &str) -> String {
         owner_by_shard_map(&self.epoch, &self.cache.shard_map, id)
-            .expect("an owner")
+            .expect("the epoch has members")
             .into()
     }
 
-    fn tasks(&self) -> usize {
+    /// Returns the number of running tasks.
+    fn running_task_count(&self) -> usize {
         self.workers.values().map(|w| w.tasks.len()).sum()
     }
 
-    /// Shards report to the leader and get its orders, the table is written, machines are
-    /// commanded, workers report.
-    fn turn(&mut self) {
+    /// Runs a round of one second: the shards report to the leader and apply its orders, the
+    /// shard map is written, the shards send direct commands, and the workers send heartbeats.
+    fn run_round(&mut self) {
         self.now += 1.0;
         let now = self.now;
         let names: Vec<String> = self.shards.keys().cloned().collect();
@@ -158,9 +178,9 @@
             let report = self
                 .shards
                 .get_mut(name)
-                .expect("a part")
+                .expect("each controller has a shard")
                 .next_report(&self.cache, now);
-            let size = |message| {
+            let encoded_len = |message| {
                 let (from, to) = (String::new(), String::new());
                 let (heard_peers, unreachable_peers, cancellation_notices) = Default::default();
                 Envelope {
@@ -175,7 +195,7 @@
                 .encode()
                 .len()
             };
-            self.bytes += size(PeerMessage::ShardReport(report.clone()));
+            self.message_bytes += encoded_len(PeerMessage::ShardReport(report.clone()));
             let transfers = report.transfers.clone();
             if self.leader.apply_shard_report(report, &self.cache, now) {
                 self.transfers.apply_report(name, transfers, now);
@@ -185,16 +205,19 @@
             self.leader.assign_tasks(&self.cache, now, || true);
             if let Some(mut orders) = self.leader.orders(name) {
                 orders.transfers = self.transfers.orders_for(name);
-                self.bytes += size(PeerMessage::Orders(orders.clone()));
+                self.message_bytes += encoded_len(PeerMessage::Orders(orders.clone()));
                 self.shards
                     .get_mut(name)
-                    .expect("a part")
+                    .expect("each controller has a shard")
                     .apply_orders(&orders, &self.cache, now);
             }
         }
-        self.write_table();
+        self.write_shard_map();
         for name in &names {
-            let shard = self.shards.get_mut(name).expect("a part");
+            let shard = self
+                .shards
+                .get_mut(name)
+                .expect("each controller has a shard");
             shard.expire_leases(now);
             shard.place_queued(
                 &self.cache,
@@ -205,23 +228,26 @@
                 || true,
             );
             for direct in shard.due_commands(&self.cache, now) {
-                let worker = self.workers.get_mut(&direct.machine).expect("a worker");
-                self.questions += 1;
+                let worker = self
+                    .workers
+                    .get_mut(&direct.machine)
+                    .expect("each machine has a worker");
+                self.direct_commands += 1;
                 if direct.body.session == 1 && direct.body.token >= worker.token {
                     worker.token = direct.body.token;
-                    obey(
+                    execute_commands(
                         worker,
                         &direct.body.commands,
                         name,
                         &direct.machine,
-                        &mut self.given,
+                        &mut self.executed_commands,
                     );
                 }
-                let report = report(&direct.machine, worker);
+                let response = heartbeat_of(&direct.machine, worker);
                 shard.command_completed(
                     &direct.machine,
                     &direct.body,
-                    Some(&report),
+                    Some(&response),
                     &self.cache,
                     now,
                 );
@@ -229,20 +255,22 @@
         }
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         for id in &ids {
-            self.reports(id);
+            self.send_heartbeat(id);
         }
     }
 
-    /// A worker reports to its owner, which answers it.
-    fn reports(&mut self, id: &MachineId) -> bool {
+    /// Sends a worker's heartbeat to the owner of its machine, and executes the commands of
+    /// the reply. Returns false if the owner refuses the heartbeat, or if the worker rejects
+    /// the reply for its token.
+    fn send_heartbeat(&mut self, id: &MachineId) -> bool {
         let owner = self.owner(id);
-        let worker = self.workers.get_mut(id).expect("a worker");
-        let report = report(id, worker);
+        let worker = self.workers.get_mut(id).expect("each machine has a worker");
+        let heartbeat = heartbeat_of(id, worker);
         let Some(shard) = self.shards.get_mut(&owner) else {
             return false;
         };
         let HeartbeatReply::Accepted { token, commands } =
-            shard.apply_heartbeat(&report, false, &self.cache, self.now)
+            shard.apply_heartbeat(&heartbeat, false, &self.cache, self.now)
         else {
             return false;
         };
@@ -250,13 +278,13 @@
             return false;
         }
         worker.token = token;
-        obey(worker, &commands, &owner, id, &mut self.given);
+        execute_commands(worker, &commands, &owner, id, &mut self.executed_commands);
         true
     }
 
-    /// The table is written, if it is to be and the key-value store is there.
-    fn write_table(&mut self) {
-        if self.table_waits {
+    /// Writes the shard map if a write is pending and the key-value store is reachable.
+    fn write_shard_map(&mut self) {
+        if self.shard_map_write_delayed {
             return;
         }
         let Some(write) = self
@@ -265,62 +293,71 @@
         else {
             return;
         };
-        if self.state_away {
+        if self.store_unreachable {
             return;
         }
         self.put(SHARD_MAP_KEY, json!(write.shard_map.to_stored()));
-        let (epoch, table) = (self.epoch.clone(), self.cache.shard_map.clone());
+        let (epoch, shard_map) = (self.epoch.clone(), self.cache.shard_map.clone());
         for (name, shard) in &mut self.shards {
-            let owns = |id: &str| owner_by_shard_map(&epoch, &table, id) == Some(name.as_str());
+            let owns = |id: &str| owner_by_shard_map(&epoch, &shard_map, id) == Some(name.as_str());
             shard.apply_shard_map(&self.cache, self.now, owns);
         }
         self.transfers
             .observe_shard_map(&self.cache.shard_map, self.now);
     }
 
-    /// All machines whose hash owner is `a` are to go to `b`.
-    fn begin(&mut self) {
+    /// Begins the transfer from `a` to `b` of all machines whose hash owner is `a`.
+    fn begin_transfer(&mut self) {
         let range = HashRange::whole("a");
-        let wanted = RangeMove {
+        let range_move = RangeMove {
             range,
             source: "a".into(),
             target: "b".into(),
             reason: MoveReason::Plan,
         };
-        assert!(self.transfers.begin(wanted, self.now));
+        assert!(self.transfers.begin(range_move, self.now));
     }
 
-    fn state(&self) -> Option<TransferState> {
+    /// Returns the state of the transfer; `None` if none is in progress.
+    fn transfer_state(&self) -> Option<TransferState> {
         self.transfers
             .in_progress()
             .next()
             .map(|transfer| transfer.state)
     }
 
-    /// Goes on until the transfer is in a state.
-    fn until(&mut self, state: TransferState) {
-        self.state_away = state <= TransferState::Committing;
-        self.table_waits = state <= TransferState::Fenced;
+    /// Runs rounds until the transfer is in a state. The key-value store or the write of the
+    /// shard map is held back so that the transfer doesn't pass the state.
+    fn run_until(&mut self, state: TransferState) {
+        self.store_unreachable = state <= TransferState::Committing;
+        self.shard_map_write_delayed = state <= TransferState::Fenced;
         for _ in 0..20 {
-            if self.state() == Some(state) {
+            if self.transfer_state() == Some(state) {
                 return;
             }
-            // Seen in between two parts of a turn.
-            match (state, self.state()) {
-                (TransferState::Committed, Some(TransferState::Committing)) => self.write_table(),
-                _ => self.turn(),
+            // From committing to committed, only the write is carried out, without the commands
+            // and heartbeats that follow it in a round.
+            match (state, self.transfer_state()) {
+                (TransferState::Committed, Some(TransferState::Committing)) => {
+                    self.write_shard_map()
+                }
+                _ => self.run_round(),
             }
         }
-        panic!("it stays {:?} and is never {state:?}", self.state());
+        panic!(
+            "the transfer is {:?} after 20 rounds and has not become {state:?}",
+            self.transfer_state()
+        );
     }
 
-    /// Whatever has happened: in a few turns every task is where it was, held by the
-    /// owner of its machine alone, and nothing was started or stopped.
-    fn settles(&mut self, when: &str) {
-        (self.state_away, self.table_waits) = (false, false);
-        (0..12).for_each(|_| self.turn());
-        assert_eq!(self.tasks(), 12, "{when}");
-        assert_eq!(self.given, [], "{when}");
+    /// Asserts that within 12 rounds with a reachable store every task is assigned to the
+    /// owner of its machine alone, no machine is fenced, and that no command was executed
+    /// since the tasks started: none was started again or stopped.
+    fn assert_settles(&mut self, when: &str) {
+        (self.store_unreachable, self.shard_map_write_delayed) = (false, false);
+        (0..12).for_each(|_| self.run_round());
+        assert_eq!(self.running_task_count(), 12, "{when}: running tasks");
+        assert_eq!(self.executed_commands, [], "{when}: executed commands");
         assert_eq!(
             self.leader.counts(),
             finchwood::scheduler::TableCounts {
@@ -328,12 +365,12 @@
                 assigned_tasks: 12,
                 unreconciled_tasks: 0
             },
-            "{when}: jobs, tasks held, tasks in doubt"
+            "{when}: jobs, assigned tasks, unreconciled tasks"
         );
         for id in self.workers.keys() {
-            let lists = |shard: &&Shard| shard.registered_machines().contains(id);
+            let registers = |shard: &&Shard| shard.registered_machines().contains(id);
             assert_eq!(
-                self.shards.values().filter(lists).count(),
+                self.shards.values().filter(registers).count(),
                 1,
                 "{when}: owners of {id}"
             );
@@ -342,14 +379,15 @@
             self.shards
                 .values()
                 .all(|shard| shard.fenced_machines().is_empty()),
-            "{when}: fenced"
+            "{when}: machines are still fenced"
         );
     }
 }
 
-fn report(id: &MachineId, worker: &mut Worker) -> Heartbeat {
-    worker.seq += 1;
-    let line = |(task, attempt): (&String, &u64)| TaskReport {
+/// Returns the next heartbeat of a worker.
+fn heartbeat_of(id: &MachineId, worker: &mut Worker) -> Heartbeat {
+    worker.sequence += 1;
+    let task_report = |(task, attempt): (&String, &u64)| TaskReport {
         task: task.clone(),
         attempt: *attempt,
         state: TaskState::Running,
@@ -368,282 +406,308 @@
         .into(),
         spot: false,
         session: 1,
-        seq: worker.seq,
+        seq: worker.sequence,
         token: worker.token,
         reclaimed_in_s: None,
-        tasks: worker.tasks.iter().map(line).collect(),
+        tasks: worker.tasks.iter().map(task_report).collect(),
     }
 }
 
-fn obey(
+/// Makes a worker execute commands, and records them in `executed_commands`.
+fn execute_commands(
     worker: &mut Worker,
-    calls: &[Command],
-    by: &str,
+    commands: &[Command],
+    sender: &str,
     id: &MachineId,
-    given: &mut Vec<(String, MachineId, Command)>,
+    executed_commands: &mut Vec<(String, MachineId, Command)>,
 ) {
-    for call in calls {
-        match call {
+    for command in commands {
+        match command {
             Command::Start { task, attempt } => drop(worker.tasks.insert(task.clone(), *attempt)),
             Command::Stop { task, .. } => drop(worker.tasks.remove(task)),
             Command::Forget { .. } => {}
         }
-        given.push((by.into(), id.clone(), call.clone()));
+        executed_commands.push((sender.into(), id.clone(), command.clone()));
     }
 }
 
 #[test]
-fn a_shard_range_moves_with_all_its_tasks_and_nothing_is_ordered() {
-    let mut two = Two::new();
-    let moved: Vec<MachineId> = two
+fn a_transfer_moves_a_range_with_all_its_tasks_and_no_command_is_executed() {
+    let mut cluster = TwoControllers::new();
+    let moved: Vec<MachineId> = cluster
         .workers
         .keys()
-        .filter(|id| two.owner(id) == "a")
+        .filter(|id| cluster.owner(id) == "a")
         .cloned()
         .collect();
     assert!(moved.len() >= 2 && moved.len() < 8, "{moved:?}");
-    (two.questions, two.bytes) = (0, 0);
-    (0..5).for_each(|_| two.turn());
-    let quiet = two.bytes / 5;
-    (two.questions, two.bytes) = (0, 0);
-    two.begin();
-    let mut turns = 0;
-    while two.state().is_some() {
-        two.turn();
-        turns += 1;
-        assert!(turns < 20, "{:?}", two.state());
+    (cluster.direct_commands, cluster.message_bytes) = (0, 0);
+    (0..5).for_each(|_| cluster.run_round());
+    let idle_bytes_per_round = cluster.message_bytes / 5;
+    (cluster.direct_commands, cluster.message_bytes) = (0, 0);
+    cluster.begin_transfer();
+    let mut rounds = 0;
+    while cluster.transfer_state().is_some() {
+        cluster.run_round();
+        rounds += 1;
+        assert!(rounds < 20, "{:?}", cluster.transfer_state());
     }
-    let bytes = (two.bytes - turns * quiet) / moved.len();
+    let machine_bytes = (cluster.message_bytes - rounds * idle_bytes_per_round) / moved.len();
     println!(
-        "{} machines in {turns} turns: {} questions, {bytes} bytes for each",
+        "transfer of {} machines in {rounds} rounds: {} direct commands, {machine_bytes} bytes each",
         moved.len(),
-        two.questions
+        cluster.direct_commands
     );
     assert!(
-        two.questions <= moved.len(),
-        "one question for each machine, none that waits for its answer"
+        cluster.direct_commands <= moved.len(),
+        "more than one direct command per machine, the probe by the target"
     );
-    assert!(moved.iter().all(|id| two.owner(id) == "b"));
+    assert!(moved.iter().all(|id| cluster.owner(id) == "b"));
     assert_eq!(
-        two.transfers.ended.get(&TransferOutcome::Completed),
+        cluster.transfers.ended.get(&TransferOutcome::Completed),
         Some(&1)
     );
-    two.settles("moved");
-    // The same by a takeover, for comparison.
-    two.questions = 0;
-    two.begins("b");
-    two.next_epoch("a");
-    two.settles("taken over");
-    println!("all eight taken over: {} questions", two.questions);
+    cluster.assert_settles("moved");
+    // For comparison: the target restarts and takes over its machines in a new epoch.
+    cluster.direct_commands = 0;
+    cluster.start_controller("b");
+    cluster.start_next_epoch("a");
+    cluster.assert_settles("taken over after a restart");
+    println!(
+        "takeover of all eight machines: {} direct commands",
+        cluster.direct_commands
+    );
 }
 
 #[test]
-fn whoever_ends_in_whatever_state_nothing_is_lost_or_ordered() {
+fn a_failure_in_any_transfer_state_loses_no_task_and_no_command_is_executed() {
     for state in STATES {
-        for who in [
+        for failure in [
             "a",
             "b",
-            "leader",
-            "both",
-            "source back",
-            "target back",
-            "nobody",
+            "leader change",
+            "both restart",
+            "source restart",
+            "target restart",
+            "none",
         ] {
-            let mut two = Two::new();
-            two.begin();
-            two.until(state);
-            let when = format!("{state:?}, {who}");
-            match who {
-                // Another takes over in a new epoch; the leader's table is another's.
+            let mut cluster = TwoControllers::new();
+            cluster.begin_transfer();
+            cluster.run_until(state);
+            let when = format!("{state:?}, failure: {failure}");
+            match failure {
+                // A controller stops for good; the other one leads, with a new leader state,
+                // and takes over in a new epoch.
                 "a" | "b" => {
-                    two.ends(who);
-                    let left = if who == "a" { "b" } else { "a" };
-                    two.leader = Leader::new(&settings_with(&[]).expect("settings"));
-                    two.next_epoch(left);
+                    cluster.stop_controller(failure);
+                    let survivor = if failure == "a" { "b" } else { "a" };
+                    cluster.leader = Leader::new(&settings_with(&[]).expect("settings"));
+                    cluster.start_next_epoch(survivor);
                 }
-                "leader" => {
-                    two.leader = Leader::new(&settings_with(&[]).expect("settings"));
-                    two.next_epoch("b");
+                "leader change" => {
+                    cluster.leader = Leader::new(&settings_with(&[]).expect("settings"));
+                    cluster.start_next_epoch("b");
                 }
-                "both" => {
-                    two.begins("a");
-                    two.begins("b");
-                    two.leader = Leader::new(&settings_with(&[]).expect("settings"));
-                    two.next_epoch("a");
+                "both restart" => {
+                    cluster.start_controller("a");
+                    cluster.start_controller("b");
+                    cluster.leader = Leader::new(&settings_with(&[]).expect("settings"));
+                    cluster.start_next_epoch("a");
                 }
-                "source back" => {
-                    two.begins("a");
-                    two.next_epoch("b");
+                "source restart" => {
+                    cluster.start_controller("a");
+                    cluster.start_next_epoch("b");
                 }
-                "target back" => {
-                    two.begins("b");
-                    two.next_epoch("a");
+                "target restart" => {
+                    cluster.start_controller("b");
+                    cluster.start_next_epoch("a");
                 }
                 _ => {}
             }
-            two.settles(&when);
+            cluster.assert_settles(&when);
         }
     }
 }
 
 #[test]
-fn workers_are_answered_and_what_is_cancelled_stops_in_every_state() {
+fn heartbeats_are_accepted_and_cancelled_tasks_stop_in_every_transfer_state() {
     for state in STATES {
-        let mut two = Two::new();
-        two.begin();
-        two.until(state);
-        // The key-value store is away for longer than a lease: nothing ends on that account.
-        let away = if state < TransferState::Committed {
+        let mut cluster = TwoControllers::new();
+        cluster.begin_transfer();
+        cluster.run_until(state);
+        // Before the transfer is committed, it makes no progress for longer than a worker's
+        // lease, as when the key-value store is unreachable: the leases must still be renewed.
+        let rounds = if state < TransferState::Committed {
             30
         } else {
             2
         };
-        for _ in 0..away {
-            two.now += 1.0;
-            let ids: Vec<MachineId> = two.workers.keys().cloned().collect();
-            let answered = ids.iter().filter(|id| two.reports(id)).count();
-            // In between the table's change and the target's first orders nobody answers.
+        for _ in 0..rounds {
+            cluster.now += 1.0;
+            let ids: Vec<MachineId> = cluster.workers.keys().cloned().collect();
+            let accepted = ids.iter().filter(|id| cluster.send_heartbeat(id)).count();
+            // Between the change of the shard map and the target's first orders after it, no
+            // controller accepts the heartbeats of the range.
             assert!(
-                answered == ids.len() || state == TransferState::Committed,
-                "{state:?}: {answered}"
+                accepted == ids.len() || state == TransferState::Committed,
+                "{state:?}: {accepted} heartbeats were accepted"
             );
         }
         let spec = job("wk-1", "standing", 4);
-        two.put("fw/j/wk-1", job_record(&spec, true));
-        let cache = &two.cache;
-        two.shards
+        cluster.put("fw/j/wk-1", job_record(&spec, true));
+        let cache = &cluster.cache;
+        cluster
+            .shards
             .values_mut()
             .for_each(|shard| shard.job_changed(&"wk-1".into(), cache));
-        two.leader.job_changed(&"wk-1".into(), &two.cache);
-        let left = |two: &Two| {
-            two.workers
+        cluster.leader.job_changed(&"wk-1".into(), &cluster.cache);
+        let running_tasks = |cluster: &TwoControllers| {
+            cluster
+                .workers
                 .values()
                 .flat_map(|w| w.tasks.keys())
                 .filter(|t| t.starts_with("wk-1/"))
                 .count()
         };
-        assert_eq!(left(&two), 4);
-        two.turn();
-        two.turn();
-        assert_eq!(left(&two), 0, "{state:?}");
+        assert_eq!(running_tasks(&cluster), 4);
+        cluster.run_round();
+        cluster.run_round();
+        assert_eq!(
+            running_tasks(&cluster),
+            0,
+            "{state:?}: cancelled tasks that still run"
+        );
     }
 }
 
 #[test]
-fn what_is_refused_or_not_answered_is_withdrawn_and_its_giver_goes_on() {
+fn after_a_refused_or_timed_out_transfer_the_source_starts_tasks_again() {
     for refused in [false, true] {
-        let mut two = Two::new();
-        two.begin();
-        two.until(if refused {
+        let mut cluster = TwoControllers::new();
+        cluster.begin_transfer();
+        cluster.run_until(if refused {
             TransferState::Committing
         } else {
             TransferState::Accepted
         });
         if refused {
-            two.transfers.write_refused(two.now);
+            cluster.transfers.write_refused(cluster.now);
         } else {
-            two.transfers.time_out_stale(5.0, two.now + 6.0);
+            cluster.transfers.time_out_stale(5.0, cluster.now + 6.0);
         }
-        assert_eq!(two.state(), None);
-        two.settles("withdrawn");
-        // New work starts on its machines as ever.
+        assert_eq!(cluster.transfer_state(), None);
+        cluster.assert_settles("transfer ended early");
+        // The source starts tasks on the machines again.
         let spec = job("wk-9", "array", 16);
-        two.put("fw/j/wk-9", job_record(&spec, false));
+        cluster.put("fw/j/wk-9", job_record(&spec, false));
         let mut record = job_record(&spec, false);
-        record["e"] = json!(two.epoch.number);
-        two.put("fw/j/wk-9", record);
-        two.leader.job_changed(&"wk-9".into(), &two.cache);
-        (0..6).for_each(|_| two.turn());
-        assert!(two
-            .given
+        record["e"] = json!(cluster.epoch.number);
+        cluster.put("fw/j/wk-9", record);
+        cluster.leader.job_changed(&"wk-9".into(), &cluster.cache);
+        (0..6).for_each(|_| cluster.run_round());
+        assert!(cluster
+            .executed_commands
             .iter()
-            .any(|(by, _, call)| by == "a" && matches!(call, Command::Start { .. })));
+            .any(|(sender, _, command)| sender == "a" && matches!(command, Command::Start { .. })));
     }
 }
 
-/// While a share changes hands nobody's word on its machines is final: the leader hears of
-/// them from both sides, and a machine that is fenced for long does not look silent.
+/// During a transfer the reports of neither side decide on the machines of the range: until
+/// the source has released them, both sides report them, and the leader must not take the
+/// last report of either as final. A machine that is fenced for long must not count as silent
+/// while its heartbeats arrive.
 #[test]
-fn machines_that_change_hands_have_no_single_owner_and_are_not_silent() {
-    let mut two = Two::new();
-    two.begin();
-    two.until(TransferState::Committing);
+fn machines_in_transfer_have_no_single_owner_and_are_not_silent() {
+    let mut cluster = TwoControllers::new();
+    cluster.begin_transfer();
+    cluster.run_until(TransferState::Committing);
     for _ in 0..30 {
-        two.now += 1.0;
-        let ids: Vec<MachineId> = two.workers.keys().cloned().collect();
-        ids.iter().for_each(|id| assert!(two.reports(id)));
+        cluster.now += 1.0;
+        let ids: Vec<MachineId> = cluster.workers.keys().cloned().collect();
+        ids.iter()
+            .for_each(|id| assert!(cluster.send_heartbeat(id)));
     }
-    let now = two.now;
-    let told = two
+    let now = cluster.now;
+    let source_report = cluster
         .shards
         .get_mut("a")
-        .expect("a part")
-        .next_report(&two.cache, now);
+        .expect("each controller has a shard")
+        .next_report(&cluster.cache, now);
     assert!(
-        told.silent_machines.is_empty(),
+        source_report.silent_machines.is_empty(),
         "{:?}",
-        told.silent_machines
+        source_report.silent_machines
     );
-    let moving = two.shards["a"].fenced_machines();
-    two.until(TransferState::Committed);
-    let mut orders = two.leader.orders("b").expect("orders");
-    orders.transfers = two.transfers.orders_for("b");
-    two.shards
+    let fenced = cluster.shards["a"].fenced_machines();
+    cluster.run_until(TransferState::Committed);
+    let mut orders = cluster.leader.orders("b").expect("orders");
+    orders.transfers = cluster.transfers.orders_for("b");
+    cluster
+        .shards
         .get_mut("b")
-        .expect("a part")
-        .apply_orders(&orders, &two.cache, now);
-    let report = two
+        .expect("each controller has a shard")
+        .apply_orders(&orders, &cluster.cache, now);
+    let target_report = cluster
         .shards
         .get_mut("b")
-        .expect("a part")
-        .next_report(&two.cache, now);
-    assert!(two.leader.apply_shard_report(report, &two.cache, now));
+        .expect("each controller has a shard")
+        .next_report(&cluster.cache, now);
+    assert!(cluster
+        .leader
+        .apply_shard_report(target_report, &cluster.cache, now));
     assert!(
-        moving.iter().all(|id| !two.leader.has_one_owner(id)),
-        "its source has not released it yet"
+        fenced.iter().all(|id| !cluster.leader.has_one_owner(id)),
+        "a machine has one owner before the source has released it"
     );
-    two.settles("moved");
-    assert!(moving.iter().all(|id| two.leader.has_one_owner(id)));
+    cluster.assert_settles("moved");
+    assert!(fenced.iter().all(|id| cluster.leader.has_one_owner(id)));
 }
 
-/// A machine that comes on the machine registry while its range moves gets no orders of the source.
+/// A machine that is registered while its range is being transferred is not in the state that
+/// the source has sent, so that the source must send it no commands.
 #[test]
-fn a_machine_that_appears_while_its_range_moves_is_fenced_too() {
-    let mut two = Two::new();
-    two.begin();
-    two.until(TransferState::Fenced);
+fn a_machine_registered_while_its_range_is_transferred_is_fenced() {
+    let mut cluster = TwoControllers::new();
+    cluster.begin_transfer();
+    cluster.run_until(TransferState::Fenced);
     let id = (9..99)
         .map(|i| format!("m-{i}"))
-        .find(|id| two.owner(id) == "a")
-        .expect("one of a's");
-    let page = json!({"b": "k", "z": "e", "s": false, "u": true, "a": "x:1"});
-    two.put(&format!("fw/r/{id}"), page);
-    let record = two.cache.registry[id.as_str()].record.clone();
-    let now = two.now;
-    let shard = two.shards.get_mut("a").expect("a part");
+        .find(|id| cluster.owner(id) == "a")
+        .expect("a free name whose hash owner is a");
+    let record = json!({"b": "k", "z": "e", "s": false, "u": true, "a": "x:1"});
+    cluster.put(&format!("fw/r/{id}"), record);
+    let record = cluster.cache.registry[id.as_str()].record.clone();
+    let now = cluster.now;
+    let shard = cluster
+        .shards
+        .get_mut("a")
+        .expect("each controller has a shard");
     shard.register_machine(&id.as_str().into(), &record, now);
     assert!(shard.fenced_machines().iter().any(|fenced| **fenced == *id));
     assert!(!shard
-        .due_commands(&two.cache, now + 9.0)
+        .due_commands(&cluster.cache, now + 9.0)
         .iter()
         .any(|direct| *direct.machine == *id));
-    two.workers.insert(id.as_str().into(), Worker::default());
-    two.settles("it is the target's");
-    assert_eq!(two.owner(&id), "b");
+    cluster
+        .workers
+        .insert(id.as_str().into(), Worker::default());
+    cluster.assert_settles("new machine taken over by the target");
+    assert_eq!(cluster.owner(&id), "b");
 }
 
-/// With a controller that doesn't go by the table the hash decides, for all.
+/// If one member of an epoch runs a version that doesn't follow the shard map, all members
+/// must use the owner by hash: otherwise two controllers would own the same machine.
 #[test]
-fn with_production_among_the_members_the_shard_map_does_not_count() {
-    let mut two = Two::new();
-    two.begin();
-    (0..8).for_each(|_| two.turn());
-    assert!(two.workers.keys().all(|id| two.owner(id) == "b"));
-    two.epoch.uses_shard_map = false;
-    two.next_epoch("a");
-    assert!(two.workers.keys().any(|id| two.owner(id) == "a"));
-    two.settles("by the hash");
-    two.epoch.uses_shard_map = true;
-    two.next_epoch("a");
-    two.settles("by the table again");
+fn with_a_member_that_ignores_the_shard_map_all_members_use_owners_by_hash() {
+    let mut cluster = TwoControllers::new();
+    cluster.begin_transfer();
+    (0..8).for_each(|_| cluster.run_round());
+    assert!(cluster.workers.keys().all(|id| cluster.owner(id) == "b"));
+    cluster.epoch.uses_shard_map = false;
+    cluster.start_next_epoch("a");
+    assert!(cluster.workers.keys().any(|id| cluster.owner(id) == "a"));
+    cluster.assert_settles("owners by hash");
+    cluster.epoch.uses_shard_map = true;
+    cluster.start_next_epoch("a");
+    cluster.assert_settles("owners by shard map again");
 }
--- a/tests/control_plane/stale_heartbeats.rs
+++ b/tests/control_plane/stale_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that are late, repeated or relayed prove less than those that come straight
+//! Heartbeats that are late, repeated or relayed prove less than new ones that arrive directly
 //! from their machine.
 
 use crate::builders::TIMING;
@@ -15,22 +15,25 @@
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     shard.apply_heartbeat(&heartbeat(1, 3, fencing_token, &[]), true, &cache, 9.0);
     let report = shard.next_report(&cache, 9.0);
-    assert!(report.silent_machines.is_empty(), "it is alive");
+    assert!(
+        report.silent_machines.is_empty(),
+        "the machine counts as silent although its heartbeat was relayed"
+    );
     assert!(
         report.zone_contacts[0].1.last_ago_s > 8.0,
-        "but its zone was not reached"
+        "the relayed heartbeat counts as a contact with the zone"
     );
 }
 
-/// A copy of an old report may come long after its machine was deleted, to a
-/// controller that never saw the original.
+/// A late copy of an old heartbeat may arrive long after its machine was deleted, at a
+/// controller that never received the original.
 #[test]
-fn a_late_copy_of_a_heartbeat_is_no_sign_of_life_and_brings_no_machine_back() {
+fn a_late_copy_of_a_heartbeat_proves_no_life_and_restores_no_deleted_machine() {
     let cache = cache_with(&[("wk-1", Priority::Low, false)]);
     let mut shard = Shard::new("a", TIMING, HashMap::new());
     shard.start_epoch(3, 7, &cache, 0.0, |_| true);
-    // On the machine registry and used before: under an older epoch's token it may be
-    // from any time. It is asked, and stays silent.
+    // The machine is registered and was used before: a heartbeat with a token of an earlier
+    // epoch may be of any age. The machine is probed, and doesn't respond.
     let old = heartbeat(
         1,
         90,
@@ -40,37 +43,52 @@
     let HeartbeatReply::Accepted { commands, .. } =
         shard.apply_heartbeat(&old, false, &cache, 12.0)
     else {
-        panic!("refused")
+        panic!("the heartbeat was refused")
     };
     assert!(commands.is_empty());
-    assert_eq!(shard.due_commands(&cache, 12.1).len(), 1, "it is asked");
+    assert_eq!(
+        shard.due_commands(&cache, 12.1).len(),
+        1,
+        "the machine is not probed"
+    );
     let report = shard.next_report(&cache, 13.0);
     assert!(
         !report.machines[0].has_reported && report.assigned.is_empty(),
-        "not alive, and its task not found"
+        "the copy was taken as proof that the machine is alive or that the task is on it"
     );
     assert!(report.silent_machines[0].silent_s > 12.0 && report.zone_contacts.is_empty());
-    // Off the machine registry: nothing comes back, however many copies come.
+    // Once the machine is no longer in the machine registry, it stays deleted, however many
+    // copies arrive.
     shard.unregister_machine(&"m-1".into());
-    let mut gone = cache_with(&[("wk-1", Priority::Low, false)]);
-    gone.apply(KeyChange::Delete {
+    let mut cache_after_deletion = cache_with(&[("wk-1", Priority::Low, false)]);
+    cache_after_deletion.apply(KeyChange::Delete {
         key: "fw/r/m-1".into(),
         revision: 99,
     });
-    shard.apply_heartbeat(&heartbeat(1, 91, token(2, 5), &[]), false, &gone, 14.0);
-    shard.apply_heartbeat(&heartbeat(1, 92, token(2, 5), &[]), false, &gone, 15.0);
+    shard.apply_heartbeat(
+        &heartbeat(1, 91, token(2, 5), &[]),
+        false,
+        &cache_after_deletion,
+        14.0,
+    );
+    shard.apply_heartbeat(
+        &heartbeat(1, 92, token(2, 5), &[]),
+        false,
+        &cache_after_deletion,
+        15.0,
+    );
     assert!(!shard
-        .next_report(&gone, 15.0)
+        .next_report(&cache_after_deletion, 15.0)
         .machines
         .iter()
         .any(|machine| machine.has_reported || machine.registered || machine.schedulable));
-    shard.forget_finished(&gone, 14.0 + 21.0);
+    shard.forget_finished(&cache_after_deletion, 14.0 + 21.0);
     assert_eq!(shard.machine_count(), 0);
 }
 
-/// A copy of a report that was taken in already proves and renews nothing.
+/// A copy of a heartbeat that was already applied proves nothing and renews no lease.
 #[test]
-fn a_copy_of_a_known_heartbeat_is_refused() {
+fn a_copy_of_an_applied_heartbeat_is_refused() {
     let cache = cache_with(&[("wk-1", Priority::Low, false)]);
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     let running = heartbeat(
@@ -80,7 +98,8 @@
         &[("wk-1/0", 40, TaskState::Running, None)],
     );
     shard.apply_heartbeat(&running, false, &cache, 1.0);
-    // Sent before the task came; it must not count as seen without it.
+    // This heartbeat was sent before the task was on the machine, and must not count as proof
+    // that the task is absent.
     assert_eq!(
         shard.apply_heartbeat(&heartbeat(1, 2, fencing_token + 9, &[]), false, &cache, 9.0),
         HeartbeatReply::Refused
@@ -91,8 +110,11 @@
     );
     let report = shard.next_report(&cache, 9.0);
     assert_eq!(report.assigned.len(), 1);
-    assert!(report.silent_machines[0].silent_s > 7.9, "no sign of life");
-    // Nor does it move the view of the lease: that ends when it ends.
+    assert!(
+        report.silent_machines[0].silent_s > 7.9,
+        "the copy counts as a sign of life"
+    );
+    // Nor does the copy extend the lease, which expires a lease after the original.
     shard.expire_leases(1.0 + 20.5);
     assert_eq!(shard.next_report(&cache, 21.5).removed.len(), 1);
 }
--- a/tests/control_plane/unresponsive_machines.rs
+++ b/tests/control_plane/unresponsive_machines.rs
@@ -1,4 +1,4 @@
-//! Machines that ignore commands, hang or are silent are detected, and hold up nothing for
+//! Machines that ignore commands, hang or are silent are detected, and don't delay commands to
 //! the others.
 
 use crate::builders::{orders, place_tasks};
@@ -8,14 +8,15 @@
 use finchwood::store::records::MachineRecord;
 use finchwood::wire::{Priority, TaskState};
 
-/// Reports that arrive from a machine that hears nothing: no new work, and
-/// after a while the leader knows.
+/// Heartbeats arrive from a machine whose worker receives no replies. It gets no new tasks, and
+/// after some time it is reported to the leader as ignoring commands.
 #[test]
 fn a_machine_that_ignores_commands_is_detected() {
     let cache = cache_with(&[("wk-1", Priority::Low, false)]);
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     let ended = [("wk-1/0", 40, TaskState::Ended, Some("stopped"))];
-    // The first answer has the task forgotten, under a higher token, which it never shows.
+    // The first reply contains a forget command and a higher token, which the worker doesn't
+    // acknowledge.
     let raised = token_of(shard.apply_heartbeat(
         &heartbeat(1, 3, fencing_token, &ended),
         false,
@@ -25,7 +26,8 @@
     assert!(raised > fencing_token);
     for i in 0..4 {
         let now = 3.0 + 3.0 * f64::from(i);
-        // Through other controllers too: relays do not hide it.
+        // Every other heartbeat is relayed by another controller, which must not hide the
+        // fault.
         shard.apply_heartbeat(
             &heartbeat(1, 4 + i as u64, fencing_token, &ended),
             i % 2 == 1,
@@ -36,56 +38,57 @@
         if i == 1 {
             assert!(
                 machine.is_some_and(|machine| !machine.schedulable && !machine.ignores_commands),
-                "no new work, but not given up"
+                "expected the machine to take no new tasks, but not to count as ignoring commands yet"
             );
         }
     }
-    let after_orders = |shard: &mut Shard, now| {
+    let status_after_orders = |shard: &mut Shard, now| {
         shard.apply_orders(&orders(now as u64 + 100, Vec::new()), &cache, now);
         shard.next_report(&cache, now).machines.remove(0)
     };
-    assert!(after_orders(&mut shard, 13.0).ignores_commands);
-    // Whoever shows the token has heard, and is trusted again.
-    let shown = token_of(shard.apply_heartbeat(
+    assert!(status_after_orders(&mut shard, 13.0).ignores_commands);
+    // A worker that acknowledges the token has received a reply, and gets new tasks again.
+    let acknowledged = token_of(shard.apply_heartbeat(
         &heartbeat(1, 20, fencing_token, &ended),
         false,
         &cache,
         13.5,
     ));
-    shard.apply_heartbeat(&heartbeat(1, 21, shown, &[]), false, &cache, 14.0);
-    let machine = after_orders(&mut shard, 14.0);
+    shard.apply_heartbeat(&heartbeat(1, 21, acknowledged, &[]), false, &cache, 14.0);
+    let machine = status_after_orders(&mut shard, 14.0);
     assert!(!machine.ignores_commands && machine.schedulable);
 }
 
-/// A relayed machine that is told nothing new would look healthy: it is told a
-/// higher token, and so is one whose session rose although it was answered.
+/// A worker whose heartbeats are relayed may receive no replies, which would go unnoticed as
+/// long as no commands are due. So its token is raised, for the worker to acknowledge. So is
+/// the token of a worker that has begun a new session although its heartbeats were replied to.
 #[test]
-fn an_unreconciled_machine_is_sent_a_fencing_token_that_it_must_show() {
+fn a_relayed_or_restarted_worker_must_acknowledge_a_raised_token() {
     let cache = cache_with(&[]);
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     assert_eq!(
         token_of(shard.apply_heartbeat(&heartbeat(1, 3, fencing_token, &[]), false, &cache, 3.0)),
         fencing_token,
-        "no doubt, no test"
+        "the token was raised although the heartbeat arrived directly"
     );
-    let tested =
+    let raised =
         token_of(shard.apply_heartbeat(&heartbeat(1, 4, fencing_token, &[]), true, &cache, 6.0));
-    assert!(tested > fencing_token);
+    assert!(raised > fencing_token);
     assert_eq!(
-        token_of(shard.apply_heartbeat(&heartbeat(1, 5, tested, &[]), true, &cache, 9.0)),
-        tested,
-        "not all the time"
+        token_of(shard.apply_heartbeat(&heartbeat(1, 5, raised, &[]), true, &cache, 9.0)),
+        raised,
+        "the token was raised again before half a lease had passed"
     );
     assert!(
-        token_of(shard.apply_heartbeat(&heartbeat(2, 1, tested, &[]), false, &cache, 10.0))
-            > tested
+        token_of(shard.apply_heartbeat(&heartbeat(2, 1, raised, &[]), false, &cache, 10.0))
+            > raised
     );
 }
 
-/// A hundred machines that hang filled the pool of direct commands, and what
-/// was meant for the others waited behind them.
+/// A hundred machines that hang could use up the whole capacity for direct commands, so that
+/// the commands to the other machines had to wait.
 #[test]
-fn silent_machines_do_not_hold_up_commands_for_the_rest() {
+fn silent_machines_do_not_delay_commands_to_the_others() {
     let mut cache = cache_with(&[("wk-1", Priority::Low, false)]);
     for i in 2..9 {
         let record = MachineRecord {
@@ -100,22 +103,23 @@
     }
     let (mut shard, fencing_token) = reconciled_shard(&cache);
     assign(&mut shard, &cache, "wk-1", &[(0, 50)], 1);
-    // Eight seconds on, one machine reports; the other seven never have.
+    // At 8 s one machine sends a heartbeat; the other seven have never sent one.
     shard.apply_heartbeat(&heartbeat(1, 3, fencing_token, &[]), false, &cache, 8.0);
     place_tasks(&mut shard, &cache, 8.1);
-    let room = CommandCapacity {
+    let capacity = CommandCapacity {
         responsive: 4,
         unverified: 2,
     };
-    let out = shard.due_commands_within(&cache, 8.1, room);
-    let to = |unverified: bool| {
-        out.iter()
+    let commands = shard.due_commands_within(&cache, 8.1, capacity);
+    let count = |unverified: bool| {
+        commands
+            .iter()
             .filter(|command| command.unverified == unverified)
             .count()
     };
-    assert_eq!((to(false), to(true)), (1, 2));
-    // Those without room are asked next, without a word that was never sent
-    // having raised their token.
+    assert_eq!((count(false), count(true)), (1, 2));
+    // The machines beyond the capacity are probed next. Their tokens were not raised, as
+    // nothing was sent to them.
     let next = shard.due_commands_within(
         &cache,
         8.2,
--- a/tests/control_plane/versions.rs
+++ b/tests/control_plane/versions.rs
@@ -1,9 +1,9 @@
-//! Two versions at once: what production wrote is read here, and what is written
-//! here is read there.
+//! Compatibility with the version in production, which runs beside this one during an update:
+//! each version reads the stored values and the messages that the other one writes.
 //!
-//! `fixtures/` holds bytes that the version in production wrote: a line for each
-//! key of the key-value store, and messages between controllers in hex.
-//! [`production`] holds as much of its types as reading needs, as they were.
+//! The fixtures contain bytes that the version in production wrote: one line for each key of
+//! the key-value store, and messages between controllers in hex. The module [`production`]
+//! contains its types, as far as these tests read them.
 
 use crate::builders::*;
 use finchwood::cluster::membership::{next_epoch, owner_by_hash, owner_by_shard_map};
@@ -20,45 +20,47 @@
 use finchwood_sharding::transfer::TransferOrder;
 use serde_json::{json, Value};
 
-const STATE: &str = include_str!("../fixtures/production-state.txt");
+const STORED_ENTRIES: &str = include_str!("../fixtures/production-state.txt");
 const MESSAGES: &str = include_str!("../fixtures/production-messages.txt");
 
-/// The types of messages as production has them, without what these tests don't
-/// look at: unknown fields are left out, unknown variants make a message unreadable.
+/// The types of the version in production, without the fields that these tests don't read.
+/// The types have the names of the current code; fields and variants have their names on the
+/// wire. As in that version, unknown fields are ignored, and an unknown variant makes the
+/// whole message unreadable.
 mod production {
     use serde::Deserialize;
 
     #[derive(Debug, Deserialize)]
     pub struct Envelope {
-        pub called_off: Vec<CalledOff>,
-        pub message: Message,
+        pub called_off: Vec<CancellationNotice>,
+        pub message: PeerMessage,
     }
     #[derive(Debug, Deserialize)]
-    pub struct CalledOff {
+    pub struct CancellationNotice {
         pub job: String,
     }
     #[derive(Debug, Deserialize)]
-    pub struct Quiet {
+    pub struct SilentMachine {
         pub deaf_s: Option<f64>,
     }
     #[derive(Debug, Deserialize)]
-    pub enum Message {
-        Part(PartReport),
+    pub enum PeerMessage {
+        Part(ShardReport),
         Orders(Orders),
         Hello,
     }
     #[derive(Debug, Deserialize)]
-    pub struct PartReport {
+    pub struct ShardReport {
         pub epoch: u64,
         pub seq: u64,
-        pub held: Vec<HeldView>,
-        pub gone: Vec<Gone>,
+        pub held: Vec<AssignedTaskStatus>,
+        pub gone: Vec<RemovedTask>,
         pub dropped: Vec<(Task, u64, u64)>,
-        pub machines: Vec<MachineView>,
-        pub quiet: Vec<Quiet>,
+        pub machines: Vec<MachineStatus>,
+        pub quiet: Vec<SilentMachine>,
     }
     #[derive(Debug, Deserialize)]
-    pub struct MachineView {
+    pub struct MachineStatus {
         pub id: String,
         pub heedless: bool,
         pub yielding: Resources,
@@ -73,14 +75,14 @@
         pub index: u32,
     }
     #[derive(Debug, Deserialize)]
-    pub struct HeldView {
+    pub struct AssignedTaskStatus {
         pub task: Task,
         pub attempt: u64,
-        pub phase: Phase,
+        pub phase: TaskPhase,
         pub machine: Option<String>,
     }
     #[derive(Debug, Deserialize, PartialEq)]
-    pub enum Phase {
+    pub enum TaskPhase {
         Queued,
         Starting,
         Fetching,
@@ -89,13 +91,13 @@
         Done,
     }
     #[derive(Debug, Deserialize)]
-    pub struct Gone {
+    pub struct RemovedTask {
         pub task: Task,
         pub attempt: u64,
-        pub how: Leave,
+        pub how: RemovalReason,
     }
     #[derive(Debug, Deserialize, PartialEq)]
-    pub enum Leave {
+    pub enum RemovalReason {
         Stopped,
         Error,
         Lost,
@@ -104,11 +106,11 @@
     #[derive(Debug, Deserialize)]
     pub struct Orders {
         pub epoch: u64,
-        pub deals: Vec<Deal>,
+        pub deals: Vec<JobAssignment>,
         pub recall: Vec<(Task, u64)>,
     }
     #[derive(Debug, Deserialize)]
-    pub struct Deal {
+    pub struct JobAssignment {
         pub job: String,
         pub tasks: Vec<(u32, u64)>,
         pub zone_room: Option<Vec<(String, u32)>>,
@@ -126,26 +128,28 @@
     }
 }
 
-fn state() -> Vec<(&'static str, Value)> {
-    let line = |l: &'static str| {
-        let (key, value) = l.split_once(' ').expect("a key and a value");
-        (key, serde_json::from_str(value).expect("a value"))
+/// Returns the keys and values that the version in production stored.
+fn stored_entries() -> Vec<(&'static str, Value)> {
+    let entry = |line: &'static str| {
+        let (key, value) = line.split_once(' ').expect("a key and a value");
+        (key, serde_json::from_str(value).expect("a value in JSON"))
     };
-    STATE.lines().map(line).collect()
+    STORED_ENTRIES.lines().map(entry).collect()
 }
 
-fn message(name: &str) -> Envelope {
+/// Returns a message that the version in production sent, decoded by this version.
+fn message_from_production(name: &str) -> Envelope {
     let hex = MESSAGES
         .lines()
-        .find_map(|l| l.strip_prefix(name)?.strip_prefix(' '))
-        .expect("a message");
-    let byte = |i: usize| u8::from_str_radix(&hex[i..i + 2], 16).expect("hex");
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '))
+        .expect("the fixture contains the message");
+    let byte = |start: usize| u8::from_str_radix(&hex[start..start + 2], 16).expect("hex digits");
     let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
-    Envelope::decode(&bytes).expect("it is read")
+    Envelope::decode(&bytes).expect("this version reads the message")
 }
 
-/// What production reads of a message written here.
-fn in_production(message: PeerMessage) -> production::Message {
+/// Encodes a message as this version does, and decodes it as the version in production does.
+fn as_read_by_production(message: PeerMessage) -> production::PeerMessage {
     let envelope = Envelope {
         from: "a".into(),
         to: "b".into(),
@@ -156,60 +160,72 @@
         message,
     };
     let read: production::Envelope =
-        ciborium::from_reader(&envelope.encode()[..]).expect("it is read");
+        ciborium::from_reader(&envelope.encode()[..]).expect("production reads the message");
     read.message
 }
 
 #[test]
-fn every_value_of_production_is_read_and_written_back_as_it_was() {
-    let mut m = StoreCache::new(8.0);
-    for (i, (key, value)) in state().into_iter().enumerate() {
-        m.put(key, value, 1 + i as u64);
+fn values_of_the_version_in_production_are_read_and_written_back_unchanged() {
+    let mut cache = StoreCache::new(8.0);
+    for (i, (key, value)) in stored_entries().into_iter().enumerate() {
+        cache.put(key, value, 1 + i as u64);
     }
     assert_eq!(
-        m.epoch
-            .as_ref()
-            .map(|e| (e.number, e.leader.as_str(), e.members.len())),
+        cache.epoch.as_ref().map(|epoch| (
+            epoch.number,
+            epoch.leader.as_str(),
+            epoch.members.len()
+        )),
         Some((4, "a", 2))
     );
-    assert_eq!(m.catalog.as_ref().map(|c| c.types.len()), Some(1));
     assert_eq!(
-        m.members["a"].value,
+        cache.catalog.as_ref().map(|catalog| catalog.types.len()),
+        Some(1)
+    );
+    assert_eq!(
+        cache.members["a"].value,
         MemberRecord {
             incarnation: 7,
             capability: 0
         }
     );
     assert!(
-        !m.all_members_support_gangs(),
-        "production does not run gangs"
+        !cache.all_members_support_gangs(),
+        "members of the version in production were read as supporting gangs"
+    );
+    assert_eq!(
+        cache.jobs["wk-1"].finished.iter().collect::<Vec<_>>(),
+        [0, 2]
     );
-    assert_eq!(m.jobs["wk-1"].finished.iter().collect::<Vec<_>>(), [0, 2]);
     assert_eq!(
-        m.jobs["wk-2"].record.spec.as_ref().map(|s| s.job_kind),
+        cache.jobs["wk-2"]
+            .record
+            .spec
+            .as_ref()
+            .map(|spec| spec.job_kind),
         Some(JobKind::Gang)
     );
-    assert!(m.jobs["wk-3"].record.cancelled && m.jobs["wk-4"].record.done);
+    assert!(cache.jobs["wk-3"].record.cancelled && cache.jobs["wk-4"].record.done);
     assert_eq!(
-        m.jobs["wk-5"].finished.iter().collect::<Vec<_>>(),
+        cache.jobs["wk-5"].finished.iter().collect::<Vec<_>>(),
         [0, 5000, 16385],
-        "of both its chunks"
+        "expected the finished tasks of both chunks"
     );
-    let up: Vec<(&str, bool)> = m
+    let in_use: Vec<(&str, bool)> = cache
         .registry
         .iter()
         .map(|(id, machine)| (&**id, machine.record.in_use))
         .collect();
     assert_eq!(
-        up,
+        in_use,
         [("m-1", true), ("m-2", false), ("m-3", true), ("m-4", true)]
     );
-    for (key, value) in state() {
-        let written = match key.split('/').nth(1).expect("a kind of key") {
-            "epoch" => json!(m.epoch),
-            "c" => json!(m.catalog),
-            "j" => json!(m.jobs[key.rsplit('/').next().expect("an id")].record),
-            "r" if value.get("m").is_some() => json!(m.registry_pages[key].value),
+    for (key, value) in stored_entries() {
+        let written = match key.split('/').nth(1).expect("a key under fw/") {
+            "epoch" => json!(cache.epoch),
+            "c" => json!(cache.catalog),
+            "j" => json!(cache.jobs[key.rsplit('/').next().expect("a job id")].record),
+            "r" if value.get("m").is_some() => json!(cache.registry_pages[key].value),
             _ => continue,
         };
         assert_eq!(written, value, "{key}");
@@ -217,63 +233,67 @@
 }
 
 #[test]
-fn every_message_of_production_is_read() {
-    let shard = message("part");
+fn messages_of_the_version_in_production_are_read() {
+    let envelope = message_from_production("part");
     assert_eq!(
         (
-            shard.cancellation_notices.len(),
-            shard.heard_peers.len(),
-            shard.unreachable_peers.len()
+            envelope.cancellation_notices.len(),
+            envelope.heard_peers.len(),
+            envelope.unreachable_peers.len()
         ),
         (1, 1, 1)
     );
-    let PeerMessage::ShardReport(shard) = shard.message else {
-        panic!("not a part's report")
+    let PeerMessage::ShardReport(report) = envelope.message else {
+        panic!("not a shard report")
     };
-    assert_eq!((shard.epoch, shard.seq, shard.machines.len()), (4, 1, 4));
-    let held: Vec<(u64, TaskPhase, u64)> = shard
+    assert_eq!((report.epoch, report.seq, report.machines.len()), (4, 1, 4));
+    let assigned: Vec<(u64, TaskPhase, u64)> = report
         .assigned
         .iter()
-        .map(|h| (h.attempt, h.phase, h.assignment))
+        .map(|status| (status.attempt, status.phase, status.assignment))
         .collect();
     assert_eq!(
-        held,
+        assigned,
         [(70, TaskPhase::Running, 0)],
-        "production names no assignment"
+        "expected assignment 0, as the version in production reports none"
     );
-    let gone: Vec<(u64, RemovalReason, u64)> = shard
+    let removed: Vec<(u64, RemovalReason, u64)> = report
         .removed
         .iter()
-        .map(|g| (g.attempt, g.reason, g.assignment))
+        .map(|removed| (removed.attempt, removed.reason, removed.assignment))
         .collect();
     assert_eq!(
-        gone,
+        removed,
         [
             (72, RemovalReason::Rejected, 0),
             (71, RemovalReason::Error, 0)
         ]
     );
-    let PeerMessage::Orders(orders) = message("orders").message else {
+    let PeerMessage::Orders(orders) = message_from_production("orders").message else {
         panic!("not orders")
     };
-    let deal = &orders.assignments[0];
+    let assignment = &orders.assignments[0];
     assert_eq!(
         (
-            deal.tasks.len(),
-            deal.zone_capacity.is_some(),
-            deal.assignments.len()
+            assignment.tasks.len(),
+            assignment.zone_capacity.is_some(),
+            assignment.assignments.len()
         ),
         (3, true, 0)
     );
     assert_eq!((orders.recall.len(), orders.drain.len()), (1, 1));
-    assert!(matches!(message("hello").message, PeerMessage::KeepAlive));
+    assert!(matches!(
+        message_from_production("hello").message,
+        PeerMessage::KeepAlive
+    ));
 }
 
-// A gang's refused task was assigned anew: production reads the same message
-// without the assignments, and takes no task twice under one attempt.
+/// A rejected task of a gang is assigned again under the same attempt, with a new assignment
+/// number. The version in production ignores the assignment numbers, and does not accept a
+/// task twice under one attempt.
 #[test]
-fn production_reads_orders_with_gangs() {
-    let deals = vec![JobAssignment {
+fn the_version_in_production_reads_orders_for_gangs() {
+    let assignments = vec![JobAssignment {
         job: "wk-1".into(),
         tasks: vec![(0, 50), (1, 50)],
         zone_capacity: Some(vec![("e".into(), 2)]),
@@ -287,12 +307,12 @@
         },
         60,
     )];
-    let read = in_production(PeerMessage::Orders(Orders {
+    let read = as_read_by_production(PeerMessage::Orders(Orders {
         recall,
         borrowing: vec!["t".into()],
-        ..orders(1, deals)
+        ..orders(1, assignments)
     }));
-    let production::Message::Orders(read) = read else {
+    let production::PeerMessage::Orders(read) = read else {
         panic!("not orders")
     };
     assert_eq!(read.epoch, EPOCH);
@@ -314,10 +334,11 @@
     );
 }
 
-// A gang that gathers, and one whose tasks are gone: whatever this version knows
-// of them, its reports hold no phase and no way to leave that production lacks.
+/// Reports on a gang, whether its tasks wait for each other or were removed, must contain no
+/// task phase and no removal reason that the version in production doesn't have: it could not
+/// read the whole message.
 #[test]
-fn production_reads_reports_with_gangs() {
+fn the_version_in_production_reads_reports_on_gangs() {
     for phase in [
         TaskPhase::Queued,
         TaskPhase::Starting,
@@ -326,34 +347,34 @@
         TaskPhase::Saving,
         TaskPhase::Done,
     ] {
-        let PeerMessage::ShardReport(before) = message("part").message else {
-            panic!("not a part's report")
+        let PeerMessage::ShardReport(original) = message_from_production("part").message else {
+            panic!("not a shard report")
         };
         let task = Task {
             job: "wk-2".into(),
             index: 0,
         };
-        let held = vec![AssignedTaskStatus {
+        let assigned = vec![AssignedTaskStatus {
             task,
             attempt: 50,
             phase,
             machine: Some("m-1".into()),
             assignment: 51,
         }];
-        let gone: Vec<RemovedTask> = [
+        let removed: Vec<RemovedTask> = [
             RemovalReason::Stopped,
             RemovalReason::Error,
             RemovalReason::Lost,
             RemovalReason::Rejected,
         ]
         .into_iter()
-        .map(|how| {
-            let mut gone = before.removed[0].clone();
-            (gone.reason, gone.assignment) = (how, 52);
-            gone
+        .map(|reason| {
+            let mut removed = original.removed[0].clone();
+            (removed.reason, removed.assignment) = (reason, 52);
+            removed
         })
         .collect();
-        let dropped = vec![(
+        let released = vec![(
             Task {
                 job: "wk-2".into(),
                 index: 2,
@@ -361,14 +382,14 @@
             50,
             3,
         )];
-        let read = in_production(PeerMessage::ShardReport(ShardReport {
-            assigned: held,
-            removed: gone,
-            released: dropped,
-            ..before
+        let read = as_read_by_production(PeerMessage::ShardReport(ShardReport {
+            assigned,
+            removed,
+            released,
+            ..original
         }));
-        let production::Message::Part(read) = read else {
-            panic!("not a part's report")
+        let production::PeerMessage::Part(read) = read else {
+            panic!("not a shard report")
         };
         assert_eq!((read.epoch, read.seq, read.dropped.len()), (4, 1, 1));
         assert_eq!(
@@ -383,28 +404,32 @@
             }
         );
         assert_eq!(read.held[0].machine.as_deref(), Some("m-1"));
-        use production::Leave::{Error, Lost, Passed, Stopped};
+        use production::RemovalReason::{Error, Lost, Passed, Stopped};
         assert_eq!(
-            read.gone.iter().map(|g| &g.how).collect::<Vec<_>>(),
+            read.gone
+                .iter()
+                .map(|removed| &removed.how)
+                .collect::<Vec<_>>(),
             [&Stopped, &Error, &Lost, &Passed]
         );
         assert!(read
             .gone
             .iter()
-            .all(|g| g.attempt == 72 && g.task.job == "wk-1"));
+            .all(|removed| removed.attempt == 72 && removed.task.job == "wk-1"));
     }
     assert!(matches!(
-        in_production(PeerMessage::KeepAlive),
-        production::Message::Hello
+        as_read_by_production(PeerMessage::KeepAlive),
+        production::PeerMessage::Hello
     ));
 }
 
-// What borrowing low work would give up is a field that production leaves out; from
-// production nothing is said of it, and nothing is assigned on its strength.
+/// The capacity that can be gained by preempting the low-priority arrays of borrowing teams is
+/// a field that the version in production ignores. Its own reports don't contain the field,
+/// which then reads as zero, so that no task is assigned because of it.
 #[test]
-fn production_reads_machines_with_low_work_that_yields() {
-    let PeerMessage::ShardReport(mut report) = message("part").message else {
-        panic!("not a part's report")
+fn the_version_in_production_reads_machines_with_preemptible_low_priority_tasks() {
+    let PeerMessage::ShardReport(mut report) = message_from_production("part").message else {
+        panic!("not a shard report")
     };
     assert!(report
         .machines
@@ -421,19 +446,19 @@
         mem_gb: 1.0,
     };
     let id = report.machines[0].id.to_string();
-    let read = in_production(PeerMessage::ShardReport(report));
-    let production::Message::Part(read) = read else {
-        panic!("not a part's report")
+    let read = as_read_by_production(PeerMessage::ShardReport(report));
+    let production::PeerMessage::Part(read) = read else {
+        panic!("not a shard report")
     };
     assert_eq!((read.machines.len(), &read.machines[0].id), (4, &id));
     assert_eq!(read.machines[0].yielding.cpus, 6.0);
 }
 
-// Names that were changed in the code stay as they were on the wire.
+/// Fields that were renamed in the code keep their names on the wire.
 #[test]
-fn production_reads_silent_machines_and_cancellations_under_their_old_names() {
-    let PeerMessage::ShardReport(mut report) = message("part").message else {
-        panic!("not a part's report")
+fn the_version_in_production_reads_renamed_fields_under_their_old_names() {
+    let PeerMessage::ShardReport(mut report) = message_from_production("part").message else {
+        panic!("not a shard report")
     };
     report.machines[0].ignores_commands = true;
     report.silent_machines = vec![SilentMachine {
@@ -455,145 +480,170 @@
         message: PeerMessage::ShardReport(report),
     };
     let read: production::Envelope =
-        ciborium::from_reader(&envelope.encode()[..]).expect("it is read");
+        ciborium::from_reader(&envelope.encode()[..]).expect("production reads the message");
     assert_eq!(
         read.called_off
             .iter()
-            .map(|c| c.job.as_str())
+            .map(|notice| notice.job.as_str())
             .collect::<Vec<_>>(),
         ["wk-1"]
     );
-    let production::Message::Part(read) = read.message else {
-        panic!("not a part's report")
+    let production::PeerMessage::Part(read) = read.message else {
+        panic!("not a shard report")
     };
     assert!(read.machines[0].heedless && !read.machines[1].heedless);
     assert_eq!(
-        read.quiet.iter().map(|q| q.deaf_s).collect::<Vec<_>>(),
+        read.quiet
+            .iter()
+            .map(|silent| silent.deaf_s)
+            .collect::<Vec<_>>(),
         [Some(4.0)]
     );
 }
 
-// Shares are fields that production leaves out, and an epoch in which one member is of
-// production doesn't have them.
+/// Whether an epoch uses the shard map, and all that concerns transfers of hash ranges, are
+/// fields that the version in production ignores. An epoch with a member that does not follow
+/// the shard map, such as one of that version, does not use it, and its record is the same as
+/// one that the version in production writes.
 #[test]
-fn production_reads_epochs_members_and_messages_with_shard_maps() {
-    let knows = |name: &str, incarnation: u64, shares: bool| {
+fn the_version_in_production_ignores_the_shard_map_and_transfers() {
+    let member = |name: &str, incarnation: u64, uses_shard_map: bool| {
         (
             name.to_string(),
-            Versioned::new(MemberRecord::new(incarnation, shares), 1),
+            Versioned::new(MemberRecord::new(incarnation, uses_shard_map), 1),
         )
     };
     let next = |live: &[(String, Versioned<MemberRecord>)]| {
-        next_epoch(None, &live.iter().cloned().collect()).expect("an epoch")
+        next_epoch(None, &live.iter().cloned().collect()).expect("the members have changed")
     };
-    let (all, mixed) = (
-        next(&[knows("a", 7, true), knows("b", 8, true)]),
-        next(&[knows("a", 7, true), knows("b", 8, false)]),
+    let (with_shard_map, without_shard_map) = (
+        next(&[member("a", 7, true), member("b", 8, true)]),
+        next(&[member("a", 7, true), member("b", 8, false)]),
     );
-    assert!(all.uses_shard_map && !mixed.uses_shard_map);
+    assert!(with_shard_map.uses_shard_map && !without_shard_map.uses_shard_map);
     assert_eq!(
-        json!(mixed),
+        json!(without_shard_map),
         json!({"n": 1, "members": {"a": 7, "b": 8}, "leader": "a"}),
-        "the bytes of production"
+        "the record differs from that of the version in production"
     );
-    let read: production::Epoch = serde_json::from_value(json!(all)).expect("it is read");
+    let read: production::Epoch =
+        serde_json::from_value(json!(with_shard_map)).expect("production reads the record");
     assert_eq!(
         (read.n, read.leader.as_str(), read.members.len()),
         (1, "a", 2)
     );
-    let read: production::Member =
-        serde_json::from_value(json!(MemberRecord::new(9, true))).expect("it is read");
+    let read: production::Member = serde_json::from_value(json!(MemberRecord::new(9, true)))
+        .expect("production reads the record");
     assert_eq!(read.inc, 9);
-    // Whatever the table says, with production among the members the hash decides.
-    let table = ShardMap::default()
+    // With a member that does not follow the shard map, the owner by hash counts, whatever the
+    // map contains.
+    let shard_map = ShardMap::default()
         .with_owner(&HashRange::whole("a"), "b")
         .with_owner(&HashRange::whole("b"), "a");
     for id in (0..20).map(|i| format!("m-{i}")) {
-        let hash_owner = owner_by_hash(&all.members, &id).expect("a hash owner");
-        assert_eq!(owner_by_shard_map(&mixed, &table, &id), Some(hash_owner));
-        assert_ne!(owner_by_shard_map(&all, &table, &id), Some(hash_owner));
+        let hash_owner =
+            owner_by_hash(&with_shard_map.members, &id).expect("the epoch has members");
+        assert_eq!(
+            owner_by_shard_map(&without_shard_map, &shard_map, &id),
+            Some(hash_owner)
+        );
+        assert_ne!(
+            owner_by_shard_map(&with_shard_map, &shard_map, &id),
+            Some(hash_owner)
+        );
     }
-    let PeerMessage::ShardReport(mut report) = message("part").message else {
-        panic!("not a part's report")
+    let PeerMessage::ShardReport(mut report) = message_from_production("part").message else {
+        panic!("not a shard report")
     };
-    let PeerMessage::Orders(mut orders) = message("orders").message else {
+    let PeerMessage::Orders(mut orders) = message_from_production("orders").message else {
         panic!("not orders")
     };
-    let plain = (
-        in_production(PeerMessage::ShardReport(report.clone())),
-        in_production(PeerMessage::Orders(orders.clone())),
+    let without_transfers = (
+        as_read_by_production(PeerMessage::ShardReport(report.clone())),
+        as_read_by_production(PeerMessage::Orders(orders.clone())),
     );
     report.transfers.accepted.push(1);
     orders.transfers.push(TransferOrder::Offer { id: 1 });
-    let with = (
-        in_production(PeerMessage::ShardReport(report)),
-        in_production(PeerMessage::Orders(orders)),
+    let with_transfers = (
+        as_read_by_production(PeerMessage::ShardReport(report)),
+        as_read_by_production(PeerMessage::Orders(orders)),
+    );
+    assert_eq!(
+        format!("{without_transfers:?}"),
+        format!("{with_transfers:?}")
     );
-    assert_eq!(format!("{plain:?}"), format!("{with:?}"));
 }
 
-// A member says what it can do in its own key, which ends with its lease: when
-// its process comes back with the version of before, the key says nothing of it.
+/// A member's capability is in its own key, which is deleted when its lease ends. If the
+/// process is restarted with an earlier version, its new key contains no capability.
 #[test]
-fn production_reads_a_member_that_runs_gangs() {
+fn the_version_in_production_reads_a_member_with_capabilities() {
     let written = json!(MemberRecord::of_this_version(9));
-    let read: production::Member = serde_json::from_value(written).expect("it is read");
+    let read: production::Member =
+        serde_json::from_value(written).expect("production reads the record");
     assert_eq!(read.inc, 9);
-    let of_before: MemberRecord = serde_json::from_value(json!({"inc": 9})).expect("it is read");
+    let of_earlier_version: MemberRecord =
+        serde_json::from_value(json!({"inc": 9})).expect("this version reads the record");
     assert_eq!(
-        (of_before.capability, json!(of_before)),
+        (of_earlier_version.capability, json!(of_earlier_version)),
         (0, json!({"inc": 9}))
     );
 }
 
-// Finished tasks of jobs that fit one chunk under the limits to come are the
-// same bytes under the same key in both versions; those of larger jobs have keys
-// of their own, which production leaves alone, and both are read together.
+/// The finished tasks of a job that fits into one chunk under the store's future value limit
+/// are the same bytes under the same key in both versions. Those of larger jobs have keys that
+/// the version in production ignores; this version reads the chunks of both.
 #[test]
-fn finished_tasks_are_read_in_either_size() {
-    let (now, later) = (tasks_per_chunk(8.0), tasks_per_chunk(2.0));
-    let whole = chunks_covering(&[0, 2], 3, later);
+fn finished_tasks_are_read_from_chunks_of_either_size() {
+    let (per_chunk_now, per_chunk_later) = (tasks_per_chunk(8.0), tasks_per_chunk(2.0));
+    let single = chunks_covering(&[0, 2], 3, per_chunk_later);
     assert_eq!(
-        whole,
+        single,
         [ChunkRange {
             chunk: Chunk::Numbered(0),
             first: 0,
             len: 3
         }]
     );
-    assert_eq!(whole[0].chunk.key("wk-1"), "fw/f/wk-1/0");
-    assert_eq!(chunks_covering(&[0, 2], 3, now), whole);
-    let ranges = chunks_covering(&[1, 5000, 19_999], 20_000, later);
+    assert_eq!(single[0].chunk.key("wk-1"), "fw/f/wk-1/0");
+    assert_eq!(chunks_covering(&[0, 2], 3, per_chunk_now), single);
+    let ranges = chunks_covering(&[1, 5000, 19_999], 20_000, per_chunk_later);
     assert_eq!(
-        ranges.iter().map(|r| (r.first, r.len)).collect::<Vec<_>>(),
+        ranges
+            .iter()
+            .map(|range| (range.first, range.len))
+            .collect::<Vec<_>>(),
         [(0, 4096), (4096, 4096), (16_384, 3616)]
     );
-    let mut m = StoreCache::new(8.0);
-    for (i, (key, value)) in state().into_iter().enumerate() {
-        m.put(key, value, 1 + i as u64);
+    let mut cache = StoreCache::new(8.0);
+    for (i, (key, value)) in stored_entries().into_iter().enumerate() {
+        cache.put(key, value, 1 + i as u64);
     }
-    let mut more = finchwood::finished::TaskSet::default();
+    let mut finished = finchwood::finished::TaskSet::default();
     for task in [1, 5000, 19_999] {
-        more.add(task);
+        finished.add(task);
     }
-    for (i, r) in ranges.iter().enumerate() {
-        let value: Value = more.hex(r.first, r.len).into();
-        assert!(value.to_string().len() <= 2048, "within the limits to come");
-        m.put(&r.chunk.key("wk-5"), value, 100 + i as u64);
+    for (i, range) in ranges.iter().enumerate() {
+        let value: Value = finished.hex(range.first, range.len).into();
+        assert!(
+            value.to_string().len() <= 2048,
+            "the value exceeds the future limit"
+        );
+        cache.put(&range.chunk.key("wk-5"), value, 100 + i as u64);
     }
     assert_eq!(
-        m.jobs["wk-5"].finished.iter().collect::<Vec<_>>(),
+        cache.jobs["wk-5"].finished.iter().collect::<Vec<_>>(),
         [0, 1, 5000, 16_385, 19_999]
     );
-    assert_eq!(m.jobs["wk-5"].chunks.len(), 5);
-    // No sense in the key or beyond what a job may have: left out.
+    assert_eq!(cache.jobs["wk-5"].chunks.len(), 5);
+    // Keys without a valid chunk, and tasks beyond the maximum of a job, are ignored.
     for key in [
         "fw/f/wk-5/at/x",
         "fw/f/wk-5/at/4000000000",
         "fw/f/wk-5/4000000000",
         "fw/f/wk-5/at/99999",
     ] {
-        m.put(key, "ffff".into(), 200);
+        cache.put(key, "ffff".into(), 200);
     }
-    assert!(m.jobs["wk-5"].finished.len() <= 6);
+    assert!(cache.jobs["wk-5"].finished.len() <= 6);
 }
