--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -482,6 +482,7 @@
 #[test]
 fn a_failure_in_any_transfer_state_loses_no_task_and_no_command_is_executed() {
     for state in STATES {
+        // `a` or `b`: that controller stops for good.
         for failure in [
             "a",
             "b",
@@ -496,8 +497,8 @@
             cluster.run_until(state);
             let when = format!("{state:?}, failure: {failure}");
             match failure {
-                // A controller stops for good; the other one leads, with a new leader state,
-                // and takes over in a new epoch.
+                // The other controller leads, without the state of the earlier leader, and takes
+                // over in a new epoch.
                 "a" | "b" => {
                     cluster.stop_controller(failure);
                     let survivor = if failure == "a" { "b" } else { "a" };
@@ -565,8 +566,8 @@
             cluster
                 .workers
                 .values()
-                .flat_map(|w| w.tasks.keys())
-                .filter(|t| t.starts_with("wk-1/"))
+                .flat_map(|worker| worker.tasks.keys())
+                .filter(|task| task.starts_with("wk-1/"))
                 .count()
         };
         assert_eq!(running_tasks(&cluster), 4);
@@ -613,8 +614,8 @@
 }
 
 /// During a transfer the reports of neither side decide on the machines of the range: until
-/// the source has released them, both sides report them, and the leader must not take the
-/// last report of either as final. A machine that is fenced for long must not count as silent
+/// the source has released them, the leader has reports on them from both sides, and must not
+/// take either as final. A machine that is fenced for long must not count as silent
 /// while its heartbeats arrive.
 #[test]
 fn machines_in_transfer_have_no_single_owner_and_are_not_silent() {
