--- a/tests/feature_files.rs
+++ b/tests/feature_files.rs
@@ -1,34 +1,34 @@
-//! Files that switch on parts: those under `deploy/` are taken, and whatever makes no
-//! sense ends the start with one line that names it.
+//! Feature files: those under `deploy/` are valid, and an invalid one prevents the start with
+//! an error of one line that names what is wrong.
 
 #[path = "common/settings.rs"]
-mod base;
+mod settings;
 
 use finchwood::config::features::{ColdRestartConfig, Features, SharedMachinesConfig};
 use std::process::Command;
 
 #[test]
-fn the_files_under_deploy_are_taken() {
+fn the_feature_files_under_deploy_are_valid() {
     let mut features = Features::default();
     features
         .add(
             "cold-restart.toml",
             include_str!("../deploy/cold-restart.toml"),
         )
-        .expect("taken");
+        .expect("a valid feature file");
     features
         .add(
             "shared-machines.toml",
             include_str!("../deploy/shared-machines.toml"),
         )
-        .expect("taken");
-    let shared = SharedMachinesConfig {
+        .expect("a valid feature file");
+    let shared_machines = SharedMachinesConfig {
         machines_per_move: 20,
         moves_per_minute: 12.0,
         imbalance: 0.5,
         rest_leases: 3.0,
     };
-    assert_eq!(features.shared_machines, Some(shared));
+    assert_eq!(features.shared_machines, Some(shared_machines));
     assert_eq!(
         features.cold_restart,
         Some(ColdRestartConfig {
@@ -39,16 +39,22 @@
 }
 
 #[test]
-fn unknown_and_senseless_values_are_refused_in_one_line() {
-    let shard = "part = \"cold-restart\"\n";
-    let bad = [
+fn unknown_names_and_invalid_values_are_refused_with_an_error_of_one_line() {
+    let cold_restart = "part = \"cold-restart\"\n";
+    let invalid = [
         (String::new(), "part"),
         ("part = \"toaster\"".into(), "toaster"),
-        (format!("{shard}answer_reports = -1.0"), "answer_reports"),
-        (format!("{shard}answer_reports = nan"), "answer_reports"),
-        (format!("{shard}entries = 1000000"), "entries"),
-        (format!("{shard}entries = \"many\""), "expected"),
-        (format!("{shard}entires = 3"), "entires"),
+        (
+            format!("{cold_restart}answer_reports = -1.0"),
+            "answer_reports",
+        ),
+        (
+            format!("{cold_restart}answer_reports = nan"),
+            "answer_reports",
+        ),
+        (format!("{cold_restart}entries = 1000000"), "entries"),
+        (format!("{cold_restart}entries = \"many\""), "expected"),
+        (format!("{cold_restart}entires = 3"), "entires"),
         ("part = ".into(), "TOML"),
         (
             "part = \"shared-machines\"\nimbalance = 0.0".into(),
@@ -59,45 +65,54 @@
             "machines_per_move",
         ),
     ];
-    for (text, names) in bad {
-        let why = Features::default()
+    for (text, named) in invalid {
+        let error = Features::default()
             .add("x.toml", &text)
             .expect_err(&text)
             .to_string();
         assert!(
-            why.starts_with("with: x.toml: ") && why.lines().count() == 1,
-            "{text}: {why}"
+            error.starts_with("with: x.toml: ") && error.lines().count() == 1,
+            "{text}: the error is not one line about the file: {error}"
+        );
+        assert!(
+            named == "TOML" || error.contains(named),
+            "{text}: the error does not name {named}: {error}"
         );
-        assert!(names == "TOML" || why.contains(names), "{text}: {why}");
     }
     let mut features = Features::default();
-    features.add("x.toml", shard).expect("taken");
+    features
+        .add("x.toml", cold_restart)
+        .expect("a valid feature file");
     assert!(features
-        .add("y.toml", shard)
-        .expect_err("twice")
+        .add("y.toml", cold_restart)
+        .expect_err("a feature that is enabled already")
         .to_string()
         .contains("already"));
 }
 
 #[test]
-fn a_bad_file_ends_the_start_with_a_line_and_a_status() {
-    let dir = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let (settings, with) = (dir.join("with-settings.toml"), dir.join("with-bad.toml"));
-    std::fs::write(&settings, base::SETTINGS).expect("written");
-    std::fs::write(&with, "part = \"cold-restart\"\nentries = -3\n").expect("written");
-    for file in [with, dir.join("with-missing.toml")] {
-        let end = Command::new(env!("CARGO_BIN_EXE_finchwood"))
+fn an_invalid_feature_file_prevents_the_start_with_an_error_of_one_line() {
+    let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
+    let (settings_path, invalid_path) = (
+        directory.join("with-settings.toml"),
+        directory.join("with-bad.toml"),
+    );
+    std::fs::write(&settings_path, settings::SETTINGS).expect("the file can be written");
+    std::fs::write(&invalid_path, "part = \"cold-restart\"\nentries = -3\n")
+        .expect("the file can be written");
+    for path in [invalid_path, directory.join("with-missing.toml")] {
+        let output = Command::new(env!("CARGO_BIN_EXE_finchwood"))
             .arg("--with")
-            .arg(&file)
+            .arg(&path)
             .arg("--config")
-            .arg(&settings)
+            .arg(&settings_path)
             .output()
-            .expect("it ran");
-        let said = String::from_utf8_lossy(&end.stderr);
-        assert!(!end.status.success());
+            .expect("the program starts");
+        let error = String::from_utf8_lossy(&output.stderr);
+        assert!(!output.status.success());
         assert!(
-            said.lines().count() == 1 && said.contains("with: "),
-            "{said}"
+            error.lines().count() == 1 && error.contains("with: "),
+            "the error is not one line about the feature file: {error}"
         );
     }
 }
--- a/tests/http/main.rs
+++ b/tests/http/main.rs
@@ -1,4 +1,4 @@
-//! The HTTP server: reading requests, and connections that misbehave.
+//! The HTTP server: parsing of requests, the connection limit and response deadlines.
 
 mod connections;
 mod requests;
--- a/tests/store/keys.rs
+++ b/tests/store/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the key-value store, as they are built and as they are parsed.
+//! Building and parsing the keys of the key-value store.
 
 use finchwood::finished::Chunk;
 use finchwood::store::keys::{
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn keys_without_a_name_are_parsed() {
+fn fixed_keys_are_parsed() {
     assert_eq!(EPOCH_KEY, "fw/epoch");
     assert_eq!(StoreKey::parse(EPOCH_KEY), Some(StoreKey::Epoch));
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn named_keys_are_parsed_to_the_name_they_were_built_from() {
+fn keys_with_a_name_are_built_and_parsed() {
     let member = member_key("n0");
     assert_eq!(member, "fw/m/n0");
     assert_eq!(StoreKey::parse(&member), Some(StoreKey::Member("n0")));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn keys_of_finished_tasks_are_parsed_to_their_job_and_chunk() {
+fn keys_of_finished_tasks_are_built_and_parsed() {
     let chunks = [
         (Chunk::Numbered(7), "fw/f/wk-1/7", "7"),
         (Chunk::StartingAt(2048), "fw/f/wk-1/at/2048", "at/2048"),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn keys_of_other_versions_are_unknown() {
+fn unknown_keys_are_not_parsed() {
     let unknown = [
         "fw/x",
         "fw/x/a",
--- a/tests/store/main.rs
+++ b/tests/store/main.rs
@@ -1,4 +1,4 @@
-//! What controllers keep of the key-value store and how they write to it.
+//! The local cache of the key-value store, its keys, and how controllers write to it.
 
 mod keys;
 mod pending_writes;
--- a/tests/store/token_bucket.rs
+++ b/tests/store/token_bucket.rs
@@ -1,9 +1,9 @@
-//! The rate budget of calls to the key-value store.
+//! The token bucket that limits the rate of calls to the key-value store.
 
 use finchwood::store::TokenBucket;
 
 #[test]
-fn the_token_bucket_lets_lease_renewals_go_first() {
+fn lease_renewals_go_before_other_calls() {
     let mut bucket = TokenBucket::new(10.0, 10.0, 0.0);
     for _ in 0..10 {
         assert!(bucket.take(1.0, 0.0).is_ok());
@@ -13,34 +13,38 @@
     assert!(bucket.reserve(1.0, 0.0) > 0.0);
     assert!(
         bucket.take(1.0, 0.15).is_err(),
-        "the renewal's call is owed"
+        "a token that is reserved for the renewal was taken"
     );
     assert!(bucket.take(1.0, 0.25).is_ok());
 }
 
-/// A batch of twelve waited for a full bucket while single writes took every
-/// token that came in: the machine registry stood still for half a minute.
+/// Guards against starvation: a batch of twelve writes waited for a full bucket while single
+/// writes took every token that came in, so that the machine registry was not written for half
+/// a minute.
 #[test]
-fn a_large_batch_of_writes_gets_its_turn_among_small_ones() {
+fn a_large_batch_does_not_starve_among_small_ones() {
     let mut bucket = TokenBucket::new(10.0, 10.0, 0.0);
-    assert!(bucket.reserve(10.0, 0.0) <= 0.0, "a full bucket");
+    assert!(
+        bucket.reserve(10.0, 0.0) <= 0.0,
+        "the bucket is not full at the start"
+    );
     let large = bucket.reserve(12.0, 0.0);
     assert!(
         (large - 1.2).abs() < 1e-9,
-        "as long as it takes at the rate: {large}"
+        "12 tokens take 1.2 s at the rate of the bucket, not {large} s"
     );
-    let mut before = large;
-    for i in 1..=20 {
-        let now = f64::from(i) * 0.05;
+    let mut previous = large;
+    for turn in 1..=20 {
+        let now = f64::from(turn) * 0.05;
         let small = now + bucket.reserve(1.0, now);
         assert!(
-            small > before,
-            "whoever comes later waits longer: {small} after {before}"
+            small > previous,
+            "a later call may be made first, at {small} s instead of after {previous} s"
         );
-        before = small;
+        previous = small;
     }
     assert!(
-        (before - 3.2).abs() < 1e-9,
-        "and nothing is lost of the rate: {before}"
+        (previous - 3.2).abs() < 1e-9,
+        "32 tokens take 3.2 s at the rate of the bucket, not {previous} s"
     );
 }
--- a/tests/wire_format.rs
+++ b/tests/wire_format.rs
@@ -1,6 +1,7 @@
-//! The bytes that leave the process in JSON, frozen: what users, workers and the cloud
-//! get and send. `fixtures/wire-format/` holds them as they were written before names in
-//! the code changed; each is compared both ways.
+//! The JSON messages that are exchanged with users, workers and the cloud, compared with the
+//! fixtures in `fixtures/wire-format/`, which were recorded before identifiers in the code
+//! were renamed. Most are compared both ways: a value must serialize to its fixture, and the
+//! fixture must deserialize and serialize again unchanged.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -17,7 +18,7 @@
 const WORKERS: &str = include_str!("fixtures/wire-format/workers.txt");
 const CLOUD: &str = include_str!("fixtures/wire-format/cloud.txt");
 
-fn submission(job_kind: JobKind, priority: Priority) -> JobSpec {
+fn job_spec(job_kind: JobKind, priority: Priority) -> JobSpec {
     JobSpec {
         id: "wk-000412".into(),
         class: "train".into(),
@@ -42,90 +43,93 @@
     }
 }
 
-/// Every shape and every priority occurs.
-fn submissions() -> [(&'static str, JobSpec); 5] {
-    let plain = JobSpec {
+/// Job specs by the names of their fixtures, with every kind and every priority of a job.
+fn job_specs() -> [(&'static str, JobSpec); 5] {
+    let without_optional_fields = JobSpec {
         types: None,
         zone: None,
         one_zone: false,
         scatter: true,
         spot: false,
         deadline_s: None,
-        ..submission(JobKind::Array, Priority::Low)
+        ..job_spec(JobKind::Array, Priority::Low)
     };
     [
         (
             "submission.array.prod",
-            submission(JobKind::Array, Priority::Prod),
+            job_spec(JobKind::Array, Priority::Prod),
         ),
         (
             "submission.standing.urgent",
-            submission(JobKind::Service, Priority::Urgent),
+            job_spec(JobKind::Service, Priority::Urgent),
         ),
         (
             "submission.ensemble.standard",
-            submission(JobKind::Gang, Priority::Standard),
+            job_spec(JobKind::Gang, Priority::Standard),
         ),
         (
             "submission.ensemble.low",
-            submission(JobKind::Gang, Priority::Low),
+            job_spec(JobKind::Gang, Priority::Low),
+        ),
+        (
+            "submission.without-optional-fields",
+            without_optional_fields,
         ),
-        ("submission.without-optional-fields", plain),
     ]
 }
 
 #[test]
-fn submissions_keep_their_bytes() {
+fn job_specs_and_statuses_match_the_fixtures() {
     let fixtures = Fixtures::new(USERS);
-    for (name, spec) in submissions() {
+    for (name, spec) in job_specs() {
         fixtures.both_ways(name, &spec);
         let parsed = JobSpec::parse(fixtures.payload(name).as_bytes());
         assert_eq!(parsed.expect(name), spec, "{name}");
     }
-    let nulls =
-        JobSpec::parse(fixtures.payload("submission.with-nulls").as_bytes()).expect("taken");
-    assert_eq!(nulls, submissions()[4].1);
-    let view = |state: &str, done, running| JobStatus {
+    let with_nulls = JobSpec::parse(fixtures.payload("submission.with-nulls").as_bytes())
+        .expect("a valid job spec");
+    assert_eq!(with_nulls, job_specs()[4].1);
+    let job_status = |state: &str, done, running| JobStatus {
         id: "wk-000412".into(),
         state: state.into(),
         done,
         running,
     };
     for state in ["pending", "running", "done", "cancelled"] {
-        fixtures.both_ways(&format!("view.{state}"), &view(state, Some(3), Some(13)));
+        fixtures.both_ways(
+            &format!("view.{state}"),
+            &job_status(state, Some(3), Some(13)),
+        );
         fixtures.both_ways(
             &format!("view.{state}.without-counts"),
-            &view(state, None, None),
+            &job_status(state, None, None),
         );
     }
     fixtures.same(
         "error",
-        std::str::from_utf8(&error_body("no such job")).expect("text"),
+        std::str::from_utf8(&error_body("no such job")).expect("UTF-8"),
     );
-    for refused in fixtures
+    for name in fixtures
         .lines()
         .filter_map(|(name, _)| name.strip_suffix(".refused-body"))
     {
-        let error = JobSpec::parse(fixtures.text(&format!("{refused}.refused-body")).as_bytes());
-        fixtures.same(
-            &format!("{refused}.why"),
-            &error.expect_err(refused).to_string(),
-        );
+        let parsed = JobSpec::parse(fixtures.text(&format!("{name}.refused-body")).as_bytes());
+        fixtures.same(&format!("{name}.why"), &parsed.expect_err(name).to_string());
     }
     fixtures.all_used();
 }
 
-fn line(state: TaskState, why: Option<&str>, saved: Option<bool>) -> TaskReport {
+fn task_report(state: TaskState, cause: Option<&str>, saved: Option<bool>) -> TaskReport {
     TaskReport {
         task: "wk-000412/3".into(),
         attempt: 2,
         state,
-        cause: why.map(String::from),
+        cause: cause.map(String::from),
         saved,
     }
 }
 
-fn report(reclaimed_in_s: Option<f64>, tasks: Vec<TaskReport>) -> Heartbeat {
+fn heartbeat(reclaimed_in_s: Option<f64>, tasks: Vec<TaskReport>) -> Heartbeat {
     Heartbeat {
         machine: "m-000231".into(),
         address: "10.1.0.232:9000".into(),
@@ -140,10 +144,11 @@
     }
 }
 
-/// Every state and every cause occurs.
-fn lines() -> Vec<TaskReport> {
+/// Task reports with every state, every cause and every value of `saved`.
+fn task_reports() -> Vec<TaskReport> {
     use TaskState::{Ended, Fetching, Gathering, Other, Running, Saving};
-    let states = [Fetching, Gathering, Running, Saving, Other].map(|state| line(state, None, None));
+    let with_state =
+        [Fetching, Gathering, Running, Saving, Other].map(|state| task_report(state, None, None));
     let causes = [
         cause::DONE,
         cause::STOPPED,
@@ -154,18 +159,18 @@
         cause::PEERS,
         cause::ALONE,
     ];
-    let kept = [
-        line(Ended, Some(cause::STOPPED), Some(true)),
-        line(Ended, None, Some(false)),
+    let with_saved = [
+        task_report(Ended, Some(cause::STOPPED), Some(true)),
+        task_report(Ended, None, Some(false)),
     ];
-    states
+    with_state
         .into_iter()
-        .chain(causes.map(|why| line(Ended, Some(why), None)))
-        .chain(kept)
+        .chain(causes.map(|cause| task_report(Ended, Some(cause), None)))
+        .chain(with_saved)
         .collect()
 }
 
-fn calls() -> Vec<Command> {
+fn commands() -> Vec<Command> {
     vec![
         Command::Start {
             task: "wk-000412/4".into(),
@@ -184,22 +189,22 @@
 }
 
 #[test]
-fn what_workers_send_and_get_keeps_its_bytes() {
+fn messages_of_workers_match_the_fixtures() {
     let fixtures = Fixtures::new(WORKERS);
-    fixtures.both_ways("report", &report(Some(30.5), lines()));
-    fixtures.both_ways("report.empty", &report(None, Vec::new()));
+    fixtures.both_ways("report", &heartbeat(Some(30.5), task_reports()));
+    fixtures.both_ways("report.empty", &heartbeat(None, Vec::new()));
     let sparse: Heartbeat = fixtures.read("report.without-optional-fields");
-    assert_eq!(sparse, report(None, Vec::new()));
-    let unknown: Heartbeat = fixtures.read("report.with-an-unknown-state");
+    assert_eq!(sparse, heartbeat(None, Vec::new()));
+    let unknown_state: Heartbeat = fixtures.read("report.with-an-unknown-state");
     assert_eq!(
-        unknown,
-        report(None, vec![line(TaskState::Other, None, None)])
+        unknown_state,
+        heartbeat(None, vec![task_report(TaskState::Other, None, None)])
     );
     fixtures.both_ways(
         "answer",
         &HeartbeatResponse {
             token: 41,
-            commands: calls(),
+            commands: commands(),
         },
     );
     fixtures.both_ways(
@@ -214,7 +219,7 @@
         &CommandBatch {
             token: 41,
             session: 1,
-            commands: calls(),
+            commands: commands(),
         },
     );
     fixtures.both_ways(
@@ -250,7 +255,7 @@
     }
 }
 
-fn listed(address: Option<&str>, state: &str) -> ListedMachine {
+fn listed_machine(address: Option<&str>, state: &str) -> ListedMachine {
     ListedMachine {
         id: "m-000231".into(),
         address: address.map(String::from),
@@ -263,7 +268,7 @@
 }
 
 #[test]
-fn what_the_cloud_sends_and_gets_keeps_its_bytes() {
+fn messages_of_the_cloud_match_the_fixtures() {
     let fixtures = Fixtures::new(CLOUD);
     fixtures.both_ways(
         "catalog",
@@ -287,13 +292,13 @@
         count: 12,
     };
     fixtures.both_ways("rental", &rental);
-    let names = MachineIds {
+    let machine_ids = MachineIds {
         machines: vec!["m-000231".into(), "m-000232".into()],
     };
-    fixtures.both_ways("machine-names", &names);
+    fixtures.both_ways("machine-names", &machine_ids);
     let machines = vec![
-        listed(Some("10.1.0.232:9000"), "running"),
-        listed(None, "booting"),
+        listed_machine(Some("10.1.0.232:9000"), "running"),
+        listed_machine(None, "booting"),
     ];
     fixtures.both_ways(
         "machine-page",
--- a/tests/wire_format_commands.rs
+++ b/tests/wire_format_commands.rs
@@ -1,5 +1,6 @@
-//! Direct commands, relayed reports and messages between controllers, frozen as they are
-//! sent.
+//! The HTTP requests with which a controller sends direct commands, relays heartbeats and
+//! sends messages to other controllers, compared with the fixtures in
+//! `fixtures/wire-format/`.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -26,30 +27,34 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-const COMMANDS: &str = include_str!("fixtures/wire-format/commands.txt");
+const SENT_REQUESTS: &str = include_str!("fixtures/wire-format/commands.txt");
 
-const PATIENCE_S: f64 = 20.0;
+/// The time that a response may take, in seconds.
+const RESPONSE_TIMEOUT_S: f64 = 20.0;
 
 #[test]
-fn what_is_sent_on_keeps_its_bytes() {
-    let fixtures = Fixtures::new(COMMANDS);
-    direct_commands(&fixtures);
-    relayed_reports(&fixtures);
-    messages(&fixtures);
+fn sent_requests_match_the_fixtures() {
+    let fixtures = Fixtures::new(SENT_REQUESTS);
+    check_direct_commands(&fixtures);
+    check_relayed_heartbeats(&fixtures);
+    check_peer_messages(&fixtures);
     fixtures.all_used();
 }
 
-/// Sends commands to a worker: its report, if it answered with one.
-fn sent(fixtures: &Fixtures, name: &str) -> CommandResult {
+/// Sends a direct command to a worker that gives the response of a fixture, and checks that
+/// the request matches its fixture. Returns the result.
+fn send_command(fixtures: &Fixtures, name: &str) -> CommandResult {
     let recorder = Recorder::new(&[fixtures.payload(&format!("{name}.answer"))]);
-    let (tell, done) = channel();
-    let mut pool = CommandPool::new("direct", 1, PATIENCE_S, move |end| tell.send(end).is_ok());
+    let (result_sender, results) = channel();
+    let mut pool = CommandPool::new("direct", 1, RESPONSE_TIMEOUT_S, move |result| {
+        result_sender.send(result).is_ok()
+    });
     let commands = vec![Command::Stop {
         task: "wk-1/0".into(),
         attempt: 2,
         grace_s: 10.0,
     }];
-    let direct = DirectCommand {
+    let command = DirectCommand {
         machine: "m-1".into(),
         address: recorder.address.to_string().into(),
         body: CommandBatch {
@@ -59,68 +64,75 @@
         },
         unverified: false,
     };
-    pool.send(direct, clock::now() + PATIENCE_S)
-        .expect("there is room");
+    pool.send(command, clock::now() + RESPONSE_TIMEOUT_S)
+        .expect("the pool has free capacity");
     fixtures.same(&format!("{name}.call"), &recorder.call());
-    done.recv_timeout(Duration::from_secs_f64(PATIENCE_S))
-        .expect("an end")
+    results
+        .recv_timeout(Duration::from_secs_f64(RESPONSE_TIMEOUT_S))
+        .expect("a result")
 }
 
-fn direct_commands(fixtures: &Fixtures) {
+fn check_direct_commands(fixtures: &Fixtures) {
     for name in ["direct", "direct-refused"] {
-        let report = sent(fixtures, name).response.expect("a report");
+        let heartbeat = send_command(fixtures, name)
+            .response
+            .expect("a heartbeat in the response");
         assert_eq!(
-            (&*report.machine, report.seq, report.tasks.len()),
+            (&*heartbeat.machine, heartbeat.seq, heartbeat.tasks.len()),
             ("m-1", 88, 0)
         );
     }
-    assert!(sent(fixtures, "direct-malformed").response.is_none());
+    assert!(send_command(fixtures, "direct-malformed")
+        .response
+        .is_none());
 }
 
-/// What a worker gets whose report is passed on to `owner`, and until when that may be.
-fn relayed(fixtures: &Fixtures, owner: SocketAddr, deadline: f64) -> String {
-    let mut settings = Settings::parse(settings::SETTINGS).expect("settings");
+/// Sends a heartbeat to a listener that relays it to the controller at `owner`, where
+/// `deadline` is the deadline of the relayed heartbeat. Returns the response that the worker
+/// gets.
+fn relay_heartbeat(fixtures: &Fixtures, owner: SocketAddr, deadline: f64) -> String {
+    let mut settings = Settings::parse(settings::SETTINGS).expect("valid settings");
     settings.client_listen = free_address();
-    let way = start_relay_pool(owner, 1, PATIENCE_S);
-    let pass_on = move |asked, responder| {
-        if let Request::Heartbeat { body, .. } = asked {
-            let _ = way.try_send(RelayedHeartbeat {
+    let relay_queue = start_relay_pool(owner, 1, RESPONSE_TIMEOUT_S);
+    let relay = move |request, responder| {
+        if let Request::Heartbeat { body, .. } = request {
+            let _ = relay_queue.try_send(RelayedHeartbeat {
                 body,
                 responder,
                 deadline,
             });
         }
     };
-    listen(&settings, Listener::Public, pass_on).expect("it listens");
+    listen(&settings, Listener::Public, relay).expect("the address can be bound");
     ask(
         settings.client_listen,
         fixtures.text("relay.report").as_bytes(),
     )
 }
 
-fn relayed_reports(fixtures: &Fixtures) {
-    let later = clock::now() + 3.0 * PATIENCE_S;
+fn check_relayed_heartbeats(fixtures: &Fixtures) {
+    let deadline = clock::now() + 3.0 * RESPONSE_TIMEOUT_S;
     for name in ["relay", "relay-refused"] {
         let recorder = Recorder::new(&[fixtures.payload(&format!("{name}.answer"))]);
         fixtures.same(
             &format!("{name}.passed-back"),
-            &relayed(fixtures, recorder.address, later),
+            &relay_heartbeat(fixtures, recorder.address, deadline),
         );
         fixtures.same(&format!("{name}.call"), &recorder.call());
     }
     fixtures.same(
         "relay-unreachable.passed-back",
-        &relayed(fixtures, free_address(), later),
+        &relay_heartbeat(fixtures, free_address(), deadline),
     );
     fixtures.same(
         "relay-too-late.passed-back",
-        &relayed(fixtures, free_address(), clock::now() - 1.0),
+        &relay_heartbeat(fixtures, free_address(), clock::now() - 1.0),
     );
 }
 
-fn messages(fixtures: &Fixtures) {
+fn check_peer_messages(fixtures: &Fixtures) {
     let recorder = Recorder::new(&[fixtures.payload("message.answer")]);
-    let mut settings = Settings::parse(settings::SETTINGS).expect("settings");
+    let mut settings = Settings::parse(settings::SETTINGS).expect("valid settings");
     settings.members = vec![Member {
         node_name: "b".into(),
         zone: "w".into(),
--- a/tests/wire_format_controller.rs
+++ b/tests/wire_format_controller.rs
@@ -1,5 +1,6 @@
-//! What a running controller answers to users, workers and operators, frozen: accepted
-//! jobs, and every refusal that doesn't hang on chance.
+//! The responses of a running controller to users, workers, other controllers and operators,
+//! compared with the fixtures in `fixtures/wire-format/`: accepted jobs, and every refusal
+//! that does not depend on timing.
 
 mod common;
 #[path = "common/fixtures.rs"]
@@ -13,38 +14,43 @@
 use raw_http::ask;
 use serde_json::{json, Value};
 
-const CONTROLLER: &str = include_str!("fixtures/wire-format/controller.txt");
+const CONTROLLER_RESPONSES: &str = include_str!("fixtures/wire-format/controller.txt");
 
-/// What a node says to a user or worker who asks as it was frozen.
-fn said(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
+/// Sends the request of a fixture to a node's public listener. Returns the response.
+fn send_public(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
     ask(
         cluster.users[node],
         fixtures.text(&format!("{name}.request")).as_bytes(),
     )
 }
 
-fn compare(cluster: &Cluster, fixtures: &Fixtures, name: &str) {
-    fixtures.same(&format!("{name}.answer"), &said(cluster, 0, fixtures, name));
+/// Checks that the first node's response to the request of a fixture matches the fixture.
+fn check_response(cluster: &Cluster, fixtures: &Fixtures, name: &str) {
+    fixtures.same(
+        &format!("{name}.answer"),
+        &send_public(cluster, 0, fixtures, name),
+    );
 }
 
-/// Waits until a node answers with the frozen status.
-fn wait_for(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) {
+/// Waits until a node responds to the request of a fixture with the status in the fixture.
+fn wait_for_status(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) {
     let status = fixtures.payload(&format!("{name}.status"));
     wait(name, || {
-        said(cluster, node, fixtures, name).starts_with(status)
+        send_public(cluster, node, fixtures, name).starts_with(status)
     });
 }
 
-/// What a node says to another controller, or to an operator.
-fn told(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
+/// Posts the body of a fixture to a node's internal listener, as another controller or an
+/// operator does. Returns the status and body of the response.
+fn post_internal(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
     let body: Value = fixtures.read(&format!("{name}.body"));
     let (status, text) = cluster.tell(node, fixtures.payload(&format!("{name}.path")), &body);
     format!("{status} {text}")
 }
 
 #[test]
-fn answers_of_a_controller_keep_their_bytes() {
-    let fixtures = Fixtures::new(CONTROLLER);
+fn responses_of_a_controller_match_the_fixtures() {
+    let fixtures = Fixtures::new(CONTROLLER_RESPONSES);
     let options = Options {
         report_s: 3.0,
         lease_s: 20,
@@ -54,18 +60,18 @@
     for node in [0, 1] {
         cluster.until(node, "GET", "/up", None, |status, _| status == 200);
     }
-    compare(&cluster, &fixtures, "up");
-    // Both are members, and the catalog is known.
-    wait_for(&cluster, 0, &fixtures, "unknown-team");
-    wait_for(&cluster, 0, &fixtures, "beat-to-another");
-    users(&cluster, &fixtures);
-    workers(&cluster, &fixtures);
-    operators(&cluster, &fixtures);
-    outage(&cluster, &fixtures);
+    check_response(&cluster, &fixtures, "up");
+    // From here on, the first node has the catalog and both nodes are members.
+    wait_for_status(&cluster, 0, &fixtures, "unknown-team");
+    wait_for_status(&cluster, 0, &fixtures, "beat-to-another");
+    check_user_requests(&cluster, &fixtures);
+    check_heartbeats(&cluster, &fixtures);
+    check_plans(&cluster, &fixtures);
+    check_store_outage(&cluster, &fixtures);
     fixtures.all_used();
 }
 
-fn users(cluster: &Cluster, fixtures: &Fixtures) {
+fn check_user_requests(cluster: &Cluster, fixtures: &Fixtures) {
     let refusals = [
         "unknown-team",
         "fits-nowhere",
@@ -77,7 +83,7 @@
         .into_iter()
         .chain(["unknown-job", "unknown-job-withdrawn"])
     {
-        compare(cluster, fixtures, name);
+        check_response(cluster, fixtures, name);
     }
     for name in [
         "accepted",
@@ -87,13 +93,13 @@
         "withdrawn-again",
         "cancelled",
     ] {
-        compare(cluster, fixtures, name);
+        check_response(cluster, fixtures, name);
     }
     cluster.scribble(fixtures.payload("unreadable.key"), json!(5));
-    compare(cluster, fixtures, "unreadable");
+    check_response(cluster, fixtures, "unreadable");
 }
 
-fn workers(cluster: &Cluster, fixtures: &Fixtures) {
+fn check_heartbeats(cluster: &Cluster, fixtures: &Fixtures) {
     let members = ["n0", "n1"]
         .map(|name| (name.to_string(), 1))
         .into_iter()
@@ -101,53 +107,54 @@
     assert_eq!(
         owner_by_hash(&members, "m-a"),
         Some("n0"),
-        "the first node's own"
+        "the first node does not own m-a"
     );
     for machine in ["m-b", "m-c"] {
         assert_eq!(
             owner_by_hash(&members, machine),
             Some("n1"),
-            "the other node's"
+            "the second node does not own {machine}"
         );
     }
     fixtures.same(
         "relay-to-another.answer",
-        &told(cluster, 0, fixtures, "relay-to-another"),
+        &post_internal(cluster, 0, fixtures, "relay-to-another"),
     );
-    compare(cluster, fixtures, "first-beat-to-another");
-    said(cluster, 0, fixtures, "beat");
-    compare(cluster, fixtures, "beat-of-before");
+    check_response(cluster, fixtures, "first-beat-to-another");
+    send_public(cluster, 0, fixtures, "beat");
+    check_response(cluster, fixtures, "beat-of-before");
 }
 
-fn operators(cluster: &Cluster, fixtures: &Fixtures) {
-    // The leader is whoever was there first.
-    let of_follower = |leader| {
+fn check_plans(cluster: &Cluster, fixtures: &Fixtures) {
+    // The leader is the node that joined first, which may be either.
+    let follower_response = |leader| {
         fixtures
             .payload("plan.answer-of-the-follower")
             .replace("LEADER", leader)
     };
-    let of_leader = fixtures.payload("plan.answer-of-the-leader").to_string();
-    let first_leads = [of_leader.clone(), of_follower("n0")];
-    let second_leads = [of_follower("n1"), of_leader];
-    wait("both refuse plans as they did", || {
-        let answers = [0, 1].map(|node| told(cluster, node, fixtures, "plan"));
-        answers == first_leads || answers == second_leads
+    let leader_response = fixtures.payload("plan.answer-of-the-leader").to_string();
+    let first_leads = [leader_response.clone(), follower_response("n0")];
+    let second_leads = [follower_response("n1"), leader_response];
+    wait("the refusals of the plan do not match the fixtures", || {
+        let responses = [0, 1].map(|node| post_internal(cluster, node, fixtures, "plan"));
+        responses == first_leads || responses == second_leads
     });
 }
 
-fn outage(cluster: &Cluster, fixtures: &Fixtures) {
+/// Checks the responses while the key-value store is unreachable.
+fn check_store_outage(cluster: &Cluster, fixtures: &Fixtures) {
     cluster.outage(true);
-    wait_for(cluster, 0, fixtures, "up-in-an-outage");
+    wait_for_status(cluster, 0, fixtures, "up-in-an-outage");
     for name in [
         "up-in-an-outage",
         "submitted-in-an-outage",
         "asked-in-an-outage",
     ] {
-        compare(cluster, fixtures, name);
+        check_response(cluster, fixtures, name);
     }
-    // Answered as before until the node's own lease is past.
-    let fenced = fixtures.text("beat-in-an-outage.answer");
-    wait("fenced", || {
-        said(cluster, 0, fixtures, "beat-in-an-outage") == fenced
+    // Heartbeats are answered as before until the node's own lease has expired.
+    let refusal = fixtures.text("beat-in-an-outage.answer");
+    wait("no refusal of heartbeats after the lease expired", || {
+        send_public(cluster, 0, fixtures, "beat-in-an-outage") == refusal
     });
 }
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -1,5 +1,6 @@
-//! What operators read and write, frozen: the reports of restarts and of shares, plans,
-//! policies, the files that switch on parts, the platform's settings, and the flags.
+//! The formats that operators read and write, compared with the fixtures in
+//! `fixtures/wire-format/`: restart reports, shard map reports, plans, policies, feature
+//! files, the settings and the command line.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -28,15 +29,15 @@
 use fixtures::Fixtures;
 use std::process::Command;
 
-const RESTARTS: &str = include_str!("fixtures/wire-format/restarts.txt");
-const SHARES: &str = include_str!("fixtures/wire-format/shares.txt");
+const RESTART_REPORTS: &str = include_str!("fixtures/wire-format/restarts.txt");
+const SHARD_MAP_REPORTS: &str = include_str!("fixtures/wire-format/shares.txt");
 const POLICIES: &str = include_str!("fixtures/wire-format/policies.txt");
-const PARTS: &str = include_str!("fixtures/wire-format/parts.txt");
+const FEATURE_FILES: &str = include_str!("fixtures/wire-format/parts.txt");
 const SETTINGS: &str = include_str!("fixtures/wire-format/settings.txt");
-const PROGRAM: &str = include_str!("fixtures/wire-format/program.txt");
+const COMMAND_LINE: &str = include_str!("fixtures/wire-format/program.txt");
 
-/// Every verdict with every reason.
-fn verdicts() -> Vec<Verdict> {
+/// Every verdict, with every reason.
+fn all_verdicts() -> Vec<Verdict> {
     vec![
         Verdict::Known,
         Verdict::Adopt(AdoptReason::Runs),
@@ -56,7 +57,7 @@
     ]
 }
 
-/// Every action and every reason to hold one back.
+/// Every action, and every reason to hold an action back.
 const HOLDS: [(Action, HoldReason); 4] = [
     (Action::Rent, HoldReason::ShardReportsMissing),
     (Action::Preempt, HoldReason::MachinesUnreconciled),
@@ -64,7 +65,7 @@
     (Action::DeleteUnprobed, HoldReason::ControllerDowntime),
 ];
 
-const STATES: [MachineState; 5] = [
+const MACHINE_STATES: [MachineState; 5] = [
     MachineState::Unused,
     MachineState::NoHeartbeat,
     MachineState::Unconfirmed,
@@ -72,7 +73,7 @@
     MachineState::LeaseExpired,
 ];
 
-fn entry(verdict: Verdict) -> DecisionEntry {
+fn decision_entry(verdict: Verdict) -> DecisionEntry {
     let (task, machine) = ("wk-1/0".into(), "m-1".into());
     DecisionEntry {
         at_s: 1.5,
@@ -84,7 +85,7 @@
     }
 }
 
-fn orders() -> CommandCounts {
+fn command_counts() -> CommandCounts {
     let stops = [
         (StopCause::NoLongerNeeded, 1),
         (StopCause::Recalled, 2),
@@ -100,23 +101,24 @@
     }
 }
 
-/// A record of all that there is, which has left one decision out.
+/// A record with every verdict, hold and kind of command. One decision more is recorded than
+/// it keeps, so that it leaves out the oldest.
 fn full_record() -> RestartRecord {
-    let all = verdicts();
-    let mut record = RestartRecord::new(all.len());
+    let verdicts = all_verdicts();
+    let mut record = RestartRecord::new(verdicts.len());
     record.enter_epoch(4, false, 10.0);
-    for verdict in [Verdict::Known].into_iter().chain(all) {
-        record.record_decision(entry(verdict));
+    for verdict in [Verdict::Known].into_iter().chain(verdicts) {
+        record.record_decision(decision_entry(verdict));
     }
     for (action, reason) in HOLDS {
         record.record_hold(action, reason);
     }
     record.record_unreconciled(0, 12.5);
-    record.commands = orders();
+    record.commands = command_counts();
     record
 }
 
-fn progress() -> ReconciliationProgress {
+fn reconciliation_progress() -> ReconciliationProgress {
     let phases = [
         (ReconciliationPhase::Pending, 1),
         (ReconciliationPhase::Partial, 2),
@@ -145,22 +147,22 @@
 ];
 
 #[test]
-fn reports_of_restarts_keep_their_bytes() {
-    let fixtures = Fixtures::new(RESTARTS);
-    let left_alone = |why: RecordError| InvalidRecordReport {
+fn restart_reports_match_the_fixtures() {
+    let fixtures = Fixtures::new(RESTART_REPORTS);
+    let invalid_record = |error: RecordError| InvalidRecordReport {
         key: "fw/j/wk-9".into(),
-        reason: why.to_string(),
+        reason: error.to_string(),
     };
     let full = RestartReport {
         node: "a".into(),
         first_accepted_after_s: Some(3.5),
-        machines: full_record().view(STATES.into_iter(), 20.0),
-        leader: Some(progress()),
-        invalid_records: RECORD_ERRORS.map(left_alone).to_vec(),
+        machines: full_record().view(MACHINE_STATES.into_iter(), 20.0),
+        leader: Some(reconciliation_progress()),
+        invalid_records: RECORD_ERRORS.map(invalid_record).to_vec(),
         invalid_record_count: 10,
     };
     fixtures.written("restart", &full);
-    let bare = RestartReport {
+    let empty = RestartReport {
         node: "a".into(),
         first_accepted_after_s: None,
         machines: RestartRecord::new(0).view([].into_iter(), 0.0),
@@ -168,17 +170,17 @@
         invalid_records: Vec::new(),
         invalid_record_count: 0,
     };
-    fixtures.written("restart.bare", &bare);
-    let mut kept = full_record();
-    kept.enter_epoch(5, true, 21.0);
+    fixtures.written("restart.bare", &empty);
+    let mut retained = full_record();
+    retained.enter_epoch(5, true, 21.0);
     fixtures.written(
         "restart.kept",
-        &kept.view([].into_iter(), 22.0).prior_knowledge,
+        &retained.view([].into_iter(), 22.0).prior_knowledge,
     );
     fixtures.all_used();
 }
 
-fn range(hash_owner: &str) -> HashRange {
+fn hash_range(hash_owner: &str) -> HashRange {
     HashRange {
         hash_owner: hash_owner.into(),
         first: 16,
@@ -186,17 +188,17 @@
     }
 }
 
-fn begin(transfers: &mut Transfers, hash_owner: &str, reason: MoveReason) {
-    let wanted = RangeMove {
-        range: range(hash_owner),
+fn begin_transfer(transfers: &mut Transfers, hash_owner: &str, reason: MoveReason) {
+    let range_move = RangeMove {
+        range: hash_range(hash_owner),
         source: "a".into(),
         target: "b".into(),
         reason,
     };
-    assert!(transfers.begin(wanted, 1.0));
+    assert!(transfers.begin(range_move, 1.0));
 }
 
-fn accept(transfers: &mut Transfers, id: u64) {
+fn accept_transfer(transfers: &mut Transfers, id: u64) {
     transfers.apply_report(
         "b",
         TransferReport {
@@ -207,8 +209,8 @@
     );
 }
 
-fn fence(transfers: &mut Transfers, id: u64) {
-    accept(transfers, id);
+fn fence_transfer(transfers: &mut Transfers, id: u64) {
+    accept_transfer(transfers, id);
     transfers.apply_report(
         "a",
         TransferReport {
@@ -219,24 +221,26 @@
     );
 }
 
-/// One transfer in each state, and one for each reason.
-fn transfers() -> Transfers {
+/// A transfer in each state; together they have every reason.
+fn transfers_in_every_state() -> Transfers {
     let mut transfers = Transfers::default();
-    begin(&mut transfers, "a", MoveReason::Plan);
-    fence(&mut transfers, 1);
-    let table = transfers
+    begin_transfer(&mut transfers, "a", MoveReason::Plan);
+    fence_transfer(&mut transfers, 1);
+    let shard_map = transfers
         .pending_write(&ShardMap::default(), 4.0)
-        .expect("a write")
+        .expect("a pending write")
         .shard_map;
-    transfers.observe_shard_map(&table, 5.0);
-    begin(&mut transfers, "b", MoveReason::Drain);
-    fence(&mut transfers, 2);
-    transfers.pending_write(&table, 6.0).expect("a write");
-    begin(&mut transfers, "c", MoveReason::Balance);
-    fence(&mut transfers, 3);
-    begin(&mut transfers, "d", MoveReason::Compact);
-    accept(&mut transfers, 4);
-    begin(&mut transfers, "e", MoveReason::Plan);
+    transfers.observe_shard_map(&shard_map, 5.0);
+    begin_transfer(&mut transfers, "b", MoveReason::Drain);
+    fence_transfer(&mut transfers, 2);
+    transfers
+        .pending_write(&shard_map, 6.0)
+        .expect("a pending write");
+    begin_transfer(&mut transfers, "c", MoveReason::Balance);
+    fence_transfer(&mut transfers, 3);
+    begin_transfer(&mut transfers, "d", MoveReason::Compact);
+    accept_transfer(&mut transfers, 4);
+    begin_transfer(&mut transfers, "e", MoveReason::Plan);
     transfers
 }
 
@@ -253,17 +257,17 @@
 }
 
 #[test]
-fn reports_of_shares_and_plans_keep_their_bytes() {
-    let fixtures = Fixtures::new(SHARES);
-    let ends = [
+fn shard_map_reports_and_plans_match_the_fixtures() {
+    let fixtures = Fixtures::new(SHARD_MAP_REPORTS);
+    let outcomes = [
         TransferOutcome::Completed,
         TransferOutcome::TimedOut,
         TransferOutcome::Refused,
         TransferOutcome::NewEpoch,
     ];
     let leader = TransfersReport {
-        in_progress: transfers().in_progress().cloned().collect(),
-        ended: ends.into_iter().zip(1..).collect(),
+        in_progress: transfers_in_every_state().in_progress().cloned().collect(),
+        ended: outcomes.into_iter().zip(1..).collect(),
         machines_moved: 12,
         longest_s: 3.5,
         without_owner: 1,
@@ -275,7 +279,7 @@
         in_use: true,
         generation: 6,
         ranges: vec![OwnedRange {
-            range: range("a"),
+            range: hash_range("a"),
             owner: "b".into(),
         }],
         machines: vec!["m-1".into(), "m-2".into()],
@@ -283,7 +287,7 @@
         leader: Some(leader),
     };
     fixtures.written("shares", &full);
-    let bare = ShardMapReport {
+    let empty = ShardMapReport {
         epoch: 0,
         in_use: false,
         generation: 0,
@@ -293,7 +297,7 @@
         leader: None,
         ..full
     };
-    fixtures.written("shares.bare", &bare);
+    fixtures.written("shares.bare", &empty);
     fixtures.both_ways("plan", &plan());
     fixtures.both_ways("plan.empty", &Plan::default());
     assert_eq!(
@@ -301,8 +305,8 @@
         Plan::default()
     );
     let members = ["a", "b", "c"].map(String::from).into_iter().collect();
-    plan().check(&members).expect("it makes sense");
-    for name in names(&fixtures, ".senseless-plan") {
+    plan().check(&members).expect("a valid plan");
+    for name in names_with_suffix(&fixtures, ".senseless-plan") {
         let plan: Plan = fixtures.read(&format!("{name}.senseless-plan"));
         fixtures.same(
             &format!("{name}.why"),
@@ -312,30 +316,32 @@
     fixtures.all_used();
 }
 
-/// The names that have a fixture of a kind.
-fn names(fixtures: &Fixtures, kind: &str) -> Vec<&'static str> {
+/// Returns the names of the fixtures that end in `suffix`, without the suffix.
+fn names_with_suffix(fixtures: &Fixtures, suffix: &str) -> Vec<&'static str> {
     fixtures
         .lines()
-        .filter_map(|(name, _)| name.strip_suffix(kind))
+        .filter_map(|(name, _)| name.strip_suffix(suffix))
         .collect()
 }
 
 #[test]
-fn policies_keep_their_names() {
+fn policies_match_the_fixtures() {
     let fixtures = Fixtures::new(POLICIES);
     let values = |name: &str| {
-        let rent = Policy::parse(&fixtures.text(name)).expect("taken").scaling;
+        let scaling = Policy::parse(&fixtures.text(name))
+            .expect("a valid policy")
+            .scaling;
         [
-            rent.idle_boot_times,
-            rent.service_headroom_share,
-            rent.spot_wait_boot_times,
-            rent.work_headroom_share,
-            rent.boot_timeout_boot_times,
+            scaling.idle_boot_times,
+            scaling.service_headroom_share,
+            scaling.spot_wait_boot_times,
+            scaling.work_headroom_share,
+            scaling.boot_timeout_boot_times,
         ]
     };
     assert_eq!(values("all"), [1.5, 0.25, 0.75, 0.125, 4.0]);
     assert_eq!(values("none"), [0.6, 0.08, 0.4, 0.15, 3.0]);
-    for name in names(&fixtures, ".refused-policy") {
+    for name in names_with_suffix(&fixtures, ".refused-policy") {
         let error =
             Policy::parse(&fixtures.text(&format!("{name}.refused-policy"))).expect_err(name);
         fixtures.same(&format!("{name}.why"), &error.to_string());
@@ -344,11 +350,13 @@
 }
 
 #[test]
-fn files_of_parts_keep_their_names() {
-    let fixtures = Fixtures::new(PARTS);
-    let mut shards = Features::default();
+fn feature_files_match_the_fixtures() {
+    let fixtures = Fixtures::new(FEATURE_FILES);
+    let mut features = Features::default();
     for name in ["cold-restart", "shared-machines"] {
-        shards.add("x.toml", &fixtures.text(name)).expect("taken");
+        features
+            .add("x.toml", &fixtures.text(name))
+            .expect("a valid feature file");
     }
     let shared_machines = SharedMachinesConfig {
         machines_per_move: 4,
@@ -360,14 +368,16 @@
         answer_reports: 3.5,
         entries: 7,
     };
-    let all = Features {
+    let expected = Features {
         cold_restart: Some(cold_restart),
         shared_machines: Some(shared_machines),
     };
-    assert_eq!(shards, all);
-    let mut shards = Features::default();
+    assert_eq!(features, expected);
+    let mut features = Features::default();
     for name in ["cold-restart.defaults", "shared-machines.defaults"] {
-        shards.add("x.toml", &fixtures.text(name)).expect("taken");
+        features
+            .add("x.toml", &fixtures.text(name))
+            .expect("a valid feature file");
     }
     let shared_machines = SharedMachinesConfig {
         machines_per_move: 20,
@@ -380,19 +390,19 @@
         entries: 500,
     };
     assert_eq!(
-        shards,
+        features,
         Features {
             cold_restart: Some(cold_restart),
             shared_machines: Some(shared_machines)
         }
     );
     for name in ["cold-restart", "shared-machines"] {
-        let twice = shards
+        let error = features
             .add("y.toml", &fixtures.text(name))
-            .expect_err("twice");
-        fixtures.same(&format!("{name}.twice"), &twice.to_string());
+            .expect_err("a feature that is enabled already");
+        fixtures.same(&format!("{name}.twice"), &error.to_string());
     }
-    for name in names(&fixtures, ".refused-part") {
+    for name in names_with_suffix(&fixtures, ".refused-part") {
         let text = fixtures.text(&format!("{name}.refused-part"));
         let error = Features::default().add("x.toml", &text).expect_err(name);
         fixtures.same(&format!("{name}.why"), &error.to_string());
@@ -401,24 +411,24 @@
 }
 
 #[test]
-fn settings_keep_their_names() {
+fn settings_match_the_fixtures() {
     let fixtures = Fixtures::new(SETTINGS);
-    let all = Settings::parse(&fixtures.text("all")).expect("taken");
-    assert_eq!((&*all.node_name, &*all.zone), ("a", "e"));
+    let full = Settings::parse(&fixtures.text("all")).expect("valid settings");
+    assert_eq!((&*full.node_name, &*full.zone), ("a", "e"));
     assert_eq!(
-        (all.client_listen.port(), all.internal_listen.port()),
+        (full.client_listen.port(), full.internal_listen.port()),
         (8080, 8081)
     );
-    let other = &all.members[0];
+    let member = &full.members[0];
     assert_eq!(
-        (&*other.node_name, &*other.zone, other.endpoint.port()),
+        (&*member.node_name, &*member.zone, member.endpoint.port()),
         ("b", "w", 8082)
     );
     assert_eq!(
-        (all.services.cloud.port(), all.services.state.port()),
+        (full.services.cloud.port(), full.services.state.port()),
         (1, 2)
     );
-    let params = &all.params;
+    let params = &full.params;
     assert_eq!(
         (
             params.initial_size,
@@ -438,10 +448,10 @@
         ),
         ("t", 4.0, 8.0, 1.0, 2.0)
     );
-    let aim = &params.objectives[0];
-    assert_eq!((&*aim.kind, &*aim.class), ("wait", "train"));
+    let objective = &params.objectives[0];
+    assert_eq!((&*objective.kind, &*objective.class), ("wait", "train"));
     assert_eq!(
-        (aim.within_s, aim.share, aim.times),
+        (objective.within_s, objective.share, objective.times),
         (Some(4.0), Some(0.96), Some(1.5))
     );
     let workers = &params.workers;
@@ -450,94 +460,100 @@
         (3.0, 20.0, 40.0)
     );
     assert_eq!((workers.gang_wait_s, workers.gang_peer_s), (46.0, 5.0));
-    let state = &params.state;
+    let store = &params.state;
     assert_eq!(
-        (state.rps, state.write_rps, state.value_kb, state.txn_ops),
+        (store.rps, store.write_rps, store.value_kb, store.txn_ops),
         (60.0, 20.0, 8.0, 12)
     );
-    let next = &state.next;
+    let next = &store.next;
     assert_eq!(
         (next.write_rps, next.value_kb, next.txn_ops),
         (Some(19.0), Some(2.0), Some(4))
     );
     assert_eq!((params.cloud.rps, params.cloud.list_lag_s), (4.0, 6.0));
-    let limits = &params.machine_limits;
+    let machine_limits = &params.machine_limits;
     assert_eq!(
-        (limits.core_share, limits.ram_mb, limits.max_connections),
+        (
+            machine_limits.core_share,
+            machine_limits.ram_mb,
+            machine_limits.max_connections
+        ),
         (0.2, 128.0, 100)
     );
-    let least = Settings::parse(&fixtures.text("least")).expect("taken");
+    let minimal = Settings::parse(&fixtures.text("least")).expect("valid settings");
     assert_eq!(
         (
-            least.members.len(),
-            least.params.teams.len(),
-            least.params.objectives.len()
+            minimal.members.len(),
+            minimal.params.teams.len(),
+            minimal.params.objectives.len()
         ),
         (0, 0, 0)
     );
     assert_eq!(
         (
-            least.params.workers.gang_wait_s,
-            least.params.workers.gang_peer_s
+            minimal.params.workers.gang_wait_s,
+            minimal.params.workers.gang_peer_s
         ),
         (45.0, 4.0)
     );
-    assert!(least.params.state.next.write_rps.is_none());
-    for name in names(&fixtures, ".instead-of") {
-        let (good, bad) = (
+    assert!(minimal.params.state.next.write_rps.is_none());
+    for name in names_with_suffix(&fixtures, ".instead-of") {
+        let (valid, invalid) = (
             fixtures.text(&format!("{name}.instead-of")),
             fixtures.text(&format!("{name}.put")),
         );
         let text = fixtures.text("all");
-        assert!(text.contains(&good), "{name}");
-        let error = Settings::parse(&text.replacen(&good, &bad, 1)).expect_err(name);
+        assert!(text.contains(&valid), "{name}: the settings lack {valid:?}");
+        let error = Settings::parse(&text.replacen(&valid, &invalid, 1)).expect_err(name);
         fixtures.same(&format!("{name}.why"), &error.to_string());
     }
     fixtures.all_used();
 }
 
-/// What the program says and how it ends, in a directory with the files of the fixtures.
-fn run(fixtures: &Fixtures, name: &str) -> (Option<i32>, String, String) {
+/// Runs the program with the arguments of a fixture, in a directory with the files of the
+/// fixtures. Returns its exit status, standard output and standard error.
+fn run_program(fixtures: &Fixtures, name: &str) -> (Option<i32>, String, String) {
     let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("wire-format-program");
-    std::fs::create_dir_all(&directory).expect("a directory");
-    for file in names(fixtures, ".file") {
+    std::fs::create_dir_all(&directory).expect("the directory can be created");
+    for file in names_with_suffix(fixtures, ".file") {
         std::fs::write(directory.join(file), fixtures.text(&format!("{file}.file")))
-            .expect("written");
+            .expect("the file can be written");
     }
-    let words = fixtures.text(&format!("{name}.arguments"));
-    let program = Command::new(env!("CARGO_BIN_EXE_finchwood"))
-        .args(words.split_whitespace())
+    let arguments = fixtures.text(&format!("{name}.arguments"));
+    let output = Command::new(env!("CARGO_BIN_EXE_finchwood"))
+        .args(arguments.split_whitespace())
         .current_dir(directory)
         .env_remove("LOG_LEVEL")
         .output()
-        .expect("it ran");
+        .expect("the program starts");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (
-        program.status.code(),
-        text(&program.stdout),
-        text(&program.stderr),
+        output.status.code(),
+        text(&output.stdout),
+        text(&output.stderr),
     )
 }
 
 #[test]
-fn flags_keep_their_names() {
-    let fixtures = Fixtures::new(PROGRAM);
-    let (status, said, _) = run(&fixtures, "help");
+fn command_line_output_matches_the_fixtures() {
+    let fixtures = Fixtures::new(COMMAND_LINE);
+    let (status, stdout, _) = run_program(&fixtures, "help");
     assert_eq!(status, Some(0));
-    fixtures.same("help.said", &said);
-    for name in names(&fixtures, ".arguments")
+    fixtures.same("help.said", &stdout);
+    for name in names_with_suffix(&fixtures, ".arguments")
         .into_iter()
         .filter(|name| *name != "help")
     {
-        let (status, _, said) = run(&fixtures, name);
+        let (status, _, stderr) = run_program(&fixtures, name);
         fixtures.same(
             &format!("{name}.said"),
-            &format!("status {status:?}: {said}"),
+            &format!("status {status:?}: {stderr}"),
         );
-        // Its own words take one line; those about flags are the argument parser's.
+        // The program's own errors are one line long. Errors about flags (status 2) come from
+        // the argument parser and may be longer.
         assert!(
-            status == Some(2) || status == Some(1) && said.lines().count() == 1,
-            "{name}: {said}"
+            status == Some(2) || status == Some(1) && stderr.lines().count() == 1,
+            "{name}: status {status:?}, expected an error of one line: {stderr}"
         );
     }
     fixtures.all_used();
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -1,5 +1,6 @@
-//! The bytes that controllers send each other in CBOR, frozen as hex: each message with
-//! every field filled, and with all that may be left out left out.
+//! The CBOR messages between controllers, compared with the hexadecimal fixtures in
+//! `fixtures/wire-format/`: each message with all of its fields, and without its optional
+//! ones.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -19,9 +20,9 @@
 };
 use fixtures::Fixtures;
 
-const PEERS: &str = include_str!("fixtures/wire-format/peers.txt");
-/// Of another version; a task that is gone is taken from there.
-const PRODUCTION: &str = include_str!("fixtures/production-messages.txt");
+const PEER_MESSAGES: &str = include_str!("fixtures/wire-format/peers.txt");
+/// Messages that another version sent in production, one of which reports removed tasks.
+const PRODUCTION_MESSAGES: &str = include_str!("fixtures/production-messages.txt");
 
 fn task(index: u32) -> Task {
     Task {
@@ -38,7 +39,7 @@
     }
 }
 
-fn machine_view() -> MachineStatus {
+fn full_machine_status() -> MachineStatus {
     MachineStatus {
         id: "m-1".into(),
         machine_type: "g8".into(),
@@ -61,7 +62,7 @@
     }
 }
 
-fn bare_machine_view() -> MachineStatus {
+fn minimal_machine_status() -> MachineStatus {
     MachineStatus {
         id: "m-2".into(),
         machine_type: "c4".into(),
@@ -84,7 +85,11 @@
     }
 }
 
-fn held(phase: TaskPhase, machine: Option<&str>, assignment: u64) -> AssignedTaskStatus {
+fn assigned_task_status(
+    phase: TaskPhase,
+    machine: Option<&str>,
+    assignment: u64,
+) -> AssignedTaskStatus {
     AssignedTaskStatus {
         task: task(0),
         attempt: 70,
@@ -94,22 +99,24 @@
     }
 }
 
-/// A task that is gone can't be made from outside: one that production told is changed.
-fn gone(how: RemovalReason, machine: Option<&str>, assignment: u64) -> RemovedTask {
-    let PeerMessage::ShardReport(report) = decoded(&Fixtures::new(PRODUCTION), "part").message
+/// A removed task with these values. The `seq` of [`RemovedTask`] is private, so that the task
+/// is made from one of a recorded message.
+fn removed_task(reason: RemovalReason, machine: Option<&str>, assignment: u64) -> RemovedTask {
+    let PeerMessage::ShardReport(report) =
+        decode(&Fixtures::new(PRODUCTION_MESSAGES), "part").message
     else {
-        panic!("not a part's report")
+        panic!("the message is not a shard report")
     };
-    let mut gone = report.removed[0].clone();
-    gone.task = task(1);
-    gone.attempt = 71;
-    gone.reason = how;
-    gone.machine = machine.map(Into::into);
-    gone.assignment = assignment;
-    gone
+    let mut removed = report.removed[0].clone();
+    removed.task = task(1);
+    removed.attempt = 71;
+    removed.reason = reason;
+    removed.machine = machine.map(Into::into);
+    removed.assignment = assignment;
+    removed
 }
 
-fn known_task() -> AssignedTaskState {
+fn assigned_task_state() -> AssignedTaskState {
     AssignedTaskState {
         task: task(0),
         attempt: 70,
@@ -124,19 +131,21 @@
     }
 }
 
-fn known_line(state: TaskState, why: Option<&str>) -> ReportedTaskState {
+fn reported_task_state(state: TaskState, cause: Option<&str>) -> ReportedTaskState {
     ReportedTaskState {
         task: task(0),
         attempt: 70,
         state,
-        cause: why.map(String::from),
+        cause: cause.map(String::from),
     }
 }
 
-fn known_machine() -> MachineTransferState {
+fn full_machine_transfer_state() -> MachineTransferState {
     use TaskState::{Ended, Fetching, Gathering, Other, Running, Saving};
     let states = [Fetching, Gathering, Running, Saving, Other];
-    let lines = states.map(|state| known_line(state, None)).into_iter();
+    let reported = states
+        .map(|state| reported_task_state(state, None))
+        .into_iter();
     MachineTransferState {
         id: "m-1".into(),
         machine_type: "g8".into(),
@@ -153,13 +162,15 @@
         last_heartbeat_ago_s: Some(1.5),
         session_seen_ago_s: 100.25,
         reclaimed_in_s: Some(30.0),
-        reported_tasks: lines.chain([known_line(Ended, Some("done"))]).collect(),
-        assigned_tasks: vec![known_task()],
+        reported_tasks: reported
+            .chain([reported_task_state(Ended, Some("done"))])
+            .collect(),
+        assigned_tasks: vec![assigned_task_state()],
         images: vec![("img-1".into(), 6.2)],
     }
 }
 
-fn bare_machine(state: MachineState) -> MachineTransferState {
+fn minimal_machine_transfer_state(state: MachineState) -> MachineTransferState {
     MachineTransferState {
         id: "m-2".into(),
         spot: false,
@@ -172,18 +183,22 @@
         reported_tasks: Vec::new(),
         assigned_tasks: Vec::new(),
         images: Vec::new(),
-        ..known_machine()
+        ..full_machine_transfer_state()
     }
 }
 
-/// One machine with all that may be known, and one in each state.
-fn machines() -> Vec<MachineTransferState> {
+/// One machine with all fields, and one without optional fields in each state.
+fn machine_transfer_states() -> Vec<MachineTransferState> {
     use MachineState::{Confirmed, LeaseExpired, NoHeartbeat, Unconfirmed, Unused};
-    let bare = [Unused, NoHeartbeat, Unconfirmed, Confirmed, LeaseExpired].map(bare_machine);
-    [known_machine()].into_iter().chain(bare).collect()
+    let minimal = [Unused, NoHeartbeat, Unconfirmed, Confirmed, LeaseExpired]
+        .map(minimal_machine_transfer_state);
+    [full_machine_transfer_state()]
+        .into_iter()
+        .chain(minimal)
+        .collect()
 }
 
-fn full_part() -> ShardReport {
+fn full_shard_report() -> ShardReport {
     use RemovalReason::{Error, Lost, Rejected, Stopped};
     use TaskPhase::{Done, Fetching, Queued, Running, Saving, Starting};
     let phases = [Queued, Starting, Fetching, Running, Saving, Done];
@@ -194,15 +209,15 @@
         state_retained: true,
         since: 11,
         seq: 12,
-        machines: vec![machine_view(), bare_machine_view()],
+        machines: vec![full_machine_status(), minimal_machine_status()],
         unregistered: vec![("m-9".into(), 3)],
         assigned: phases
             .into_iter()
-            .map(|phase| held(phase, Some("m-1"), 71))
+            .map(|phase| assigned_task_status(phase, Some("m-1"), 71))
             .collect(),
         removed: [Stopped, Error, Lost, Rejected]
             .into_iter()
-            .map(|how| gone(how, Some("m-1"), 72))
+            .map(|reason| removed_task(reason, Some("m-1"), 72))
             .collect(),
         released: vec![(task(2), 73, 5)],
         silent_machines: vec![
@@ -227,14 +242,14 @@
         foreign_workers: vec![("m-5".into(), 1.5)],
         transfers: TransferReport {
             accepted: vec![1],
-            fenced: vec![(2, machines())],
+            fenced: vec![(2, machine_transfer_states())],
             released: vec![3],
             taken_over: vec![4],
         },
     }
 }
 
-fn bare_part() -> ShardReport {
+fn minimal_shard_report() -> ShardReport {
     ShardReport {
         epoch: 0,
         node: "a".into(),
@@ -242,10 +257,10 @@
         state_retained: false,
         since: 0,
         seq: 0,
-        machines: vec![bare_machine_view()],
+        machines: vec![minimal_machine_status()],
         unregistered: Vec::new(),
-        assigned: vec![held(TaskPhase::Queued, None, 0)],
-        removed: vec![gone(RemovalReason::Lost, None, 0)],
+        assigned: vec![assigned_task_status(TaskPhase::Queued, None, 0)],
+        removed: vec![removed_task(RemovalReason::Lost, None, 0)],
         released: Vec::new(),
         silent_machines: Vec::new(),
         zone_contacts: Vec::new(),
@@ -287,13 +302,13 @@
                 id: 3,
                 range,
                 generation: 6,
-                machines: machines(),
+                machines: machine_transfer_states(),
             },
         ],
     }
 }
 
-fn bare_orders() -> Orders {
+fn minimal_orders() -> Orders {
     let assignment = JobAssignment {
         job: "wk-1".into(),
         tasks: Vec::new(),
@@ -331,7 +346,7 @@
     }
 }
 
-fn bare_envelope(message: PeerMessage) -> Envelope {
+fn minimal_envelope(message: PeerMessage) -> Envelope {
     Envelope {
         store_reachable: false,
         heard_peers: Vec::new(),
@@ -341,45 +356,48 @@
     }
 }
 
-fn decoded(fixtures: &Fixtures, name: &str) -> Envelope {
-    Envelope::decode(&fixtures.bytes(name)).unwrap_or_else(|| panic!("{name} is not a message"))
+fn decode(fixtures: &Fixtures, name: &str) -> Envelope {
+    Envelope::decode(&fixtures.bytes(name))
+        .unwrap_or_else(|| panic!("{name} is not a valid message"))
 }
 
-fn both_ways(fixtures: &Fixtures, name: &str, envelope: &Envelope) {
+/// Checks that an envelope is encoded as its fixture, and that the fixture is decoded to it
+/// and encoded again unchanged.
+fn check_both_ways(fixtures: &Fixtures, name: &str, envelope: &Envelope) {
     fixtures.same_bytes(name, &envelope.encode());
-    let read = decoded(fixtures, name);
-    fixtures.same_bytes(name, &read.encode());
-    assert_eq!(format!("{read:?}"), format!("{envelope:?}"), "{name}");
+    let decoded = decode(fixtures, name);
+    fixtures.same_bytes(name, &decoded.encode());
+    assert_eq!(format!("{decoded:?}"), format!("{envelope:?}"), "{name}");
 }
 
 #[test]
-fn messages_keep_their_bytes() {
-    let fixtures = Fixtures::new(PEERS);
-    both_ways(
+fn peer_messages_match_the_fixtures() {
+    let fixtures = Fixtures::new(PEER_MESSAGES);
+    check_both_ways(
         &fixtures,
         "part",
-        &full_envelope(PeerMessage::ShardReport(full_part())),
+        &full_envelope(PeerMessage::ShardReport(full_shard_report())),
     );
-    both_ways(
+    check_both_ways(
         &fixtures,
         "part.bare",
-        &bare_envelope(PeerMessage::ShardReport(bare_part())),
+        &minimal_envelope(PeerMessage::ShardReport(minimal_shard_report())),
     );
-    both_ways(
+    check_both_ways(
         &fixtures,
         "orders",
         &full_envelope(PeerMessage::Orders(full_orders())),
     );
-    both_ways(
+    check_both_ways(
         &fixtures,
         "orders.bare",
-        &bare_envelope(PeerMessage::Orders(bare_orders())),
+        &minimal_envelope(PeerMessage::Orders(minimal_orders())),
     );
-    both_ways(&fixtures, "hello", &full_envelope(PeerMessage::KeepAlive));
-    both_ways(
+    check_both_ways(&fixtures, "hello", &full_envelope(PeerMessage::KeepAlive));
+    check_both_ways(
         &fixtures,
         "hello.bare",
-        &bare_envelope(PeerMessage::KeepAlive),
+        &minimal_envelope(PeerMessage::KeepAlive),
     );
     fixtures.all_used();
 }
--- a/tests/wire_format_refusals.rs
+++ b/tests/wire_format_refusals.rs
@@ -1,5 +1,6 @@
-//! What requests get that go wrong before the controller decides anything, frozen: whole
-//! answers of the real listeners, heads included, and the paths that they know.
+//! The responses of the listeners to requests that are refused before they reach the
+//! controller, and the routes of both listeners, compared with the fixtures in
+//! `fixtures/wire-format/`: whole HTTP responses, including the headers.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -17,22 +18,22 @@
 use raw_http::{ask, free_address};
 use std::net::SocketAddr;
 
-const REQUESTS: &str = include_str!("fixtures/wire-format/requests.txt");
-const PEERS: &str = include_str!("fixtures/wire-format/peers.txt");
+const LISTENER_REQUESTS: &str = include_str!("fixtures/wire-format/requests.txt");
+const PEER_MESSAGES: &str = include_str!("fixtures/wire-format/peers.txt");
 
-/// A listener that answers what it is asked with what it has understood.
-fn start(listener: Listener) -> SocketAddr {
+/// Starts a listener that responds to each request with a description of how it was parsed.
+fn start_listener(listener: Listener) -> SocketAddr {
     let address = free_address();
-    let mut settings = Settings::parse(settings::SETTINGS).expect("settings");
+    let mut settings = Settings::parse(settings::SETTINGS).expect("valid settings");
     (settings.client_listen, settings.internal_listen) = (address, address);
-    listen(&settings, listener, answer).expect("it listens");
+    listen(&settings, listener, respond).expect("the address can be bound");
     address
 }
 
-fn answer(ask: Request, responder: Responder) {
-    let understood = match ask {
-        Request::Query(id) => return answer_query(&id, responder),
-        // Dropped unanswered.
+fn respond(request: Request, responder: Responder) {
+    let description = match request {
+        Request::Query(id) => return respond_to_query(&id, responder),
+        // The responder is dropped without a response.
         Request::Cancel(id) if id == "wk-dropped" => return,
         Request::Cancel(id) => format!("withdraw {id}"),
         Request::Submit(spec) => format!("submit {}", spec.id),
@@ -53,11 +54,11 @@
         Request::ShardMapReport => "report of shares".into(),
         Request::ShardMapPlan(plan) => format!("plan to empty {:?}", plan.drain),
     };
-    responder.send(200, understood.into_bytes());
+    responder.send(200, description.into_bytes());
 }
 
-/// A job's id says what is answered.
-fn answer_query(id: &str, responder: Responder) {
+/// Sends the response that the id of the job stands for.
+fn respond_to_query(id: &str, responder: Responder) {
     match id
         .strip_prefix("wk-status-")
         .and_then(|status| status.parse().ok())
@@ -71,23 +72,26 @@
 }
 
 #[test]
-fn answers_of_the_listeners_keep_their_bytes() {
-    let fixtures = Fixtures::new(REQUESTS);
-    for (suffix, side) in [(".front", Listener::Public), (".back", Listener::Internal)] {
-        let address = start(side);
+fn responses_of_the_listeners_match_the_fixtures() {
+    let fixtures = Fixtures::new(LISTENER_REQUESTS);
+    for (suffix, listener) in [(".front", Listener::Public), (".back", Listener::Internal)] {
+        let address = start_listener(listener);
         for name in fixtures
             .lines()
             .filter_map(|(name, _)| name.strip_suffix(suffix))
         {
-            let said = ask(
+            let response = ask(
                 address,
                 fixtures.text(&format!("{name}{suffix}")).as_bytes(),
             );
-            fixtures.same(&format!("{name}.answer"), &said);
+            fixtures.same(&format!("{name}.answer"), &response);
         }
     }
     let mut message = fixtures.text("message.head").into_bytes();
-    message.extend_from_slice(&Fixtures::new(PEERS).bytes("hello"));
-    fixtures.same("message.answer", &ask(start(Listener::Internal), &message));
+    message.extend_from_slice(&Fixtures::new(PEER_MESSAGES).bytes("hello"));
+    fixtures.same(
+        "message.answer",
+        &ask(start_listener(Listener::Internal), &message),
+    );
     fixtures.all_used();
 }
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -1,5 +1,5 @@
-//! The keys and values of the key-value store, frozen, and the requests and answers in
-//! which they go there and come from there.
+//! The keys and values in the key-value store, the calls of the store and the calls of the
+//! cloud, compared with the fixtures in `fixtures/wire-format/`.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -29,10 +29,11 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-const STORED: &str = include_str!("fixtures/wire-format/stored.txt");
+const STORED_VALUES: &str = include_str!("fixtures/wire-format/stored.txt");
 const CALLS: &str = include_str!("fixtures/wire-format/calls.txt");
 
-fn spec(deadline_s: Option<f64>) -> JobSpec {
+/// A job spec. Its machine types and zone are set only if its deadline is.
+fn job_spec(deadline_s: Option<f64>) -> JobSpec {
     JobSpec {
         id: "wk-1".into(),
         class: "train".into(),
@@ -57,7 +58,7 @@
     }
 }
 
-fn job(spec: Option<JobSpec>, cancelled_at_ms: Option<u64>, done: bool) -> JobRecord {
+fn job_record(spec: Option<JobSpec>, cancelled_at_ms: Option<u64>, done: bool) -> JobRecord {
     JobRecord {
         spec: spec.map(Into::into),
         epoch: 3,
@@ -69,7 +70,7 @@
     }
 }
 
-fn epoch(shares: bool) -> Epoch {
+fn epoch(uses_shard_map: bool) -> Epoch {
     let members = [("a".to_string(), 7), ("b".to_string(), 8)]
         .into_iter()
         .collect();
@@ -77,29 +78,29 @@
         number: 4,
         members,
         leader: "a".into(),
-        uses_shard_map: shares,
+        uses_shard_map,
     }
 }
 
-fn machine(up: bool, address: Option<&str>) -> MachineRecord {
+fn machine_record(in_use: bool, address: Option<&str>) -> MachineRecord {
     MachineRecord {
         machine_type: "k".into(),
         zone: "e".into(),
         spot: true,
-        in_use: up,
+        in_use,
         rented_at_ms: 7,
         address: address.map(Into::into),
     }
 }
 
-fn page(machines: &[(&str, Option<&str>)]) -> RegistryPage {
-    let machine = |(id, address): &(&str, Option<&str>)| ((*id).into(), address.map(Into::into));
+fn registry_page(machines: &[(&str, Option<&str>)]) -> RegistryPage {
+    let entry = |(id, address): &(&str, Option<&str>)| ((*id).into(), address.map(Into::into));
     RegistryPage {
         machine_type: "k".into(),
         zone: "w".into(),
         spot: true,
         rented_at_ms: 9,
-        machines: machines.iter().map(machine).collect(),
+        machines: machines.iter().map(entry).collect(),
     }
 }
 
@@ -121,7 +122,7 @@
     }
 }
 
-fn table() -> ShardMap {
+fn shard_map() -> ShardMap {
     let range = HashRange {
         hash_owner: "a".into(),
         first: 16,
@@ -131,8 +132,8 @@
 }
 
 #[test]
-fn stored_values_keep_their_bytes() {
-    let fixtures = Fixtures::new(STORED);
+fn stored_values_match_the_fixtures() {
+    let fixtures = Fixtures::new(STORED_VALUES);
     fixtures.stored_both_ways("epoch", &epoch(true));
     fixtures.stored_both_ways("epoch.without-shares", &epoch(false));
     for (name, capability) in [
@@ -150,48 +151,51 @@
     }
     fixtures.stored_both_ways("member.shares", &MemberRecord::new(7, true));
     fixtures.stored_both_ways("member.gangs", &MemberRecord::of_this_version(7));
-    fixtures.stored_both_ways("job", &job(Some(spec(Some(900.0))), None, false));
-    fixtures.stored_both_ways("job.without-wishes", &job(Some(spec(None)), None, false));
+    fixtures.stored_both_ways("job", &job_record(Some(job_spec(Some(900.0))), None, false));
+    fixtures.stored_both_ways(
+        "job.without-wishes",
+        &job_record(Some(job_spec(None)), None, false),
+    );
     fixtures.stored_both_ways(
         "job.cancelled",
-        &job(Some(spec(None)), Some(1_764_652_900_000), false),
+        &job_record(Some(job_spec(None)), Some(1_764_652_900_000), false),
     );
-    fixtures.stored_both_ways("job.done", &job(None, None, true));
+    fixtures.stored_both_ways("job.done", &job_record(None, None, true));
     let sparse: JobRecord = fixtures.read("job.without-optional-fields");
-    assert_eq!(sparse, job(Some(spec(None)), None, false));
-    fixtures.stored_both_ways("machine", &machine(true, Some("10.0.0.1:9000")));
-    fixtures.stored_both_ways("machine.unused", &machine(false, None));
+    assert_eq!(sparse, job_record(Some(job_spec(None)), None, false));
+    fixtures.stored_both_ways("machine", &machine_record(true, Some("10.0.0.1:9000")));
+    fixtures.stored_both_ways("machine.unused", &machine_record(false, None));
     let sparse: MachineRecord = fixtures.read("machine.without-optional-fields");
     assert_eq!(
         sparse,
         MachineRecord {
             rented_at_ms: 0,
-            ..machine(false, None)
+            ..machine_record(false, None)
         }
     );
     fixtures.stored_both_ways(
         "page",
-        &page(&[
+        &registry_page(&[
             ("m-2", None),
             ("m-3", Some("10.0.0.3:9000")),
             ("m-4", Some("")),
         ]),
     );
-    fixtures.stored_both_ways("page.empty", &page(&[]));
+    fixtures.stored_both_ways("page.empty", &registry_page(&[]));
     let sparse: RegistryPage = fixtures.read("page.without-optional-fields");
     assert_eq!(
         sparse,
         RegistryPage {
             rented_at_ms: 0,
-            ..page(&[])
+            ..registry_page(&[])
         }
     );
     fixtures.stored_both_ways("catalog", &catalog());
-    fixtures.stored_both_ways("shares", &table().to_stored());
+    fixtures.stored_both_ways("shares", &shard_map().to_stored());
     fixtures.stored_both_ways("shares.empty", &ShardMap::default().to_stored());
     assert_eq!(
         ShardMap::from_stored(&fixtures.read::<StoredShardMap>("shares")).0,
-        table()
+        shard_map()
     );
     let mut finished = TaskSet::default();
     for task in [0, 2, 9] {
@@ -202,17 +206,19 @@
 }
 
 #[test]
-fn keys_and_calls_keep_their_bytes() {
+fn keys_and_calls_match_the_fixtures() {
     let fixtures = Fixtures::new(CALLS);
-    keys(&fixtures);
-    calls_of_the_state_service(&fixtures);
-    transactions(&fixtures);
-    joining(&fixtures);
-    calls_of_the_cloud(&fixtures);
+    check_keys(&fixtures);
+    check_store_calls(&fixtures);
+    check_commits(&fixtures);
+    check_join(&fixtures);
+    check_cloud_calls(&fixtures);
     fixtures.all_used();
 }
 
-fn keys(fixtures: &Fixtures) {
+/// Checks the keys, and that a cache in which the stored values are put under them contains
+/// the expected records.
+fn check_keys(fixtures: &Fixtures) {
     let keys = [
         ("key.epoch", EPOCH_KEY.to_string()),
         ("key.catalog", CATALOG_KEY.to_string()),
@@ -229,7 +235,7 @@
     for (name, key) in &keys {
         fixtures.same(name, key);
     }
-    let stored = Fixtures::new(STORED);
+    let stored = Fixtures::new(STORED_VALUES);
     let mut cache = StoreCache::new(8.0);
     let values = [
         "epoch",
@@ -247,25 +253,25 @@
         .map(|(name, _)| *name)
         .take(8)
         .chain(["key.machine"]);
-    for (at, (name, value)) in names.zip(values).enumerate() {
+    for (index, (name, value)) in names.zip(values).enumerate() {
         cache.put(
             fixtures.payload(name),
             stored.read::<Value>(value),
-            1 + at as u64,
+            1 + index as u64,
         );
     }
     assert!(
         cache.invalid_records.is_empty(),
-        "{:?}",
+        "valid records were skipped as invalid: {:?}",
         cache.invalid_records
     );
     assert_eq!(cache.epoch, Some(epoch(true)));
     assert_eq!(cache.catalog.as_deref(), Some(&catalog()));
-    assert_eq!(cache.shard_map, table());
+    assert_eq!(cache.shard_map, shard_map());
     assert_eq!(cache.members["a"].value, MemberRecord::of_this_version(7));
     assert_eq!(
         cache.jobs["wk-1"].record,
-        job(Some(spec(Some(900.0))), None, false)
+        job_record(Some(job_spec(Some(900.0))), None, false)
     );
     assert_eq!(
         cache.jobs["wk-1"].finished.iter().collect::<Vec<_>>(),
@@ -282,47 +288,55 @@
     );
     assert_eq!(
         cache.registry["m-1"].record,
-        machine(true, Some("10.0.0.1:9000"))
+        machine_record(true, Some("10.0.0.1:9000"))
     );
 }
 
-fn settings_with(place: &str, address: std::net::SocketAddr) -> Settings {
-    let text = settings::SETTINGS.replace(&format!("\"{place}\""), &format!("\"{address}\""));
-    Settings::parse(&text).expect("settings")
+/// The settings with the service at `default_address` moved to `address`.
+fn settings_with(default_address: &str, address: std::net::SocketAddr) -> Settings {
+    let text =
+        settings::SETTINGS.replace(&format!("\"{default_address}\""), &format!("\"{address}\""));
+    Settings::parse(&text).expect("valid settings")
 }
 
-const STATE_PLACE: &str = "127.0.0.1:2";
-const CLOUD_PLACE: &str = "127.0.0.1:1";
+/// The addresses of the key-value store and of the cloud in the settings.
+const STORE_ADDRESS: &str = "127.0.0.1:2";
+const CLOUD_ADDRESS: &str = "127.0.0.1:1";
 
-/// What one call of the key-value store gives, once it was sent as it was frozen.
-fn with_state<T>(fixtures: &Fixtures, name: &str, ask: impl FnOnce(&StoreClient) -> T) -> T {
+/// Makes a call of a store that gives the response of a fixture, and checks that the request
+/// matches its fixture. Returns the result of the call.
+fn call_store<T>(fixtures: &Fixtures, name: &str, call: impl FnOnce(&StoreClient) -> T) -> T {
     let recorder = Recorder::new(&[fixtures.payload(&format!("state.{name}.answer"))]);
-    let given = ask(&StoreClient::new(&settings_with(
-        STATE_PLACE,
+    let result = call(&StoreClient::new(&settings_with(
+        STORE_ADDRESS,
         recorder.address,
     )));
     fixtures.same(&format!("state.{name}.call"), &recorder.call());
-    given
+    result
 }
 
-/// What the cloud gives.
-fn with_cloud(fixtures: &Fixtures, name: &str, ask: CloudRequest) -> CloudResponse {
+/// Sends a request to a cloud that gives the response of a fixture, and checks that the
+/// request matches its fixture. Returns the response.
+fn call_cloud(fixtures: &Fixtures, name: &str, request: CloudRequest) -> CloudResponse {
     let recorder = Recorder::new(&[fixtures.payload(&format!("cloud.{name}.answer"))]);
-    let (tell, answers) = channel();
-    let asks = cloud::start(
-        &settings_with(CLOUD_PLACE, recorder.address),
-        move |answer| tell.send(answer).is_ok(),
+    let (response_sender, responses) = channel();
+    let requests = cloud::start(
+        &settings_with(CLOUD_ADDRESS, recorder.address),
+        move |response| response_sender.send(response).is_ok(),
     );
-    asks.send(ask).expect("sent");
-    let answer = answers.recv_timeout(PATIENCE).expect("an answer");
+    requests.send(request).expect("the cloud actor runs");
+    let response = responses
+        .recv_timeout(RESPONSE_TIMEOUT)
+        .expect("a response of the cloud");
     fixtures.same(&format!("cloud.{name}.call"), &recorder.call());
-    answer
+    response
 }
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The time that an actor may take to respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn calls_of_the_state_service(fixtures: &Fixtures) {
-    let page = with_state(fixtures, "page", |store| store.read_page(None)).expect("a page");
+fn check_store_calls(fixtures: &Fixtures) {
+    let page = call_store(fixtures, "page", |store| store.read_page(None)).expect("the first page");
     let entry = &page.entries[0];
     assert_eq!(
         (page.entries.len(), page.truncated, page.revision),
@@ -332,23 +346,23 @@
         (&*entry.key, &entry.value, entry.revision),
         ("fw/s", &json!(5), 412)
     );
-    let next =
-        with_state(fixtures, "next-page", |store| store.read_page(Some("fw/s"))).expect("a page");
+    let next = call_store(fixtures, "next-page", |store| store.read_page(Some("fw/s")))
+        .expect("the next page");
     assert_eq!(
         (next.entries.len(), next.truncated, next.revision),
         (0, false, 432)
     );
-    let entry = with_state(fixtures, "get", |store| store.get("fw/m/a"))
-        .expect("read")
-        .expect("there");
+    let entry = call_store(fixtures, "get", |store| store.get("fw/m/a"))
+        .expect("a valid response")
+        .expect("the key exists");
     assert_eq!((&*entry.key, entry.revision), ("fw/m/a", 412));
     assert!(
-        with_state(fixtures, "get-missing", |store| store.get("fw/m/b"))
-            .expect("read")
+        call_store(fixtures, "get-missing", |store| store.get("fw/m/b"))
+            .expect("a valid response")
             .is_none()
     );
     let changes =
-        with_state(fixtures, "changes", |store| store.read_changes(431)).expect("changes");
+        call_store(fixtures, "changes", |store| store.read_changes(431)).expect("the changes");
     let put = KeyChange::Put {
         key: "fw/r/9".into(),
         value: json!(5),
@@ -367,17 +381,20 @@
             revision: 433
         }
     );
-    let late = with_state(fixtures, "changes-too-old", |store| store.read_changes(1));
-    assert!(matches!(late, Err(CallError::Status(410, _))));
+    let too_old = call_store(fixtures, "changes-too-old", |store| store.read_changes(1));
+    assert!(matches!(too_old, Err(CallError::Status(410, _))));
     assert_eq!(
-        with_state(fixtures, "lease", |store| store.create_lease(5.0)).expect("a lease"),
+        call_store(fixtures, "lease", |store| store.create_lease(5.0)).expect("a lease"),
         7
     );
-    assert!(with_state(fixtures, "renew", |store| store.renew_lease(7)).expect("answered"));
-    assert!(!with_state(fixtures, "renew-ended", |store| store.renew_lease(7)).expect("answered"));
+    assert!(call_store(fixtures, "renew", |store| store.renew_lease(7)).expect("a valid response"));
+    assert!(
+        !call_store(fixtures, "renew-ended", |store| store.renew_lease(7))
+            .expect("a valid response")
+    );
 }
 
-fn transactions(fixtures: &Fixtures) {
+fn check_commits(fixtures: &Fixtures) {
     let ops = [
         WriteOp::Put {
             key: "fw/m/a".into(),
@@ -394,7 +411,7 @@
         },
     ];
     let conditions = [Condition::new("fw/m/a", 0), Condition::new("fw/r/2", 412)];
-    let commit = |name: &str| with_state(fixtures, name, |store| store.commit(&conditions, &ops));
+    let commit = |name: &str| call_store(fixtures, name, |store| store.commit(&conditions, &ops));
     assert_eq!(commit("commit"), CommitOutcome::Committed(432));
     assert_eq!(
         commit("commit-conflict"),
@@ -405,27 +422,30 @@
     assert_eq!(commit("commit-refused"), CommitOutcome::Refused);
 }
 
-fn joining(fixtures: &Fixtures) {
+/// Checks the calls with which a controller joins the cluster.
+fn check_join(fixtures: &Fixtures) {
     let steps = ["get", "lease", "commit"].map(|step| format!("join.{step}"));
-    let answers: Vec<&str> = steps
+    let responses: Vec<&str> = steps
         .iter()
         .map(|step| fixtures.payload(&format!("{step}.answer")))
         .collect();
-    let recorder = Recorder::new(&answers);
-    let settings = settings_with(STATE_PLACE, recorder.address);
-    let (tell, news) = channel();
-    start_lease_actor(&settings, RateBudget::new(&settings), true, move |said| {
-        let _ = tell.send(said);
+    let recorder = Recorder::new(&responses);
+    let settings = settings_with(STORE_ADDRESS, recorder.address);
+    let (event_sender, events) = channel();
+    start_lease_actor(&settings, RateBudget::new(&settings), true, move |event| {
+        let _ = event_sender.send(event);
         false
     });
-    let said = news.recv_timeout(PATIENCE).expect("news");
-    assert!(matches!(said, LeaseEvent::Renewed { incarnation: 7, .. }));
+    let event = events
+        .recv_timeout(RESPONSE_TIMEOUT)
+        .expect("an event of the lease actor");
+    assert!(matches!(event, LeaseEvent::Renewed { incarnation: 7, .. }));
     for step in steps {
         fixtures.same(&format!("{step}.call"), &recorder.call());
     }
 }
 
-fn calls_of_the_cloud(fixtures: &Fixtures) {
+fn check_cloud_calls(fixtures: &Fixtures) {
     let rental = RentalRequest {
         request: "r-17".into(),
         machine_type: "k".into(),
@@ -433,9 +453,9 @@
         spot: true,
         count: 12,
     };
-    let rent = |name: &str| with_cloud(fixtures, name, CloudRequest::Rent(rental.clone()));
-    let answer = with_cloud(fixtures, "catalog", CloudRequest::Catalog);
-    assert!(matches!(answer, CloudResponse::Catalog(known) if known == catalog()));
+    let rent = |name: &str| call_cloud(fixtures, name, CloudRequest::Rent(rental.clone()));
+    let fetched = call_cloud(fixtures, "catalog", CloudRequest::Catalog);
+    assert!(matches!(fetched, CloudResponse::Catalog(received) if received == catalog()));
     let rented = rent("rent");
     assert!(
         matches!(rented, CloudResponse::Rented { machines, .. } if machines == ["m-1".into(), "m-2".into()])
@@ -452,15 +472,15 @@
         rent("rent-trouble"),
         CloudResponse::RentOutcomeUnknown(_)
     ));
-    let deleted = with_cloud(
+    let deleted = call_cloud(
         fixtures,
         "delete",
         CloudRequest::Delete(vec!["m-1".into(), "m-2".into()]),
     );
     assert!(matches!(deleted, CloudResponse::Deleted(machines) if machines.len() == 2));
-    let CloudResponse::List { machines, .. } = with_cloud(fixtures, "list", CloudRequest::List)
+    let CloudResponse::List { machines, .. } = call_cloud(fixtures, "list", CloudRequest::List)
     else {
-        panic!("no list")
+        panic!("the response is not a list")
     };
     assert_eq!(
         (&*machines[0].id, &*machines[0].state, machines[0].age_s),
