--- a/tests/wire_format.rs
+++ b/tests/wire_format.rs
@@ -82,7 +82,7 @@
 fn job_specs_and_statuses_match_the_fixtures() {
     let fixtures = Fixtures::new(USERS);
     for (name, spec) in job_specs() {
-        fixtures.both_ways(name, &spec);
+        fixtures.assert_json_round_trip(name, &spec);
         let parsed = JobSpec::parse(fixtures.payload(name).as_bytes());
         assert_eq!(parsed.expect(name), spec, "{name}");
     }
@@ -96,16 +96,16 @@
         running,
     };
     for state in ["pending", "running", "done", "cancelled"] {
-        fixtures.both_ways(
+        fixtures.assert_json_round_trip(
             &format!("view.{state}"),
             &job_status(state, Some(3), Some(13)),
         );
-        fixtures.both_ways(
+        fixtures.assert_json_round_trip(
             &format!("view.{state}.without-counts"),
             &job_status(state, None, None),
         );
     }
-    fixtures.same(
+    fixtures.assert_text(
         "error",
         std::str::from_utf8(&error_body("no such job")).expect("UTF-8"),
     );
@@ -114,9 +114,9 @@
         .filter_map(|(name, _)| name.strip_suffix(".refused-body"))
     {
         let parsed = JobSpec::parse(fixtures.text(&format!("{name}.refused-body")).as_bytes());
-        fixtures.same(&format!("{name}.why"), &parsed.expect_err(name).to_string());
+        fixtures.assert_text(&format!("{name}.why"), &parsed.expect_err(name).to_string());
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 fn task_report(state: TaskState, cause: Option<&str>, saved: Option<bool>) -> TaskReport {
@@ -191,8 +191,8 @@
 #[test]
 fn messages_of_workers_match_the_fixtures() {
     let fixtures = Fixtures::new(WORKERS);
-    fixtures.both_ways("report", &heartbeat(Some(30.5), task_reports()));
-    fixtures.both_ways("report.empty", &heartbeat(None, Vec::new()));
+    fixtures.assert_json_round_trip("report", &heartbeat(Some(30.5), task_reports()));
+    fixtures.assert_json_round_trip("report.empty", &heartbeat(None, Vec::new()));
     let sparse: Heartbeat = fixtures.read("report.without-optional-fields");
     assert_eq!(sparse, heartbeat(None, Vec::new()));
     let unknown_state: Heartbeat = fixtures.read("report.with-an-unknown-state");
@@ -200,21 +200,21 @@
         unknown_state,
         heartbeat(None, vec![task_report(TaskState::Other, None, None)])
     );
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "answer",
         &HeartbeatResponse {
             token: 41,
             commands: commands(),
         },
     );
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "answer.empty",
         &HeartbeatResponse {
             token: 0,
             commands: Vec::new(),
         },
     );
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "commands",
         &CommandBatch {
             token: 41,
@@ -222,7 +222,7 @@
             commands: commands(),
         },
     );
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "commands.empty",
         &CommandBatch {
             token: 41,
@@ -230,14 +230,14 @@
             commands: Vec::new(),
         },
     );
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "redirect",
         &Redirect {
             report_to: Some("perch-2".into()),
         },
     );
-    fixtures.both_ways("redirect.to-any", &Redirect { report_to: None });
-    fixtures.all_used();
+    fixtures.assert_json_round_trip("redirect.to-any", &Redirect { report_to: None });
+    fixtures.assert_all_used();
 }
 
 fn machine_type(name: &str, gpus: f64) -> MachineType {
@@ -270,13 +270,13 @@
 #[test]
 fn messages_of_the_cloud_match_the_fixtures() {
     let fixtures = Fixtures::new(CLOUD);
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "catalog",
         &Catalog {
             types: vec![machine_type("g8", 8.0), machine_type("c4", 0.0)],
         },
     );
-    fixtures.both_ways("catalog.empty", &Catalog::default());
+    fixtures.assert_json_round_trip("catalog.empty", &Catalog::default());
     let sparse: Catalog = fixtures.read("catalog.without-optional-fields");
     assert_eq!(
         sparse,
@@ -291,16 +291,16 @@
         spot: true,
         count: 12,
     };
-    fixtures.both_ways("rental", &rental);
+    fixtures.assert_json_round_trip("rental", &rental);
     let machine_ids = MachineIds {
         machines: vec!["m-000231".into(), "m-000232".into()],
     };
-    fixtures.both_ways("machine-names", &machine_ids);
+    fixtures.assert_json_round_trip("machine-names", &machine_ids);
     let machines = vec![
         listed_machine(Some("10.1.0.232:9000"), "running"),
         listed_machine(None, "booting"),
     ];
-    fixtures.both_ways(
+    fixtures.assert_json_round_trip(
         "machine-page",
         &MachineListPage {
             machines,
@@ -314,5 +314,5 @@
         (&*machine.id, machine.address.as_deref(), &*machine.state),
         ("m-000231", None, "failed")
     );
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
--- a/tests/wire_format_commands.rs
+++ b/tests/wire_format_commands.rs
@@ -21,7 +21,7 @@
 use finchwood::shard::DirectCommand;
 use finchwood::wire::{Command, CommandBatch};
 use fixtures::Fixtures;
-use raw_http::{ask, free_address};
+use raw_http::{exchange, free_address};
 use recorder::Recorder;
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
@@ -38,7 +38,7 @@
     check_direct_commands(&fixtures);
     check_relayed_heartbeats(&fixtures);
     check_peer_messages(&fixtures);
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 /// Sends a direct command to a worker that gives the response of a fixture, and checks that
@@ -66,7 +66,7 @@
     };
     pool.send(command, clock::now() + RESPONSE_TIMEOUT_S)
         .expect("the pool has free capacity");
-    fixtures.same(&format!("{name}.call"), &recorder.call());
+    fixtures.assert_text(&format!("{name}.call"), &recorder.next_call());
     results
         .recv_timeout(Duration::from_secs_f64(RESPONSE_TIMEOUT_S))
         .expect("a result")
@@ -104,7 +104,7 @@
         }
     };
     listen(&settings, Listener::Public, relay).expect("the address can be bound");
-    ask(
+    exchange(
         settings.client_listen,
         fixtures.text("relay.report").as_bytes(),
     )
@@ -114,17 +114,17 @@
     let deadline = clock::now() + 3.0 * RESPONSE_TIMEOUT_S;
     for name in ["relay", "relay-refused"] {
         let recorder = Recorder::new(&[fixtures.payload(&format!("{name}.answer"))]);
-        fixtures.same(
+        fixtures.assert_text(
             &format!("{name}.passed-back"),
             &relay_heartbeat(fixtures, recorder.address, deadline),
         );
-        fixtures.same(&format!("{name}.call"), &recorder.call());
+        fixtures.assert_text(&format!("{name}.call"), &recorder.next_call());
     }
-    fixtures.same(
+    fixtures.assert_text(
         "relay-unreachable.passed-back",
         &relay_heartbeat(fixtures, free_address(), deadline),
     );
-    fixtures.same(
+    fixtures.assert_text(
         "relay-too-late.passed-back",
         &relay_heartbeat(fixtures, free_address(), clock::now() - 1.0),
     );
@@ -147,5 +147,5 @@
         cancellation_notices: Vec::new(),
         message: PeerMessage::KeepAlive,
     });
-    fixtures.same("message.call", &recorder.call());
+    fixtures.assert_text("message.call", &recorder.next_call());
 }
--- a/tests/wire_format_controller.rs
+++ b/tests/wire_format_controller.rs
@@ -8,25 +8,25 @@
 #[path = "common/raw_http.rs"]
 mod raw_http;
 
-use common::cluster::{wait, Cluster, Options};
+use common::cluster::{wait_until, Cluster, ClusterOptions};
 use finchwood::cluster::membership::owner_by_hash;
 use fixtures::Fixtures;
-use raw_http::ask;
+use raw_http::exchange;
 use serde_json::{json, Value};
 
 const CONTROLLER_RESPONSES: &str = include_str!("fixtures/wire-format/controller.txt");
 
 /// Sends the request of a fixture to a node's public listener. Returns the response.
 fn send_public(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
-    ask(
-        cluster.users[node],
+    exchange(
+        cluster.client_addresses[node],
         fixtures.text(&format!("{name}.request")).as_bytes(),
     )
 }
 
 /// Checks that the first node's response to the request of a fixture matches the fixture.
 fn check_response(cluster: &Cluster, fixtures: &Fixtures, name: &str) {
-    fixtures.same(
+    fixtures.assert_text(
         &format!("{name}.answer"),
         &send_public(cluster, 0, fixtures, name),
     );
@@ -35,7 +35,7 @@
 /// Waits until a node responds to the request of a fixture with the status in the fixture.
 fn wait_for_status(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) {
     let status = fixtures.payload(&format!("{name}.status"));
-    wait(name, || {
+    wait_until(name, || {
         send_public(cluster, node, fixtures, name).starts_with(status)
     });
 }
@@ -44,21 +44,22 @@
 /// operator does. Returns the status and body of the response.
 fn post_internal(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
     let body: Value = fixtures.read(&format!("{name}.body"));
-    let (status, text) = cluster.tell(node, fixtures.payload(&format!("{name}.path")), &body);
+    let (status, text) =
+        cluster.operator_post(node, fixtures.payload(&format!("{name}.path")), &body);
     format!("{status} {text}")
 }
 
 #[test]
 fn responses_of_a_controller_match_the_fixtures() {
     let fixtures = Fixtures::new(CONTROLLER_RESPONSES);
-    let options = Options {
+    let options = ClusterOptions {
         report_s: 3.0,
         lease_s: 20,
-        ..Options::default()
+        ..ClusterOptions::default()
     };
     let cluster = Cluster::start_with(2, "wire-format", &Default::default(), options);
     for node in [0, 1] {
-        cluster.until(node, "GET", "/up", None, |status, _| status == 200);
+        cluster.request_until(node, "GET", "/up", None, |status, _| status == 200);
     }
     check_response(&cluster, &fixtures, "up");
     // From here on, the first node has the catalog and both nodes are members.
@@ -68,7 +69,7 @@
     check_heartbeats(&cluster, &fixtures);
     check_plans(&cluster, &fixtures);
     check_store_outage(&cluster, &fixtures);
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 fn check_user_requests(cluster: &Cluster, fixtures: &Fixtures) {
@@ -95,7 +96,7 @@
     ] {
         check_response(cluster, fixtures, name);
     }
-    cluster.scribble(fixtures.payload("unreadable.key"), json!(5));
+    cluster.write_to_store(fixtures.payload("unreadable.key"), json!(5));
     check_response(cluster, fixtures, "unreadable");
 }
 
@@ -116,7 +117,7 @@
             "the second node does not own {machine}"
         );
     }
-    fixtures.same(
+    fixtures.assert_text(
         "relay-to-another.answer",
         &post_internal(cluster, 0, fixtures, "relay-to-another"),
     );
@@ -135,7 +136,7 @@
     let leader_response = fixtures.payload("plan.answer-of-the-leader").to_string();
     let first_leads = [leader_response.clone(), follower_response("n0")];
     let second_leads = [follower_response("n1"), leader_response];
-    wait("the refusals of the plan do not match the fixtures", || {
+    wait_until("the refusals of the plan do not match the fixtures", || {
         let responses = [0, 1].map(|node| post_internal(cluster, node, fixtures, "plan"));
         responses == first_leads || responses == second_leads
     });
@@ -143,7 +144,7 @@
 
 /// Checks the responses while the key-value store is unreachable.
 fn check_store_outage(cluster: &Cluster, fixtures: &Fixtures) {
-    cluster.outage(true);
+    cluster.set_store_outage(true);
     wait_for_status(cluster, 0, fixtures, "up-in-an-outage");
     for name in [
         "up-in-an-outage",
@@ -154,7 +155,7 @@
     }
     // Heartbeats are answered as before until the node's own lease has expired.
     let refusal = fixtures.text("beat-in-an-outage.answer");
-    wait("no refusal of heartbeats after the lease expired", || {
+    wait_until("no refusal of heartbeats after the lease expired", || {
         send_public(cluster, 0, fixtures, "beat-in-an-outage") == refusal
     });
 }
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -161,7 +161,7 @@
         invalid_records: RECORD_ERRORS.map(invalid_record).to_vec(),
         invalid_record_count: 10,
     };
-    fixtures.written("restart", &full);
+    fixtures.assert_json("restart", &full);
     let empty = RestartReport {
         node: "a".into(),
         first_accepted_after_s: None,
@@ -170,14 +170,14 @@
         invalid_records: Vec::new(),
         invalid_record_count: 0,
     };
-    fixtures.written("restart.bare", &empty);
+    fixtures.assert_json("restart.bare", &empty);
     let mut retained = full_record();
     retained.enter_epoch(5, true, 21.0);
-    fixtures.written(
+    fixtures.assert_json(
         "restart.kept",
         &retained.view([].into_iter(), 22.0).prior_knowledge,
     );
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 fn hash_range(hash_owner: &str) -> HashRange {
@@ -286,7 +286,7 @@
         fenced: vec!["m-2".into()],
         leader: Some(leader),
     };
-    fixtures.written("shares", &full);
+    fixtures.assert_json("shares", &full);
     let empty = ShardMapReport {
         epoch: 0,
         in_use: false,
@@ -297,9 +297,9 @@
         leader: None,
         ..full
     };
-    fixtures.written("shares.bare", &empty);
-    fixtures.both_ways("plan", &plan());
-    fixtures.both_ways("plan.empty", &Plan::default());
+    fixtures.assert_json("shares.bare", &empty);
+    fixtures.assert_json_round_trip("plan", &plan());
+    fixtures.assert_json_round_trip("plan.empty", &Plan::default());
     assert_eq!(
         fixtures.read::<Plan>("plan.without-optional-fields"),
         Plan::default()
@@ -308,12 +308,12 @@
     plan().check(&members).expect("a valid plan");
     for name in names_with_suffix(&fixtures, ".senseless-plan") {
         let plan: Plan = fixtures.read(&format!("{name}.senseless-plan"));
-        fixtures.same(
+        fixtures.assert_text(
             &format!("{name}.why"),
             &plan.check(&members).expect_err(name).to_string(),
         );
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 /// Returns the names of the fixtures that end in `suffix`, without the suffix.
@@ -344,9 +344,9 @@
     for name in names_with_suffix(&fixtures, ".refused-policy") {
         let error =
             Policy::parse(&fixtures.text(&format!("{name}.refused-policy"))).expect_err(name);
-        fixtures.same(&format!("{name}.why"), &error.to_string());
+        fixtures.assert_text(&format!("{name}.why"), &error.to_string());
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 #[test]
@@ -400,14 +400,14 @@
         let error = features
             .add("y.toml", &fixtures.text(name))
             .expect_err("a feature that is enabled already");
-        fixtures.same(&format!("{name}.twice"), &error.to_string());
+        fixtures.assert_text(&format!("{name}.twice"), &error.to_string());
     }
     for name in names_with_suffix(&fixtures, ".refused-part") {
         let text = fixtures.text(&format!("{name}.refused-part"));
         let error = Features::default().add("x.toml", &text).expect_err(name);
-        fixtures.same(&format!("{name}.why"), &error.to_string());
+        fixtures.assert_text(&format!("{name}.why"), &error.to_string());
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 #[test]
@@ -505,9 +505,9 @@
         let text = fixtures.text("all");
         assert!(text.contains(&valid), "{name}: the settings lack {valid:?}");
         let error = Settings::parse(&text.replacen(&valid, &invalid, 1)).expect_err(name);
-        fixtures.same(&format!("{name}.why"), &error.to_string());
+        fixtures.assert_text(&format!("{name}.why"), &error.to_string());
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 /// Runs the program with the arguments of a fixture, in a directory with the files of the
@@ -539,13 +539,13 @@
     let fixtures = Fixtures::new(COMMAND_LINE);
     let (status, stdout, _) = run_program(&fixtures, "help");
     assert_eq!(status, Some(0));
-    fixtures.same("help.said", &stdout);
+    fixtures.assert_text("help.said", &stdout);
     for name in names_with_suffix(&fixtures, ".arguments")
         .into_iter()
         .filter(|name| *name != "help")
     {
         let (status, _, stderr) = run_program(&fixtures, name);
-        fixtures.same(
+        fixtures.assert_text(
             &format!("{name}.said"),
             &format!("status {status:?}: {stderr}"),
         );
@@ -556,5 +556,5 @@
             "{name}: status {status:?}, expected an error of one line: {stderr}"
         );
     }
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -364,9 +364,9 @@
 /// Checks that an envelope is encoded as its fixture, and that the fixture is decoded to it
 /// and encoded again unchanged.
 fn check_both_ways(fixtures: &Fixtures, name: &str, envelope: &Envelope) {
-    fixtures.same_bytes(name, &envelope.encode());
+    fixtures.assert_bytes(name, &envelope.encode());
     let decoded = decode(fixtures, name);
-    fixtures.same_bytes(name, &decoded.encode());
+    fixtures.assert_bytes(name, &decoded.encode());
     assert_eq!(format!("{decoded:?}"), format!("{envelope:?}"), "{name}");
 }
 
@@ -399,5 +399,5 @@
         "hello.bare",
         &minimal_envelope(PeerMessage::KeepAlive),
     );
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
--- a/tests/wire_format_refusals.rs
+++ b/tests/wire_format_refusals.rs
@@ -15,7 +15,7 @@
 use finchwood::clock;
 use finchwood::config::settings::Settings;
 use fixtures::Fixtures;
-use raw_http::{ask, free_address};
+use raw_http::{exchange, free_address};
 use std::net::SocketAddr;
 
 const LISTENER_REQUESTS: &str = include_str!("fixtures/wire-format/requests.txt");
@@ -80,18 +80,18 @@
             .lines()
             .filter_map(|(name, _)| name.strip_suffix(suffix))
         {
-            let response = ask(
+            let response = exchange(
                 address,
                 fixtures.text(&format!("{name}{suffix}")).as_bytes(),
             );
-            fixtures.same(&format!("{name}.answer"), &response);
+            fixtures.assert_text(&format!("{name}.answer"), &response);
         }
     }
     let mut message = fixtures.text("message.head").into_bytes();
     message.extend_from_slice(&Fixtures::new(PEER_MESSAGES).bytes("hello"));
-    fixtures.same(
+    fixtures.assert_text(
         "message.answer",
-        &ask(start_listener(Listener::Internal), &message),
+        &exchange(start_listener(Listener::Internal), &message),
     );
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -134,14 +134,14 @@
 #[test]
 fn stored_values_match_the_fixtures() {
     let fixtures = Fixtures::new(STORED_VALUES);
-    fixtures.stored_both_ways("epoch", &epoch(true));
-    fixtures.stored_both_ways("epoch.without-shares", &epoch(false));
+    fixtures.assert_stored_json_round_trip("epoch", &epoch(true));
+    fixtures.assert_stored_json_round_trip("epoch.without-shares", &epoch(false));
     for (name, capability) in [
         ("member.shares", 2),
         ("member.gangs", 1),
         ("member.plain", 0),
     ] {
-        fixtures.stored_both_ways(
+        fixtures.assert_stored_json_round_trip(
             name,
             &MemberRecord {
                 incarnation: 7,
@@ -149,22 +149,25 @@
             },
         );
     }
-    fixtures.stored_both_ways("member.shares", &MemberRecord::new(7, true));
-    fixtures.stored_both_ways("member.gangs", &MemberRecord::of_this_version(7));
-    fixtures.stored_both_ways("job", &job_record(Some(job_spec(Some(900.0))), None, false));
-    fixtures.stored_both_ways(
+    fixtures.assert_stored_json_round_trip("member.shares", &MemberRecord::new(7, true));
+    fixtures.assert_stored_json_round_trip("member.gangs", &MemberRecord::of_this_version(7));
+    fixtures.assert_stored_json_round_trip(
+        "job",
+        &job_record(Some(job_spec(Some(900.0))), None, false),
+    );
+    fixtures.assert_stored_json_round_trip(
         "job.without-wishes",
         &job_record(Some(job_spec(None)), None, false),
     );
-    fixtures.stored_both_ways(
+    fixtures.assert_stored_json_round_trip(
         "job.cancelled",
         &job_record(Some(job_spec(None)), Some(1_764_652_900_000), false),
     );
-    fixtures.stored_both_ways("job.done", &job_record(None, None, true));
+    fixtures.assert_stored_json_round_trip("job.done", &job_record(None, None, true));
     let sparse: JobRecord = fixtures.read("job.without-optional-fields");
     assert_eq!(sparse, job_record(Some(job_spec(None)), None, false));
-    fixtures.stored_both_ways("machine", &machine_record(true, Some("10.0.0.1:9000")));
-    fixtures.stored_both_ways("machine.unused", &machine_record(false, None));
+    fixtures.assert_stored_json_round_trip("machine", &machine_record(true, Some("10.0.0.1:9000")));
+    fixtures.assert_stored_json_round_trip("machine.unused", &machine_record(false, None));
     let sparse: MachineRecord = fixtures.read("machine.without-optional-fields");
     assert_eq!(
         sparse,
@@ -173,7 +176,7 @@
             ..machine_record(false, None)
         }
     );
-    fixtures.stored_both_ways(
+    fixtures.assert_stored_json_round_trip(
         "page",
         &registry_page(&[
             ("m-2", None),
@@ -181,7 +184,7 @@
             ("m-4", Some("")),
         ]),
     );
-    fixtures.stored_both_ways("page.empty", &registry_page(&[]));
+    fixtures.assert_stored_json_round_trip("page.empty", &registry_page(&[]));
     let sparse: RegistryPage = fixtures.read("page.without-optional-fields");
     assert_eq!(
         sparse,
@@ -190,9 +193,9 @@
             ..registry_page(&[])
         }
     );
-    fixtures.stored_both_ways("catalog", &catalog());
-    fixtures.stored_both_ways("shares", &shard_map().to_stored());
-    fixtures.stored_both_ways("shares.empty", &ShardMap::default().to_stored());
+    fixtures.assert_stored_json_round_trip("catalog", &catalog());
+    fixtures.assert_stored_json_round_trip("shares", &shard_map().to_stored());
+    fixtures.assert_stored_json_round_trip("shares.empty", &ShardMap::default().to_stored());
     assert_eq!(
         ShardMap::from_stored(&fixtures.read::<StoredShardMap>("shares")).0,
         shard_map()
@@ -201,8 +204,8 @@
     for task in [0, 2, 9] {
         finished.add(task);
     }
-    fixtures.same("finished", &json!(finished.hex(0, 12)).to_string());
-    fixtures.all_used();
+    fixtures.assert_text("finished", &json!(finished.hex(0, 12)).to_string());
+    fixtures.assert_all_used();
 }
 
 #[test]
@@ -213,7 +216,7 @@
     check_commits(&fixtures);
     check_join(&fixtures);
     check_cloud_calls(&fixtures);
-    fixtures.all_used();
+    fixtures.assert_all_used();
 }
 
 /// Checks the keys, and that a cache in which the stored values are put under them contains
@@ -233,7 +236,7 @@
         ("key-prefix.page", REGISTRY_PREFIX.to_string()),
     ];
     for (name, key) in &keys {
-        fixtures.same(name, key);
+        fixtures.assert_text(name, key);
     }
     let stored = Fixtures::new(STORED_VALUES);
     let mut cache = StoreCache::new(8.0);
@@ -311,7 +314,7 @@
         STORE_ADDRESS,
         recorder.address,
     )));
-    fixtures.same(&format!("state.{name}.call"), &recorder.call());
+    fixtures.assert_text(&format!("state.{name}.call"), &recorder.next_call());
     result
 }
 
@@ -328,7 +331,7 @@
     let response = responses
         .recv_timeout(RESPONSE_TIMEOUT)
         .expect("a response of the cloud");
-    fixtures.same(&format!("cloud.{name}.call"), &recorder.call());
+    fixtures.assert_text(&format!("cloud.{name}.call"), &recorder.next_call());
     response
 }
 
@@ -441,7 +444,7 @@
         .expect("an event of the lease actor");
     assert!(matches!(event, LeaseEvent::Renewed { incarnation: 7, .. }));
     for step in steps {
-        fixtures.same(&format!("{step}.call"), &recorder.call());
+        fixtures.assert_text(&format!("{step}.call"), &recorder.next_call());
     }
 }
 
