--- a/tests/refusals.rs
+++ b/tests/refusals.rs
@@ -1,12 +1,12 @@
 //! The validation of settings, job specs, heartbeats and policies.
 
 #[path = "common/settings.rs"]
-mod settings_text;
+mod settings;
 
 use finchwood::config::policy::Policy;
 use finchwood::config::settings::Settings;
 use finchwood::wire::{Heartbeat, JobSpec, JobSpecError};
-use settings_text::SETTINGS;
+use settings::SETTINGS;
 
 #[test]
 fn invalid_settings_are_refused_with_the_name_of_the_field() {
--- a/tests/wire_format.rs
+++ b/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! The JSON messages that are exchanged with users, workers and the cloud, compared with the
 //! fixtures in `fixtures/wire-format/`, which were recorded before identifiers in the code
-//! were renamed. Most are compared both ways: a value must serialize to its fixture, and the
-//! fixture must deserialize and serialize again unchanged.
+//! were renamed. Most are compared both ways: a value must be serialized to its fixture, and
+//! the fixture must be unchanged when it is parsed and serialized again.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -14,9 +14,9 @@
 };
 use fixtures::Fixtures;
 
-const USERS: &str = include_str!("fixtures/wire-format/users.txt");
-const WORKERS: &str = include_str!("fixtures/wire-format/workers.txt");
-const CLOUD: &str = include_str!("fixtures/wire-format/cloud.txt");
+const USER_MESSAGES: &str = include_str!("fixtures/wire-format/users.txt");
+const WORKER_MESSAGES: &str = include_str!("fixtures/wire-format/workers.txt");
+const CLOUD_MESSAGES: &str = include_str!("fixtures/wire-format/cloud.txt");
 
 fn job_spec(job_kind: JobKind, priority: Priority) -> JobSpec {
     JobSpec {
@@ -80,7 +80,7 @@
 
 #[test]
 fn job_specs_and_statuses_match_the_fixtures() {
-    let fixtures = Fixtures::new(USERS);
+    let fixtures = Fixtures::new(USER_MESSAGES);
     for (name, spec) in job_specs() {
         fixtures.assert_json_round_trip(name, &spec);
         let parsed = JobSpec::parse(fixtures.payload(name).as_bytes());
@@ -190,11 +190,11 @@
 
 #[test]
 fn messages_of_workers_match_the_fixtures() {
-    let fixtures = Fixtures::new(WORKERS);
+    let fixtures = Fixtures::new(WORKER_MESSAGES);
     fixtures.assert_json_round_trip("report", &heartbeat(Some(30.5), task_reports()));
     fixtures.assert_json_round_trip("report.empty", &heartbeat(None, Vec::new()));
-    let sparse: Heartbeat = fixtures.read("report.without-optional-fields");
-    assert_eq!(sparse, heartbeat(None, Vec::new()));
+    let minimal: Heartbeat = fixtures.read("report.without-optional-fields");
+    assert_eq!(minimal, heartbeat(None, Vec::new()));
     let unknown_state: Heartbeat = fixtures.read("report.with-an-unknown-state");
     assert_eq!(
         unknown_state,
@@ -269,7 +269,7 @@
 
 #[test]
 fn messages_of_the_cloud_match_the_fixtures() {
-    let fixtures = Fixtures::new(CLOUD);
+    let fixtures = Fixtures::new(CLOUD_MESSAGES);
     fixtures.assert_json_round_trip(
         "catalog",
         &Catalog {
@@ -277,9 +277,9 @@
         },
     );
     fixtures.assert_json_round_trip("catalog.empty", &Catalog::default());
-    let sparse: Catalog = fixtures.read("catalog.without-optional-fields");
+    let minimal: Catalog = fixtures.read("catalog.without-optional-fields");
     assert_eq!(
-        sparse,
+        minimal,
         Catalog {
             types: vec![machine_type("c4", 0.0)]
         }
@@ -307,9 +307,9 @@
             more: true,
         },
     );
-    let sparse: MachineListPage = fixtures.read("machine-page.without-optional-fields");
-    assert_eq!((sparse.machines.len(), sparse.more), (1, false));
-    let machine = &sparse.machines[0];
+    let minimal: MachineListPage = fixtures.read("machine-page.without-optional-fields");
+    assert_eq!((minimal.machines.len(), minimal.more), (1, false));
+    let machine = &minimal.machines[0];
     assert_eq!(
         (&*machine.id, machine.address.as_deref(), &*machine.state),
         ("m-000231", None, "failed")
--- a/tests/wire_format_controller.rs
+++ b/tests/wire_format_controller.rs
@@ -35,7 +35,7 @@
 /// Waits until a node responds to the request of a fixture with the status in the fixture.
 fn wait_for_status(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) {
     let status = fixtures.payload(&format!("{name}.status"));
-    wait_until(name, || {
+    wait_until(&format!("{name}: no response with {status}"), || {
         send_public(cluster, node, fixtures, name).starts_with(status)
     });
 }
@@ -72,6 +72,8 @@
     fixtures.assert_all_used();
 }
 
+/// Checks the responses to users: refused, accepted, queried and cancelled jobs, and a job
+/// whose stored record is invalid.
 fn check_user_requests(cluster: &Cluster, fixtures: &Fixtures) {
     let refusals = [
         "unknown-team",
@@ -100,6 +102,8 @@
     check_response(cluster, fixtures, "unreadable");
 }
 
+/// Checks the responses to heartbeats of machines that the other node owns, and to a heartbeat
+/// that is older than the last one of its machine.
 fn check_heartbeats(cluster: &Cluster, fixtures: &Fixtures) {
     let members = ["n0", "n1"]
         .map(|name| (name.to_string(), 1))
@@ -126,6 +130,7 @@
     check_response(cluster, fixtures, "beat-of-before");
 }
 
+/// Checks that both the leader and the follower refuse a plan.
 fn check_plans(cluster: &Cluster, fixtures: &Fixtures) {
     // The leader is the node that joined first, which may be either.
     let follower_response = |leader| {
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -30,7 +30,7 @@
 use std::time::Duration;
 
 const STORED_VALUES: &str = include_str!("fixtures/wire-format/stored.txt");
-const CALLS: &str = include_str!("fixtures/wire-format/calls.txt");
+const KEYS_AND_CALLS: &str = include_str!("fixtures/wire-format/calls.txt");
 
 /// A job spec. Its machine types and zone are set only if its deadline is.
 fn job_spec(deadline_s: Option<f64>) -> JobSpec {
@@ -164,13 +164,13 @@
         &job_record(Some(job_spec(None)), Some(1_764_652_900_000), false),
     );
     fixtures.assert_stored_json_round_trip("job.done", &job_record(None, None, true));
-    let sparse: JobRecord = fixtures.read("job.without-optional-fields");
-    assert_eq!(sparse, job_record(Some(job_spec(None)), None, false));
+    let minimal: JobRecord = fixtures.read("job.without-optional-fields");
+    assert_eq!(minimal, job_record(Some(job_spec(None)), None, false));
     fixtures.assert_stored_json_round_trip("machine", &machine_record(true, Some("10.0.0.1:9000")));
     fixtures.assert_stored_json_round_trip("machine.unused", &machine_record(false, None));
-    let sparse: MachineRecord = fixtures.read("machine.without-optional-fields");
+    let minimal: MachineRecord = fixtures.read("machine.without-optional-fields");
     assert_eq!(
-        sparse,
+        minimal,
         MachineRecord {
             rented_at_ms: 0,
             ..machine_record(false, None)
@@ -185,9 +185,9 @@
         ]),
     );
     fixtures.assert_stored_json_round_trip("page.empty", &registry_page(&[]));
-    let sparse: RegistryPage = fixtures.read("page.without-optional-fields");
+    let minimal: RegistryPage = fixtures.read("page.without-optional-fields");
     assert_eq!(
-        sparse,
+        minimal,
         RegistryPage {
             rented_at_ms: 0,
             ..registry_page(&[])
@@ -210,7 +210,7 @@
 
 #[test]
 fn keys_and_calls_match_the_fixtures() {
-    let fixtures = Fixtures::new(CALLS);
+    let fixtures = Fixtures::new(KEYS_AND_CALLS);
     check_keys(&fixtures);
     check_store_calls(&fixtures);
     check_commits(&fixtures);
