--- a/tests/common/simulated_cluster/controllers.rs
+++ b/tests/common/simulated_cluster/controllers.rs
@@ -2,7 +2,7 @@
 //! feeds them from the log of the key-value store.
 
 use super::network::{DirectCommandPacket, Packet};
-use super::state_store::FinishWrite;
+use super::state_store::ConditionalFinishWrite;
 use super::{
     membership::controller_index, settings, Scheduled, SimulatedCluster, CONTROLLERS,
     MEMBER_LEASE_S, WORKER_LEASE_S,
@@ -337,7 +337,7 @@
         let Some(job) = self.controllers[index].cache.jobs.get(&finish.job) else {
             return;
         };
-        let write = FinishWrite {
+        let write = ConditionalFinishWrite {
             expected_revision: job.revision,
             job: finish.job,
             tasks: finish.tasks,
--- a/tests/common/simulated_cluster/mod.rs
+++ b/tests/common/simulated_cluster/mod.rs
@@ -31,7 +31,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use settings_text::SETTINGS;
-use state_store::{FinishWrite, ShardMapWrite};
+use state_store::{ConditionalFinishWrite, ConditionalShardMapWrite};
 pub(crate) use statistics::Statistics;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -68,7 +68,7 @@
     shard_map: ShardMap,
     shard_map_revision: u64,
     /// Writes of the shard map that are carried out late and whose writer gets no response.
-    delayed_shard_map_writes: Vec<Scheduled<ShardMapWrite>>,
+    delayed_shard_map_writes: Vec<Scheduled<ConditionalShardMapWrite>>,
     last_incarnation: u64,
     controllers: Vec<Controller>,
     workers: Vec<Worker>,
@@ -87,7 +87,7 @@
     /// The revision of each job's record.
     job_revisions: HashMap<Arc<str>, u64>,
     /// Commits of finished tasks that are carried out late and whose writer gets no response.
-    delayed_finishes: Vec<Scheduled<FinishWrite>>,
+    delayed_finishes: Vec<Scheduled<ConditionalFinishWrite>>,
     /// The key-value store responds to no controller before this time.
     store_outage_until: f64,
     /// When many jobs are to be cancelled at once, after the store began to refuse one
--- a/tests/common/simulated_cluster/shard_transfers.rs
+++ b/tests/common/simulated_cluster/shard_transfers.rs
@@ -1,7 +1,7 @@
 //! The leader's transfers of hash ranges. Writes of the shard map are carried out at once, or
 //! late and without a response, and ranges move faster than workers send heartbeats.
 
-use super::state_store::ShardMapWrite;
+use super::state_store::ConditionalShardMapWrite;
 use super::{Scheduled, SimulatedCluster, CONTROLLERS};
 use finchwood::cluster::membership;
 use finchwood_sharding::hash_position::position;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Writes the shard map that completes a transfer, at once or late. After a refused write
+    /// Writes the pending change of the shard map, at once or late. After a refused write
     /// the controller must read the store before it writes again.
     fn write_shard_map(&mut self, index: usize) {
         let now = self.now;
@@ -54,7 +54,7 @@
         let Some(write) = controller.transfers.pending_write(current, now) else {
             return;
         };
-        let write = ShardMapWrite {
+        let write = ConditionalShardMapWrite {
             expected_revision: controller.cache.shard_map_revision,
             expected_epoch: controller.shard.epoch(),
             shard_map: write.shard_map,
--- a/tests/common/simulated_cluster/state_store.rs
+++ b/tests/common/simulated_cluster/state_store.rs
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 
 /// A commit of finished tasks, on the condition that the job's record is unchanged.
-pub(super) struct FinishWrite {
+pub(super) struct ConditionalFinishWrite {
     pub(super) expected_revision: u64,
     pub(super) job: Arc<str>,
     pub(super) tasks: Vec<u32>,
 }
 
 /// A write of the shard map, on the condition that neither it nor the epoch has changed.
-pub(super) struct ShardMapWrite {
+pub(super) struct ConditionalShardMapWrite {
     pub(super) expected_revision: u64,
     pub(super) expected_epoch: u64,
     pub(super) shard_map: ShardMap,
@@ -58,8 +58,8 @@
 
     /// Commits finished tasks if the condition holds. With the last task of a job, its record
     /// is marked as done.
-    pub(super) fn commit_finish(&mut self, finish: FinishWrite) {
-        let FinishWrite {
+    pub(super) fn commit_finish(&mut self, finish: ConditionalFinishWrite) {
+        let ConditionalFinishWrite {
             expected_revision,
             job,
             tasks,
@@ -96,7 +96,7 @@
     }
 
     /// Writes the shard map if the condition holds, and returns whether it did.
-    pub(super) fn commit_shard_map(&mut self, write: &ShardMapWrite) -> bool {
+    pub(super) fn commit_shard_map(&mut self, write: &ConditionalShardMapWrite) -> bool {
         if self.shard_map_revision != write.expected_revision
             || self.epoch.number != write.expected_epoch
         {
--- a/tests/interleavings/main.rs
+++ b/tests/interleavings/main.rs
@@ -4,7 +4,7 @@
 //! They must hold whichever messages are lost, late or repeated, whatever hangs or crashes,
 //! whichever controller the key-value store refuses, and whichever believes that it leads.
 
-mod moving_shard_ranges;
+mod hash_range_transfers;
 #[path = "../common/simulated_cluster/mod.rs"]
 mod simulated_cluster;
 mod tasks_run_at_most_once;
