--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -1,4 +1,5 @@
-//! What is rented, and what is still expected of machines that were.
+//! The autoscaler's plans: which machines are rented, counting those that boot, and which are
+//! returned, drained or consolidated.
 
 use finchwood::autoscaler::{
     plan_draining, plan_scale_in, plan_scale_out, rental_backlog_is_full, select_for_consolidation,
@@ -9,14 +10,17 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// The nominal boot time of the machine type, in seconds.
 const BOOT_S: f64 = 20.0;
 
+/// Returns a catalog with one machine type of four CPUs, in two zones.
 fn catalog() -> Catalog {
     let machine_type = json!({"name": "k", "cpus": 4.0, "accelerators": 0.0, "mem_gb": 16.0, "cache_gb": 9.0,
         "pull_gb_per_s": 1.0, "hourly": 1.0, "spot_price": 0.3, "ready_s": BOOT_S, "groves": ["e", "w"]});
-    serde_json::from_value(json!({ "breeds": [machine_type] })).expect("a catalogue")
+    serde_json::from_value(json!({ "breeds": [machine_type] })).expect("a catalog")
 }
 
+/// Returns the offer of the machine type in a zone.
 fn offer(zone: &str, spot: bool) -> MachineOffer {
     MachineOffer {
         machine_type: "k".into(),
@@ -25,6 +29,8 @@
     }
 }
 
+/// Returns the specification of an array job whose tasks need two CPUs each and may run on
+/// spot machines.
 fn spec(id: &str, tasks: u32, priority: Priority) -> Arc<JobSpec> {
     let spec = json!({
         "id": id, "flock": "f", "nest": "t", "shape": "array", "rank": priority, "chicks": tasks, "cpus": 2.0,
@@ -34,8 +40,8 @@
     Arc::new(serde_json::from_value(spec).expect("a spec"))
 }
 
-/// Low tasks that fill a machine each.
-fn want(count: u32, spot_only: bool) -> PendingDemand {
+/// Returns demand of `count` low-priority tasks, each of which fills a machine.
+fn low_priority_demand(count: u32, spot_only: bool) -> PendingDemand {
     let spec = Arc::new(JobSpec {
         cpus: 4.0,
         ..(*spec("wk-1", count, Priority::Low)).clone()
@@ -50,43 +56,57 @@
     }
 }
 
-/// Spot and ordinary machines that are rented for work, beside those that boot.
-fn rented(demand: PendingDemand, booting: &[BootingMachine], spot_to_be_had: bool) -> (u32, u32) {
-    let blocked = |offer: &MachineOffer| offer.spot && !spot_to_be_had;
-    let settings = ScalingPolicy::default();
-    let orders = plan_scale_out(
+/// Returns the numbers of spot and of on-demand machines that are rented for demand, in
+/// addition to those that boot.
+fn rented_machines(
+    demand: PendingDemand,
+    booting: &[BootingMachine],
+    spot_available: bool,
+) -> (u32, u32) {
+    let is_blocked = |offer: &MachineOffer| offer.spot && !spot_available;
+    let policy = ScalingPolicy::default();
+    let rentals = plan_scale_out(
         &[demand],
         booting,
         &BTreeMap::new(),
         &catalog(),
-        &settings,
-        &blocked,
+        &policy,
+        &is_blocked,
     );
-    let of_kind = |spot: bool| {
-        orders
+    let count = |spot: bool| {
+        rentals
             .iter()
             .filter(|(offer, _)| offer.spot == spot)
-            .map(|(_, n)| n)
+            .map(|(_, count)| count)
             .sum()
     };
-    (of_kind(true), of_kind(false))
+    (count(true), count(false))
 }
 
 #[test]
-fn work_that_waits_for_spot_machines_has_no_ordinary_ones_rented() {
-    assert_eq!(rented(want(3, true), &[], true), (3, 0));
-    assert_eq!(rented(want(3, true), &[], false), (0, 0));
-    assert_eq!(rented(want(3, false), &[], false), (0, 3));
+fn no_on_demand_machines_are_rented_for_spot_only_demand() {
+    assert_eq!(
+        rented_machines(low_priority_demand(3, true), &[], true),
+        (3, 0)
+    );
+    assert_eq!(
+        rented_machines(low_priority_demand(3, true), &[], false),
+        (0, 0)
+    );
+    assert_eq!(
+        rented_machines(low_priority_demand(3, false), &[], false),
+        (0, 3)
+    );
 }
 
 #[test]
-fn a_machine_that_is_late_is_not_counted_on_and_one_that_never_comes_is_given_up() {
-    let settings = ScalingPolicy::default();
-    let progress = |age_s| settings.boot_progress(age_s, BOOT_S);
+fn overdue_machines_are_not_planned_with_and_time_out_later() {
+    let policy = ScalingPolicy::default();
+    let progress = |age_s| policy.boot_progress(age_s, BOOT_S);
     assert_eq!(
         progress(BOOT_S * 1.6),
         BootProgress::Expected,
-        "boots usually take up to 1.6 times as long"
+        "booting usually takes up to 1.6 times the nominal boot time"
     );
     assert_eq!(progress(BOOT_S * 2.0), BootProgress::Overdue);
     assert_eq!(progress(BOOT_S * 4.0), BootProgress::TimedOut);
@@ -96,91 +116,103 @@
         age_s,
     };
     assert_eq!(
-        rented(want(2, false), &[booting(BOOT_S)], true),
+        rented_machines(low_priority_demand(2, false), &[booting(BOOT_S)], true),
         (1, 0),
-        "one comes already"
+        "one machine is expected to boot in time, so that only one more is rented"
     );
     assert_eq!(
-        rented(want(2, false), &[booting(BOOT_S * 2.0)], true),
+        rented_machines(
+            low_priority_demand(2, false),
+            &[booting(BOOT_S * 2.0)],
+            true
+        ),
         (2, 0),
-        "nobody counts on it"
+        "an overdue machine is not planned with, so that both are rented"
     );
 }
 
 #[test]
-fn rentals_wait_while_the_cloud_is_behind() {
+fn rentals_wait_while_earlier_ones_are_unanswered() {
     assert!(!rental_backlog_is_full(0, 4.0) && !rental_backlog_is_full(3, 4.0));
     assert!(rental_backlog_is_full(4, 4.0));
     assert!(
         rental_backlog_is_full(1, 1.0),
-        "one request at a time where one a second is allowed"
+        "with a limit of one request per second, only one rental may be unanswered at a time"
     );
 }
 
 #[test]
-fn renting_counts_what_is_coming_and_spreads_replicas() {
+fn rentals_count_booting_machines_and_spread_replicas_over_zones() {
     let catalog = catalog();
-    let settings = ScalingPolicy::default();
-    let mut s = (*spec("wk-1", 4, Priority::Prod)).clone();
-    s.job_kind = JobKind::Service;
-    s.spot = false;
-    s.scatter = true;
+    let policy = ScalingPolicy::default();
+    let mut spec = (*spec("wk-1", 4, Priority::Prod)).clone();
+    spec.job_kind = JobKind::Service;
+    spec.spot = false;
+    spec.scatter = true;
     let demand = PendingDemand {
         tasks_in_zone: BTreeMap::new(),
-        task_resources: s.task_resources(),
+        task_resources: spec.task_resources(),
         count: 4,
-        spec: Arc::new(s),
+        spec: Arc::new(spec),
         age_s: 0.0,
         spot_only: false,
     };
-    let zones = BTreeMap::new();
-    let orders = plan_scale_out(
+    let on_demand_in_zone = BTreeMap::new();
+    let rentals = plan_scale_out(
         std::slice::from_ref(&demand),
         &[],
-        &zones,
+        &on_demand_in_zone,
         &catalog,
-        &settings,
+        &policy,
         &|_| false,
     );
-    let per_zone: Vec<u32> = orders.values().copied().collect();
+    let per_zone: Vec<u32> = rentals.values().copied().collect();
     assert_eq!(
         per_zone,
         [1, 1],
-        "two fit a machine, half of four a zone: {orders:?}"
+        "two replicas fit on a machine, and half of the four go to each zone: {rentals:?}"
     );
-    let coming: Vec<BootingMachine> = orders
+    let booting: Vec<BootingMachine> = rentals
         .keys()
-        .map(|o| BootingMachine {
+        .map(|offer| BootingMachine {
             id: "".into(),
-            offer: o.clone(),
+            offer: offer.clone(),
             age_s: 1.0,
         })
         .collect();
     assert!(plan_scale_out(
         std::slice::from_ref(&demand),
-        &coming,
-        &zones,
+        &booting,
+        &on_demand_in_zone,
         &catalog,
-        &settings,
+        &policy,
         &|_| false
     )
     .is_empty());
-    // Where nothing is to be had, nothing is asked for.
-    assert!(plan_scale_out(&[demand], &[], &zones, &catalog, &settings, &|_| true).is_empty());
+    // If all offers are blocked, nothing is rented.
+    assert!(plan_scale_out(
+        &[demand],
+        &[],
+        &on_demand_in_zone,
+        &catalog,
+        &policy,
+        &|_| true
+    )
+    .is_empty());
 }
 
 #[test]
-fn low_work_waits_for_spot_and_the_rest_does_not() {
+fn only_low_priority_jobs_wait_for_spot_machines() {
     let catalog = catalog();
-    let settings = ScalingPolicy::default();
-    let no_spot = |o: &MachineOffer| o.spot;
-    let count = |priority, age_s| {
-        let s = spec("wk-1", 4, priority);
+    let policy = ScalingPolicy::default();
+    let is_blocked = |offer: &MachineOffer| offer.spot;
+    let rented_count = |priority, age_s| {
+        let spec = spec("wk-1", 4, priority);
         let demand = PendingDemand {
             tasks_in_zone: BTreeMap::new(),
-            task_resources: s.task_resources(),
+            task_resources: spec.task_resources(),
             count: 2,
-            spec: s,
+            spec,
             age_s,
             spot_only: false,
         };
@@ -189,39 +221,39 @@
             &[],
             &BTreeMap::new(),
             &catalog,
-            &settings,
-            &no_spot,
+            &policy,
+            &is_blocked,
         )
         .values()
         .sum::<u32>()
     };
     assert_eq!(
         (
-            count(Priority::Low, 1.0),
-            count(Priority::Low, 60.0),
-            count(Priority::Standard, 1.0)
+            rented_count(Priority::Low, 1.0),
+            rented_count(Priority::Low, 60.0),
+            rented_count(Priority::Standard, 1.0)
         ),
         (0, 1, 1)
     );
 }
 
 #[test]
-fn spare_room_and_machines_with_replicas_are_not_given_up() {
+fn scale_in_keeps_headroom_and_draining_skips_machines_with_replicas() {
     let catalog = catalog();
-    let settings = ScalingPolicy::default();
-    let machine = |id: &str, used: f64, stays: bool| MachineUsage {
+    let policy = ScalingPolicy::default();
+    let machine = |id: &str, used_cpus: f64, has_replicas: bool| MachineUsage {
         id: id.into(),
         offer: offer("e", false),
         free: Resources {
-            cpus: 4.0 - used,
+            cpus: 4.0 - used_cpus,
             gpus: 0.0,
             mem_gb: 16.0,
         },
-        idle_s: if used > 0.0 { 0.0 } else { 100.0 },
+        idle_s: if used_cpus > 0.0 { 0.0 } else { 100.0 },
         age_s: 200.0,
-        tasks: used as u32,
+        tasks: used_cpus as u32,
         schedulable: true,
-        pinned_cpus: if stays { used } else { 0.0 },
+        pinned_cpus: if has_replicas { used_cpus } else { 0.0 },
     };
     let fleet = [
         machine("m-1", 0.0, false),
@@ -229,61 +261,66 @@
         machine("m-3", 2.0, true),
     ];
     assert_eq!(
-        plan_scale_in(&fleet, &catalog, 6.0, &settings),
+        plan_scale_in(&fleet, &catalog, 6.0, &policy),
         vec![Arc::<str>::from("m-1")]
     );
-    assert!(plan_scale_in(&fleet, &catalog, 10.0, &settings).is_empty());
+    assert!(plan_scale_in(&fleet, &catalog, 10.0, &policy).is_empty());
     let busy = [
         machine("m-1", 1.0, false),
         machine("m-2", 0.5, true),
         machine("m-3", 0.5, true),
     ];
     assert_eq!(
-        plan_draining(&busy, &catalog, 2.0, &settings),
+        plan_draining(&busy, &catalog, 2.0, &policy),
         [Arc::<str>::from("m-1")]
     );
-    assert!(plan_draining(&busy, &catalog, 9.0, &settings).is_empty());
+    assert!(plan_draining(&busy, &catalog, 9.0, &policy).is_empty());
 }
 
 #[test]
-fn replicas_move_only_where_the_rest_has_room_to_spare() {
+fn consolidation_requires_twice_the_free_capacity_in_the_same_zone() {
     let catalog = catalog();
-    let machine = |id: &str, zone: &str, used: f64, spot: bool| MachineUsage {
+    let machine = |id: &str, zone: &str, used_cpus: f64, spot: bool| MachineUsage {
         id: id.into(),
         offer: offer(zone, spot),
         free: Resources {
-            cpus: 4.0 - used,
+            cpus: 4.0 - used_cpus,
             gpus: 0.0,
             mem_gb: 16.0,
         },
         idle_s: 0.0,
         age_s: 200.0,
-        tasks: used as u32,
+        tasks: used_cpus as u32,
         schedulable: true,
-        pinned_cpus: if spot { 0.0 } else { used },
+        pinned_cpus: if spot { 0.0 } else { used_cpus },
     };
-    let chosen = |fleet: &[MachineUsage], spare: f64| {
-        select_for_consolidation(fleet, &catalog, spare).map(|m| m.id.to_string())
+    let selected = |fleet: &[MachineUsage], headroom_cpus: f64| {
+        select_for_consolidation(fleet, &catalog, headroom_cpus)
+            .map(|machine| machine.id.to_string())
     };
     let fleet = [
         machine("m-1", "e", 2.0, false),
         machine("m-2", "e", 1.0, false),
         machine("m-3", "e", 1.0, false),
     ];
-    assert_eq!(chosen(&fleet, 1.0).as_deref(), Some("m-2"), "the emptiest");
     assert_eq!(
-        chosen(&fleet, 2.5),
+        selected(&fleet, 1.0).as_deref(),
+        Some("m-2"),
+        "the machine with the fewest CPUs to move is selected"
+    );
+    assert_eq!(
+        selected(&fleet, 2.5),
         None,
-        "what is spare stays free twice over"
+        "twice the headroom must stay free"
     );
-    let apart = [
+    let spread_fleet = [
         machine("m-1", "e", 1.0, false),
         machine("m-2", "w", 1.0, false),
         machine("m-3", "e", 1.0, true),
     ];
     assert_eq!(
-        chosen(&apart, 0.0),
+        selected(&spread_fleet, 0.0),
         None,
-        "not to another zone, not to spot machines"
+        "replicas move neither to another zone nor to spot machines"
     );
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,8 +1,10 @@
-//! Controllers as real processes on the loopback, against stand-ins: three
-//! through a day's work, and five through one trouble after another, at whose
-//! end stands the question that users have: what became of each of my jobs? And
-//! cancellations that meet other troubles. No time is measured: what must happen
-//! is waited for, while the trouble lasts.
+//! Controllers as real processes on the loopback interface, against stand-ins for the
+//! key-value store, the cloud and the workers. Three controllers run and cancel jobs across
+//! crashes. Five controllers go through a sequence of faults, and must report the state of
+//! every job after each. Further tests combine cancellations with store outages and late
+//! commits.
+//!
+//! The tests measure no durations: they wait for each expected effect while the fault lasts.
 
 mod common;
 
@@ -15,60 +17,66 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn three_controllers_submit_run_crash_withdraw_done() {
+fn jobs_run_finish_and_are_cancelled_across_crashes_of_all_controllers() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
-    let mut c = Cluster::start(3, "three", &activity);
-    let running = |_: u16, v: &Value| v["mood"] == "running";
-    for i in 0..3 {
-        c.request_until(i, "GET", "/up", None, |s, _| s == 200);
+    let mut cluster = Cluster::start(3, "three", &activity);
+    let is_running = |_: u16, body: &Value| body["mood"] == "running";
+    for index in 0..3 {
+        cluster.request_until(index, "GET", "/up", None, |status, _| status == 200);
     }
-    // A service, spread over both zones, and an array.
-    c.request_until(
+    // A service, which is spread over both zones, and an array.
+    cluster.request_until(
         0,
         "POST",
         "/v2/runs",
         Some(job("wk-000001", "standing", 2)),
-        |s, _| s == 201 || s == 200,
+        |status, _| status == 201 || status == 200,
     );
-    c.request_until(
+    cluster.request_until(
         1,
         "POST",
         "/v2/runs",
         Some(job("wk-000002", "array", 5)),
-        |s, _| s == 201 || s == 200,
+        |status, _| status == 201 || status == 200,
     );
-    c.request_until(2, "GET", "/v2/runs/wk-000001", None, |s, v| {
-        s == 200 && v["running"] == 2
+    cluster.request_until(2, "GET", "/v2/runs/wk-000001", None, |status, body| {
+        status == 200 && body["running"] == 2
     });
-    c.request_until(0, "GET", "/v2/runs/wk-000002", None, |_, v| {
-        v["mood"] == "done" && v["done"] == 5
+    cluster.request_until(0, "GET", "/v2/runs/wk-000002", None, |_, body| {
+        body["mood"] == "done" && body["done"] == 5
     });
-    // What is refused, and how.
+    // Invalid requests are refused, each with its own status.
     assert_eq!(
-        c.client_request(0, "GET", "/v2/runs/wk-999999", None).0,
+        cluster
+            .client_request(0, "GET", "/v2/runs/wk-999999", None)
+            .0,
         404
     );
     assert_eq!(
-        c.client_request(0, "POST", "/v2/runs", Some(json!({"id": "wk-000009"})))
+        cluster
+            .client_request(0, "POST", "/v2/runs", Some(json!({"id": "wk-000009"})))
             .0,
         400
     );
-    let mut wide = job("wk-000009", "array", 1);
-    wide["cpus"] = 64.0.into();
-    c.request_until(1, "POST", "/v2/runs", Some(wide), |s, _| {
-        assert!(s == 422 || s == 503, "{s}");
-        s == 422
+    let mut too_large = job("wk-000009", "array", 1);
+    too_large["cpus"] = 64.0.into();
+    cluster.request_until(1, "POST", "/v2/runs", Some(too_large), |status, _| {
+        assert!(status == 422 || status == 503, "{status}");
+        status == 422
+    });
+    let mut unknown_team = job("wk-000009", "array", 1);
+    unknown_team["nest"] = "nobody".into();
+    cluster.request_until(2, "POST", "/v2/runs", Some(unknown_team), |status, _| {
+        assert!(status == 422 || status == 503, "{status}");
+        status == 422
     });
-    let mut foreign = job("wk-000009", "array", 1);
-    foreign["nest"] = "nobody".into();
-    c.request_until(2, "POST", "/v2/runs", Some(foreign), |s, _| {
-        assert!(s == 422 || s == 503, "{s}");
-        s == 422
+    // The zone constraints contradict each other: all replicas in one zone, but at most half
+    // of them in any zone.
+    let mut contradictory = job("wk-000009", "standing", 3);
+    contradictory["one_zone"] = true.into();
+    cluster.request_until(2, "POST", "/v2/runs", Some(contradictory), |status, _| {
+        status == 422
     });
-    // All in one zone, and no more than half of them in it.
-    let mut both = job("wk-000009", "standing", 3);
-    both["one_zone"] = true.into();
-    c.request_until(2, "POST", "/v2/runs", Some(both), |s, _| s == 422);
     for field in [
         "shape",
         "accelerators",
@@ -78,108 +86,134 @@
         "rank",
         "size_gb",
     ] {
-        let mut odd = job("wk-000009", "array", 1);
-        odd.as_object_mut().expect("a job").remove(field);
+        let mut incomplete = job("wk-000009", "array", 1);
+        incomplete.as_object_mut().expect("a job").remove(field);
         assert_eq!(
-            c.client_request(0, "POST", "/v2/runs", Some(odd)).0,
+            cluster
+                .client_request(0, "POST", "/v2/runs", Some(incomplete))
+                .0,
             400,
             "{field}"
         );
     }
-    c.request_until(0, "POST", "/v2/runs/wk-999999/withdraw", None, |s, _| {
-        s == 404
-    });
-    // Every controller goes, one of them for longer; the work stays.
-    for i in 0..3 {
-        c.kill_controller(i);
-        if i > 0 {
-            c.start_controller(i);
+    cluster.request_until(
+        0,
+        "POST",
+        "/v2/runs/wk-999999/withdraw",
+        None,
+        |status, _| status == 404,
+    );
+    // All controllers are killed one after the other, and controller 0 stays down for a while.
+    // Running tasks are not affected.
+    for index in 0..3 {
+        cluster.kill_controller(index);
+        if index > 0 {
+            cluster.start_controller(index);
         }
     }
-    c.request_until(
+    cluster.request_until(
         1,
         "POST",
         "/v2/runs",
         Some(job("wk-000004", "array", 4)),
-        |s, _| s == 201 || s == 200,
+        |status, _| status == 201 || status == 200,
     );
-    c.request_until(2, "GET", "/v2/runs/wk-000004", None, |_, v| {
-        v["mood"] == "done"
+    cluster.request_until(2, "GET", "/v2/runs/wk-000004", None, |_, body| {
+        body["mood"] == "done"
     });
-    c.request_until(1, "GET", "/v2/runs/wk-000001", None, running);
-    c.start_controller(0);
-    c.request_until(0, "GET", "/v2/runs/wk-000002", None, |s, v| {
-        s == 200 && v["mood"] == "done"
+    cluster.request_until(1, "GET", "/v2/runs/wk-000001", None, is_running);
+    cluster.start_controller(0);
+    cluster.request_until(0, "GET", "/v2/runs/wk-000002", None, |status, body| {
+        status == 200 && body["mood"] == "done"
     });
-    // A repeated submission is harmless, also after the end.
-    let again = c.client_request(0, "POST", "/v2/runs", Some(job("wk-000002", "array", 5)));
-    assert_eq!((again.0, again.1["mood"].as_str()), (200, Some("done")));
-    // Whatever its body says by now, at every controller: it is known.
+    // A repeated submission has no effect, even if the job has ended.
+    let repeated =
+        cluster.client_request(0, "POST", "/v2/runs", Some(job("wk-000002", "array", 5)));
+    assert_eq!(
+        (repeated.0, repeated.1["mood"].as_str()),
+        (200, Some("done"))
+    );
+    // The job is recognized by its id at every controller, although a new job with this body
+    // would be refused.
     let mut changed = job("wk-000002", "array", 5);
     changed["nest"] = "nobody".into();
     changed["cpus"] = 640.0.into();
-    for i in 0..3 {
-        c.request_until(i, "POST", "/v2/runs", Some(changed.clone()), |s, v| {
-            assert!(s == 200 || s == 503, "{s}");
-            v["mood"] == "done"
-        });
+    for index in 0..3 {
+        cluster.request_until(
+            index,
+            "POST",
+            "/v2/runs",
+            Some(changed.clone()),
+            |status, body| {
+                assert!(status == 200 || status == 503, "{status}");
+                body["mood"] == "done"
+            },
+        );
         let path = "/v2/runs/wk-000002/withdraw";
-        c.request_until(i, "POST", path, None, |s, v| {
-            s == 200 && v["mood"] == "done"
+        cluster.request_until(index, "POST", path, None, |status, body| {
+            status == 200 && body["mood"] == "done"
         });
     }
-    c.request_until(0, "POST", "/v2/runs/wk-000001/withdraw", None, |s, v| {
-        s == 200 && v["mood"] == "cancelled"
-    });
-    c.request_until(2, "GET", "/v2/runs/wk-000001", None, |s, v| {
-        s == 200 && v["mood"] == "cancelled"
+    cluster.request_until(
+        0,
+        "POST",
+        "/v2/runs/wk-000001/withdraw",
+        None,
+        |status, body| status == 200 && body["mood"] == "cancelled",
+    );
+    cluster.request_until(2, "GET", "/v2/runs/wk-000001", None, |status, body| {
+        status == 200 && body["mood"] == "cancelled"
     });
     let begin = Instant::now();
     loop {
-        let left: usize = {
-            let s = activity.lock().expect("activity");
-            s.machines_by_task
+        let running_replicas: usize = {
+            let activity = activity.lock().expect("an unpoisoned lock");
+            activity
+                .machines_by_task
                 .iter()
-                .filter(|(t, _)| t.starts_with("wk-000001/"))
-                .map(|(_, on)| on.len())
+                .filter(|(task, _)| task.starts_with("wk-000001/"))
+                .map(|(_, machines)| machines.len())
                 .sum()
         };
-        if left == 0 {
+        if running_replicas == 0 {
             break;
         }
         assert!(
             begin.elapsed() < WAIT_TIMEOUT,
-            "{left} replicas are left after the cancellation"
+            "{running_replicas} replicas still run after the cancellation"
         );
         std::thread::sleep(Duration::from_millis(100));
     }
-    let s = activity.lock().expect("activity");
+    let activity = activity.lock().expect("an unpoisoned lock");
     assert!(
-        s.ran_twice.is_empty(),
-        "on two machines at once: {:?}",
-        s.ran_twice
+        activity.ran_twice.is_empty(),
+        "tasks ran on two machines at once: {:?}",
+        activity.ran_twice
     );
-    assert!(s.starts >= 11);
+    assert!(activity.starts >= 11);
 }
 
-const NODES: usize = 5;
+/// The number of controllers in the test with many faults.
+const CONTROLLERS: usize = 5;
 
-fn submit(c: &Cluster, node: usize, jobs: &mut Vec<String>, job_kind: &str, tasks: u32) {
-    // Even ends complete by themselves.
-    let n = 2 * jobs.len() + if job_kind == "array" { 2 } else { 1 };
-    let id = format!("wk-{n:06}");
-    c.request_until(
-        node,
+/// Submits a job to a controller and adds its id to `jobs`.
+fn submit(cluster: &Cluster, index: usize, jobs: &mut Vec<String>, job_kind: &str, tasks: u32) {
+    // Tasks complete by themselves if the id of their job ends in an even digit.
+    let number = 2 * jobs.len() + if job_kind == "array" { 2 } else { 1 };
+    let id = format!("wk-{number:06}");
+    cluster.request_until(
+        index,
         "POST",
         "/v2/runs",
         Some(job(&id, job_kind, tasks)),
-        |s, _| s == 201 || s == 200,
+        |status, _| status == 201 || status == 200,
     );
     jobs.push(id);
 }
 
-/// Refused at once, and told when to come back: nothing is held back.
-fn refused_at_once(c: &Cluster, node: usize, id: &str) {
+/// Asserts that a controller refuses users' requests at once with a `Retry-After` header,
+/// instead of delaying its responses.
+fn assert_refused_at_once(cluster: &Cluster, index: usize, id: &str) {
     for (method, path, body) in [
         ("GET", format!("/v2/runs/{id}"), None),
         (
@@ -189,241 +223,317 @@
         ),
         ("POST", format!("/v2/runs/{id}/withdraw"), None),
     ] {
-        // An answer that were held back would come to nobody: the client
-        // waits no longer than users do.
-        let (status, _, retry) = c.client_request(node, method, &path, body);
+        // A delayed response would fail this: the client has a request timeout, as users have.
+        let (status, _, retry_after) = cluster.client_request(index, method, &path, body);
         assert_eq!(status, 503, "{method} {path}");
-        assert!(retry.is_some(), "{method} {path}: no Retry-After");
+        assert!(retry_after.is_some(), "{method} {path}: no Retry-After");
     }
 }
 
-/// Every node answers about every job.
-fn all_known(c: &Cluster, jobs: &[String]) {
-    for node in 0..NODES {
+/// Waits until each controller has reported the state of each job. Panics if one reports that
+/// a job is unknown.
+fn assert_all_jobs_known(cluster: &Cluster, jobs: &[String]) {
+    for index in 0..CONTROLLERS {
         for id in jobs {
-            c.request_until(node, "GET", &format!("/v2/runs/{id}"), None, |s, _| {
-                assert_ne!(s, 404, "{id} is forgotten at node {node}");
-                s == 200
-            });
+            cluster.request_until(
+                index,
+                "GET",
+                &format!("/v2/runs/{id}"),
+                None,
+                |status, _| {
+                    assert_ne!(status, 404, "controller {index} does not know {id}");
+                    status == 200
+                },
+            );
         }
     }
 }
 
+/// Guards against accepted jobs that become unknown: after each fault, users must be able to
+/// query every job at every controller.
 #[test]
-fn after_each_trouble_every_node_answers_about_every_job() {
+fn every_controller_reports_every_job_after_each_fault() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
-    let mut c = Cluster::start(NODES, "five", &activity);
+    let mut cluster = Cluster::start(CONTROLLERS, "five", &activity);
     let mut jobs = Vec::new();
-    for i in 0..NODES {
-        c.request_until(i, "GET", "/up", None, |s, _| s == 200);
+    for index in 0..CONTROLLERS {
+        cluster.request_until(index, "GET", "/up", None, |status, _| status == 200);
     }
-    for i in 0..NODES {
+    for index in 0..CONTROLLERS {
         submit(
-            &c,
-            i,
+            &cluster,
+            index,
             &mut jobs,
-            if i == 0 { "standing" } else { "array" },
+            if index == 0 { "standing" } else { "array" },
             3,
         );
     }
-    // One loses the key-value store and all others, but not its workers.
-    c.set_partitioned(1, true);
-    c.request_until(1, "GET", "/up", None, |s, _| s == 503);
-    refused_at_once(&c, 1, &jobs[0]);
-    // Some of these would be its own: it is fenced once none is told to stay.
+    // Controller 1 is partitioned from the key-value store and from the other controllers, but
+    // not from its workers.
+    cluster.set_partitioned(1, true);
+    cluster.request_until(1, "GET", "/up", None, |status, _| status == 503);
+    assert_refused_at_once(&cluster, 1, &jobs[0]);
+    // Controller 1 owns some of the 40 machine ids by their hash. Once it accepts no heartbeat
+    // of any of them, it is fenced.
     let begin = Instant::now();
-    let told_to_stay = |n: i32| {
-        let report = json!({"perch": format!("m-x{n}"), "address": "127.0.0.1:9", "breed": "box",
+    let heartbeat_accepted = |number: i32| {
+        let report = json!({"perch": format!("m-x{number}"), "address": "127.0.0.1:9", "breed": "box",
             "grove": "e", "windfall": false, "flight": 1, "chirp": begin.elapsed().as_millis() as u64,
             "crest": 0, "warning_s": null, "chicks": []});
-        ![421, 503].contains(&c.client_request(1, "POST", "/agent/beat", Some(report)).0)
+        ![421, 503].contains(
+            &cluster
+                .client_request(1, "POST", "/agent/beat", Some(report))
+                .0,
+        )
     };
-    while (0..40).any(told_to_stay) {
+    while (0..40).any(heartbeat_accepted) {
         assert!(
             begin.elapsed() < WAIT_TIMEOUT,
-            "a controller that is cut off keeps its workers"
+            "a partitioned controller still accepts heartbeats"
         );
         std::thread::sleep(Duration::from_millis(50));
     }
-    submit(&c, 2, &mut jobs, "array", 4);
-    c.set_partitioned(1, false);
-    c.request_until(1, "GET", "/up", None, |s, _| s == 200);
-    all_known(&c, &jobs);
-    // Back within a moment, several at once and again in the election.
-    for i in [0, 3, 0, 4, 3] {
-        c.kill_controller(i);
-        c.start_controller(i);
+    submit(&cluster, 2, &mut jobs, "array", 4);
+    cluster.set_partitioned(1, false);
+    cluster.request_until(1, "GET", "/up", None, |status, _| status == 200);
+    assert_all_jobs_known(&cluster, &jobs);
+    // Controllers are killed and restarted at once, in quick succession, two of them a second
+    // time while the cluster is still electing a leader.
+    for index in [0, 3, 0, 4, 3] {
+        cluster.kill_controller(index);
+        cluster.start_controller(index);
     }
-    submit(&c, 2, &mut jobs, "array", 3);
-    all_known(&c, &jobs);
-    // Nobody reaches the key-value store for longer than a member's lease.
-    c.set_store_outage(true);
+    submit(&cluster, 2, &mut jobs, "array", 3);
+    assert_all_jobs_known(&cluster, &jobs);
+    // The key-value store is unreachable for all controllers, for longer than a member lease.
+    cluster.set_store_outage(true);
     std::thread::sleep(Duration::from_secs(5));
-    refused_at_once(&c, 0, &jobs[0]);
-    c.set_store_outage(false);
-    submit(&c, 0, &mut jobs, "array", 2);
-    all_known(&c, &jobs);
-    // All at once.
-    (0..NODES).for_each(|i| c.kill_controller(i));
-    (0..NODES).for_each(|i| c.start_controller(i));
-    all_known(&c, &jobs);
-    // What was accepted runs to its end.
+    assert_refused_at_once(&cluster, 0, &jobs[0]);
+    cluster.set_store_outage(false);
+    submit(&cluster, 0, &mut jobs, "array", 2);
+    assert_all_jobs_known(&cluster, &jobs);
+    // All controllers are killed together and restarted.
+    (0..CONTROLLERS).for_each(|index| cluster.kill_controller(index));
+    (0..CONTROLLERS).for_each(|index| cluster.start_controller(index));
+    assert_all_jobs_known(&cluster, &jobs);
+    // All array jobs that were accepted run to completion.
     for id in jobs
         .iter()
         .filter(|id| id.ends_with(['0', '2', '4', '6', '8']))
     {
-        c.request_until(4, "GET", &format!("/v2/runs/{id}"), None, |_, v| {
-            v["mood"] == "done"
+        cluster.request_until(4, "GET", &format!("/v2/runs/{id}"), None, |_, body| {
+            body["mood"] == "done"
         });
     }
-    let running = |_: u16, v: &Value| v["mood"] == "running";
-    c.request_until(3, "GET", &format!("/v2/runs/{}", jobs[0]), None, running);
-    let s = activity.lock().expect("activity");
+    let is_running = |_: u16, body: &Value| body["mood"] == "running";
+    cluster.request_until(3, "GET", &format!("/v2/runs/{}", jobs[0]), None, is_running);
+    let activity = activity.lock().expect("an unpoisoned lock");
     assert!(
-        s.ran_twice.is_empty(),
-        "on two machines at once: {:?}",
-        s.ran_twice
+        activity.ran_twice.is_empty(),
+        "tasks ran on two machines at once: {:?}",
+        activity.ran_twice
     );
 }
 
-fn on(activity: &Mutex<WorkerActivity>, id: &str) -> usize {
-    let s = activity.lock().expect("activity");
-    s.machines_by_task
+/// Returns the number of a job's tasks that are running; a task that is on two machines counts
+/// twice.
+fn running_tasks(activity: &Mutex<WorkerActivity>, id: &str) -> usize {
+    let activity = activity.lock().expect("an unpoisoned lock");
+    activity
+        .machines_by_task
         .iter()
-        .filter(|(t, _)| t.starts_with(&format!("{id}/")))
-        .map(|(_, on)| on.len())
+        .filter(|(task, _)| task.starts_with(&format!("{id}/")))
+        .map(|(_, machines)| machines.len())
         .sum()
 }
 
-fn wait(what: &str, done: impl Fn() -> bool) {
+/// Waits until `condition` holds. Panics with `failure`, which says what did not happen, after
+/// [`WAIT_TIMEOUT`].
+fn wait_until(failure: &str, condition: impl Fn() -> bool) {
     let begin = Instant::now();
-    while !done() {
-        assert!(begin.elapsed() < WAIT_TIMEOUT, "{what}");
+    while !condition() {
+        assert!(begin.elapsed() < WAIT_TIMEOUT, "{failure}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// The key-value store refuses one controller alone, another confirms that a job is
-/// cancelled, and then nobody is answered. The outage lasts until every task is
-/// gone: once with all messages between controllers lost, so that only the
-/// age of knowledge and the workers' leases end them, once without.
+/// Guards against cancelled tasks that run on while the key-value store is unreachable.
+/// Controller 0 loses the store; another controller confirms the cancellation of a job; then
+/// no controller reaches the store until every task of the job has ended.
+///
+/// In the first round controller 0 is also partitioned from the other controllers: only the
+/// limit on the staleness of its cache, and then the expiry of the workers' leases, end the
+/// tasks on its machines. In the second round the others can notify it of the cancellation.
 #[test]
-fn tasks_are_gone_though_the_outage_after_their_cancellation_does_not_end() {
+fn cancelled_tasks_end_although_the_store_outage_continues() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
-    let c = Cluster::start(3, "gap", &activity);
-    (0..3).for_each(|i| c.request_until(i, "GET", "/up", None, |s, _| s == 200));
-    for (n, apart) in [(1, true), (3, false)] {
-        // A service for each node that may be refused: it owns some of the tasks.
-        let id = format!("wk-00000{n}");
-        c.request_until(
+    let cluster = Cluster::start(3, "gap", &activity);
+    (0..3).for_each(|index| {
+        cluster.request_until(index, "GET", "/up", None, |status, _| status == 200)
+    });
+    for (number, partitioned) in [(1, true), (3, false)] {
+        // Each round has a service of its own. Controller 0 should own some of its six
+        // replicas.
+        let id = format!("wk-00000{number}");
+        cluster.request_until(
             0,
             "POST",
             "/v2/runs",
             Some(job(&id, "standing", 6)),
-            |s, _| s == 201 || s == 200,
+            |status, _| status == 201 || status == 200,
         );
-        wait("the service runs", || on(&activity, &id) == 6);
-        let lapsed = activity.lock().expect("activity").killed_by_lease;
-        if apart {
-            c.set_partitioned(0, true);
+        wait_until("not all replicas of the service were started", || {
+            running_tasks(&activity, &id) == 6
+        });
+        let killed_before = activity.lock().expect("an unpoisoned lock").killed_by_lease;
+        if partitioned {
+            cluster.set_partitioned(0, true);
         } else {
-            c.set_store_unreachable(0, true);
+            cluster.set_store_unreachable(0, true);
         }
         let path = format!("/v2/runs/{id}/withdraw");
-        c.request_until(1, "POST", &path, None, |s, v| {
-            s == 200 && v["mood"] == "cancelled"
+        cluster.request_until(1, "POST", &path, None, |status, body| {
+            status == 200 && body["mood"] == "cancelled"
         });
-        c.set_store_outage(true);
-        wait("tasks of a cancelled job are left in the outage", || {
-            on(&activity, &id) == 0
-        });
-        c.set_store_outage(false);
-        c.set_partitioned(0, false);
-        for i in 0..3 {
-            c.request_until(i, "GET", &format!("/v2/runs/{id}"), None, |s, v| {
-                s == 200 && v["mood"] == "cancelled"
-            });
+        cluster.set_store_outage(true);
+        wait_until(
+            "tasks of the cancelled job still run during the store outage",
+            || running_tasks(&activity, &id) == 0,
+        );
+        cluster.set_store_outage(false);
+        cluster.set_partitioned(0, false);
+        for index in 0..3 {
+            cluster.request_until(
+                index,
+                "GET",
+                &format!("/v2/runs/{id}"),
+                None,
+                |status, body| status == 200 && body["mood"] == "cancelled",
+            );
         }
-        assert!(!apart || activity.lock().expect("activity").killed_by_lease >= lapsed);
+        assert!(
+            !partitioned
+                || activity.lock().expect("an unpoisoned lock").killed_by_lease >= killed_before
+        );
     }
-    assert!(activity.lock().expect("activity").ran_twice.is_empty());
+    assert!(activity
+        .lock()
+        .expect("an unpoisoned lock")
+        .ran_twice
+        .is_empty());
 }
 
-/// Jobs are called off at about the moment when their last task ends, asked for
-/// and submitted again, at different controllers, while every third transaction
-/// is carried out seconds late: each has one end, and all answers agree with it.
+/// Guards against jobs with contradictory final states. Jobs are cancelled at about the moment
+/// when their last task completes, then queried and submitted again at different controllers,
+/// while the store carries out every third transaction seconds late. Each job must have one
+/// final state, and all responses must agree with it.
 #[test]
-fn a_cancellation_at_the_end_and_late_transactions_leave_one_final_state() {
+fn cancellations_racing_with_completion_and_late_commits_leave_one_final_state() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
-    let c = Cluster::start(3, "late", &activity);
-    (0..3).for_each(|i| c.request_until(i, "GET", "/up", None, |s, _| s == 200));
-    c.delay_commits.store(true, Ordering::SeqCst);
-    let ends: Vec<(String, BTreeSet<String>)> = std::thread::scope(|scope| {
+    let cluster = Cluster::start(3, "late", &activity);
+    (0..3).for_each(|index| {
+        cluster.request_until(index, "GET", "/up", None, |status, _| status == 200)
+    });
+    cluster.delay_commits.store(true, Ordering::SeqCst);
+    let outcomes: Vec<(String, BTreeSet<String>)> = std::thread::scope(|scope| {
         let users: Vec<_> = (0..8usize)
-            .map(|n| {
-                let (c, activity) = (&c, &activity);
+            .map(|number| {
+                let (cluster, activity) = (&cluster, &activity);
                 scope.spawn(move || {
-                    let id = format!("wk-1{n:03}2");
-                    let (at, other) = (n % 3, (n + 1) % 3);
+                    let id = format!("wk-1{number:03}2");
+                    let (submit_index, cancel_index) = (number % 3, (number + 1) % 3);
                     let body = job(&id, "array", 2);
-                    let known = |s: u16| s == 201 || s == 200;
-                    c.request_until(at, "POST", "/v2/runs", Some(body.clone()), |s, _| known(s));
-                    wait("it begins", || {
-                        on(activity, &id) > 0
+                    let is_accepted = |status: u16| status == 201 || status == 200;
+                    cluster.request_until(
+                        submit_index,
+                        "POST",
+                        "/v2/runs",
+                        Some(body.clone()),
+                        |status, _| is_accepted(status),
+                    );
+                    wait_until("no task of the job was started", || {
+                        running_tasks(activity, &id) > 0
                             || activity
                                 .lock()
-                                .expect("activity")
+                                .expect("an unpoisoned lock")
                                 .completed
                                 .iter()
-                                .any(|t| t.starts_with(&id))
+                                .any(|task| task.starts_with(&id))
                     });
-                    std::thread::sleep(Duration::from_millis(1100 + 150 * n as u64));
-                    let told = Mutex::new(BTreeSet::new());
-                    let hear = |s: u16, v: &Value| {
-                        let mood = v["mood"].as_str().unwrap_or_default().to_string();
-                        let last = s == 200 && (mood == "done" || mood == "cancelled");
-                        if last {
-                            told.lock().expect("told").insert(mood);
+                    std::thread::sleep(Duration::from_millis(1100 + 150 * number as u64));
+                    let final_states = Mutex::new(BTreeSet::new());
+                    let record_final_state = |status: u16, body: &Value| {
+                        let state = body["mood"].as_str().unwrap_or_default().to_string();
+                        let is_final = status == 200 && (state == "done" || state == "cancelled");
+                        if is_final {
+                            final_states
+                                .lock()
+                                .expect("an unpoisoned lock")
+                                .insert(state);
                         }
-                        last
+                        is_final
                     };
                     let path = format!("/v2/runs/{id}");
-                    c.request_until(other, "POST", &format!("{path}/withdraw"), None, hear);
-                    for i in 0..3 {
-                        c.request_until(i, "POST", "/v2/runs", Some(body.clone()), hear);
-                        c.request_until(i, "GET", &path, None, hear);
+                    cluster.request_until(
+                        cancel_index,
+                        "POST",
+                        &format!("{path}/withdraw"),
+                        None,
+                        record_final_state,
+                    );
+                    for index in 0..3 {
+                        cluster.request_until(
+                            index,
+                            "POST",
+                            "/v2/runs",
+                            Some(body.clone()),
+                            record_final_state,
+                        );
+                        cluster.request_until(index, "GET", &path, None, record_final_state);
                     }
-                    (id, told.into_inner().expect("told"))
+                    (id, final_states.into_inner().expect("an unpoisoned lock"))
                 })
             })
             .collect();
         users
             .into_iter()
-            .map(|u| u.join().expect("a user"))
+            .map(|user| user.join().expect("a finished user thread"))
             .collect()
     });
-    // What was late has been carried out by then.
+    // After this time, all late transactions have been carried out.
     std::thread::sleep(Duration::from_secs(3));
-    c.delay_commits.store(false, Ordering::SeqCst);
-    for (id, told) in &ends {
-        assert_eq!(told.len(), 1, "{id} was told {told:?}");
-        for i in 0..3 {
-            let (_, v, _) = c.client_request(i, "GET", &format!("/v2/runs/{id}"), None);
-            let again = v["mood"].as_str().unwrap_or_default().to_string();
+    cluster.delay_commits.store(false, Ordering::SeqCst);
+    for (id, final_states) in &outcomes {
+        assert_eq!(
+            final_states.len(),
+            1,
+            "responses contradict each other on the final state of {id}: {final_states:?}"
+        );
+        for index in 0..3 {
+            let (_, body, _) =
+                cluster.client_request(index, "GET", &format!("/v2/runs/{id}"), None);
+            let current_state = body["mood"].as_str().unwrap_or_default().to_string();
             assert!(
-                v.is_null() || told.contains(&again),
-                "{id} was {told:?} and is {again}"
+                body.is_null() || final_states.contains(&current_state),
+                "the final state of {id} has changed from {final_states:?} to {current_state}"
             );
         }
-        if told.contains("done") {
-            let s = activity.lock().expect("activity");
-            let completed = s
+        if final_states.contains("done") {
+            let activity = activity.lock().expect("an unpoisoned lock");
+            let completed = activity
                 .completed
                 .iter()
-                .filter(|t| t.starts_with(&format!("{id}/")))
+                .filter(|task| task.starts_with(&format!("{id}/")))
                 .count();
-            assert_eq!(completed, 2, "{id} is called done");
+            assert_eq!(
+                completed, 2,
+                "{id} is done, but not all of its tasks have completed"
+            );
         }
     }
-    assert!(activity.lock().expect("activity").ran_twice.is_empty());
+    assert!(activity
+        .lock()
+        .expect("an unpoisoned lock")
+        .ran_twice
+        .is_empty());
 }
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -1,11 +1,12 @@
-//! Three controllers as real processes, fifty stand-in workers, services, arrays and a
-//! gang. All controllers are killed at one instant and come back, after less and less
-//! short a while and in ways that get worse. Seen from the workers: nothing is started
-//! twice, nothing healthy is stopped, no machine in use is deleted, and no order is
-//! given that the controllers' records don't account for.
+//! Three controllers as real processes and about fifty stand-in workers run services, arrays
+//! and a gang. All controllers are killed at once and restarted, several times: each time
+//! after a longer downtime and with other faults. The activity of the workers must show that
+//! no task is started twice or stopped, and that no machine in use is deleted. The
+//! controllers' restart records must show that all running tasks were adopted, and that none
+//! was stopped or found in conflict with an assignment.
 //!
-//! No time is measured: on a machine so slow that a lease runs out, what was killed by
-//! that may be started again, and only that.
+//! The tests measure no durations. On a machine so slow that a worker's lease expires, the
+//! tasks that the worker killed may be started again, but no others.
 
 mod common;
 
@@ -16,9 +17,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-const NODES: usize = 3;
-/// Replicas and tasks that stay: services, a gang, arrays whose ids end in an odd digit.
-const STAYING: [(&str, &str, u32); 5] = [
+/// The number of controllers.
+const CONTROLLERS: usize = 3;
+/// Jobs whose tasks do not complete by themselves, as their ids end in an odd digit: id, kind
+/// and number of tasks.
+const LONG_RUNNING_JOBS: [(&str, &str, u32); 5] = [
     ("wk-000001", "standing", 66),
     ("wk-000003", "standing", 50),
     ("wk-000005", "ensemble", 8),
@@ -26,135 +29,175 @@
     ("wk-000009", "array", 17),
 ];
 
-/// What the workers had seen before all controllers were killed.
-struct Before {
-    starts_of: BTreeMap<String, u32>,
-    lapsed: u32,
-    /// While the first controllers come one after the other, a gang may begin twice.
+/// What the workers had done before all controllers were killed.
+struct ActivityBefore {
+    /// The number of starts of each task.
+    starts_by_task: BTreeMap<String, u32>,
+    /// The number of tasks that were killed because their worker's lease expired.
+    killed_by_lease: u32,
+    /// The number of tasks that were stopped. It need not be 0: a gang may be started twice
+    /// while the controllers join the cluster one after the other.
     stopped: usize,
+    /// The number of machines that were deleted while tasks ran on them.
     deleted_in_use: usize,
-    tasks: usize,
+    /// The number of tasks of the long-running jobs that are on a machine.
+    running_tasks: usize,
 }
 
-impl Before {
-    fn now(activity: &Mutex<WorkerActivity>) -> Before {
-        let tasks = running_tasks(activity, &STAYING);
+impl ActivityBefore {
+    /// Records the activity up to now.
+    fn now(activity: &Mutex<WorkerActivity>) -> ActivityBefore {
+        let running_tasks = running_tasks(activity, &LONG_RUNNING_JOBS);
         let activity = lock(activity);
-        Before {
-            starts_of: activity.starts_by_task.clone(),
-            lapsed: activity.killed_by_lease,
+        ActivityBefore {
+            starts_by_task: activity.starts_by_task.clone(),
+            killed_by_lease: activity.killed_by_lease,
             stopped: activity.stopped.len(),
             deleted_in_use: activity.deleted_in_use.len(),
-            tasks,
+            running_tasks,
         }
     }
 
-    /// Nothing was started again but what a lease had killed, nothing was stopped, and
-    /// nothing in use was deleted.
-    fn check(&self, activity: &Mutex<WorkerActivity>, when: &str) {
+    /// Asserts that no task ran on two machines at once. Asserts that, since then, no more
+    /// tasks were started again than were killed by an expired lease, no task was stopped, and
+    /// no machine in use was deleted. `when` names the phase of the test in failure messages.
+    fn assert_undisturbed(&self, activity: &Mutex<WorkerActivity>, when: &str) {
         let activity = lock(activity);
-        let again: u32 = activity
+        let starts: u32 = activity
             .starts_by_task
             .iter()
-            .map(|(task, n)| n - self.starts_of.get(task).copied().unwrap_or(0).min(*n))
-            .filter(|n| *n > 0)
+            .map(|(task, count)| {
+                count
+                    - self
+                        .starts_by_task
+                        .get(task)
+                        .copied()
+                        .unwrap_or(0)
+                        .min(*count)
+            })
+            .filter(|starts| *starts > 0)
             .sum();
-        let new = activity
+        let first_starts = activity
             .starts_by_task
             .keys()
-            .filter(|task| !self.starts_of.contains_key(*task))
+            .filter(|task| !self.starts_by_task.contains_key(*task))
             .count() as u32;
-        let lapsed = activity.killed_by_lease - self.lapsed;
+        let killed = activity.killed_by_lease - self.killed_by_lease;
         assert!(
-            again <= new + lapsed,
-            "{when}: {again} starts, {new} of them first, {lapsed} killed by leases"
+            starts <= first_starts + killed,
+            "{when}: {starts} starts, but only {first_starts} new tasks and {killed} tasks killed by an \
+             expired lease"
         );
         assert_eq!(
             activity.ran_twice, [""; 0],
-            "{when}: on two machines at once"
+            "{when}: tasks ran on two machines at once"
+        );
+        assert_eq!(
+            activity.stopped[self.stopped..],
+            [""; 0],
+            "{when}: tasks were stopped"
         );
-        assert_eq!(activity.stopped[self.stopped..], [""; 0], "{when}: stopped");
         let deleted = &activity.deleted_in_use[self.deleted_in_use..];
-        assert_eq!(deleted, [""; 0], "{when}: deleted with tasks on them");
+        assert_eq!(
+            deleted, [""; 0],
+            "{when}: machines were deleted while tasks ran on them"
+        );
     }
 }
 
-/// Waits until the controllers' records say that nothing is in doubt, and compares them
-/// with what the workers saw.
-fn check_records(c: &Cluster, before: &Before, when: &str) {
-    let records = || {
-        (0..NODES)
-            .map(|i| c.operator_get(i, "/restart"))
+/// Waits until the controllers report that all machines and tasks are reconciled. Asserts that
+/// their restart records list an adoption for each task that ran before, and neither a stop
+/// nor a conflict. `when` names the phase of the test in failure messages.
+fn assert_restart_records(cluster: &Cluster, before: &ActivityBefore, when: &str) {
+    let read_records = || {
+        (0..CONTROLLERS)
+            .map(|index| cluster.operator_get(index, "/restart"))
             .collect::<Vec<Value>>()
     };
-    wait_until("doubt remains", || {
-        let all = records();
-        let leader = all.iter().find(|r| r["leader"].is_object());
-        leader
-            .is_some_and(|r| r["leader"]["resolved"] == true && r["leader"]["tasks_in_doubt"] == 0)
-            && all
-                .iter()
-                .all(|r| r["machines"]["certain_after_s"].is_number())
+    wait_until("not all machines and tasks are reconciled", || {
+        let records = read_records();
+        let leader = records.iter().find(|record| record["leader"].is_object());
+        leader.is_some_and(|record| {
+            record["leader"]["resolved"] == true && record["leader"]["tasks_in_doubt"] == 0
+        }) && records
+            .iter()
+            .all(|record| record["machines"]["certain_after_s"].is_number())
     });
-    let all = records();
-    let sum = |path: &str| -> u64 { all.iter().filter_map(|r| r.pointer(path)?.as_u64()).sum() };
-    let verdicts = |name: &str| -> u64 {
-        let of = |r: &Value| {
-            r["machines"]["verdicts"]
+    let records = read_records();
+    let sum_of = |path: &str| -> u64 {
+        records
+            .iter()
+            .filter_map(|record| record.pointer(path)?.as_u64())
+            .sum()
+    };
+    let verdict_count = |name: &str| -> u64 {
+        let counts = |record: &Value| {
+            record["machines"]["verdicts"]
                 .as_array()
                 .cloned()
                 .unwrap_or_default()
         };
-        let named = all.iter().flat_map(of).filter(|v| v["verdict"] == name);
-        named.filter_map(|v| v["count"].as_u64()).sum()
+        let with_name = records
+            .iter()
+            .flat_map(counts)
+            .filter(|entry| entry["verdict"] == name);
+        with_name.filter_map(|entry| entry["count"].as_u64()).sum()
     };
-    let adopted = verdicts("adopt");
+    let adopted = verdict_count("adopt");
     assert!(
-        adopted >= before.tasks as u64,
-        "{when}: {adopted} adopted of {}",
-        before.tasks
+        adopted >= before.running_tasks as u64,
+        "{when}: only {adopted} of {} running tasks were adopted",
+        before.running_tasks
     );
-    let stops: u64 = all
+    let stops: u64 = records
         .iter()
-        .filter_map(|r| r.pointer("/machines/orders/stops")?.as_object().cloned())
+        .filter_map(|record| {
+            record
+                .pointer("/machines/orders/stops")?
+                .as_object()
+                .cloned()
+        })
         .flat_map(|stops| {
             stops
                 .into_values()
-                .filter_map(|n| n.as_u64())
+                .filter_map(|count| count.as_u64())
                 .collect::<Vec<_>>()
         })
         .sum();
     assert_eq!(
-        (stops, verdicts("conflict"), verdicts("stop")),
+        (stops, verdict_count("conflict"), verdict_count("stop")),
         (0, 0, 0),
-        "{when}: {all:?}"
+        "{when}: stop commands, conflicts or verdicts to stop a task in {records:?}"
     );
-    let certain = all
+    let reconciled_after_s = records
         .iter()
-        .filter_map(|r| r["machines"]["certain_after_s"].as_f64())
+        .filter_map(|record| record["machines"]["certain_after_s"].as_f64())
         .fold(0.0, f64::max);
     println!(
-        "{when}: {} tasks, {adopted} adopted, {} questions, {} starts, {stops} stops, {} reaps; no machine in \
-         doubt after {certain:.2} s",
-        before.tasks,
-        sum("/machines/orders/questions"),
-        sum("/machines/orders/starts"),
-        sum("/machines/orders/reaps"),
+        "{when}: {} running tasks, {adopted} adopted, {} probes, {} starts, {stops} stops, {} forget \
+         commands; all machines reconciled after {reconciled_after_s:.2} s",
+        before.running_tasks,
+        sum_of("/machines/orders/questions"),
+        sum_of("/machines/orders/starts"),
+        sum_of("/machines/orders/reaps"),
     );
 }
 
-fn accepted(c: &Cluster, node: usize, id: &str, job_kind: &str, tasks: u32) {
-    c.request_until(
-        node,
+/// Submits a job to a controller until it is accepted.
+fn submit(cluster: &Cluster, index: usize, id: &str, job_kind: &str, tasks: u32) {
+    cluster.request_until(
+        index,
         "POST",
         "/v2/runs",
         Some(job(id, job_kind, tasks)),
-        |s, _| s == 201 || s == 200,
+        |status, _| status == 201 || status == 200,
     );
 }
 
+/// Guards against controllers that start tasks again, stop them or delete their machines after
+/// a restart without state, when they do not know yet what runs where.
 #[test]
-fn all_controllers_go_down_together_and_running_work_is_trusted() {
+fn running_tasks_are_adopted_after_a_restart_of_all_controllers() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
     let options = ClusterOptions {
         report_s: 3.0,
@@ -162,83 +205,94 @@
         team_cpus: 260,
         feature_files: vec!["deploy/cold-restart.toml"],
     };
-    let mut c = Cluster::start_with(NODES, "cold", &activity, options);
-    (0..NODES).for_each(|i| c.request_until(i, "GET", "/up", None, |s, _| s == 200));
-    for (n, (id, job_kind, tasks)) in STAYING.into_iter().enumerate() {
-        accepted(&c, n % NODES, id, job_kind, tasks);
+    let mut cluster = Cluster::start_with(CONTROLLERS, "cold", &activity, options);
+    (0..CONTROLLERS).for_each(|index| {
+        cluster.request_until(index, "GET", "/up", None, |status, _| status == 200)
+    });
+    for (number, (id, job_kind, tasks)) in LONG_RUNNING_JOBS.into_iter().enumerate() {
+        submit(&cluster, number % CONTROLLERS, id, job_kind, tasks);
     }
-    let all: u32 = STAYING.iter().map(|job| job.2).sum();
-    wait_until("all of it runs", || {
-        running_tasks(&activity, &STAYING) == all as usize
+    let total_tasks: u32 = LONG_RUNNING_JOBS.iter().map(|job| job.2).sum();
+    wait_until("not all tasks run", || {
+        running_tasks(&activity, &LONG_RUNNING_JOBS) == total_tasks as usize
     });
-    for (n, away_s) in [0.3, 5.0, 13.0].into_iter().enumerate() {
-        // Some of it ends while nobody is there.
-        let short = format!("wk-00{n}002");
-        accepted(&c, n, &short, "array", 12);
-        wait_until("some of it begins", || {
+    for (round, downtime_s) in [0.3, 5.0, 13.0].into_iter().enumerate() {
+        // The tasks of this job complete by themselves, some of them while no controller runs.
+        let short_job = format!("wk-00{round}002");
+        submit(&cluster, round, &short_job, "array", 12);
+        wait_until("no task of the short job was started", || {
             lock(&activity)
                 .starts_by_task
                 .keys()
-                .any(|task| task.starts_with(&short))
+                .any(|task| task.starts_with(&short_job))
         });
-        let before = Before::now(&activity);
-        let when = format!("away for {away_s} s");
-        (0..NODES).for_each(|i| c.kill_controller(i));
-        std::thread::sleep(Duration::from_secs_f64(away_s));
-        // The second time they go again while they reconcile, the third time the state
-        // service is away when they come, and one of them comes later.
-        c.set_store_outage(n == 2);
-        (0..NODES - usize::from(n == 2)).for_each(|i| c.start_controller(i));
-        if n == 1 {
+        let before = ActivityBefore::now(&activity);
+        let when = format!("after a downtime of {downtime_s} s");
+        (0..CONTROLLERS).for_each(|index| cluster.kill_controller(index));
+        std::thread::sleep(Duration::from_secs_f64(downtime_s));
+        // In the second round the controllers are killed again while they reconcile. In the
+        // third the key-value store is unreachable when they restart, and one of them restarts
+        // later than the others.
+        cluster.set_store_outage(round == 2);
+        (0..CONTROLLERS - usize::from(round == 2))
+            .for_each(|index| cluster.start_controller(index));
+        if round == 1 {
             std::thread::sleep(Duration::from_millis(700));
-            (0..NODES).for_each(|i| c.kill_controller(i));
-            (0..NODES).for_each(|i| c.start_controller(i));
+            (0..CONTROLLERS).for_each(|index| cluster.kill_controller(index));
+            (0..CONTROLLERS).for_each(|index| cluster.start_controller(index));
         }
-        if n == 2 {
+        if round == 2 {
             std::thread::sleep(Duration::from_secs(2));
-            c.set_store_outage(false);
-            c.request_until(0, "GET", "/up", None, |s, _| s == 200);
-            c.start_controller(2);
+            cluster.set_store_outage(false);
+            cluster.request_until(0, "GET", "/up", None, |status, _| status == 200);
+            cluster.start_controller(2);
         }
-        c.request_until(n, "GET", &format!("/v2/runs/{short}"), None, |_, v| {
-            v["mood"] == "done"
-        });
-        wait_until("the rest runs", || {
-            running_tasks(&activity, &STAYING) == all as usize
+        cluster.request_until(
+            round,
+            "GET",
+            &format!("/v2/runs/{short_job}"),
+            None,
+            |_, body| body["mood"] == "done",
+        );
+        wait_until("not all tasks of the long-running jobs run", || {
+            running_tasks(&activity, &LONG_RUNNING_JOBS) == total_tasks as usize
         });
-        check_records(&c, &before, &when);
-        before.check(&activity, &when);
+        assert_restart_records(&cluster, &before, &when);
+        before.assert_undisturbed(&activity, &when);
     }
 }
 
-/// A record that nobody can read belongs to a job that was accepted: it is neither
-/// unknown nor accepted again, and an operator is told of it.
+/// An invalid record under a job's key proves that the job was once accepted. The job must be
+/// neither reported as unknown nor accepted again, and the record must be listed for
+/// operators.
 #[test]
-fn a_job_whose_record_can_not_be_read_is_not_called_unknown() {
+fn a_job_with_an_invalid_record_is_not_reported_as_unknown() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
     let options = ClusterOptions {
         feature_files: vec!["deploy/cold-restart.toml"],
         ..ClusterOptions::default()
     };
-    let c = Cluster::start_with(1, "scribble", &activity, options);
-    c.request_until(0, "GET", "/up", None, |s, _| s == 200);
-    c.write_to_store("fw/j/wk-000033", "scribble".into());
-    let left_alone =
-        || c.operator_get(0, "/restart")["records_left_alone"][0]["key"] == "fw/j/wk-000033";
-    wait_until("it is not named", left_alone);
+    let cluster = Cluster::start_with(1, "scribble", &activity, options);
+    cluster.request_until(0, "GET", "/up", None, |status, _| status == 200);
+    cluster.write_to_store("fw/j/wk-000033", "scribble".into());
+    let is_listed =
+        || cluster.operator_get(0, "/restart")["records_left_alone"][0]["key"] == "fw/j/wk-000033";
+    wait_until("the invalid record is not listed", is_listed);
     for (method, path, body) in [
         ("GET", "/v2/runs/wk-000033", None),
         ("POST", "/v2/runs/wk-000033/withdraw", None),
         ("POST", "/v2/runs", Some(job("wk-000033", "array", 1))),
     ] {
-        let (status, _, retry) = c.client_request(0, method, path, body);
+        let (status, _, retry_after) = cluster.client_request(0, method, path, body);
         assert!(
-            status == 503 && retry.is_some(),
+            status == 503 && retry_after.is_some(),
             "{method} {path}: {status}"
         );
     }
     assert_eq!(
-        c.client_request(0, "GET", "/v2/runs/wk-000034", None).0,
+        cluster
+            .client_request(0, "GET", "/v2/runs/wk-000034", None)
+            .0,
         404
     );
 }
--- a/tests/shared_machines.rs
+++ b/tests/shared_machines.rs
@@ -1,9 +1,11 @@
-//! Three controllers as real processes, stand-in workers, services, arrays and a gang;
-//! shares of the machines move there and back all the time, while a controller is killed
-//! and another is cut off. Seen from the workers: no job lost, none run twice, nothing
-//! stopped; at the end no machine without an owner, and none with two.
+//! Three controllers as real processes, with stand-in workers, transfer hash ranges of
+//! machines to each other. In the longest test services, an array and a gang run meanwhile,
+//! and controllers are killed or partitioned during transfers. The activity of the workers
+//! must show that no job is lost, no task runs on two machines and no task is stopped. At the
+//! end each machine must have exactly one owner.
 //!
-//! In CI it takes a few dozen moves; `MOVE_SHARES_FOR_S` makes it go on for longer.
+//! By default that test makes a few dozen transfers; `MOVE_SHARES_FOR_S` sets a minimum
+//! duration in seconds.
 
 mod common;
 
@@ -18,75 +20,98 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const NODES: usize = 3;
-const STAYING: [(&str, &str, u32); 3] = [
+/// The number of controllers.
+const CONTROLLERS: usize = 3;
+/// Jobs whose tasks do not complete by themselves, as their ids end in an odd digit: id, kind
+/// and number of tasks.
+const LONG_RUNNING_JOBS: [(&str, &str, u32); 3] = [
     ("wk-000001", "standing", 30),
     ("wk-000003", "ensemble", 4),
     ("wk-000005", "array", 26),
 ];
-/// Moves that must have ended well in the short form.
-const LEAST_MOVES: u64 = 12;
+/// The number of transfers that must complete in the first three rounds.
+const MIN_TRANSFERS: u64 = 12;
 
-/// The leader, and what it says of the shares.
-fn leader(c: &Cluster) -> Option<(usize, Value)> {
-    (0..c.client_addresses.len())
-        .map(|i| (i, c.operator_get(i, "/shares")))
+/// Returns the index of the leader and its report on the shard map; `None` if no controller
+/// reports that it leads.
+fn leader_report(cluster: &Cluster) -> Option<(usize, Value)> {
+    (0..cluster.client_addresses.len())
+        .map(|index| (index, cluster.operator_get(index, "/shares")))
         .find(|(_, report)| report["leader"].is_object())
 }
 
-/// What ended well since the present leader's process began.
-fn owned(c: &Cluster) -> u64 {
-    leader(c)
+/// Returns the number of transfers completed since the process of the current leader started;
+/// 0 if there is no leader.
+fn completed_transfers(cluster: &Cluster) -> u64 {
+    leader_report(cluster)
         .and_then(|(_, report)| report["leader"]["ended"]["owned"].as_u64())
         .unwrap_or(0)
 }
 
-/// Operators have some machines moved, in a plan of their own.
-fn move_some(c: &Cluster, rng: &mut StdRng) {
-    let from = rng.gen_range(0..NODES);
-    let to = (from + rng.gen_range(1..NODES)) % NODES;
+/// Sends the leader an operators' plan that moves up to 11 machines between two random
+/// controllers.
+fn post_random_plan(cluster: &Cluster, rng: &mut StdRng) {
+    let from = rng.gen_range(0..CONTROLLERS);
+    let to = (from + rng.gen_range(1..CONTROLLERS)) % CONTROLLERS;
     let plan = json!({"moves": [{"from": format!("n{from}"), "to": format!("n{to}"), "machines": rng.gen_range(1..12)}]});
-    if let Some((i, _)) = leader(c) {
-        c.operator_post(i, "/shares/plan", &plan);
+    if let Some((index, _)) = leader_report(cluster) {
+        cluster.operator_post(index, "/shares/plan", &plan);
     }
 }
 
-/// Starts beyond the first of each task, stops, and deletions in use, so far. While the
-/// first controllers come one after the other, a gang may begin twice.
-fn counts(activity: &Mutex<WorkerActivity>) -> (u32, usize, usize, u32) {
+/// Returns the numbers of repeated starts of tasks, of stopped tasks, of deletions of machines
+/// in use and of tasks killed by an expired lease so far.
+///
+/// Tests compare two counts instead of expecting zero, since a gang may be started twice while
+/// the controllers join the cluster one after the other.
+fn disruption_counts(activity: &Mutex<WorkerActivity>) -> (u32, usize, usize, u32) {
     let activity = lock(activity);
-    let again = activity.starts_by_task.values().map(|n| n - 1).sum();
+    let restarts = activity
+        .starts_by_task
+        .values()
+        .map(|starts| starts - 1)
+        .sum();
     (
-        again,
+        restarts,
         activity.stopped.len(),
         activity.deleted_in_use.len(),
         activity.killed_by_lease,
     )
 }
 
-/// Since then nothing was stopped, deleted in use, or started again but what a lease had
-/// killed.
-fn check(activity: &Mutex<WorkerActivity>, before: (u32, usize, usize, u32)) {
-    let (again, stopped, deleted, lapsed) = counts(activity);
+/// Asserts that no task ran on two machines at once. Asserts that, since the counts `before`
+/// were taken, no task was stopped, no machine in use was deleted, and no more tasks were
+/// started again than were killed by an expired lease.
+fn assert_undisturbed(activity: &Mutex<WorkerActivity>, before: (u32, usize, usize, u32)) {
+    let (restarts, stopped, deleted, killed) = disruption_counts(activity);
     let activity = lock(activity);
-    assert_eq!(activity.ran_twice, [""; 0], "on two machines at once");
-    assert_eq!(stopped, before.1, "stopped: {:?}", activity.stopped);
+    assert_eq!(
+        activity.ran_twice, [""; 0],
+        "tasks ran on two machines at once"
+    );
+    assert_eq!(
+        stopped, before.1,
+        "tasks were stopped: {:?}",
+        activity.stopped
+    );
     assert_eq!(
         deleted, before.2,
-        "deleted with tasks on them: {:?}",
+        "machines were deleted while tasks ran on them: {:?}",
         activity.deleted_in_use
     );
-    let (again, lapsed) = (again - before.0, lapsed - before.3);
+    let (restarts, killed) = (restarts - before.0, killed - before.3);
     assert!(
-        again <= lapsed,
-        "{again} started again, {lapsed} killed by leases"
+        restarts <= killed,
+        "{restarts} repeated starts, but only {killed} tasks killed by an expired lease"
     );
 }
 
+/// Guards against tasks that are lost, stopped or started twice by a transfer of their machine
+/// to another controller, also if a controller crashes or is partitioned during the transfer.
 #[test]
-fn shares_move_while_work_runs_and_nothing_is_lost_or_run_twice() {
+fn transfers_lose_no_task_and_run_none_twice_despite_crashes_and_partitions() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
-    let with = vec![
+    let feature_files = vec![
         "deploy/cold-restart.toml",
         "tests/fixtures/shares-that-move.toml",
     ];
@@ -94,111 +119,129 @@
         report_s: 3.0,
         lease_s: 30,
         team_cpus: 120,
-        feature_files: with,
+        feature_files,
     };
-    let mut c = Cluster::start_with(NODES, "shares", &activity, options);
-    (0..NODES).for_each(|i| c.request_until(i, "GET", "/up", None, |s, _| s == 200));
-    for (n, (id, job_kind, tasks)) in STAYING.into_iter().enumerate() {
-        c.request_until(
-            n % NODES,
+    let mut cluster = Cluster::start_with(CONTROLLERS, "shares", &activity, options);
+    (0..CONTROLLERS).for_each(|index| {
+        cluster.request_until(index, "GET", "/up", None, |status, _| status == 200)
+    });
+    for (number, (id, job_kind, tasks)) in LONG_RUNNING_JOBS.into_iter().enumerate() {
+        cluster.request_until(
+            number % CONTROLLERS,
             "POST",
             "/v2/runs",
             Some(job(id, job_kind, tasks)),
-            |s, _| s == 201 || s == 200,
+            |status, _| status == 201 || status == 200,
         );
     }
-    let all: u32 = STAYING.iter().map(|job| job.2).sum();
-    wait_until("all of it runs", || {
-        running_tasks(&activity, &STAYING) == all as usize
+    let total_tasks: u32 = LONG_RUNNING_JOBS.iter().map(|job| job.2).sum();
+    wait_until("not all tasks run", || {
+        running_tasks(&activity, &LONG_RUNNING_JOBS) == total_tasks as usize
     });
-    wait_until("nobody goes by the table", || {
-        leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
+    wait_until("the shard map is not in use", || {
+        leader_report(&cluster).is_some_and(|(_, report)| report["in_use"] == true)
     });
-    let before = counts(&activity);
+    let before = disruption_counts(&activity);
     let mut rng = StdRng::seed_from_u64(24);
-    let for_s: u64 = std::env::var("MOVE_SHARES_FOR_S")
+    let min_duration_s: u64 = std::env::var("MOVE_SHARES_FOR_S")
         .ok()
-        .and_then(|s| s.parse().ok())
+        .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    let (begin, mut moves, mut rounds) = (Instant::now(), 0, 0);
-    while rounds < 3 || begin.elapsed() < Duration::from_secs(for_s) {
-        // Work that ends comes and goes meanwhile.
-        let short = format!("wk-{:06}", 100 + 2 * rounds);
-        c.request_until(
-            rounds % NODES,
+    let (begin, mut transfers, mut rounds) = (Instant::now(), 0, 0);
+    while rounds < 3 || begin.elapsed() < Duration::from_secs(min_duration_s) {
+        // Each round submits a job whose tasks complete by themselves, as its id ends in an
+        // even digit.
+        let short_job = format!("wk-{:06}", 100 + 2 * rounds);
+        cluster.request_until(
+            rounds % CONTROLLERS,
             "POST",
             "/v2/runs",
-            Some(job(&short, "array", 6)),
-            |s, _| s == 201 || s == 200,
+            Some(job(&short_job, "array", 6)),
+            |status, _| status == 201 || status == 200,
         );
-        let (moved_before, round) = (owned(&c), Instant::now());
-        while owned(&c) < moved_before + LEAST_MOVES / 3 {
-            assert!(round.elapsed() < WAIT_TIMEOUT, "no shares move");
-            move_some(&c, &mut rng);
+        let (completed_before, round_begin) = (completed_transfers(&cluster), Instant::now());
+        while completed_transfers(&cluster) < completed_before + MIN_TRANSFERS / 3 {
+            assert!(
+                round_begin.elapsed() < WAIT_TIMEOUT,
+                "too few transfers complete"
+            );
+            post_random_plan(&cluster, &mut rng);
             std::thread::sleep(Duration::from_millis(300));
         }
-        moves += owned(&c) - moved_before;
-        // In the middle of a move one controller ends, or loses all but its workers.
-        move_some(&c, &mut rng);
-        let i = rng.gen_range(0..NODES);
+        transfers += completed_transfers(&cluster) - completed_before;
+        // During a transfer one controller is killed and restarted, or is partitioned from the
+        // store and the other controllers.
+        post_random_plan(&cluster, &mut rng);
+        let index = rng.gen_range(0..CONTROLLERS);
         if rounds % 2 == 0 {
-            c.kill_controller(i);
-            c.start_controller(i);
+            cluster.kill_controller(index);
+            cluster.start_controller(index);
         } else {
-            c.set_partitioned(i, true);
+            cluster.set_partitioned(index, true);
             std::thread::sleep(Duration::from_millis(rng.gen_range(200..5000)));
-            c.set_partitioned(i, false);
+            cluster.set_partitioned(index, false);
         }
-        c.request_until(i, "GET", "/up", None, |s, _| s == 200);
-        wait_until("nobody goes by the table", || {
-            leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
+        cluster.request_until(index, "GET", "/up", None, |status, _| status == 200);
+        wait_until("the shard map is not in use", || {
+            leader_report(&cluster).is_some_and(|(_, report)| report["in_use"] == true)
         });
-        c.request_until(i, "GET", &format!("/v2/runs/{short}"), None, |_, v| {
-            v["mood"] == "done"
-        });
-        wait_until("the rest runs", || {
-            running_tasks(&activity, &STAYING) == all as usize
+        cluster.request_until(
+            index,
+            "GET",
+            &format!("/v2/runs/{short_job}"),
+            None,
+            |_, body| body["mood"] == "done",
+        );
+        wait_until("not all tasks of the long-running jobs run", || {
+            running_tasks(&activity, &LONG_RUNNING_JOBS) == total_tasks as usize
         });
-        check(&activity, before);
+        assert_undisturbed(&activity, before);
         rounds += 1;
     }
-    // Each report is of its own moment: at rest every machine is in one of them.
+    // The controllers' reports are not taken at the same moment, so a machine can be in none
+    // or in two of them until all transfers have ended.
     wait_until(
-        "machines without an owner, or with two, or handovers that don't end",
+        "a machine has no owner or two owners, or transfers do not end",
         || {
-            let reports: Vec<Value> = (0..NODES).map(|i| c.operator_get(i, "/shares")).collect();
-            let leads = reports
+            let reports: Vec<Value> = (0..CONTROLLERS)
+                .map(|index| cluster.operator_get(index, "/shares"))
+                .collect();
+            let leader = reports
                 .iter()
                 .map(|report| &report["leader"])
                 .find(|leader| leader.is_object());
-            let at_rest = leads.is_some_and(|leader| {
+            let settled = leader.is_some_and(|leader| {
                 leader["without_owner"] == 0
                     && leader["under_way"].as_array().is_some_and(Vec::is_empty)
             });
-            let of = |report: &Value| report["machines"].as_array().cloned().unwrap_or_default();
-            let owned: Vec<String> = reports
+            let machines =
+                |report: &Value| report["machines"].as_array().cloned().unwrap_or_default();
+            let owned_machines: Vec<String> = reports
                 .iter()
-                .flat_map(of)
+                .flat_map(machines)
                 .map(|id| id.to_string())
                 .collect();
-            let distinct: BTreeSet<&String> = owned.iter().collect();
-            at_rest && distinct.len() == owned.len() && distinct.len() as u32 >= all / 4
+            let distinct_machines: BTreeSet<&String> = owned_machines.iter().collect();
+            settled
+                && distinct_machines.len() == owned_machines.len()
+                && distinct_machines.len() as u32 >= total_tasks / 4
         },
     );
-    let told = leader(&c).expect("a leader").1;
+    let report = leader_report(&cluster).expect("a leader").1;
     println!(
-        "{moves} moves in {rounds} rounds; the last leader: {}",
-        told["leader"]
+        "{transfers} completed transfers in {rounds} rounds; the leader reports: {}",
+        report["leader"]
     );
-    check(&activity, before);
+    assert_undisturbed(&activity, before);
 }
 
-/// A controller is emptied before its process is exchanged: the others own all machines
-/// by then, and its end and return are no takeover. Afterwards it gets its share again.
+/// A controller is drained before its process is replaced. By then the other controllers own
+/// all machines, so that its end and return cause no takeover. Once the plan no longer drains
+/// it, it owns machines again.
 #[test]
-fn a_controller_is_drained_before_it_is_exchanged() {
+fn a_drained_controller_owns_no_machines_across_its_restart_and_regains_them_later() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
-    let with = vec![
+    let feature_files = vec![
         "deploy/cold-restart.toml",
         "tests/fixtures/shares-that-move.toml",
     ];
@@ -206,77 +249,81 @@
         report_s: 3.0,
         lease_s: 30,
         team_cpus: 80,
-        feature_files: with,
+        feature_files,
     };
-    let mut c = Cluster::start_with(NODES, "drain", &activity, options);
-    (0..NODES).for_each(|i| c.request_until(i, "GET", "/up", None, |s, _| s == 200));
-    let (id, job_kind, tasks) = STAYING[0];
-    c.request_until(
+    let mut cluster = Cluster::start_with(CONTROLLERS, "drain", &activity, options);
+    (0..CONTROLLERS).for_each(|index| {
+        cluster.request_until(index, "GET", "/up", None, |status, _| status == 200)
+    });
+    let (id, job_kind, tasks) = LONG_RUNNING_JOBS[0];
+    cluster.request_until(
         0,
         "POST",
         "/v2/runs",
         Some(job(id, job_kind, tasks)),
-        |s, _| s == 201 || s == 200,
+        |status, _| status == 201 || status == 200,
     );
-    wait_until("all of it runs", || {
-        running_tasks(&activity, &STAYING) == tasks as usize
+    wait_until("not all tasks run", || {
+        running_tasks(&activity, &LONG_RUNNING_JOBS) == tasks as usize
     });
-    wait_until("nobody goes by the table", || {
-        leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
+    wait_until("the shard map is not in use", || {
+        leader_report(&cluster).is_some_and(|(_, report)| report["in_use"] == true)
     });
-    let before = counts(&activity);
-    let machines = |c: &Cluster, i: usize| {
-        c.operator_get(i, "/shares")["machines"]
+    let before = disruption_counts(&activity);
+    let machines = |cluster: &Cluster, index: usize| {
+        cluster.operator_get(index, "/shares")["machines"]
             .as_array()
             .map(Vec::len)
     };
-    let plan = |c: &Cluster, plan: Value| {
-        wait_until("the plan is not taken", || {
-            leader(c)
-                .is_some_and(|(leads, _)| c.operator_post(leads, "/shares/plan", &plan).0 == 200)
+    let post_plan = |cluster: &Cluster, plan: Value| {
+        wait_until("the leader does not accept the plan", || {
+            leader_report(cluster).is_some_and(|(leader, _)| {
+                cluster.operator_post(leader, "/shares/plan", &plan).0 == 200
+            })
         });
     };
-    let (leads, _) = leader(&c).expect("a leader");
-    let drained = (leads + 1) % NODES;
-    wait_until("it owns machines", || {
-        machines(&c, drained).is_some_and(|n| n > 0)
+    let (leader, _) = leader_report(&cluster).expect("a leader");
+    let drained = (leader + 1) % CONTROLLERS;
+    wait_until("the controller to drain owns no machines", || {
+        machines(&cluster, drained).is_some_and(|count| count > 0)
     });
-    plan(&c, json!({"drain": [format!("n{drained}")]}));
-    wait_until("it still owns machines", || {
-        machines(&c, drained) == Some(0)
+    post_plan(&cluster, json!({"drain": [format!("n{drained}")]}));
+    wait_until("the drained controller still owns machines", || {
+        machines(&cluster, drained) == Some(0)
     });
-    c.kill_controller(drained);
-    c.start_controller(drained);
-    c.request_until(drained, "GET", "/up", None, |s, _| s == 200);
-    wait_until("nobody goes by the table", || {
-        leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
+    cluster.kill_controller(drained);
+    cluster.start_controller(drained);
+    cluster.request_until(drained, "GET", "/up", None, |status, _| status == 200);
+    wait_until("the shard map is not in use", || {
+        leader_report(&cluster).is_some_and(|(_, report)| report["in_use"] == true)
     });
     assert_eq!(
-        machines(&c, drained),
+        machines(&cluster, drained),
         Some(0),
-        "the table still says that others own its machines"
+        "the restarted controller owns machines, although the shard map assigns them to others"
     );
-    plan(&c, json!({}));
-    wait_until("it gets nothing back", || {
-        machines(&c, drained).is_some_and(|n| n > 0)
+    post_plan(&cluster, json!({}));
+    wait_until("the controller gets no machines back", || {
+        machines(&cluster, drained).is_some_and(|count| count > 0)
     });
-    check(&activity, before);
+    assert_undisturbed(&activity, before);
 }
 
-/// What makes no sense is refused whole, in a line; what is not switched on says so.
+/// An invalid plan is refused as a whole, with a reason of one line. The endpoint of a feature
+/// that is not enabled says so.
 #[test]
-fn senseless_plans_are_refused_and_change_nothing() {
+fn invalid_plans_are_refused_and_change_nothing() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
     let options = ClusterOptions {
         feature_files: vec!["deploy/shared-machines.toml"],
         ..ClusterOptions::default()
     };
-    let c = Cluster::start_with(1, "plans", &activity, options);
-    c.request_until(0, "GET", "/up", None, |s, _| s == 200);
-    wait_until("it does not lead", || {
-        leader(&c).is_some_and(|(_, report)| report["in_use"] == true)
+    let cluster = Cluster::start_with(1, "plans", &activity, options);
+    cluster.request_until(0, "GET", "/up", None, |status, _| status == 200);
+    wait_until("the shard map is not in use", || {
+        leader_report(&cluster).is_some_and(|(_, report)| report["in_use"] == true)
     });
-    for (plan, names) in [
+    for (plan, expected_text) in [
         (json!({"drain": ["n0"]}), "nobody is left"),
         (
             json!({"moves": [{"from": "n0", "to": "n7", "machines": 1}]}),
@@ -285,18 +332,18 @@
         (json!({"moves": "all"}), "plan"),
         (json!({"dreain": []}), "dreain"),
     ] {
-        let (status, said) = c.operator_post(0, "/shares/plan", &plan);
+        let (status, response) = cluster.operator_post(0, "/shares/plan", &plan);
         assert!(
-            status == 400 && said.contains(names) && said.lines().count() == 1,
-            "{plan}: {status} {said}"
+            status == 400 && response.contains(expected_text) && response.lines().count() == 1,
+            "{plan}: {status} {response}"
         );
     }
-    let report = c.operator_get(0, "/shares");
+    let report = cluster.operator_get(0, "/shares");
     assert!(
         report["leader"]["plan"] == json!({"drain": [], "moves": []}) && report["generation"] == 0
     );
     assert_eq!(
-        c.operator_get(0, "/restart")["error"],
+        cluster.operator_get(0, "/restart")["error"],
         "the part cold-restart is not switched on"
     );
 }
