--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -66,7 +66,7 @@
     NoCapacity(RentalRequest),
     /// The outcome of a rental is unknown: the same request has to be sent again.
     RentOutcomeUnknown(RentalRequest),
-    /// The cloud rejects a rental as malformed.
+    /// The cloud has rejected a rental as malformed.
     RentRefused(RentalRequest),
     /// The machines are deleted.
     Deleted(Vec<MachineId>),
--- a/src/autoscaler/consolidation.rs
+++ b/src/autoscaler/consolidation.rs
@@ -10,7 +10,7 @@
 /// the headroom afterwards: moving replicas must not cause a machine to be rented.
 const FREE_CAPACITY_FACTOR: f64 = 2.0;
 
-/// The age from which a machine may be consolidated, in minimum charges.
+/// The age from which a machine may be consolidated, in multiples of [`MINIMUM_CHARGE_S`].
 const MIN_AGE_IN_MINIMUM_CHARGES: f64 = 2.0;
 
 /// Selects the machine whose replicas are moved next, among the on-demand machines whose
--- a/src/autoscaler/machine_list.rs
+++ b/src/autoscaler/machine_list.rs
@@ -1,5 +1,6 @@
-//! Evaluates the cloud's machine lists: which registered machines are gone, and which
-//! machines are running although they are unknown, that is, neither registered nor gone.
+//! Evaluates the cloud's machine lists: which registered machines are terminated, that is,
+//! no longer exist, and which machines are running although they are unknown, that is,
+//! neither registered nor terminated.
 
 use crate::clock::Seconds;
 use crate::wire::MachineId;
@@ -37,7 +38,7 @@
         self.pending = false;
     }
 
-    /// Removes a machine that was removed from the machine registry.
+    /// Removes what was recorded of a machine that was removed from the machine registry.
     pub fn forget(&mut self, id: &MachineId) {
         self.listed_at.remove(id);
     }
@@ -53,16 +54,16 @@
         self.due_at = Some(now + lag_s.max(MIN_INTERVAL_S));
     }
 
-    /// Records that the request was responded to or has failed.
-    pub fn record_answer(&mut self) {
+    /// Records that the requested list has arrived or that the request has failed.
+    pub fn record_response(&mut self) {
         self.pending = false;
     }
 
     /// Records which machines of the machine registry are in a list that was requested at
-    /// `requested_at`, and returns those that are gone.
+    /// `requested_at`, and returns those that are terminated.
     ///
     /// The list may be outdated by up to twice the lag. A machine that is missing from it
-    /// is certain to be gone only if an earlier list contained it, and that list was
+    /// is certain to be terminated only if an earlier list contained it, and that list was
     /// received before this one can have been made.
     pub fn record_registered<'a>(
         &mut self,
@@ -73,18 +74,18 @@
         now: Seconds,
     ) -> Vec<MachineId> {
         let made_after = requested_at - LAG_FACTOR * lag_s - REQUEST_SLACK_S;
-        let mut gone = Vec::new();
+        let mut terminated = Vec::new();
         for id in registered {
             if listed.contains(id) {
                 self.listed_at.insert(id.clone(), now);
             } else if self.listed_at.get(id).is_some_and(|&at| at < made_after) {
-                gone.push(id.clone());
+                terminated.push(id.clone());
             }
         }
-        gone
+        terminated
     }
 
-    /// Records that a listed machine is registered or gone, and so not unknown.
+    /// Records that a listed machine is registered or terminated, and so not unknown.
     pub fn record_known(&mut self, id: &MachineId) {
         self.unknown_since.remove(id);
     }
--- a/src/autoscaler/rentals.rs
+++ b/src/autoscaler/rentals.rs
@@ -28,7 +28,7 @@
 /// request by it, so that a retry does not rent further machines.
 #[derive(Debug, Default)]
 pub struct Rentals {
-    /// The number of requests made by this process, which numbers them.
+    /// The number of requests made by this process, which is part of their identifiers.
     requests_made: u64,
     open: HashMap<String, OpenRental>,
 }
@@ -90,7 +90,7 @@
     }
 
     /// The number of requests in flight.
-    pub fn awaiting_answer(&self) -> usize {
+    pub fn requests_in_flight(&self) -> usize {
         self.open
             .values()
             .filter(|rental| rental.state == RentalState::InFlight)
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// How many seconds' worth of the cloud's request rate unanswered rentals may take up
-/// before further rentals wait.
+/// Further rentals wait while more are in flight than the cloud's rate limit admits within
+/// this many seconds.
 const MAX_BACKLOG_S: Seconds = 0.75;
 
 /// In the price per task, a machine counts as used to at least this share.
@@ -21,8 +21,8 @@
 /// Many small requests, each for a few machines of an offer, took the cloud seconds to
 /// respond to. When rentals wait, the same machines are rented with fewer requests and
 /// arrive sooner.
-pub fn rental_backlog_is_full(unanswered_rentals: usize, cloud_rps: f64) -> bool {
-    unanswered_rentals as f64 > cloud_rps * MAX_BACKLOG_S
+pub fn rental_backlog_is_full(rentals_in_flight: usize, cloud_rps: f64) -> bool {
+    rentals_in_flight as f64 > cloud_rps * MAX_BACKLOG_S
 }
 
 /// Plans how many machines of each offer to rent now.
--- a/src/autoscaler/state.rs
+++ b/src/autoscaler/state.rs
@@ -33,7 +33,7 @@
     pub rentals: Rentals,
     /// Back-off for offers of which the cloud has too few machines.
     pub capacity_backoff: CapacityBackoff,
-    /// Deletions in flight, and machines that are gone.
+    /// Deletions in flight, and terminated machines.
     pub deletions: Deletions,
     /// The evaluation of the cloud's machine lists.
     pub machine_list: MachineListTracker,
@@ -63,7 +63,7 @@
         now - self.leading_since > report_s * INITIAL_REPORTS_WAIT
     }
 
-    /// Removes a machine that was removed from the machine registry.
+    /// Removes what was recorded of a machine that was removed from the machine registry.
     pub fn forget_machine(&mut self, id: &MachineId) {
         self.deletions.forget_request(id);
         self.machine_list.forget(id);
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -95,9 +95,9 @@
     /// Returns whether machines may be rented now.
     fn may_scale_out(&self, now: Seconds) -> bool {
         let report_s = self.settings.params.workers.report_s;
-        let unanswered = self.autoscaler.rentals.awaiting_answer();
+        let in_flight = self.autoscaler.rentals.requests_in_flight();
         self.autoscaler.may_scale_out(report_s, now)
-            && !autoscaler::rental_backlog_is_full(unanswered, self.settings.params.cloud.rps)
+            && !autoscaler::rental_backlog_is_full(in_flight, self.settings.params.cloud.rps)
             && self.leader.all_shards_reported()
     }
 
@@ -142,8 +142,9 @@
                     .entry(record.zone.clone())
                     .or_default() += 1;
             }
-            let is_booting =
-                !record.in_use && !reported.contains(id) && !self.autoscaler.deletions.is_gone(id);
+            let is_booting = !record.in_use
+                && !reported.contains(id)
+                && !self.autoscaler.deletions.is_terminated(id);
             // In an unreachable zone it cannot be seen whether a machine is up, and no task
             // can be started.
             if !is_booting || detector.zone_unreachable(&record.zone) {
@@ -198,7 +199,7 @@
             let id = &machine.id;
             // While a machine is transferred to another shard, the source may report it as
             // empty although the target has already started tasks on it.
-            if self.autoscaler.deletions.is_gone(id) || self.is_being_transferred(id) {
+            if self.autoscaler.deletions.is_terminated(id) || self.is_being_transferred(id) {
                 continue;
             }
             let Some(health) = health.get(id) else {
@@ -305,7 +306,7 @@
         machines.into_iter().collect()
     }
 
-    /// Requests the deletion of those machines that are neither gone nor being deleted.
+    /// Requests the deletion of those machines that are neither terminated nor being deleted.
     pub(super) fn delete_machines(&mut self, machines: Vec<MachineId>, now: Seconds) {
         let machines = self.autoscaler.deletions.due(machines, now);
         if machines.is_empty() {
--- a/src/controller/cloud_responses.rs
+++ b/src/controller/cloud_responses.rs
@@ -1,5 +1,5 @@
 //! Handling of the cloud's responses: rentals, deletions, the catalog, and the machine
-//! list, which shows the machines that are gone and those that are unknown to the
+//! list, which shows the machines that are terminated and those that are unknown to the
 //! controllers.
 
 use super::{Controller, WritePurpose};
@@ -51,11 +51,11 @@
                 requested_at,
                 machines,
             } => {
-                self.autoscaler.machine_list.record_answer();
+                self.autoscaler.machine_list.record_response();
                 self.apply_machine_list(requested_at, &machines, now);
             }
             CloudResponse::ReadFailed => {
-                self.autoscaler.machine_list.record_answer();
+                self.autoscaler.machine_list.record_response();
                 self.autoscaler.request_catalog_by(now + CATALOG_RETRY_S);
             }
         }
@@ -137,23 +137,24 @@
         self.delete_machines(failed.collect(), now);
     }
 
-    /// Records which machines of the machine registry a list contains, and which are gone.
+    /// Records which machines of the machine registry a list contains, and which are
+    /// terminated.
     fn record_registered_machines(
         &mut self,
         requested_at: Seconds,
         listed: &HashSet<&MachineId>,
         now: Seconds,
     ) {
-        let gone = self.autoscaler.machine_list.record_registered(
+        let terminated = self.autoscaler.machine_list.record_registered(
             self.cache.registry.keys(),
             listed,
             requested_at,
             self.settings.params.cloud.list_lag_s,
             now,
         );
-        for id in gone {
+        for id in terminated {
             tracing::info!(machine = %id, "machine no longer listed by the cloud");
-            self.autoscaler.deletions.record_gone(id, now);
+            self.autoscaler.deletions.record_terminated(id, now);
         }
     }
 
@@ -164,7 +165,7 @@
         let id = &machine.id;
         let is_known = self.cache.registry.contains_key(id)
             || self.registry.is_unwritten(id)
-            || self.autoscaler.deletions.is_gone(id);
+            || self.autoscaler.deletions.is_terminated(id);
         if is_known {
             self.autoscaler.machine_list.record_known(id);
             return;
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -51,7 +51,7 @@
                 .get(&completion.job)
                 .filter(|job| job.is_live())
             else {
-                self.leader.commit_answered(&completion.job, now, now);
+                self.leader.record_commit_outcome(&completion.job, now, now);
                 continue;
             };
             let Transaction { conditions, ops } = completion_transaction(&completion, job, &limits);
@@ -64,7 +64,7 @@
                 purpose,
             };
             if self.writer.send(WriteClass::Bulk, write).is_err() {
-                self.leader.commit_answered(&completion.job, now, now);
+                self.leader.record_commit_outcome(&completion.job, now, now);
             } else {
                 self.pending_completions
                     .insert(write_id, completion.job, ops);
@@ -89,7 +89,7 @@
             .unwrap_or_default();
         let CommitOutcome::Committed(revision) = outcome else {
             let retry_at = now + self.report_interval() * COMMIT_RETRY_REPORTS;
-            return self.leader.commit_answered(job, now, retry_at);
+            return self.leader.record_commit_outcome(job, now, retry_at);
         };
         for op in ops {
             if let WriteOp::Put { key, value, .. } = op {
@@ -97,7 +97,7 @@
             }
         }
         self.apply_job_change(job);
-        self.leader.commit_answered(job, now, now);
+        self.leader.record_commit_outcome(job, now, now);
     }
 }
 
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -37,7 +37,7 @@
     pub(super) fn run_leader_round(&mut self, now: Seconds, deadline: Seconds) {
         let deletions = &self.autoscaler.deletions;
         self.leader
-            .reconcile(&self.cache, &|id| deletions.is_gone(id));
+            .reconcile(&self.cache, &|id| deletions.is_terminated(id));
         self.leader
             .set_gangs_allowed(self.cache.all_members_support_gangs());
         let changed_shards = self
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -140,7 +140,7 @@
     }
 
     /// Updates the registry: adds rented and found machines, marks machines that have sent
-    /// their first heartbeat, and removes machines that are gone.
+    /// their first heartbeat, and removes terminated machines.
     pub(super) fn update_registry(&mut self, now: Seconds) {
         self.registry
             .completed_at
@@ -163,7 +163,7 @@
         let mut started = Vec::new();
         let mut found = Vec::new();
         for machine in self.leader.machines() {
-            if !machine.has_reported || self.autoscaler.deletions.is_gone(&machine.id) {
+            if !machine.has_reported || self.autoscaler.deletions.is_terminated(&machine.id) {
                 continue;
             }
             match self.cache.registry.get(&machine.id) {
@@ -228,7 +228,7 @@
         let deleted: BTreeSet<&MachineId> = self
             .autoscaler
             .deletions
-            .gone()
+            .terminated()
             .filter(|id| self.cache.registry.contains_key(*id))
             .collect();
         if deleted.is_empty() {
@@ -253,7 +253,7 @@
         let registry = &self.cache.registry;
         self.autoscaler
             .deletions
-            .forget_gone(max_age, |id| registry.contains_key(id), now);
+            .forget_terminated(max_age, |id| registry.contains_key(id), now);
     }
 
     /// Writes the changed pages that have no write in flight. As many writes may be in
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -65,7 +65,7 @@
         let deletions = &self.autoscaler.deletions;
         let unreconciled = || {
             self.leader
-                .unreconciled_machines(&self.cache, &|id| deletions.is_gone(id))
+                .unreconciled_machines(&self.cache, &|id| deletions.is_terminated(id))
         };
         restart.hold_off.is_active(now).then(unreconciled)
     }
@@ -135,7 +135,7 @@
         let deletions = &self.autoscaler.deletions;
         let progress = || {
             self.leader
-                .reconciliation_progress(&self.cache, &|id| deletions.is_gone(id))
+                .reconciliation_progress(&self.cache, &|id| deletions.is_terminated(id))
         };
         RestartReport {
             node: self.settings.node_name.clone(),
--- a/src/scheduler/capacity/mod.rs
+++ b/src/scheduler/capacity/mod.rs
@@ -22,12 +22,12 @@
 struct ShardCapacity {
     shard: u32,
     free_cpus: f64,
-    /// The part of these on on-demand machines.
+    /// The free CPUs of the shard's on-demand machines.
     on_demand_cpus: f64,
 }
 
 impl ShardCapacity {
-    /// Adds CPUs that become free; a negative number is allocated.
+    /// Adds CPUs that become free; a negative number stands for allocated CPUs.
     fn add(&mut self, spot: bool, cpus: f64) {
         self.free_cpus += cpus;
         if !spot {
@@ -89,7 +89,8 @@
     pub slots: Vec<MachineSlot>,
     shards: Vec<ShardCapacity>,
     /// CPUs on each shard's on-demand machines that only requests with access to the
-    /// reserve use: such requests would otherwise preempt tasks, which lose their progress.
+    /// reserve may use: without free capacity, such requests preempt tasks, which lose their
+    /// progress.
     reserved_cpus: f64,
     /// Requests for which no machine had capacity in this round. They stay valid, since
     /// free capacity only shrinks during a round.
@@ -137,10 +138,11 @@
         at_reserve.map(|capacity| capacity.shard).collect()
     }
 
-    /// The machine with the lowest rank, among those of `shard` (`None`: of all shards) in
-    /// zones whose allowance is not used up (`None`: in all zones); of several, the first
-    /// by name (HIOBS section 3.2 and Algorithm 1, with the exceptions described at
-    /// [`bin_packing::pick`]).
+    /// Returns the index of the machine with the lowest rank; of several, the first by name
+    /// (HIOBS section 3.2 and Algorithm 1, with the exceptions described at
+    /// [`bin_packing::pick`]). Only machines of `shard` are considered, or of all shards if
+    /// that is `None`, and only in those of `zones` whose allowance is not used up, or in all
+    /// zones if that is `None`.
     pub fn best_slot(
         &self,
         request: &PlacementRequest,
--- a/src/scheduler/capacity/placement_request.rs
+++ b/src/scheduler/capacity/placement_request.rs
@@ -4,7 +4,7 @@
 use crate::wire::{JobSpec, MachineId, Resources};
 use std::sync::Arc;
 
-/// Which tasks may be preempted to make room for a job.
+/// Which tasks may be preempted to free capacity for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PreemptionScope {
     /// None: the job waits for free capacity.
--- a/src/scheduler/completions.rs
+++ b/src/scheduler/completions.rs
@@ -19,10 +19,10 @@
 /// A job with progress that may be committed, in the order of commits.
 #[derive(Debug)]
 struct ProgressCandidate {
-    /// The machine of a completed task is draining or about to be reclaimed, and with it
-    /// the result that its worker keeps.
+    /// Whether the machine of a completed task is draining or about to be reclaimed: the
+    /// result that its worker keeps would be lost with the machine.
     urgent: bool,
-    /// Since when the progress may be committed.
+    /// The time from which the progress may be committed.
     due_at: Seconds,
     id: JobId,
 }
@@ -87,9 +87,10 @@
         commits
     }
 
-    /// Records the response to a commit of finished tasks. Further progress of the job is
-    /// committed after a report interval; a refused commit is retried from `retry_at` on.
-    pub fn commit_answered(&mut self, job: &JobId, now: Seconds, retry_at: Seconds) {
+    /// Records that a job's commit of finished tasks is no longer in flight: it was
+    /// completed or refused, or was not sent. Further progress of the job is committed after
+    /// a report interval, and nothing before `retry_at`.
+    pub fn record_commit_outcome(&mut self, job: &JobId, now: Seconds, retry_at: Seconds) {
         if let Some(entry) = self.jobs.get_mut(job) {
             entry.commit_in_flight = false;
             entry.commit_retry_at = retry_at;
@@ -119,10 +120,10 @@
     }
 }
 
-/// Whether a task's completion still has to be committed. It has not once its job is
-/// cancelled, which a shard may learn later than the leader: otherwise the last task of a
-/// job, reported as done in between, would turn the job to done after its user was told
-/// that it is cancelled.
+/// Whether a task's completion still has to be committed. It need not be once the job is
+/// cancelled. A shard may read of the cancellation later than the leader and report the last
+/// task of the job as done in between: if that were committed, the job would become done
+/// after its user had received the response that it is cancelled.
 pub(super) fn needs_commit(cache: &StoreCache, task: &Task) -> bool {
     cache
         .jobs
--- a/src/scheduler/epoch.rs
+++ b/src/scheduler/epoch.rs
@@ -15,13 +15,13 @@
     pub(super) incarnation: u64,
     /// The controllers that are members of the epoch, with their incarnations.
     pub(super) members: BTreeMap<String, u64>,
-    /// Shards that have reported in this epoch since the last job with unreconciled tasks
-    /// became known.
+    /// Shards that have reported in this epoch since a job with unreconciled tasks was last
+    /// added.
     pub(super) reported_shards: BTreeSet<String>,
-    /// Every task and every machine is reconciled.
+    /// Whether every task and every machine is reconciled.
     pub(super) reconciled: bool,
-    /// A report has arrived since the last reconciliation, so that another one may
-    /// reconcile tasks.
+    /// Whether a report has arrived since the last reconciliation. Without one, another
+    /// reconciliation is not attempted.
     pub(super) has_new_evidence: bool,
     /// When the first report of this epoch arrived.
     pub(super) first_report_at: Option<Seconds>,
@@ -80,11 +80,11 @@
         kept
     }
 
-    /// Members whose incarnation has not changed and that have transferred no machine,
-    /// since the epoch has no new member: what was assigned to their shards still is, or
-    /// runs on no machine. Without this rule, when one controller returned, all tasks that
-    /// a partitioned zone had lost stayed unreconciled until the last machine of the zone
-    /// had reported.
+    /// The members whose incarnation has not changed, if the epoch has no new member, so
+    /// that none of them has transferred a machine. A task that was assigned to one of their
+    /// shards still is, or runs on no machine. Without this rule, when one controller
+    /// returned, all tasks that a partitioned zone had lost stayed unreconciled until the
+    /// last machine of the zone had reported.
     fn unchanged_members(&self, epoch: &Epoch, kept: bool, cache: &StoreCache) -> BTreeSet<String> {
         // If the shard map has entries, an unchanged member may have transferred machines.
         let owners_by_hash_only = cache.shard_map.is_empty();
@@ -97,20 +97,20 @@
         epoch.members.keys().filter(is_unchanged).cloned().collect()
     }
 
-    /// Whether half of the epoch's attempt numbers are used up; a new epoch starts with all
-    /// of them unused. At a thousand starts a second this takes more than two hours.
+    /// Whether half of the epoch's attempt numbers are used up, which takes more than two
+    /// hours at a thousand starts a second. A new epoch starts with all of them unused.
     pub fn needs_new_epoch(&self) -> bool {
         self.epoch.attempts_used > self.attempt_limit / 2
     }
 }
 
 impl JobEntry {
-    /// Makes every assigned task unreconciled. Those of unchanged members can only run in
-    /// the shards of these members.
+    /// Makes every assigned task unreconciled. A task that was assigned to the shard of an
+    /// unchanged member can only run in that shard.
     fn unreconcile(&mut self, unchanged: &BTreeSet<String>) {
         let assigned = std::mem::take(&mut self.assigned);
         self.unacknowledged.clear();
-        self.sole_holders
+        self.only_possible_shard
             .retain(|_, shard| unchanged.contains(&**shard));
         if let Some(attempt) = self.attempt.as_mut() {
             attempt.mark_unreconciled();
@@ -118,7 +118,7 @@
         for (index, assignment) in assigned {
             self.unreconciled.add(index);
             if unchanged.contains(&*assignment.shard) {
-                self.sole_holders.insert(index, assignment.shard);
+                self.only_possible_shard.insert(index, assignment.shard);
             }
         }
         self.commit_in_flight = false;
--- a/src/scheduler/failures.rs
+++ b/src/scheduler/failures.rs
@@ -37,7 +37,7 @@
     failed_retries: u32,
     /// No task is started before this time.
     retry_at: Seconds,
-    /// A task has completed, so that the job itself is not at fault.
+    /// Whether a task has completed, so that the job itself is not at fault.
     succeeded: bool,
 }
 
@@ -95,7 +95,7 @@
     /// How many tasks of the job may be started, up to `limit`. A suspected job starts with
     /// one task, since all of its tasks together would occupy capacity at every retry only
     /// to fail. After that, it may have twice as many tasks assigned as are running. If it
-    /// had to wait for a success instead, one long task would hold up a job that has only
+    /// had to wait for a success instead, one long task would delay a job that has only
     /// been placed on faulty machines.
     pub(super) fn startable_tasks(&self, limit: usize) -> usize {
         if !self.failures.is_suspected() || self.spec.job_kind == JobKind::Gang {
@@ -123,7 +123,7 @@
 /// What the failure of a job indicates about the machine on which it happened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Evidence {
-    /// Nothing: the job is at fault, or has ended without a result that would show it.
+    /// Nothing: the job itself is suspected, or it ended without completing.
     None,
     /// The machine may be at fault; the job has not succeeded on any machine yet.
     Weak,
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -2,7 +2,7 @@
 //! all tasks at once, under one attempt number.
 //!
 //! An attempt first waits until all of its tasks have started, and then runs until it ends.
-//! Before it runs, a task that its shard or worker turned down is assigned again under the
+//! Before it runs, a task that its shard or worker rejected is assigned again under the
 //! same attempt. If a task is removed for any other reason, the attempt is over: all its
 //! other tasks are stopped, and the next attempt begins once every task of this one is
 //! confirmed to have stopped.
@@ -21,24 +21,24 @@
 /// tasks is withdrawn and its capacity released.
 const INCOMPLETE_ATTEMPT_SHARE: f64 = 1.0 / 3.0;
 
-/// For how many report intervals a machine may have been silent to count as one that
-/// receives a stop at once.
+/// A machine that has been silent for fewer report intervals than this counts as reachable:
+/// a stop is expected to arrive there at once.
 const REACHABLE_REPORTS: f64 = 1.3;
 
-/// The current attempt of a gang. The log shows it with the names of its fields.
+/// The current attempt of a gang. Its `Debug` form is logged, with the names of its fields.
 #[derive(Debug, Clone)]
 pub(super) struct Attempt {
     /// Shared by all tasks of the attempt, and never used for another attempt.
     pub(super) number: u64,
     /// When its first task was assigned.
     since: Seconds,
-    /// A task has been reported as running or further.
+    /// Whether a task has been reported as running, saving or done.
     started: bool,
-    /// A task was removed when the attempt may already have been running: the attempt can
-    /// no longer complete.
+    /// Whether a task was removed for a reason other than a rejection: the attempt may
+    /// already have been running, and can no longer complete.
     broken: bool,
-    /// The location of a task has been unknown for some time: if the task turns out to run
-    /// on no machine, the attempt may already have been running when it was lost.
+    /// Whether the location of a task has been unknown at some time. If the task turns out to
+    /// run on no machine, the attempt may already have been running when the task was lost.
     unreconciled: bool,
 }
 
@@ -59,8 +59,7 @@
         self.unreconciled = true;
     }
 
-    /// Records that a task was removed from its shard for another reason than being turned
-    /// down.
+    /// Records that a task was removed from its shard for a reason other than a rejection.
     pub(super) fn mark_broken(&mut self) {
         self.broken = true;
     }
@@ -83,7 +82,7 @@
         // unreconciled.
         let all_assignable = self.assigned.len() + unassigned == self.spec.task_count as usize;
         // The allowances that a shard is sent apply to all tasks that it has not
-        // acknowledged, so that these must not come from two rounds.
+        // acknowledged, so all of these must come from one round.
         all_assignable && !self.withdrawing && self.unacknowledged.is_empty()
     }
 
@@ -284,8 +283,8 @@
 ///
 /// For a gang that must run in one zone this is a single zone: the one with the most
 /// capacity on machines with a cached image, and of several the one with the least
-/// capacity. Counting capacity looks at each machine once. Placing a large waiting gang
-/// task by task, in vain and in every round, would delay all other jobs.
+/// capacity. Counting capacity looks at each machine once. Trying to place a large waiting
+/// gang task by task in every round, without success, would delay all other jobs.
 fn select_zones(
     count: u32,
     allowances: &[ZoneAllowance],
--- a/src/scheduler/job_entry.rs
+++ b/src/scheduler/job_entry.rs
@@ -43,7 +43,7 @@
     pub(super) unreconciled: TaskSet,
     /// Unreconciled tasks that can only run in one particular shard. That shard has kept
     /// all of its state, so that its report alone establishes where they are.
-    pub(super) sole_holders: BTreeMap<u32, Arc<str>>,
+    pub(super) only_possible_shard: BTreeMap<u32, Arc<str>>,
     /// The assigned tasks, by index.
     pub(super) assigned: BTreeMap<u32, TaskAssignment>,
     /// Assigned tasks that their shard has not listed in a report yet.
@@ -62,7 +62,7 @@
     /// Since when a service that must run in the zone of its assigned tasks has had no
     /// capacity there.
     pub(super) no_capacity_since: Option<Seconds>,
-    /// All its tasks are being stopped, to be assigned again together.
+    /// Whether all its tasks are being stopped, to be assigned again together.
     pub(super) withdrawing: bool,
     /// The allowances that each shard was sent: how many further tasks each zone may take.
     pub(super) zone_allowances: BTreeMap<Arc<str>, Vec<(Arc<str>, u32)>>,
@@ -75,7 +75,7 @@
             spec,
             accepted_at_ms,
             unreconciled,
-            sole_holders: BTreeMap::new(),
+            only_possible_shard: BTreeMap::new(),
             assigned: BTreeMap::new(),
             unacknowledged: BTreeSet::new(),
             completed: TaskSet::default(),
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -155,8 +155,8 @@
     }
 
     /// Whether at least two and at least a quarter of the machines of the shard that owns
-    /// `id` ignore commands. Then the responses of the owner arrive too late, and the
-    /// machines are not at fault.
+    /// `id` ignore commands. If so, the owner's replies arrive too late, and the machines are
+    /// not at fault.
     pub fn owner_responds_late(&self, id: &MachineId) -> bool {
         self.shards
             .values()
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -34,7 +34,7 @@
 pub use completions::FinishedTasks;
 pub use failures::MachineFault;
 pub use machines::{MachineSnapshot, ShardView, TrackedMachine};
-pub use progress::{ReconciliationProgress, TableCounts};
+pub use progress::{ReconciliationProgress, SchedulingCounts};
 pub use urgency::CompletionObjectives;
 
 use crate::autoscaler::PendingDemand;
@@ -101,7 +101,7 @@
     jobs: BTreeMap<JobId, JobEntry>,
     /// The shards that have reported in this epoch, by the name of their controller.
     pub shards: BTreeMap<String, ShardView>,
-    /// Numbers for the names of machine types, zones, shards and images.
+    /// The interned names of machine types, zones, shards and images.
     names: NameInterner,
     /// The highest attempt counter that may be used in an epoch.
     pub attempt_limit: u64,
@@ -118,8 +118,8 @@
     faulty: BTreeSet<MachineId>,
     /// CPUs on on-demand machines that are kept free for future services.
     pub reserved_cpus: f64,
-    /// Nothing is preempted for now, since unreconciled machines may turn out to have free
-    /// capacity.
+    /// Whether nothing may be preempted for now, since unreconciled machines may turn out to
+    /// have free capacity.
     pub preemption_suspended: bool,
     /// Tasks for which the last round found no capacity; the autoscaler rents machines for
     /// them.
--- a/src/scheduler/orders.rs
+++ b/src/scheduler/orders.rs
@@ -110,7 +110,7 @@
         Some(JobAssignment {
             job: id.clone(),
             tasks,
-            zone_capacity: self
+            zone_allowances: self
                 .zone_allowances
                 .get(shard)
                 .cloned()
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -9,8 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// After how many seconds without capacity in its zone a service moves to another one: the
-/// time that several boots of a machine take.
+/// How long the zone of a service must lack capacity before the service moves to another
+/// zone, in seconds: the time that several boots of a machine take.
 const ZONE_CHANGE_AFTER_S: Seconds = FIRST_START_TARGET_S / 6.0;
 
 /// The unassigned tasks of one job, with the requirements that each of them has.
--- a/src/scheduler/progress.rs
+++ b/src/scheduler/progress.rs
@@ -26,9 +26,9 @@
     pub unreconciled_machines: u32,
 }
 
-/// The number of entries in the leader's scheduling state.
+/// The number of jobs and tasks in the leader's scheduling state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TableCounts {
+pub struct SchedulingCounts {
     /// Unfinished jobs.
     pub jobs: usize,
     /// Tasks that are assigned to a shard.
@@ -38,17 +38,17 @@
 }
 
 impl Leader {
-    /// Returns how far tasks and machines are reconciled; `gone` returns true for machines
-    /// that are confirmed to no longer exist.
+    /// Returns how far tasks and machines are reconciled; `is_terminated` returns true for
+    /// machines that are confirmed to no longer exist.
     pub fn reconciliation_progress(
         &self,
         cache: &StoreCache,
-        gone: &dyn Fn(&MachineId) -> bool,
+        is_terminated: &dyn Fn(&MachineId) -> bool,
     ) -> ReconciliationProgress {
         let mut progress = ReconciliationProgress {
             all_shards_reported: self.all_shards_reported(),
             reconciled: self.epoch.reconciled,
-            unreconciled_machines: self.unreconciled_machines(cache, gone).count(),
+            unreconciled_machines: self.unreconciled_machines(cache, is_terminated).count(),
             ..ReconciliationProgress::default()
         };
         for entry in self.jobs.values() {
@@ -60,10 +60,10 @@
         progress
     }
 
-    /// Counts the entries of the scheduling state.
-    pub fn counts(&self) -> TableCounts {
+    /// Counts the jobs and tasks of the scheduling state.
+    pub fn counts(&self) -> SchedulingCounts {
         let entries = self.jobs.values();
-        TableCounts {
+        SchedulingCounts {
             jobs: self.jobs.len(),
             assigned_tasks: entries.clone().map(|entry| entry.assigned.len()).sum(),
             unreconciled_tasks: entries.map(|entry| entry.unreconciled.len()).sum(),
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -8,12 +8,12 @@
 
 impl Leader {
     /// The machines of the machine registry that are not reconciled in this epoch: no owner
-    /// has established yet what they run. Machines for which `gone` returns true are left
-    /// out.
+    /// has established yet what they run. Machines for which `is_terminated` returns true
+    /// are left out.
     pub(super) fn unreconciled_registered_machines<'a>(
         &'a self,
         cache: &'a StoreCache,
-        gone: &'a dyn Fn(&MachineId) -> bool,
+        is_terminated: &'a dyn Fn(&MachineId) -> bool,
     ) -> impl Iterator<Item = &'a MachineId> + 'a {
         cache
             .registry
@@ -22,7 +22,7 @@
             .map(|(id, _)| id)
             .filter(move |id| {
                 // A shard reports only machines that it owns in this epoch.
-                !gone(id)
+                !is_terminated(id)
                     && !self.shards.values().any(|shard| {
                         shard
                             .machines
@@ -37,10 +37,10 @@
     pub fn unreconciled_machines(
         &self,
         cache: &StoreCache,
-        gone: &dyn Fn(&MachineId) -> bool,
+        is_terminated: &dyn Fn(&MachineId) -> bool,
     ) -> UnreconciledMachines {
         let registered = self
-            .unreconciled_registered_machines(cache, gone)
+            .unreconciled_registered_machines(cache, is_terminated)
             .filter_map(|id| cache.registry.get(id));
         let registered = registered.map(|machine| MachineClass {
             machine_type: machine.record.machine_type.clone(),
@@ -51,7 +51,7 @@
             machine.has_reported
                 && !machine.reconciled
                 && !cache.registry.contains_key(&machine.id)
-                && !gone(&machine.id)
+                && !is_terminated(&machine.id)
         });
         let unregistered = unregistered.map(|machine| MachineClass {
             machine_type: machine.machine_type.clone(),
@@ -64,7 +64,7 @@
     /// Whether machines that are missing from the readable pages of the machine registry
     /// may run tasks. Once reports have arrived for `takeover_s` in this epoch, every such
     /// machine has reported to its owner, or its worker's lease has expired.
-    fn unregistered_machines_may_hold_tasks(&self, cache: &StoreCache) -> bool {
+    fn unregistered_machines_may_run_tasks(&self, cache: &StoreCache) -> bool {
         let Some(first_report_at) = self.epoch.first_report_at else {
             return true;
         };
@@ -85,24 +85,23 @@
     /// that may run the tasks has reconciled the machine (design, "Division": a controller
     /// that takes over rebuilds its state from reports and waits until the workers' leases
     /// have expired). Only the owner can determine that a worker's lease must have expired,
-    /// since it has the time of its last response to the worker. Judged by the age of the
-    /// epoch alone, a machine whose worker received a response a moment ago would count as
-    /// empty.
+    /// since it has the time of its last reply to the worker. If only the age of the epoch
+    /// counted, a machine whose worker received a reply a moment ago would count as empty.
     ///
     /// A machine that stays silent delays only the jobs that may run on it, by its type,
     /// its zone and whether it is a spot machine.
     ///
-    /// `gone` returns true for machines that are confirmed to no longer exist. The machine
-    /// registry may show this much later, when many writes are pending.
-    pub fn reconcile(&mut self, cache: &StoreCache, gone: &dyn Fn(&MachineId) -> bool) {
+    /// `is_terminated` returns true for machines that are confirmed to no longer exist. The
+    /// machine registry may show this much later, when many writes are pending.
+    pub fn reconcile(&mut self, cache: &StoreCache, is_terminated: &dyn Fn(&MachineId) -> bool) {
         if self.epoch.reconciled || !self.epoch.has_new_evidence || !self.all_shards_reported() {
             return;
         }
         self.epoch.has_new_evidence = false;
-        if self.unregistered_machines_may_hold_tasks(cache) {
+        if self.unregistered_machines_may_run_tasks(cache) {
             return;
         }
-        let unreconciled = self.unreconciled_machines(cache, gone);
+        let unreconciled = self.unreconciled_machines(cache, is_terminated);
         self.epoch.reconciled = unreconciled.is_empty();
         for entry in self
             .jobs
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -17,14 +17,14 @@
 use std::sync::Arc;
 
 impl Leader {
-    /// The free capacity of every schedulable machine, minus that of tasks which are
+    /// The free capacity of every schedulable machine, minus the resources of tasks that are
     /// assigned to a shard and have no machine yet.
     pub(super) fn capacity(&self, wall_clock_ms: u64) -> FreeCapacity {
-        let schedulable = self
+        let machines = self
             .shards
             .values()
             .flat_map(|shard| shard.machines.values());
-        let schedulable = schedulable.filter(|machine| {
+        let schedulable = machines.filter(|machine| {
             machine.status.schedulable
                 && !self.draining.contains(&machine.status.id)
                 && !self.faulty.contains(&machine.status.id)
@@ -64,8 +64,9 @@
     }
 
     /// Runs one round of assignment: assigns as many unassigned tasks as fit, job by job in
-    /// the order of `RankedJob`, until `has_time` returns false; the next round continues
-    /// at that job. Returns the shards that have new orders.
+    /// the order of `RankedJob`. Once `has_time` returns false, the round ends, and the next
+    /// one starts at the first job that was not served. Returns the shards that have new
+    /// orders.
     pub fn assign_tasks(
         &mut self,
         cache: &StoreCache,
@@ -181,7 +182,7 @@
         let unassigned = self.unassigned_tasks(entry, job, used);
         let gang_must_wait = spec.job_kind == JobKind::Gang
             && !(self.gangs_allowed && entry.can_assign_gang(unassigned.len()));
-        // A counter above the limit would run into the numbers of a later epoch.
+        // A counter above the limit would yield attempt numbers of a later epoch.
         let numbers_left = self.epoch.attempts_used + unassigned.len() as u64 <= self.attempt_limit;
         if unassigned.is_empty() || gang_must_wait || !numbers_left {
             return;
@@ -213,10 +214,10 @@
         }
     }
 
-    /// What may be preempted for tasks of a job that do not fit. Besides production jobs,
-    /// jobs that have waited for a while may preempt low-priority arrays of borrowing
-    /// teams: such arrays, with tasks that run for minutes, otherwise occupied the machines
-    /// that a team's own jobs were waiting for.
+    /// What may be preempted for tasks of a job that do not fit. Production jobs may preempt
+    /// all lower priorities. Urgent and standard jobs that have waited for a while may
+    /// preempt low-priority arrays of borrowing teams: such arrays, with tasks that run for
+    /// minutes, otherwise occupied the machines that a team's own jobs were waiting for.
     fn preemption_scope(&self, entry: &JobEntry, wall_clock_ms: u64) -> PreemptionScope {
         let waited_s = wall_clock_ms.saturating_sub(entry.accepted_at_ms) as f64 / 1000.0;
         match entry.spec.priority {
@@ -282,8 +283,8 @@
             latency_sensitive,
             preemption_scope,
         );
-        // A gang with a start objective needs capacity for all of its tasks at once, so
-        // that it may use the capacity that is reserved for services.
+        // A gang with a start objective may use the capacity that is reserved for services,
+        // since it needs capacity for all of its tasks at once.
         if spec.job_kind == JobKind::Gang
             && self.policy.start_objectives_s.contains_key(&spec.class)
         {
@@ -357,11 +358,11 @@
 /// preempted for it: often capacity becomes free without preemption.
 const PREEMPTION_WAIT_REPORTS: f64 = 2.0;
 
-/// For how many seconds after its acceptance capacity is reserved for a waiting gang.
+/// Capacity is reserved for a waiting gang until this many seconds after its acceptance.
 const CAPACITY_RESERVATION_S: Seconds = FIRST_START_TARGET_S * 2.0;
 
-/// After how many seconds a job that has not started takes precedence over jobs within
-/// their team's guarantee.
+/// A job that has not started this many seconds after its acceptance takes precedence over
+/// jobs within their team's guarantee.
 const START_OVERDUE_AFTER_S: Seconds = FIRST_START_TARGET_S / 3.0;
 
 /// The state of one round of assignment.
@@ -373,7 +374,7 @@
     used: HashMap<Arc<str>, Resources>,
     capacity: FreeCapacity,
     pending_demand: Vec<PendingDemand>,
-    /// Capacity is already reserved for a gang that does not fit.
+    /// Whether capacity is already reserved for a gang that does not fit.
     gang_has_reservation: bool,
     /// The shards that have new orders.
     shards_with_new_orders: BTreeSet<String>,
@@ -395,13 +396,13 @@
     id: JobId,
 }
 
-/// What counts before the priority in the order of jobs.
+/// The first criterion in the order of jobs, which is compared before the priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Precedence {
     /// Production jobs.
     HighestPriority,
-    /// Jobs that have not started for long. Large jobs come late by every other criterion,
-    /// so that without this one they would not start within the time that users accept.
+    /// Jobs whose start is overdue. Large jobs rank low by every other criterion, and
+    /// without this one would not start within the time that users accept.
     StartOverdue,
     /// Jobs within the guarantee of their team.
     Guaranteed,
--- a/src/scheduler/shard_reports.rs
+++ b/src/scheduler/shard_reports.rs
@@ -41,7 +41,7 @@
         self.epoch.reported_shards.insert(report.node.clone());
         let shard: Arc<str> = report.node.as_str().into();
         let full = report.since == 0;
-        self.apply_machines(&shard, full, &report.unregistered, report.machines, now);
+        self.apply_machines(&shard, full, &report.removed_machines, report.machines, now);
         if let Some(view) = self.shards.get_mut(&report.node) {
             view.foreign_workers = report.foreign_workers.into_iter().collect();
             view.zone_contacts = report.zone_contacts.into_iter().collect();
@@ -73,8 +73,8 @@
         true
     }
 
-    /// Marks tasks that a shard no longer lists as unreconciled, and removes jobs that have
-    /// ended.
+    /// Marks as unreconciled the tasks that a shard no longer lists, and removes jobs that
+    /// have ended.
     fn mark_missing(&mut self, missing: &[Task], cache: &StoreCache) {
         for task in missing {
             self.mark_unreconciled(task, cache);
@@ -110,7 +110,7 @@
         &mut self,
         shard: &Arc<str>,
         full: bool,
-        unregistered: &[(MachineId, u64)],
+        removed_machines: &[(MachineId, u64)],
         machines: Vec<MachineStatus>,
         now: Seconds,
     ) {
@@ -123,7 +123,7 @@
                 machines.iter().map(|machine| &machine.id).collect();
             view.machines.retain(|id, _| reported.contains(id));
         }
-        for (id, _) in unregistered {
+        for (id, _) in removed_machines {
             view.machines.remove(id);
         }
         for machine in machines {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Applies that a task is assigned to a shard.
+    /// Applies the status of a task that a shard lists as assigned to it.
     fn apply_assigned_task(
         &mut self,
         shard: &Arc<str>,
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Applies that a task certainly no longer runs in a shard.
+    /// Applies the removal of a task, which is confirmed to no longer run in the shard.
     fn apply_removed_task(&mut self, shard: &Arc<str>, removed: RemovedTask, now: Seconds) {
         let report_s = self.policy.report_s;
         let Some(entry) = self.jobs.get_mut(&removed.task.job) else {
@@ -233,15 +233,15 @@
         for (id, entry) in self
             .jobs
             .iter_mut()
-            .filter(|(_, entry)| !entry.sole_holders.is_empty())
+            .filter(|(_, entry)| !entry.only_possible_shard.is_empty())
         {
             let shard_tasks = entry
-                .sole_holders
+                .only_possible_shard
                 .iter()
-                .filter(|(_, holder)| *holder == shard)
+                .filter(|(_, only_shard)| *only_shard == shard)
                 .map(|(index, _)| *index);
             for index in shard_tasks.collect::<Vec<u32>>() {
-                entry.sole_holders.remove(&index);
+                entry.only_possible_shard.remove(&index);
                 if !listed.contains(&(id.clone(), index)) {
                     entry.unreconciled.remove(index);
                 }
--- a/src/shard/assigned_tasks.rs
+++ b/src/shard/assigned_tasks.rs
@@ -29,7 +29,7 @@
     /// The token under which its last start was sent, or under which it was adopted; `None`
     /// while no start can be in flight.
     pub start_token: Option<u64>,
-    /// Whether its start was sent, and need not be sent again.
+    /// Whether its start was sent and need not be sent again.
     pub start_sent: bool,
     /// Whether its machine has reported it.
     pub confirmed: bool,
--- a/src/shard/commands.rs
+++ b/src/shard/commands.rs
@@ -38,7 +38,7 @@
     /// The request body.
     pub body: CommandBatch,
     /// Whether the machine has sent no heartbeat lately. It may not respond, and must not
-    /// hold up the commands to machines that do.
+    /// delay the commands to machines that do.
     pub unverified: bool,
 }
 
@@ -92,10 +92,10 @@
 }
 
 impl Shard {
-    /// Returns the commands that a machine is due, and their token. `direct` if they are
-    /// sent directly. Forget commands wait while a direct command is in flight, and always
-    /// carry a token above that of every earlier start: a late copy of a start would run
-    /// the forgotten attempt again.
+    /// Returns the commands to be sent to a machine now, and their token. `direct` is true if
+    /// they are sent directly, not in a reply. Forget commands wait while a direct command is
+    /// in flight, and always carry a token above that of every earlier start: otherwise a late
+    /// copy of a start would run the forgotten attempt again.
     pub(super) fn commands_for(
         &mut self,
         id: &MachineId,
@@ -140,7 +140,7 @@
         (token, commands)
     }
 
-    /// Returns the command that an assigned task is due, if any: a stop until it has
+    /// Returns the command to be sent for an assigned task, if any: a stop until the task has
     /// stopped, or a start until its machine reports it.
     fn command_for_assigned(
         &mut self,
@@ -149,7 +149,7 @@
         token: u64,
         cache: &StoreCache,
     ) -> Option<Command> {
-        let (session, in_use) = self
+        let (session, used) = self
             .machines
             .get(id)
             .map(|machine| (machine.session.id, machine.used))?;
@@ -157,7 +157,7 @@
         let placement = self.assigned.placement_mut(task)?;
         let command_counts = &mut self.restart_record.commands;
         let Some(stop_reason) = placement.stop_reason else {
-            if placement.confirmed || !in_use {
+            if placement.confirmed || !used {
                 return None;
             }
             placement.start_token = Some(token);
@@ -238,9 +238,9 @@
         )
     }
 
-    /// Returns the direct commands that are due now, within `capacity`. The rest stay due:
-    /// if they were built and then dropped unsent, the token of their machines would be
-    /// raised for nothing.
+    /// Returns the direct commands that are due now, within `capacity`. The rest stay due and
+    /// are not built: building a command may raise the token of its machine, needlessly if the
+    /// command is then not sent.
     pub fn due_commands_within(
         &mut self,
         cache: &StoreCache,
@@ -253,7 +253,7 @@
             .collect()
     }
 
-    /// Returns the machines that are due a direct command: a start or a stop is unsent, a
+    /// Returns the machines to send a direct command to: a start or a stop is unsent, a
     /// probe is due, the machine is in use but its worker has never reported here, or its
     /// heartbeat is late.
     fn machines_due_commands(&self, now: Seconds) -> BTreeSet<MachineId> {
@@ -279,7 +279,7 @@
         due
     }
 
-    /// Returns the command to a machine that is due one, unless it can't be sent now.
+    /// Returns the direct command for a machine; `None` if none can be sent to it now.
     fn direct_command(
         &mut self,
         id: MachineId,
@@ -401,13 +401,13 @@
         }
         // A machine that doesn't respond to its first probe counts as unresponsive at once,
         // but only if others of its zone were reached meanwhile. It is probed once more
-        // without delay, as it may only just be back from a short network partition.
+        // without delay, as a short network partition may only just have ended.
         let probed_at = machine.commands.outstanding_since.unwrap_or(now);
         let contact = self.zone_contacts.get(&machine.identity.zone);
-        let newly_suspect = is_late(machine, report_s, now)
+        let newly_unresponsive = is_late(machine, report_s, now)
             && contact.is_some_and(|contact| contact.last_at > probed_at)
             && machine.commands.unanswered_since.is_none();
-        if newly_suspect {
+        if newly_unresponsive {
             machine.commands.unanswered_since = Some(now);
             machine.commands.retry_after = Some(now);
         } else {
--- a/src/shard/heartbeats.rs
+++ b/src/shard/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats: which of them are newer than the known state, what they prove, and
+//! Workers' heartbeats: which of them are newer than the recorded state, what they prove, and
 //! how they change the state of their machines.
 
 use super::machine::{Machine, MachineIdentity, ObservedTask};
--- a/src/shard/leases.rs
+++ b/src/shard/leases.rs
@@ -9,8 +9,8 @@
 impl Shard {
     /// Ends the sessions of workers whose leases have expired. A worker that has received no
     /// reply for the length of its lease has killed its tasks, so that they are confirmed to
-    /// run on no machine even if this one can't be reached. Only its owner replies to a
-    /// worker; an earlier owner may do so for a limited time, which is waited for. A session
+    /// run on no machine even if this one can't be reached. Only the owner replies to a worker;
+    /// an earlier owner may do so for a limited time, which must have passed too. A session
     /// that has ended never resumes.
     pub fn expire_leases(&mut self, now: Seconds) {
         let limit = clock::with_drift_margin(self.timing.lease_s);
@@ -57,7 +57,7 @@
     }
 
     /// Stops the tasks on machines that the cloud is about to reclaim, so that they can start
-    /// elsewhere. Array tasks that should complete in time go on.
+    /// elsewhere. Array tasks that should complete in time continue to run.
     pub fn stop_tasks_before_reclaim(&mut self, cache: &StoreCache, now: Seconds) {
         let mut to_stop = Vec::new();
         let reclaimed = self
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -37,9 +37,9 @@
     pub(super) identity: MachineIdentity,
     /// Whether it is in the machine registry.
     pub(super) registered: bool,
-    /// Whether tasks may have been started there, by the machine registry.
+    /// Whether tasks may have been started there, according to the machine registry.
     pub(super) used: bool,
-    /// Whether the tasks on it are confirmed, and by what.
+    /// Whether the tasks on it are confirmed, and by which evidence.
     pub(super) state: MachineState,
     /// The session of its worker.
     pub(super) session: WorkerSession,
@@ -53,7 +53,7 @@
     pub(super) known_since: Seconds,
     /// When the cloud reclaims it, if it has given notice.
     pub(super) reclaim_at: Option<Seconds>,
-    /// Whether it takes no more tasks, by the leader's orders.
+    /// Whether it takes no more tasks, as the leader has ordered to drain it.
     pub(super) draining: bool,
     /// Until when the source of its transfer may have renewed its worker's lease; `None` if
     /// the shard map had not changed when this shard came to own it.
@@ -81,7 +81,8 @@
     pub(super) sequence: u64,
     /// When the session was first seen. It can't have begun later.
     pub(super) first_seen_at: Option<Seconds>,
-    /// The newest session that has ended, as its lease expired; so have all before it.
+    /// The newest session that has ended because its lease expired; all earlier ones have
+    /// ended too.
     pub(super) ended_up_to: u64,
     /// When a message last proved that the worker is alive; late copies of old messages
     /// don't count.
@@ -123,7 +124,7 @@
 /// The state of the direct commands to a machine's worker.
 #[derive(Debug, Clone, Default)]
 pub(super) struct CommandChannel {
-    /// Whether a command is in flight: it has neither been answered nor failed.
+    /// Whether a command is in flight: it has neither received a response nor failed.
     pub(super) in_flight: bool,
     /// Whether a command is due only to learn the worker's state from its response.
     pub(super) probe_due: bool,
@@ -153,7 +154,7 @@
     pub(super) images: VecDeque<CachedImage>,
     /// Jobs of which a task failed on the machine.
     pub(super) failed_jobs: HashSet<JobId>,
-    /// Since when the machine has been idle; while it is in use, when that was last seen.
+    /// Since when the machine has been idle; while it has tasks, when they were last seen.
     pub(super) idle_since: Seconds,
 }
 
@@ -231,7 +232,7 @@
 }
 
 impl Machine {
-    /// Returns a machine of which nothing but its identity is known at `now`.
+    /// Returns a machine, added at `now`, of which only the identity is known.
     pub(super) fn new(identity: MachineIdentity, now: Seconds) -> Machine {
         Machine {
             identity,
@@ -291,7 +292,7 @@
         if unacknowledged.is_some_and(|sent| heartbeat.token >= sent.token) {
             self.token.unacknowledged = None;
         }
-        // The worker's lease expired although its heartbeats were answered in time.
+        // The worker's lease expired although replies to its heartbeats were sent in time.
         let restarted = self.session.id > 0 && heartbeat.session > self.session.id;
         let probed_lately = self
             .token
@@ -319,8 +320,9 @@
         sent.replies += 1;
     }
 
-    /// Whether replies may not reach its worker, or its heartbeats not this controller, for
-    /// longer than the worker takes to report again. Meanwhile it gets no new tasks.
+    /// Whether replies may not have reached its worker, or heartbeats not this controller, for
+    /// longer than the worker takes to report again. While this is so, the machine gets no new
+    /// tasks.
     pub(super) fn is_suspect(&self, report_s: Seconds, now: Seconds) -> bool {
         let replies_unacknowledged = self.token.unacknowledged.as_ref().is_some_and(|sent| {
             sent.replies >= SUSPECT_AFTER_REPLIES
@@ -332,22 +334,22 @@
     }
 
     /// Whether its worker responds to direct commands but sends no heartbeats. Commands
-    /// renew no lease, so that the tasks on it will be killed, as will those started later.
+    /// renew no lease, so the tasks on it will be killed, as will those started later.
     pub(super) fn stopped_reporting(&self, report_s: Seconds, now: Seconds) -> bool {
         self.responding_without_heartbeat_s(now) > report_s * STOPPED_REPORTING_INTERVALS
     }
 
-    /// Returns the seconds for which the worker has responded to direct commands without sending
-    /// a heartbeat; 0 if it has not.
+    /// Returns the seconds for which the worker has responded to direct commands without
+    /// sending a heartbeat; 0 if it has not.
     fn responding_without_heartbeat_s(&self, now: Seconds) -> Seconds {
         let period = self.commands.responses_without_heartbeat.as_ref();
         period.map_or(0.0, |period| now - period.began_at)
     }
 
     /// Records that its worker responded to a direct command. After a pause without
-    /// commands the period starts over: this node then had no right to send commands, and
-    /// refused heartbeats too, so that the time before the pause proves nothing. Otherwise
-    /// an outage would make half of the machines look as if they had stopped reporting.
+    /// commands the period starts over: during the pause this node had no right to send
+    /// commands and also refused heartbeats, so the time before the pause proves nothing.
+    /// Otherwise half of the machines would count as having stopped reporting after an outage.
     pub(super) fn record_command_response(&mut self, report_s: Seconds, now: Seconds) {
         match &mut self.commands.responses_without_heartbeat {
             Some(period) if now - period.last_at < report_s * STOPPED_REPORTING_INTERVALS / 1.5 => {
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -176,7 +176,7 @@
     /// Machines that no longer belong to this shard, with the number of the first report that
     /// lists each.
     #[serde(rename = "unlisted")]
-    pub unregistered: Vec<(MachineId, u64)>,
+    pub removed_machines: Vec<(MachineId, u64)>,
     /// The assigned tasks that are new or have changed.
     #[serde(rename = "held")]
     pub assigned: Vec<AssignedTaskStatus>,
@@ -211,15 +211,15 @@
     pub job: JobId,
     /// The index and the attempt of each task.
     pub tasks: Vec<(u32, u64)>,
-    /// For a job with `one_zone` or `scatter`, how many more of its tasks each zone may take;
+    /// For a job with `one_zone` or `scatter`, how many further tasks of it each zone may take;
     /// `None` for other jobs, which have no such limits.
     #[serde(rename = "zone_room")]
-    pub zone_capacity: Option<Vec<(Arc<str>, u32)>>,
+    pub zone_allowances: Option<Vec<(Arc<str>, u32)>>,
     /// Machines on which its tasks must not be started.
     pub avoid: Vec<MachineId>,
     /// The index and the assignment number of each task whose assignment is newer than its
     /// attempt: tasks of gangs, which share one attempt. Versions without gangs neither send
-    /// nor read the field, and take no such task twice.
+    /// nor read the field, and ignore a second assignment of a task under the same attempt.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub assignments: Vec<(u32, u64)>,
 }
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -1,6 +1,6 @@
 //! A shard: the machines that one controller owns, the tasks that are assigned to them, and
-//! the commands that their workers are due. The module does no input or output: time comes
-//! in as an argument, and commands go out as values.
+//! the commands to be sent to their workers. The module performs no I/O: the time is passed
+//! in, and commands are returned as values.
 //!
 //! A task must never be started while an earlier start of it may still run, or take
 //! effect, somewhere else. The shard therefore removes a task that may have been started
@@ -44,16 +44,16 @@
 /// The intervals vary by a quarter.
 const LATE_AFTER_INTERVALS: f64 = 1.3;
 
-/// How many more tasks of a job each zone may take, for a job whose placement rules span
-/// its tasks (`one_zone`, `scatter`).
+/// How many further tasks of a zone-constrained job (`one_zone`, `scatter`) each zone may
+/// take.
 #[derive(Debug, Clone, Default)]
-struct ZoneCapacity {
+struct ZoneAllowances {
     remaining: BTreeMap<Arc<str>, u32>,
 }
 
-impl ZoneCapacity {
-    /// Whether a zone may take one more task.
-    fn has_capacity(&self, zone: &str) -> bool {
+impl ZoneAllowances {
+    /// Whether a zone may take a further task.
+    fn has_allowance(&self, zone: &str) -> bool {
         self.remaining
             .get(zone)
             .is_some_and(|remaining| *remaining > 0)
@@ -61,7 +61,7 @@
 
     /// Counts a task that was placed in a zone. With `only_this_zone`, all further tasks
     /// must be placed in the same zone.
-    fn reserve_one(&mut self, zone: &str, only_this_zone: bool) {
+    fn use_one(&mut self, zone: &str, only_this_zone: bool) {
         if only_this_zone {
             self.remaining.retain(|name, _| **name == *zone);
         }
@@ -88,8 +88,8 @@
     pub report_s: Seconds,
     /// How long a worker's lease lasts after a reply to its heartbeat.
     pub lease_s: Seconds,
-    /// How long a member's lease lasts: a member that a new epoch excludes may act for so long
-    /// without knowing of that epoch.
+    /// How long a member's lease lasts. A member that a new epoch excludes acts until it reads
+    /// of that epoch, or until its lease expires.
     pub member_lease_s: Seconds,
 }
 
@@ -111,15 +111,15 @@
     released_tasks: Vec<ReleasedTask>,
     /// Machines that no longer belong to this shard, and the number of the first report that
     /// lists each.
-    unregistered_machines: Vec<(MachineId, u64)>,
+    removed_machines: Vec<(MachineId, u64)>,
     /// Machines as last reported to the leader, and the number of that report.
     last_reported: HashMap<MachineId, (MachineStatus, u64)>,
     /// The number of the newest report that the leader has acknowledged.
     acknowledged_seq: u64,
-    /// The highest assignment number seen of each task. Orders with a number that is not
+    /// The highest assignment number seen of each task. Assignments with a number that is not
     /// higher are late copies, and are ignored.
     highest_assignments: HashMap<Task, u64>,
-    zone_capacities: HashMap<JobId, ZoneCapacity>,
+    zone_allowances: HashMap<JobId, ZoneAllowances>,
     /// Teams that use more than their guarantee, by the leader's last orders.
     borrowing_teams: HashSet<Arc<str>>,
     /// The span of direct contact with each zone, not counting relayed heartbeats.
@@ -136,8 +136,8 @@
 }
 
 impl Shard {
-    /// Returns a shard without machines that has entered no epoch. `start_objectives` holds
-    /// the objective for a task's start, in seconds, by job class.
+    /// Returns a shard without machines that has entered no epoch. `start_objectives` is the
+    /// objective for a task's start, in seconds, by job class.
     pub fn new(node: &str, timing: Timing, start_objectives: HashMap<Arc<str>, f64>) -> Shard {
         Shard {
             node: node.into(),
@@ -151,11 +151,11 @@
             assigned: AssignedTasks::default(),
             removed_tasks: Vec::new(),
             released_tasks: Vec::new(),
-            unregistered_machines: Vec::new(),
+            removed_machines: Vec::new(),
             last_reported: HashMap::new(),
             acknowledged_seq: 0,
             highest_assignments: HashMap::new(),
-            zone_capacities: HashMap::new(),
+            zone_allowances: HashMap::new(),
             borrowing_teams: HashSet::new(),
             zone_contacts: BTreeMap::new(),
             report_seq: 0,
@@ -214,7 +214,7 @@
         self.acknowledged_seq = 0;
         self.last_reported.clear();
         self.released_tasks.clear();
-        self.unregistered_machines.clear();
+        self.removed_machines.clear();
         self.machines.retain(|id, _| owns(id));
         let machines = &self.machines;
         self.assigned.retain(|_, assigned| {
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -3,7 +3,7 @@
 
 use super::{
     AssignedTask, JobAssignment, Orders, RemovalReason, Shard, TaskPhase, TaskStopReason,
-    ZoneCapacity,
+    ZoneAllowances,
 };
 use crate::clock::Seconds;
 use crate::store::cache::StoreCache;
@@ -79,11 +79,11 @@
                 self.remove_task(&task, RemovalReason::Stopped);
             }
         }
-        if let Some(zone_capacity) = job.zone_capacity.as_ref().filter(|_| any_new) {
-            self.zone_capacities.insert(
+        if let Some(zone_allowances) = job.zone_allowances.as_ref().filter(|_| any_new) {
+            self.zone_allowances.insert(
                 job.job.clone(),
-                ZoneCapacity {
-                    remaining: zone_capacity.iter().cloned().collect(),
+                ZoneAllowances {
+                    remaining: zone_allowances.iter().cloned().collect(),
                 },
             );
         }
@@ -97,13 +97,13 @@
             .retain(|removed| removed.seq > acknowledged_seq);
         self.released_tasks
             .retain(|released| released.report_seq > acknowledged_seq);
-        self.unregistered_machines
+        self.removed_machines
             .retain(|(_, seq)| *seq > acknowledged_seq);
     }
 
     /// Stops a task that the leader recalls. A task that has run for less than
-    /// [`MIN_COUNTED_RUN_S`] is left to run for now, as its start would not count for users; the
-    /// leader repeats the recall.
+    /// [`MIN_COUNTED_RUN_S`] continues to run for now, as its start would not count for users;
+    /// the leader repeats the recall.
     fn apply_recall(&mut self, task: &Task, attempt: u64, cache: &StoreCache, now: Seconds) {
         let placement = self
             .assigned
--- a/src/shard/placement.rs
+++ b/src/shard/placement.rs
@@ -233,7 +233,7 @@
             if assigned.avoid.contains(id)
                 || machine.contents.tasks.contains_key(task)
                 || round.reserved.contains_key(id)
-                || !self.zone_has_capacity(request, &machine.identity.zone)
+                || !self.zone_has_allowance(request, &machine.identity.zone)
             {
                 return None;
             }
@@ -269,12 +269,12 @@
         spread
     }
 
-    /// Whether a zone may take one more task of a job. A job with `one_zone` or `scatter` has
-    /// a limit for each zone; until the leader's orders have set them, none of its tasks is
-    /// placed.
-    fn zone_has_capacity(&self, request: &PlacementRequest, zone: &str) -> bool {
-        match self.zone_capacities.get(&request.task.job) {
-            Some(capacity) => capacity.has_capacity(zone),
+    /// Whether a zone may take a further task of a job. A job with `one_zone` or `scatter` has
+    /// an allowance for each zone; until the leader's orders have set the allowances, none of
+    /// its tasks is placed.
+    fn zone_has_allowance(&self, request: &PlacementRequest, zone: &str) -> bool {
+        match self.zone_allowances.get(&request.task.job) {
+            Some(allowances) => allowances.has_allowance(zone),
             None => !request.spec.one_zone && !request.spec.scatter,
         }
     }
@@ -299,8 +299,8 @@
         machine.contents.cache_image(spec, cache_gb);
         machine.contents.idle_since = now;
         let session = machine.session.id;
-        if let Some(capacity) = self.zone_capacities.get_mut(&task.job) {
-            capacity.reserve_one(&machine.identity.zone, spec.one_zone);
+        if let Some(allowances) = self.zone_allowances.get_mut(&task.job) {
+            allowances.use_one(&machine.identity.zone, spec.one_zone);
         }
         if let Some(attempt) = self.assigned.get(task).map(|assigned| assigned.attempt) {
             let placement = Placement {
--- a/src/shard/preemption.rs
+++ b/src/shard/preemption.rs
@@ -142,8 +142,8 @@
             assigned.is_some_and(|assigned| assigned.avoid.contains(id))
         };
         let zone_full = || {
-            let capacity = self.zone_capacities.get(&task.job);
-            capacity.is_some_and(|capacity| !capacity.has_capacity(&identity.zone))
+            let allowances = self.zone_allowances.get(&task.job);
+            allowances.is_some_and(|allowances| !allowances.has_allowance(&identity.zone))
         };
         !avoided()
             && !zone_full()
@@ -245,9 +245,9 @@
     }
 }
 
-/// Whether a job becomes late if one of its tasks has to start again. If it is late already,
-/// whether its end moves past another half of its deadline: otherwise the tasks of late jobs
-/// would be stopped again and again.
+/// Whether a job becomes late if one of its tasks has to start again. A job that is late
+/// already counts as becoming late if its end moves past another half of its deadline:
+/// otherwise the tasks of late jobs would be stopped again and again.
 fn becomes_late(spec: &JobSpec, age_s: Seconds, ran_s: Seconds) -> bool {
     spec.checkpoint_s <= 0.0
         && spec
--- a/src/shard/reconciliation.rs
+++ b/src/shard/reconciliation.rs
@@ -15,11 +15,11 @@
 };
 use std::collections::BTreeMap;
 
-/// A task that is assigned to a machine and that its heartbeat does not list.
+/// A task that is assigned to a machine and that the machine's heartbeat does not list.
 struct AbsentTask {
     task: Task,
-    /// Whether the heartbeat carries a token above that of the last start, so that the task
-    /// is not on the machine and can't be started there any more.
+    /// Whether the heartbeat carries a token above that of the last start: the task is not on
+    /// the machine, and that start can't take effect any more.
     proven_absent: bool,
     confirmed: bool,
     stopping: bool,
--- a/src/shard/registration.rs
+++ b/src/shard/registration.rs
@@ -42,7 +42,7 @@
         if self.machines.remove(id).is_some() {
             self.last_reported.remove(id);
             self.remove_tasks_of_ended_sessions(id, u64::MAX);
-            self.unregistered_machines
+            self.removed_machines
                 .push((id.clone(), self.report_seq + 1));
         }
         self.report_due = true;
--- a/src/shard/removal.rs
+++ b/src/shard/removal.rs
@@ -83,7 +83,7 @@
             }
         }
         if job.record.done || job.record.cancelled {
-            self.zone_capacities.remove(id);
+            self.zone_allowances.remove(id);
         }
     }
 
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Releases finished tasks, and drops unregistered machines whose lease has expired and
-    /// the assignment numbers of jobs that have ended.
+    /// Releases finished tasks. Drops unregistered machines whose worker's lease has expired,
+    /// and the assignment numbers of jobs that have ended.
     pub fn forget_finished(&mut self, cache: &StoreCache, now: Seconds) {
         let finished_tasks: Vec<Task> = self
             .assigned
@@ -118,8 +118,9 @@
         for task in finished_tasks {
             self.release_task(&task);
         }
-        // A machine that is not registered, and whose worker has not proved to be alive within
-        // a lease, is known from a late copy of a heartbeat only, or its lease has expired.
+        // A machine that is not registered, and whose worker has not proved within the length
+        // of a lease that it is alive, was added by a late copy of a heartbeat, or its worker's
+        // lease has expired.
         let (lease_s, epoch_started_at) = (self.timing.lease_s, self.epoch_started_at);
         self.machines.retain(|_, machine| {
             machine.registered
@@ -133,7 +134,7 @@
     }
 }
 
-/// Whether a task needs no more runs, by the stored records.
+/// Whether a task needs no more runs, according to the stored records.
 fn is_finished(cache: &StoreCache, task: &Task) -> bool {
     cache.stored_task(task).needs_no_run()
 }
--- a/src/shard/report.rs
+++ b/src/shard/report.rs
@@ -93,7 +93,7 @@
             since,
             seq,
             machines,
-            unregistered: self.unregistered_machines.clone(),
+            removed_machines: self.removed_machines.clone(),
             assigned,
             removed: self.removed_tasks.clone(),
             released: released
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -25,11 +25,11 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The start token on the wire of a task whose start can't be in flight.
+/// The start token that is sent for a task whose start can't be in flight.
 const NO_START_TOKEN: u64 = u64::MAX;
 
 /// A hash range that this shard, as the source of a transfer, has fenced: its machines are
-/// sent no commands but stops of cancelled tasks.
+/// sent no commands except stops of cancelled tasks.
 #[derive(Debug, Clone)]
 struct Fence {
     range: HashRange,
@@ -42,7 +42,9 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct TransferParticipant {
     fences: BTreeMap<TransferId, Fence>,
+    /// The offered transfers that this shard accepts as their target.
     accepted: BTreeSet<TransferId>,
+    /// The transfers whose range this shard has taken over as their target.
     taken_over: BTreeSet<TransferId>,
     /// Machines that the shard map has assigned to this shard, and whose state has not been
     /// received from the source.
@@ -89,7 +91,7 @@
         self.awaiting_state.remove(id);
     }
 
-    /// Returns the progress of all transfers, for the leader.
+    /// Returns the progress of all transfers, to be reported to the leader.
     pub(super) fn report(&self) -> TransferReport {
         let fenced = self.fences.iter().filter(|(_, fence)| !fence.released);
         let released = self.fences.iter().filter(|(_, fence)| fence.released);
@@ -284,7 +286,7 @@
         }
         self.machines.remove(id);
         self.last_reported.remove(id);
-        self.unregistered_machines
+        self.removed_machines
             .push((id.clone(), self.report_seq + 1));
     }
 
--- a/tests/common/builders/orders.rs
+++ b/tests/common/builders/orders.rs
@@ -24,7 +24,7 @@
     vec![JobAssignment {
         job: job.into(),
         tasks: tasks.to_vec(),
-        zone_capacity: None,
+        zone_allowances: None,
         avoid: Vec::new(),
         assignments: Vec::new(),
     }]
--- a/tests/common/simulated_cluster/controllers.rs
+++ b/tests/common/simulated_cluster/controllers.rs
@@ -216,7 +216,8 @@
                 .leader
                 .completions_to_commit(now, MAX_COMMITS, &self.cache);
             for finish in &decisions.finishes {
-                self.leader.commit_answered(&finish.job, now, now + 1.0);
+                self.leader
+                    .record_commit_outcome(&finish.job, now, now + 1.0);
             }
             decisions.machines_to_replace = self.machines_to_replace(now, evict_after_s);
         }
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -620,7 +620,7 @@
         let capacity = orders
             .assignments
             .iter()
-            .filter_map(|assignment| assignment.zone_capacity.clone())
+            .filter_map(|assignment| assignment.zone_allowances.clone())
             .flatten();
         zones.extend(capacity.map(|(zone, _)| zone));
     }
--- a/tests/control_plane/many_small_jobs.rs
+++ b/tests/control_plane/many_small_jobs.rs
@@ -117,7 +117,7 @@
                     ..record
                 },
             );
-            self.leader.commit_answered(&completion.job, now, now);
+            self.leader.record_commit_outcome(&completion.job, now, now);
         }
         for machine in 0..MACHINES {
             self.send_heartbeat(machine, now);
@@ -226,7 +226,7 @@
     );
     assert_eq!(
         fleet.leader.counts(),
-        finchwood::scheduler::TableCounts {
+        finchwood::scheduler::SchedulingCounts {
             jobs: 0,
             assigned_tasks: 0,
             unreconciled_tasks: 0
--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -360,7 +360,7 @@
         assert_eq!(self.executed_commands, [], "{when}: executed commands");
         assert_eq!(
             self.leader.counts(),
-            finchwood::scheduler::TableCounts {
+            finchwood::scheduler::SchedulingCounts {
                 jobs: 3,
                 assigned_tasks: 12,
                 unreconciled_tasks: 0
--- a/tests/control_plane/versions.rs
+++ b/tests/control_plane/versions.rs
@@ -276,7 +276,7 @@
     assert_eq!(
         (
             assignment.tasks.len(),
-            assignment.zone_capacity.is_some(),
+            assignment.zone_allowances.is_some(),
             assignment.assignments.len()
         ),
         (3, true, 0)
@@ -296,7 +296,7 @@
     let assignments = vec![JobAssignment {
         job: "wk-1".into(),
         tasks: vec![(0, 50), (1, 50)],
-        zone_capacity: Some(vec![("e".into(), 2)]),
+        zone_allowances: Some(vec![("e".into(), 2)]),
         avoid: vec!["m-9".into()],
         assignments: vec![(1, 51)],
     }];
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -210,7 +210,7 @@
         since: 11,
         seq: 12,
         machines: vec![full_machine_status(), minimal_machine_status()],
-        unregistered: vec![("m-9".into(), 3)],
+        removed_machines: vec![("m-9".into(), 3)],
         assigned: phases
             .into_iter()
             .map(|phase| assigned_task_status(phase, Some("m-1"), 71))
@@ -258,7 +258,7 @@
         since: 0,
         seq: 0,
         machines: vec![minimal_machine_status()],
-        unregistered: Vec::new(),
+        removed_machines: Vec::new(),
         assigned: vec![assigned_task_status(TaskPhase::Queued, None, 0)],
         removed: vec![removed_task(RemovalReason::Lost, None, 0)],
         released: Vec::new(),
@@ -278,7 +278,7 @@
     let assignment = JobAssignment {
         job: "wk-1".into(),
         tasks: vec![(0, 50), (1, 50)],
-        zone_capacity: Some(vec![("e".into(), 2)]),
+        zone_allowances: Some(vec![("e".into(), 2)]),
         avoid: vec!["m-9".into()],
         assignments: vec![(1, 51)],
     };
@@ -312,7 +312,7 @@
     let assignment = JobAssignment {
         job: "wk-1".into(),
         tasks: Vec::new(),
-        zone_capacity: None,
+        zone_allowances: None,
         avoid: Vec::new(),
         assignments: Vec::new(),
     };
