--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -3,7 +3,7 @@
 //!
 //! An attempt first waits until all of its tasks have started, and then runs until it ends.
 //! Before it runs, a task that its shard or worker rejected is assigned again under the
-//! same attempt. If a task is removed for any other reason, the attempt is over: all its
+//! same attempt. If a task is removed for any other reason, the attempt ends: all its
 //! other tasks are stopped, and the next attempt begins once every task of this one is
 //! confirmed to have stopped.
 
@@ -70,7 +70,7 @@
 enum GangAction {
     /// Leave the gang alone; unassigned tasks may be assigned.
     Continue,
-    /// Stop all tasks of the attempt, which is over.
+    /// Withdraw the attempt: stop all of its tasks.
     Withdraw,
 }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -98,6 +98,7 @@
 pub struct Leader {
     epoch: LeaderEpoch,
     policy: AssignmentPolicy,
+    /// The jobs that have not ended, and ended ones with assigned or unreconciled tasks.
     jobs: BTreeMap<JobId, JobEntry>,
     /// The shards that have reported in this epoch, by the name of their controller.
     pub shards: BTreeMap<String, ShardView>,
--- a/src/scheduler/urgency.rs
+++ b/src/scheduler/urgency.rs
@@ -62,8 +62,8 @@
 /// The urgency of a job. A job with a deadline is due at its deadline. Of the jobs with a
 /// completion objective, those that can still meet it come before those that cannot, since
 /// under overload the order of arrival would make all of them late. A job that has waited
-/// for four times its objective counts as in time again: its due time is long past by then,
-/// so that it comes ahead of almost all others and does not starve.
+/// for four times its objective counts as in time again: its due time lies far in the past by
+/// then, so that it comes ahead of almost all others and does not starve.
 pub(super) fn urgency(
     spec: &JobSpec,
     accepted_at_ms: u64,
--- a/src/shard/assigned_tasks.rs
+++ b/src/shard/assigned_tasks.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct AssignedTask {
     pub attempt: u64,
-    /// The number of the assignment, which tells apart several assignments of one attempt.
+    /// The number of the assignment, which distinguishes several assignments of one attempt.
     pub assignment: u64,
     /// `None` while it waits for a machine.
     pub placement: Option<Placement>,
@@ -66,6 +66,8 @@
 }
 
 impl Placement {
+    /// Returns the placement of a task that was found on a machine, in a heartbeat that carried
+    /// `token`.
     pub(super) fn adopted(
         machine: &MachineId,
         session: u64,
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -126,7 +126,7 @@
 pub(super) struct CommandChannel {
     /// Whether a command is in flight: it has neither received a response nor failed.
     pub(super) in_flight: bool,
-    /// Whether a command is due only to learn the worker's state from its response.
+    /// Whether a command is due only to obtain the worker's state from its response.
     pub(super) probe_due: bool,
     /// When the first command was sent since the worker last proved to be alive.
     pub(super) outstanding_since: Option<Seconds>,
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -104,10 +104,13 @@
     epoch: u64,
     epoch_started_at: Seconds,
     incarnation: u64,
+    /// Whether the shard kept its state when it entered the epoch.
     state_retained: bool,
     machines: BTreeMap<MachineId, Machine>,
     assigned: AssignedTasks,
+    /// Removed tasks that the leader has not acknowledged as removed yet.
     removed_tasks: Vec<RemovedTask>,
+    /// Released tasks that the leader has not acknowledged as released yet.
     released_tasks: Vec<ReleasedTask>,
     /// Machines that no longer belong to this shard, and the number of the first report that
     /// lists each.
@@ -124,7 +127,9 @@
     borrowing_teams: HashSet<Arc<str>>,
     /// The span of direct contact with each zone, not counting relayed heartbeats.
     zone_contacts: BTreeMap<Arc<str>, ZoneContactSpan>,
+    /// The number of the latest report.
     report_seq: u64,
+    /// The number of the newest orders applied in this epoch.
     orders_seq: u64,
     /// Whether something has changed that must be reported to the leader. The next report
     /// clears it.
@@ -166,7 +171,8 @@
         }
     }
 
-    /// Starts the restart record over, limited to its latest `max_decisions` decisions.
+    /// Replaces the restart record by an empty one, limited to its latest `max_decisions`
+    /// decisions.
     pub fn set_restart_record_limit(&mut self, max_decisions: usize) {
         self.restart_record = RestartRecord::new(max_decisions);
     }
--- a/src/shard/placement.rs
+++ b/src/shard/placement.rs
@@ -113,8 +113,8 @@
             && machine.session.last_heartbeat_at.is_some_and(is_recent)
     }
 
-    /// Places the queued tasks, the highest priority first, until `has_time` returns false:
-    /// the round's time is over, and the rest is left to the next round.
+    /// Places the queued tasks, the highest priority first. Once `has_time` returns false, the
+    /// round ends, and the rest is left to the next round.
     pub fn place_queued(
         &mut self,
         cache: &StoreCache,
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -1,7 +1,7 @@
 //! Transfers of machines between shards: the source stops sending commands and reports its
 //! state of the machines, and the target continues from that state.
 //!
-//! While a machine is fenced, its worker's lease is renewed so that its tasks go on, and
+//! While a machine is fenced, its worker's lease is renewed so that its tasks continue, and
 //! cancelled tasks are stopped, but no task is started, forgotten or adopted. The set of
 //! tasks on the machine can only shrink, so that the state sent to the target lists every
 //! one of them, however late it arrives.
@@ -376,8 +376,8 @@
         })
     }
 
-    /// Takes over a machine with the source's state of it. Its token is above any that the
-    /// source used.
+    /// Adds a machine that was transferred to this shard, with the source's state of it. Its
+    /// token is above any that the source used.
     fn adopt_machine(&mut self, state: &MachineTransferState, cache: &StoreCache, now: Seconds) {
         let observed_tasks = state
             .reported_tasks
@@ -424,7 +424,7 @@
         }
     }
 
-    /// Takes over a task that was assigned to a machine at the source.
+    /// Adds a task that the source had assigned to a transferred machine.
     fn adopt_task(
         &mut self,
         machine: &MachineId,
