--- a/src/shard/assigned_tasks.rs
+++ b/src/shard/assigned_tasks.rs
@@ -29,7 +29,7 @@
     /// The token under which its last start was sent, or under which it was adopted; `None`
     /// while no start can be in flight.
     pub start_token: Option<u64>,
-    /// Whether its start was sent, and need not be sent again.
+    /// Whether its start was sent and need not be sent again.
     pub start_sent: bool,
     /// Whether its machine has reported it.
     pub confirmed: bool,
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct AssignedTask {
     pub attempt: u64,
-    /// The number of the assignment, which tells apart several assignments of one attempt.
+    /// The number of the assignment, which distinguishes several assignments of one attempt.
     pub assignment: u64,
     /// `None` while it waits for a machine.
     pub placement: Option<Placement>,
@@ -66,6 +66,8 @@
 }
 
 impl Placement {
+    /// Returns the placement of a task that was found on a machine, in a heartbeat that carried
+    /// `token`.
     pub(super) fn adopted(
         machine: &MachineId,
         session: u64,
--- a/src/shard/transfer.rs
+++ b/src/shard/transfer.rs
@@ -1,7 +1,7 @@
 //! Transfers of machines between shards: the source stops sending commands and reports its
 //! state of the machines, and the target continues from that state.
 //!
-//! While a machine is fenced, its worker's lease is renewed so that its tasks go on, and
+//! While a machine is fenced, its worker's lease is renewed so that its tasks continue, and
 //! cancelled tasks are stopped, but no task is started, forgotten or adopted. The set of
 //! tasks on the machine can only shrink, so that the state sent to the target lists every
 //! one of them, however late it arrives.
@@ -25,11 +25,11 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The start token on the wire of a task whose start can't be in flight.
+/// The start token that is sent for a task whose start can't be in flight.
 const NO_START_TOKEN: u64 = u64::MAX;
 
 /// A hash range that this shard, as the source of a transfer, has fenced: its machines are
-/// sent no commands but stops of cancelled tasks.
+/// sent no commands except stops of cancelled tasks.
 #[derive(Debug, Clone)]
 struct Fence {
     range: HashRange,
@@ -42,7 +42,9 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct TransferParticipant {
     fences: BTreeMap<TransferId, Fence>,
+    /// The offered transfers that this shard accepts as their target.
     accepted: BTreeSet<TransferId>,
+    /// The transfers whose range this shard has taken over as their target.
     taken_over: BTreeSet<TransferId>,
     /// Machines that the shard map has assigned to this shard, and whose state has not been
     /// received from the source.
@@ -89,7 +91,7 @@
         self.awaiting_state.remove(id);
     }
 
-    /// Returns the progress of all transfers, for the leader.
+    /// Returns the progress of all transfers, to be reported to the leader.
     pub(super) fn report(&self) -> TransferReport {
         let fenced = self.fences.iter().filter(|(_, fence)| !fence.released);
         let released = self.fences.iter().filter(|(_, fence)| fence.released);
@@ -284,7 +286,7 @@
         }
         self.machines.remove(id);
         self.last_reported.remove(id);
-        self.unregistered_machines
+        self.removed_machines
             .push((id.clone(), self.report_seq + 1));
     }
 
@@ -374,8 +376,8 @@
         })
     }
 
-    /// Takes over a machine with the source's state of it. Its token is above any that the
-    /// source used.
+    /// Adds a machine that was transferred to this shard, with the source's state of it. Its
+    /// token is above any that the source used.
     fn adopt_machine(&mut self, state: &MachineTransferState, cache: &StoreCache, now: Seconds) {
         let observed_tasks = state
             .reported_tasks
@@ -422,7 +424,7 @@
         }
     }
 
-    /// Takes over a task that was assigned to a machine at the source.
+    /// Adds a task that the source had assigned to a transferred machine.
     fn adopt_task(
         &mut self,
         machine: &MachineId,
