--- a/crates/sharding/src/planner.rs
+++ b/crates/sharding/src/planner.rs
@@ -361,7 +361,10 @@
             !is_excluded(machine) && fleet.shard_map.sole_owner(&range) == Some(source);
         run = is_movable.then_some((range, count));
         if let Some((range, count)) = &run {
-            if best.as_ref().is_none_or(|(_, most)| count > most) {
+            if best
+                .as_ref()
+                .is_none_or(|(_, best_count)| count > best_count)
+            {
                 best = Some((range.clone(), *count));
             }
         }
--- a/src/store/rate_budget.rs
+++ b/src/store/rate_budget.rs
@@ -75,17 +75,17 @@
 
     /// Waits until the budget allows `ops` write operations of a class.
     pub fn wait_writes(&self, class: WriteClass, ops: usize) {
-        wait(self.writes(class), ops as f64);
+        wait(self.write_bucket(class), ops as f64);
     }
 
     /// Records that writes of a class exceeded the store's rate limit, which slows down later
     /// writes of the class.
     pub fn record_rate_limit(&self, class: WriteClass) {
         let now = clock::now();
-        lock(self.writes(class)).record_refusal(now);
+        lock(self.write_bucket(class)).record_refusal(now);
     }
 
-    fn writes(&self, class: WriteClass) -> &Mutex<TokenBucket> {
+    fn write_bucket(&self, class: WriteClass) -> &Mutex<TokenBucket> {
         match class {
             WriteClass::Urgent => &self.urgent,
             WriteClass::Bulk => &self.bulk,
