--- a/src/api/command_pool.rs
+++ b/src/api/command_pool.rs
@@ -12,7 +12,8 @@
 pub struct CommandResult {
     /// The command.
     pub command: DirectCommand,
-    /// The worker's report; `None` if it did not respond or the command was not sent.
+    /// The worker's report; `None` if the worker did not respond, the response was not a valid
+    /// report, or the command was not sent.
     pub response: Option<Heartbeat>,
 }
 
@@ -21,10 +22,10 @@
     deadline: Seconds,
 }
 
-/// A pool of threads that send direct commands, one at a time to each of many machines.
+/// A pool of threads, each of which sends one direct command at a time.
 ///
-/// The pool starts threads as needed, up to its capacity, and accepts no more commands than
-/// that at a time: the caller retries the rest in its next round. The threads are detached,
+/// The pool starts threads as needed, up to its capacity. The caller keeps at most as many
+/// commands outstanding, and retries the others in its next round. The threads are detached,
 /// and end when the pool is dropped or `on_completed` returns false.
 pub struct CommandPool {
     queue: Sender<QueuedCommand>,
@@ -36,7 +37,8 @@
 
 impl CommandPool {
     /// Creates a pool without threads. `timeout` limits the duration of each request, in
-    /// seconds; `on_completed` takes the results, and returns false once no more are wanted.
+    /// seconds. `on_completed` receives the results, and returns false to end the thread that
+    /// called it.
     pub fn new<F>(
         name: &'static str,
         capacity: usize,
@@ -68,12 +70,12 @@
         self.capacity - self.outstanding
     }
 
-    /// Queues a command. It is not sent if its turn comes after `deadline`, when this
-    /// controller may no longer command machines.
+    /// Queues a command. The command is not sent after `deadline`, as this controller may no
+    /// longer command machines then.
     ///
     /// # Errors
     ///
-    /// Returns the command if the pool is full.
+    /// Returns the command if the queue is full.
     pub fn send(&mut self, command: DirectCommand, deadline: Seconds) -> Result<(), DirectCommand> {
         if self.outstanding >= self.threads && self.threads < self.capacity {
             (self.start_thread)(self.threads);
--- a/src/api/connection.rs
+++ b/src/api/connection.rs
@@ -1,4 +1,4 @@
-//! A connection of a client: the bytes received and to be sent, and its timeouts.
+//! A connection from a client: its input, its output, and its timeouts.
 
 use crate::api::http_request::{read_request, HttpRequest, Progress, HEAD_LIMIT};
 use crate::api::responder::Response;
@@ -6,18 +6,17 @@
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
 
-/// The timeout for receiving a complete request, and for a client to read its response, in
-/// seconds: as long as users wait for a response.
-const STALLED_S: Seconds = 5.0;
-/// The time after which a connection without requests is closed, in seconds.
-const IDLE_S: Seconds = 300.0;
-/// The time after which a connection without requests may be closed in favour of a new one, in
-/// seconds.
-const REPLACEABLE_S: Seconds = 1.0;
+/// The longest time that a connection may take to receive a complete request, or may make no
+/// progress with sending a response, in seconds. This is as long as users wait for a response.
+const STALL_TIMEOUT_S: Seconds = 5.0;
+/// The time after which an idle connection is closed, in seconds.
+const IDLE_TIMEOUT_S: Seconds = 300.0;
+/// The time after which an idle connection may be closed in favour of a new one, in seconds.
+const MIN_REPLACEABLE_IDLE_S: Seconds = 1.0;
 /// The most memory that an empty input buffer keeps allocated, in bytes.
 const KEPT_INPUT_BYTES: usize = 1024;
 
-/// Whether a connection can still be used.
+/// The state of a connection after an operation on its socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionState {
     Open,
@@ -26,7 +25,7 @@
 
 /// The next request in the input of a connection.
 pub(super) enum NextRequest {
-    /// There is no complete request, or the previous one is still being answered.
+    /// There is no complete request, or the previous one still awaits its response.
     None,
     /// The input is malformed, and requires a response with this status.
     Malformed(u16),
@@ -43,8 +42,8 @@
     /// Whether a request awaits its response.
     awaiting_response: bool,
     close_after_response: bool,
-    /// When the connection last made progress: began to receive a request, completed one, or
-    /// sent bytes of a response.
+    /// When the connection last made progress: it was opened, began to receive a request,
+    /// completed one, or sent bytes of a response.
     last_progress_at: Seconds,
 }
 
@@ -66,26 +65,26 @@
         self.awaiting_response
     }
 
-    /// Returns since when the connection has been idle, if it has been for long enough to be
-    /// closed in favour of a new one.
+    /// Returns since when the connection has been idle, if it has been idle for long enough to
+    /// be closed in favour of a new one.
     pub(super) fn replaceable_since(&self, now: Seconds) -> Option<Seconds> {
         let idle = !self.awaiting_response && self.input.is_empty() && self.output.is_empty();
-        let replaceable = idle && now - self.last_progress_at > REPLACEABLE_S;
+        let replaceable = idle && now - self.last_progress_at > MIN_REPLACEABLE_IDLE_S;
         replaceable.then_some(self.last_progress_at)
     }
 
-    /// Whether the client has stalled or has been idle for too long.
+    /// Returns whether the connection has stalled, or has been idle for too long.
     pub(super) fn is_expired(&self, now: Seconds) -> bool {
         let age = now - self.last_progress_at;
         let receiving = !self.input.is_empty() && !self.awaiting_response;
         let sending = !self.output.is_empty();
-        let stalled = (receiving || sending) && age > STALLED_S;
-        stalled || !self.awaiting_response && age > IDLE_S
+        let stalled = (receiving || sending) && age > STALL_TIMEOUT_S;
+        stalled || !self.awaiting_response && age > IDLE_TIMEOUT_S
     }
 
-    /// Receives all bytes that have arrived. A client that sends much more than one request of
-    /// at most `body_limit` bytes is disconnected: no client of the protocol does so without
-    /// waiting for a response.
+    /// Receives all bytes that have arrived. The connection is closed if it has received much
+    /// more than one request whose body has `body_limit` bytes: a client that follows the
+    /// protocol does not send so much without waiting for a response.
     pub(super) fn receive(&mut self, body_limit: usize, now: Seconds) -> ConnectionState {
         let input_limit = (HEAD_LIMIT + body_limit) * 2;
         let mut buffer = [0u8; 16 * 1024];
@@ -110,8 +109,8 @@
         }
     }
 
-    /// Takes the next request from the input, if it is complete and the previous one was
-    /// answered.
+    /// Takes the next request from the input, if that request is complete and the response to
+    /// the previous one has been sent.
     pub(super) fn next_request(&mut self, body_limit: usize, now: Seconds) -> NextRequest {
         if self.awaiting_response || !self.output.is_empty() || self.input.is_empty() {
             return NextRequest::None;
--- a/src/api/http_agent.rs
+++ b/src/api/http_agent.rs
@@ -5,7 +5,7 @@
 use std::io::Read;
 use std::time::Duration;
 
-/// The maximum number of bytes that are read of a response body.
+/// The maximum number of bytes that are read from a response body.
 const MAX_RESPONSE_BYTES: u64 = 4 * BODY_LIMIT as u64;
 
 /// Creates the HTTP agent of a pool. `timeout` limits the duration of each request as a whole,
@@ -21,8 +21,8 @@
         .build()
 }
 
-/// Reads the body of a response. If the connection breaks, the part that was received is
-/// returned, and the caller fails to decode it.
+/// Reads the body of a response. If the connection breaks, returns the part that was received,
+/// which the recipient cannot decode.
 pub(super) fn read_body(response: ureq::Response) -> Vec<u8> {
     let mut body = Vec::new();
     let _ = response
--- a/src/api/http_request.rs
+++ b/src/api/http_request.rs
@@ -39,7 +39,7 @@
     },
 }
 
-/// Why no request could be parsed.
+/// The reason why no request could be parsed.
 enum ParseError {
     Incomplete,
     Malformed,
@@ -88,8 +88,8 @@
     path.split('?').next().unwrap_or_default()
 }
 
-/// Whether the connection is closed after the response. HTTP/1.0 closes connections unless the
-/// client asks to keep them.
+/// Returns whether the connection is to be closed after the response. With HTTP/1.0 it is,
+/// unless the client requests to keep the connection open.
 fn closes_connection(head: &httparse::Request) -> bool {
     let http_1_0 = head.version == Some(0);
     header_is(head, "Connection", "close")
@@ -139,8 +139,8 @@
     }
 }
 
-/// Returns the range of the input with the content of the chunk at `start`. The last chunk is
-/// empty.
+/// Returns the range of the input that contains the content of the chunk at `start`. The
+/// range is empty for the last chunk.
 fn parse_chunk(input: &[u8], start: usize, limit: usize) -> Result<Range<usize>, ParseError> {
     let (head_length, size) = match httparse::parse_chunk_size(&input[start..]) {
         Ok(httparse::Status::Complete(parsed)) => parsed,
--- a/src/api/listeners.rs
+++ b/src/api/listeners.rs
@@ -1,5 +1,5 @@
-//! The two listeners of a controller: the public one for users and workers, and the internal
-//! one for other controllers and operators.
+//! The two listeners of a controller: the public listener for users and workers, and the
+//! internal listener for other controllers and operators.
 
 use crate::api::http_request::HttpRequest;
 use crate::api::responder::Responder;
@@ -9,15 +9,16 @@
 use crate::wire::BODY_LIMIT;
 use std::io;
 
-/// The minimum number of connections that a listener accepts, however few the settings allow.
+/// The least value of a listener's limit on connections, however few sockets the settings
+/// allow.
 const MIN_CONNECTIONS: usize = 8;
 
 /// A listener of a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listener {
-    /// For users and workers.
+    /// The listener for users and workers.
     Public,
-    /// For the other controllers and for operators.
+    /// The listener for the other controllers and for operators.
     Internal,
 }
 
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Returns the limits of this listener. Of the sockets that the process may open, three
-    /// quarters are for public clients and a tenth for the internal listener; the rest is for
+    /// Returns the limits of this listener. Three quarters of the sockets that the process may
+    /// open are for the public listener, and a tenth is for the internal one. The rest is for
     /// requests that this controller sends.
     fn limits(self, settings: &Settings) -> Limits {
         let sockets = settings.params.machine_limits.max_connections;
@@ -58,12 +59,12 @@
     }
 }
 
-/// Starts a listener that passes each valid request to `on_request` and refuses the others
-/// itself.
+/// Starts a listener that passes each valid request to `on_request`, and responds to invalid
+/// ones with an error.
 ///
 /// # Errors
 ///
-/// If the address can't be bound.
+/// Returns an error if the listening socket cannot be opened.
 pub fn listen<F>(settings: &Settings, listener: Listener, on_request: F) -> io::Result<()>
 where
     F: Fn(Request, Responder) + Send + 'static,
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,9 +1,10 @@
 //! The HTTP interface of a controller to users, workers, other controllers and operators.
 //!
-//! Inbound: [`listeners`] opens the sockets, [`server`] serves HTTP/1.1 on them, [`routes`]
-//! turns HTTP requests into [`routes::Request`]s, and a [`responder::Responder`] returns the
-//! response to the connection. Outbound: [`relay_pool`] relays heartbeats to the controllers
-//! that own their machines, and [`command_pool`] sends direct commands to workers.
+//! For incoming requests, [`listeners`] opens the sockets, [`server`] serves HTTP/1.1 on them,
+//! [`routes`] parses HTTP requests into [`routes::Request`]s, and a [`responder::Responder`]
+//! passes the response back to the connection. For outgoing requests, [`relay_pool`] relays
+//! heartbeats to the controllers that own their machines, and [`command_pool`] sends direct
+//! commands to workers.
 
 pub mod command_pool;
 mod connection;
--- a/src/api/published_report.rs
+++ b/src/api/published_report.rs
@@ -1,4 +1,4 @@
-//! Reports that the event loop of the controller publishes, and that the listeners serve.
+//! Reports that the event loop of the controller publishes and the listeners serve.
 
 use crate::api::responder::Responder;
 use crate::api::status;
@@ -9,10 +9,11 @@
 /// The delay after which a client may retry if there is no report yet, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// The report that was last published. Clones share it.
+/// The report that was last published. All clones of a value share the same report.
 ///
-/// The listener's thread responds to requests for it from here. Such requests cost the event loop
-/// of the controller nothing, change nothing, and get a response even while it is busy.
+/// The threads of the listeners respond to requests for the report. These requests do not
+/// involve the event loop of the controller: they cost it no time, cannot change its state, and
+/// are served even while it is busy.
 #[derive(Debug)]
 pub struct PublishedReport<T> {
     feature: &'static str,
@@ -31,7 +32,8 @@
 }
 
 impl<T: Serialize> PublishedReport<T> {
-    /// Creates a publisher without a report. `enabled` says whether `feature` is enabled.
+    /// Creates a value without a report. `enabled` is whether `feature`, to which the report
+    /// belongs, is enabled.
     pub fn new(feature: &'static str, enabled: bool) -> PublishedReport<T> {
         PublishedReport {
             feature,
@@ -45,7 +47,8 @@
         self.report.store(Some(Arc::new(report)));
     }
 
-    /// Sends the report, or an error if there is none.
+    /// Sends the report as the response, or an error if the feature is disabled or no report
+    /// has been published.
     pub fn respond(&self, responder: Responder) {
         if !self.enabled {
             let message = format!("the part {} is not switched on", self.feature);
--- a/src/api/relay_pool.rs
+++ b/src/api/relay_pool.rs
@@ -17,15 +17,16 @@
 pub struct RelayedHeartbeat {
     /// The body as the worker sent it.
     pub body: Vec<u8>,
-    /// Receives the owner's response.
+    /// The responder that passes the owner's response to the worker.
     pub responder: Responder,
-    /// The time at which the worker stops waiting for a response.
+    /// The time from which the heartbeat is not relayed, as the worker no longer waits for the
+    /// response.
     pub deadline: Seconds,
 }
 
-/// Starts the pool that relays heartbeats to the controller at `owner` and passes its
-/// responses on unchanged. Each controller has a pool of its own, so that one that hangs does
-/// not delay the heartbeats for the others.
+/// Starts the pool that relays heartbeats to the controller at `owner` and passes the responses
+/// of that controller on unchanged. Each of the other controllers has a pool of its own, so
+/// that a controller that hangs does not delay the heartbeats for the others.
 ///
 /// `timeout` limits the duration of each request, in seconds. The threads are detached, and
 /// end when the returned sender is dropped.
--- a/src/api/responder.rs
+++ b/src/api/responder.rs
@@ -89,15 +89,15 @@
         }
     }
 
-    /// Must be called before the queue is drained, so that responses that are pushed later
-    /// wake the event loop again.
+    /// Makes the next pushed response wake the event loop again. Must be called before the
+    /// queue is drained, so that no response is left in it without a wake-up.
     pub(super) fn reset_wakeup(&self) {
         self.woken.store(false, Ordering::SeqCst);
     }
 
     fn push(&self, response: Response) {
-        // The queue has the capacity for one response per connection, and each connection
-        // awaits only one.
+        // The queue has capacity for one response per connection, as each connection awaits at
+        // most one, and for some responses to closed connections.
         let queued = self.responses.try_send(response).is_ok();
         if queued && !self.woken.swap(true, Ordering::SeqCst) {
             let _ = self.waker.wake();
@@ -105,8 +105,8 @@
     }
 }
 
-/// Sends the response to one request, at most once. If it is dropped without a response, the
-/// client gets status 503 and may retry.
+/// Sends the response to one request, at most once. If a responder is dropped before it has
+/// sent a response, the client receives status 503 and may retry.
 pub struct Responder {
     connection: ConnectionId,
     /// `None` once the response is sent.
@@ -126,18 +126,18 @@
         self.finish(status, body, None, None);
     }
 
-    /// Sends the response if its bytes are sent before `deadline`, and status 503 otherwise:
-    /// the process may be paused between the decision and the sending.
+    /// Sends the response if the server can start to send it before `deadline`, and status 503
+    /// otherwise. The process may be paused for a while after the response was determined.
     pub fn send_until(mut self, status: u16, body: Vec<u8>, deadline: Seconds) {
         self.finish(status, body, None, Some(deadline));
     }
 
-    /// Refuses the request permanently.
+    /// Refuses the request with an error message, without asking the client to retry.
     pub fn send_error(mut self, status: u16, message: &str) {
         self.finish(status, error_body(message), None, None);
     }
 
-    /// Refuses the request for now, and tells the client to retry after `retry_after_s`
+    /// Refuses the request for now, and asks the client to retry after `retry_after_s`
     /// seconds.
     pub fn retry_later(mut self, status: u16, retry_after_s: u32, message: &str) {
         self.finish(status, error_body(message), Some(retry_after_s), None);
--- a/src/api/restart_report.rs
+++ b/src/api/restart_report.rs
@@ -1,12 +1,12 @@
-//! The body of `GET /restart` on the internal listener: what a controller found at its last
-//! restart or takeover.
+//! The body of the response to `GET /restart` on the internal listener: the state that a
+//! controller found after its last restart or takeover.
 
 use crate::scheduler::ReconciliationProgress;
 use finchwood_reconciliation::restart_record::RecordView;
 use serde::Serialize;
 
-/// What a controller has found and done since it last started, or became the leader, without
-/// state from an earlier epoch.
+/// The state that a controller has found, and the actions that it has taken, since it last
+/// started or became the leader without state from an earlier epoch.
 #[derive(Debug, Clone, Serialize)]
 pub struct RestartReport {
     /// The name of the controller.
@@ -16,23 +16,23 @@
     pub first_accepted_after_s: Option<f64>,
     /// The record of the machines that it owns and of their tasks.
     pub machines: RecordView,
-    /// The progress in reconciling the jobs; `None` unless it leads.
+    /// The progress of the reconciliation; `None` unless the controller is the leader.
     pub leader: Option<ReconciliationProgress>,
-    /// The invalid records in the key-value store, which are never overwritten: only the first
-    /// ones, in the order of their keys.
+    /// The invalid records and dangling references in the key-value store, up to a limit.
+    /// Invalid records are never overwritten.
     #[serde(rename = "records_left_alone")]
     pub invalid_records: Vec<InvalidRecordReport>,
-    /// The number of all invalid records.
+    /// The number of all invalid records and dangling references.
     #[serde(rename = "records_left_alone_count")]
     pub invalid_record_count: usize,
 }
 
-/// A stored record that can't be read or refers to something unknown.
+/// A stored record that is invalid or has a dangling reference.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct InvalidRecordReport {
     /// The key of the record.
     pub key: String,
-    /// Why it is invalid.
+    /// The error message that describes the fault of the record.
     #[serde(rename = "why")]
     pub reason: String,
 }
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -1,5 +1,5 @@
-//! The routes: how an HTTP request becomes a [`Request`], and which error the client gets if
-//! it can't.
+//! The routes of the HTTP interface: parses an HTTP request into a [`Request`], or determines
+//! the error that is sent to the client.
 
 use crate::api::http_request::HttpRequest;
 use crate::api::status;
@@ -10,9 +10,9 @@
 
 /// The path of the collection of jobs.
 const JOBS_PATH: &str = "/v2/runs";
-/// The part before the job id in the path of a job.
+/// The part of the path of a job that precedes the job id.
 const JOB_PREFIX: &str = "/v2/runs/";
-/// The part after the job id in the path that cancels a job.
+/// The part that follows the job id in the path that cancels the job.
 const CANCEL_SUFFIX: &str = "/withdraw";
 
 /// A request to the controller.
@@ -20,11 +20,11 @@
 pub enum Request {
     /// A user submits a job.
     Submit(Box<JobSpec>),
-    /// A user asks for the state of the job with this id.
+    /// A user requests the status of the job with this id.
     Query(String),
     /// A user cancels the job with this id.
     Cancel(String),
-    /// A client asks whether the controller is ready to serve users.
+    /// A client requests whether the controller is ready to serve users.
     HealthCheck,
     /// A worker reports the state of its machine and tasks.
     Heartbeat {
@@ -37,16 +37,16 @@
     },
     /// A message from another controller.
     Peer(Box<Envelope>),
-    /// An operator asks what the controller found at its last restart or takeover.
+    /// An operator requests the report on the last restart or takeover.
     RestartReport,
-    /// An operator asks for the shard map and the transfers in progress.
+    /// An operator requests the shard map and the transfers in progress.
     ShardMapReport,
     /// An operator submits a plan of transfers.
     ShardMapPlan(Plan),
 }
 
-/// Why a request is refused before it reaches the controller. The error text is sent to the
-/// client.
+/// The reason why a request is refused before it reaches the event loop of the controller. Its
+/// text is sent to the client.
 #[derive(Debug, Error)]
 pub enum RouteError {
     /// The path is unknown, or does not support this method.
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 ///
-/// If the route is unknown or the body is malformed.
+/// Returns an error if the route is unknown or the body is malformed.
 pub fn parse_public(request: HttpRequest) -> Result<Request, RouteError> {
     match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/up") => Ok(Request::HealthCheck),
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 ///
-/// If the route is unknown or the body is malformed.
+/// Returns an error if the route is unknown or the body is malformed.
 pub fn parse_internal(request: HttpRequest) -> Result<Request, RouteError> {
     match (request.method.as_str(), request.path.as_str()) {
         // These two are accepted with any method.
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -1,8 +1,8 @@
 //! A small HTTP/1.1 server on one thread: `mio` waits for socket events, and `httparse` parses
 //! the heads of requests.
 //!
-//! Connections are cheap, and a client that sends only part of a request, or does not read its
-//! response, delays no other client and is disconnected after a few seconds.
+//! A connection needs few resources. A client that sends only part of a request, or does not
+//! read its response, delays no other client and is disconnected after a few seconds.
 
 use crate::api::connection::{Connection, ConnectionState, NextRequest};
 use crate::api::http_request::HttpRequest;
@@ -19,14 +19,14 @@
 const LISTENER: Token = Token(usize::MAX);
 const WAKER: Token = Token(usize::MAX - 1);
 
-/// The maximum number of events taken from the system at a time.
+/// The maximum number of events that are received from the operating system at a time.
 const EVENTS_CAPACITY: usize = 256;
 /// The maximum time to wait for events, and the minimum time between two sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// The pause after waiting for events has failed.
 const POLL_FAILURE_PAUSE: Duration = Duration::from_millis(100);
-/// Capacity of the response queue in addition to one response for each connection: for
-/// responses to connections that were closed in the meantime.
+/// The capacity of the response queue in addition to one response per connection. It is needed
+/// for the responses to connections that were closed in the meantime.
 const SPARE_RESPONSES: usize = 64;
 
 /// The resources that a server may use.
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// If the address can't be bound.
+/// Returns an error if the listening socket cannot be opened.
 pub fn listen<F>(
     name: &'static str,
     address: SocketAddr,
@@ -77,7 +77,8 @@
     poll: Poll,
     listener: TcpListener,
     limits: Limits,
-    /// The connections by slot, which is also the token of their events.
+    /// The connections by slot; `None` for a free slot. The slot is also the token of the
+    /// connection's events.
     connections: Vec<Option<Connection>>,
     free_slots: Vec<usize>,
     last_generation: u64,
@@ -143,11 +144,12 @@
         }
     }
 
-    /// Puts a connection into a slot. If all are in use, it is refused at once, so that the
-    /// client tries another controller.
+    /// Adds a connection. If the limit on connections is reached and none can be closed in
+    /// favour of the new one, the new one is refused at once, so that the client tries another
+    /// controller.
     fn admit(&mut self, mut stream: TcpStream, now: Seconds) {
         let in_use = self.connections.len() - self.free_slots.len();
-        if in_use >= self.limits.connections && !self.close_idlest(now) {
+        if in_use >= self.limits.connections && !self.close_longest_idle(now) {
             self.refused += 1;
             return;
         }
@@ -175,8 +177,8 @@
 
     /// Closes the connection that has been idle for longest. Returns false if none has been
     /// idle for long enough.
-    fn close_idlest(&mut self, now: Seconds) -> bool {
-        let idlest = self
+    fn close_longest_idle(&mut self, now: Seconds) -> bool {
+        let longest_idle = self
             .connections
             .iter()
             .enumerate()
@@ -185,10 +187,10 @@
                 Some((slot, since))
             })
             .min_by(|a, b| a.1.total_cmp(&b.1));
-        if let Some((slot, _)) = idlest {
+        if let Some((slot, _)) = longest_idle {
             self.close(slot);
         }
-        idlest.is_some()
+        longest_idle.is_some()
     }
 
     fn close(&mut self, slot: usize) {
@@ -207,7 +209,8 @@
                 self.close(slot);
             }
         }
-        // No new event follows an accept that failed for lack of file descriptors.
+        // If an accept failed for lack of file descriptors, the connection is still pending,
+        // but no further event is received for it.
         self.accept(now);
     }
 
@@ -219,7 +222,8 @@
         }
     }
 
-    /// Sends and receives what the socket of a connection is ready for.
+    /// Sends and receives as many bytes on a connection as its socket is ready for, and then
+    /// handles its next request.
     fn serve(&mut self, slot: usize, now: Seconds) {
         let Some(Some(connection)) = self.connections.get_mut(slot) else {
             return;
@@ -234,7 +238,8 @@
         }
     }
 
-    /// Passes the next request of a connection on, if it is complete.
+    /// Passes the next request of a connection to `on_request`, if the request is complete. If
+    /// it is malformed, responds with an error.
     fn next_request(&mut self, slot: usize, now: Seconds) {
         let Some(Some(connection)) = self.connections.get_mut(slot) else {
             return;
--- a/src/api/shard_map_report.rs
+++ b/src/api/shard_map_report.rs
@@ -1,5 +1,5 @@
-//! The body of `GET /shares` on the internal listener: the shard map and the transfers in
-//! progress.
+//! The body of the response to `GET /shares` on the internal listener: the shard map and the
+//! transfers in progress.
 
 use crate::wire::MachineId;
 use finchwood_sharding::plan::Plan;
@@ -8,25 +8,25 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The shard map in the copy of one controller, and the machines of that controller.
+/// One controller's copy of the shard map, and the machines that it owns.
 #[derive(Debug, Clone, Serialize)]
 pub struct ShardMapReport {
     /// The name of the controller.
     pub node: String,
-    /// The current epoch; 0 before the first.
+    /// The number of the epoch that the controller has entered; 0 before the first.
     pub epoch: u64,
     /// Whether all members of the epoch use the shard map.
     pub in_use: bool,
     /// The number of changes of the shard map so far.
     pub generation: u64,
-    /// The hash ranges that belong to another controller than their hash owner.
+    /// The hash ranges in the shard map, whose machines do not belong to their hash owner.
     #[serde(rename = "shares")]
     pub ranges: Vec<OwnedRange>,
     /// The machines that this controller owns.
     pub machines: Vec<MachineId>,
-    /// Its machines that are being transferred, and on which it starts no tasks.
+    /// The machines of this controller that are being transferred, on which it starts no tasks.
     pub fenced: Vec<MachineId>,
-    /// The transfers of the cluster; `None` unless it leads.
+    /// The transfers of the cluster; `None` unless this controller is the leader.
     pub leader: Option<TransfersReport>,
 }
 
@@ -36,11 +36,11 @@
     /// The range.
     #[serde(flatten)]
     pub range: HashRange,
-    /// The name of the controller that owns them.
+    /// The name of the controller that owns the machines in the range.
     pub owner: String,
 }
 
-/// The transfers of the leader.
+/// The leader's report on transfers.
 #[derive(Debug, Clone, Serialize)]
 pub struct TransfersReport {
     /// The transfers in progress.
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -18,7 +18,7 @@
 pub const UNPROCESSABLE_CONTENT: u16 = 422;
 /// The client exceeds a rate limit; it may retry later.
 pub const TOO_MANY_REQUESTS: u16 = 429;
-/// The request can't be served now; the client may retry later.
+/// The request cannot be served now; the client may retry later.
 pub const SERVICE_UNAVAILABLE: u16 = 503;
 
 /// Returns the reason phrase for a status line.
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -1,5 +1,5 @@
-//! The leader's review of the whole fleet: it collects the input of the autoscaler, and
-//! sends the autoscaler's decisions to the cloud client.
+//! The leader's review of the whole fleet. It collects the input of the autoscaler, and
+//! sends the resulting requests to the cloud client.
 
 use super::Controller;
 use crate::autoscaler::cloud::CloudRequest;
@@ -19,24 +19,26 @@
 /// The delay before a deletion without a response is requested again, in report intervals.
 const DELETION_RETRY_REPORTS: f64 = 2.0;
 
-/// For how long a machine's contact with a shard other than its own counts, in report
-/// intervals.
+/// How long a machine counts as seen after it contacted a shard other than its own, in
+/// report intervals.
 const SEEN_ELSEWHERE_REPORTS: f64 = 4.0;
 
-/// Machines that have been rented and have not sent a heartbeat yet.
+/// The result of the review of the machines that have been requested or rented and have not
+/// sent a heartbeat yet.
 #[derive(Default)]
-struct BootingMachines {
-    /// Machines that may still come up.
+struct BootingReview {
+    /// Machines that may still send their first heartbeat.
     booting: Vec<BootingMachine>,
-    /// Machines past their boot timeout, which are to be deleted.
+    /// Machines whose boot has timed out, which are to be deleted.
     timed_out: Vec<MachineId>,
-    /// The number of on-demand machines in each zone, whether they are up or not.
+    /// The number of on-demand machines in each zone, including those that have sent heartbeats.
     on_demand_in_zone: BTreeMap<Arc<str>, u32>,
 }
 
-/// Machines that have sent heartbeats, in this epoch or an earlier one.
+/// The result of the review of the machines that have sent heartbeats, in this epoch or an
+/// earlier one.
 #[derive(Default)]
-struct RunningMachines {
+struct RunningReview {
     in_use: Vec<MachineUsage>,
     /// Dead machines, which are to be deleted.
     dead: Vec<MachineId>,
@@ -58,51 +60,52 @@
         } = self.settings.params.workers;
         let health = self.machine_health(now);
         let detector = FailureDetector::new(report_s, lease_s, health.values());
-        let mut booting = self.review_booting(&catalog, &detector, now);
+        let mut booting_review = self.review_booting(&catalog, &detector, now);
         let unreconciled = self.unreconciled_machines(now);
         let unreconciled = unreconciled.as_ref();
         self.leader.preemption_suspended =
             self.is_held_off(Action::Preempt, None, unreconciled, now);
         let may_consolidate = !self.is_held_off(Action::Consolidate, None, unreconciled, now);
         let delete_unprobed = !self.is_held_off(Action::DeleteUnprobed, None, unreconciled, now);
-        let mut running = self.review_running(&catalog, &detector, &health, delete_unprobed, now);
+        let mut running_review =
+            self.review_running(&catalog, &detector, &health, delete_unprobed, now);
         if !may_consolidate {
-            running.drained.clear();
+            running_review.drained.clear();
         }
-        let mut to_delete = std::mem::take(&mut booting.timed_out);
-        to_delete.extend(running.dead);
-        to_delete.extend(running.drained);
+        let mut to_delete = std::mem::take(&mut booting_review.timed_out);
+        to_delete.extend(running_review.dead);
+        to_delete.extend(running_review.drained);
         to_delete.extend(self.machines_with_cancelled_tasks());
         self.delete_machines(to_delete, now);
         let headroom_cpus = self.leader.service_cpus() * self.policy.scaling.service_headroom_share;
         self.leader.reserved_cpus = headroom_cpus;
         if may_consolidate {
-            self.scale_in(&running.in_use, &catalog, headroom_cpus, now);
+            self.scale_in(&running_review.in_use, &catalog, headroom_cpus, now);
         }
         if !self.may_scale_out(now) {
             return;
         }
-        let missing_cpus = headroom_cpus - running.free_on_demand_cpus;
+        let missing_cpus = headroom_cpus - running_review.free_on_demand_cpus;
         let mut demand = self.total_demand(missing_cpus);
         demand.retain(|demand| {
             !self.is_held_off(Action::Rent, Some(&demand.spec), unreconciled, now)
         });
         if !demand.is_empty() {
-            self.scale_out(&demand, &booting, &catalog, &detector, now);
+            self.scale_out(&demand, &booting_review, &catalog, &detector, now);
         }
     }
 
     /// Returns whether machines may be rented now.
     fn may_scale_out(&self, now: Seconds) -> bool {
         let report_s = self.settings.params.workers.report_s;
-        let unanswered = self.autoscaler.rentals.awaiting_answer();
+        let in_flight = self.autoscaler.rentals.awaiting_answer();
         self.autoscaler.may_scale_out(report_s, now)
-            && !autoscaler::rental_backlog_is_full(unanswered, self.settings.params.cloud.rps)
+            && !autoscaler::rental_backlog_is_full(in_flight, self.settings.params.cloud.rps)
             && self.leader.all_shards_reported()
     }
 
-    /// Sends the requests that are due to the cloud: for the catalog and the machine list,
-    /// and rentals whose outcome is uncertain.
+    /// Sends the due requests to the cloud: those for the catalog and the machine list, and
+    /// the retries of rentals whose outcome is unknown.
     fn send_due_requests(&mut self, now: Seconds) {
         let cloud = &self.cloud;
         let send = |request| cloud.try_send(request).is_ok();
@@ -124,7 +127,7 @@
         catalog: &Catalog,
         detector: &FailureDetector,
         now: Seconds,
-    ) -> BootingMachines {
+    ) -> BootingReview {
         let wall_clock_ms = clock::wall_clock_ms();
         let report_s = self.settings.params.workers.report_s;
         let initial_reports_complete = self.autoscaler.initial_reports_complete(report_s, now);
@@ -134,7 +137,7 @@
             .filter(|machine| machine.has_reported)
             .map(|machine| &machine.id)
             .collect();
-        let mut review = BootingMachines::default();
+        let mut review = BootingReview::default();
         for (id, record) in self.registered_machines() {
             if !record.spot {
                 *review
@@ -144,8 +147,8 @@
             }
             let is_booting =
                 !record.in_use && !reported.contains(id) && !self.autoscaler.deletions.is_gone(id);
-            // In an unreachable zone it cannot be seen whether a machine is up, and no task
-            // can be started.
+            // In an unreachable zone, it cannot be determined whether a machine is up, and
+            // no task can be started on it.
             if !is_booting || detector.zone_unreachable(&record.zone) {
                 continue;
             }
@@ -170,11 +173,13 @@
         review
     }
 
-    /// Returns the machines in the machine registry, then those that are not written to it
-    /// yet.
+    /// Returns the machines in the machine registry, followed by those that have not been
+    /// written to it yet.
     fn registered_machines(&self) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
         let registry = &self.cache.registry;
-        let registered = registry.iter().map(|(id, known)| (id, &known.record));
+        let registered = registry
+            .iter()
+            .map(|(id, registered)| (id, &registered.record));
         let unwritten = self
             .registry
             .unwritten_machines()
@@ -190,10 +195,10 @@
         health: &HashMap<MachineId, MachineHealth>,
         delete_unprobed: bool,
         now: Seconds,
-    ) -> RunningMachines {
+    ) -> RunningReview {
         let faults = self.leader.cordon_faulty_machines(&self.cache);
         let wall_clock_ms = clock::wall_clock_ms();
-        let mut review = RunningMachines::default();
+        let mut review = RunningReview::default();
         for machine in self.leader.machines_at(now) {
             let id = &machine.id;
             // While a machine is transferred to another shard, the source may report it as
@@ -211,8 +216,9 @@
                     review.dead.push(id.clone());
                     continue;
                 }
-                // Not counted as idle: otherwise all machines of a partitioned zone would
-                // be returned, and new ones rented and booted after the partition.
+                // These machines do not count as idle. Otherwise all machines of a
+                // partitioned zone would be returned, and new ones would have to be rented
+                // and booted after the partition.
                 HealthVerdict::Wait => continue,
                 HealthVerdict::Keep => {}
             }
@@ -234,18 +240,19 @@
         fault: Option<&MachineFault>,
         catalog: &Catalog,
         wall_clock_ms: u64,
-        review: &mut RunningMachines,
+        review: &mut RunningReview,
     ) {
         let is_draining = self.leader.draining.contains(&machine.id);
         let is_proven_faulty = fault == Some(&MachineFault::Proven);
         let is_drained = machine.draining && machine.reconciled && is_draining;
-        // A machine that is cordoned temporarily, on suspicion, is not returned.
+        // A machine that is only suspected to be faulty is cordoned temporarily, and is not
+        // returned.
         if machine.tasks == 0 && (is_proven_faulty || is_drained) {
             review.drained.push(machine.id.clone());
         }
         if !machine.spot && machine.schedulable {
-            // Half of the preemptible work on the machine counts as free: it ends while a
-            // new machine boots.
+            // Half of the CPUs that preemptible tasks use count as free: these tasks end in
+            // the time that a new machine takes to boot.
             review.free_on_demand_cpus +=
                 (machine.free.cpus + machine.preemptible.cpus / 2.0).max(0.0);
         }
@@ -255,7 +262,7 @@
             .push(self.machine_usage(machine, schedulable, catalog, wall_clock_ms));
     }
 
-    /// Returns the usage of a machine, which is the input for the planning of scale-in.
+    /// Returns the usage of a machine, which is an input of the planning of scale-in.
     fn machine_usage(
         &self,
         machine: &MachineSnapshot,
@@ -267,7 +274,7 @@
             .cache
             .registry
             .get(&machine.id)
-            .map_or(wall_clock_ms, |known| known.record.rented_at_ms);
+            .map_or(wall_clock_ms, |registered| registered.record.rented_at_ms);
         let available_cpus = machine.free.cpus + machine.preemptible.cpus;
         MachineUsage {
             id: machine.id.clone(),
@@ -288,10 +295,10 @@
         }
     }
 
-    /// Returns machines that may still run tasks cancelled a while ago. Those tasks should
-    /// have ended with the lease of the worker, but a worker that hangs or ignores commands
-    /// may keep them running. Deleting the machine ends them for certain within the time
-    /// that is left.
+    /// Returns the machines that may still run tasks which were cancelled so long ago that
+    /// the machines have to be deleted. Such tasks should have ended with the worker's lease,
+    /// but a worker that hangs or ignores commands may keep them running. Deleting the
+    /// machine is certain to end them within the remaining time.
     fn machines_with_cancelled_tasks(&self) -> Vec<MachineId> {
         let after_s = self.settings.evict_after_s() - self.settings.params.time_bound_ms / 500.0;
         let machines = self.leader.machines_with_cancelled_tasks(
@@ -305,7 +312,8 @@
         machines.into_iter().collect()
     }
 
-    /// Requests the deletion of those machines that are neither gone nor being deleted.
+    /// Requests the deletion of those machines that still exist and are not being deleted
+    /// yet.
     pub(super) fn delete_machines(&mut self, machines: Vec<MachineId>, now: Seconds) {
         let machines = self.autoscaler.deletions.due(machines, now);
         if machines.is_empty() {
@@ -314,13 +322,12 @@
         let retry_at = now + self.settings.params.workers.report_s * DELETION_RETRY_REPORTS;
         self.autoscaler.deletions.retry(machines.clone(), retry_at);
         tracing::info!(?machines, "deleting machines");
-        // If the queue is full, the deletion is requested again by the retry.
+        // If the queue is full, the retry requests the deletion again.
         let _ = self.cloud.try_send(CloudRequest::Delete(machines));
     }
 
     /// Drains idle and expensive machines and consolidates half-empty ones, so that they
-    /// can be returned. Stops the draining of some of them if there is work for them after
-    /// all.
+    /// can be returned. If tasks are pending, stops draining machines that could run them.
     fn scale_in(
         &mut self,
         in_use: &[MachineUsage],
@@ -368,9 +375,9 @@
         }
     }
 
-    /// Moves the replicas of half-empty machines to others, so that the machines can be
-    /// returned. Each replica is unavailable for about a second, so that only a small share
-    /// of all replicas is moved in any period.
+    /// Moves the replicas of half-empty machines to other machines, so that the half-empty
+    /// ones can be returned. Each replica that is moved is unavailable for about a second;
+    /// therefore only a small share of all replicas is moved in any period.
     fn consolidate(
         &mut self,
         in_use: &[MachineUsage],
@@ -404,8 +411,8 @@
         }
     }
 
-    /// Returns all demand: tasks for which no machine has free capacity, and headroom for
-    /// services, of which `missing_cpus` CPUs are lacking.
+    /// Returns all demand for more machines: the tasks for which no machine has free
+    /// capacity, and the `missing_cpus` CPUs by which the headroom for services falls short.
     fn total_demand(&self, missing_cpus: f64) -> Vec<PendingDemand> {
         let mut demand = self.leader.pending_demand.clone();
         let service = self
@@ -423,7 +430,7 @@
     fn scale_out(
         &mut self,
         demand: &[PendingDemand],
-        booting: &BootingMachines,
+        booting_review: &BootingReview,
         catalog: &Catalog,
         detector: &FailureDetector,
         now: Seconds,
@@ -435,8 +442,8 @@
         };
         let rentals = autoscaler::plan_scale_out(
             demand,
-            &booting.booting,
-            &booting.on_demand_in_zone,
+            &booting_review.booting,
+            &booting_review.on_demand_in_zone,
             catalog,
             &self.policy.scaling,
             &is_blocked,
@@ -446,8 +453,8 @@
         }
     }
 
-    /// Requests rentals of `count` machines of an offer from the cloud, until the queue is
-    /// full.
+    /// Requests the rental of `count` machines of an offer from the cloud. If the queue of
+    /// requests is full, the rest is not requested.
     fn rent(&mut self, offer: &MachineOffer, mut count: u32) {
         while count > 0 {
             let request = self.autoscaler.rentals.next_request(
@@ -478,7 +485,7 @@
             machine.has_reported
                 || registry
                     .get(&machine.id)
-                    .is_some_and(|known| known.record.in_use)
+                    .is_some_and(|registered| registered.record.in_use)
         };
         let health = |machine: MachineSnapshot| {
             let health = MachineHealth {
--- a/src/controller/cloud_responses.rs
+++ b/src/controller/cloud_responses.rs
@@ -1,6 +1,6 @@
 //! Handling of the cloud's responses: rentals, deletions, the catalog, and the machine
-//! list, which shows the machines that are gone and those that are unknown to the
-//! controllers.
+//! list. The list shows which registered machines no longer exist, and which machines exist
+//! without being registered.
 
 use super::{Controller, WritePurpose};
 use crate::autoscaler::cloud::CloudResponse;
@@ -12,7 +12,8 @@
 use crate::wire::{Catalog, ListedMachine, MachineId, RentalRequest};
 use std::collections::HashSet;
 
-/// The delay before a request whose outcome is uncertain is sent again, in seconds.
+/// The delay before a rental or a deletion whose outcome is unknown is requested again, in
+/// seconds.
 const RETRY_S: Seconds = 1.5;
 
 /// The delay before the catalog is requested again after a failed request for it or for the
@@ -25,7 +26,8 @@
 /// The state of a failed machine in the cloud's machine list.
 const FAILED_STATE: &str = "failed";
 
-/// The upper limit to which the age of a listed machine is clamped, in seconds.
+/// The greatest age of a listed machine that is accepted, in seconds. A greater one is
+/// replaced by this value.
 const MAX_LISTED_AGE_S: Seconds = 1e9;
 
 impl Controller {
@@ -61,11 +63,11 @@
         }
     }
 
-    /// Writes the catalog to the key-value store, where all controllers read it, if it has
-    /// changed and this node is the leader.
+    /// If this node is the leader and the catalog has changed, writes it to the key-value
+    /// store, from which all controllers read it.
     fn apply_catalog(&mut self, catalog: &Catalog, now: Seconds) {
-        let known = self.cache.catalog.as_deref() == Some(catalog);
-        if known || !self.is_leader() || self.autoscaler.is_catalog_write_pending() {
+        let unchanged = self.cache.catalog.as_deref() == Some(catalog);
+        if unchanged || !self.is_leader() || self.autoscaler.is_catalog_write_pending() {
             return;
         }
         let write = ConditionalWrite {
@@ -82,7 +84,7 @@
         self.autoscaler.set_catalog_write_pending(is_queued);
     }
 
-    /// Closes a rental, and records its machines for the machine registry.
+    /// Closes a rental, and records its machines to be written to the machine registry.
     fn apply_rental(&mut self, request: &RentalRequest, machines: Vec<MachineId>, now: Seconds) {
         self.autoscaler.rentals.close(request);
         tracing::info!(?machines, "machines rented");
@@ -103,7 +105,8 @@
         self.add_unwritten_machines(machines, &request.request, &record);
     }
 
-    /// Backs off from an offer of which the cloud has too few machines.
+    /// Records that the cloud has too few machines of the requested offer. The offer is then
+    /// not requested again for a while.
     fn record_capacity_shortage(&mut self, request: &RentalRequest, now: Seconds) {
         let report_s = self.settings.params.workers.report_s;
         self.autoscaler.capacity_backoff.record_shortage(
@@ -130,37 +133,37 @@
             .iter()
             .partition(|machine| machine.state == FAILED_STATE);
         for machine in running {
-            self.adopt_if_unknown(machine, now);
+            self.register_if_unknown(machine, now);
         }
         self.autoscaler.machine_list.retain_unknown(&listed);
         let failed = failed.into_iter().map(|machine| machine.id.clone());
         self.delete_machines(failed.collect(), now);
     }
 
-    /// Records which machines of the machine registry a list contains, and which are gone.
+    /// Records which registered machines a machine list contains, and which no longer exist.
     fn record_registered_machines(
         &mut self,
         requested_at: Seconds,
         listed: &HashSet<&MachineId>,
         now: Seconds,
     ) {
-        let gone = self.autoscaler.machine_list.record_registered(
+        let unlisted = self.autoscaler.machine_list.record_registered(
             self.cache.registry.keys(),
             listed,
             requested_at,
             self.settings.params.cloud.list_lag_s,
             now,
         );
-        for id in gone {
+        for id in unlisted {
             tracing::info!(machine = %id, "machine no longer listed by the cloud");
             self.autoscaler.deletions.record_gone(id, now);
         }
     }
 
-    /// Registers a listed machine that is unknown to the controllers, once it is certain
-    /// that it runs. Such a machine was rented by a request that was carried out late, or
-    /// by an earlier leader.
-    fn adopt_if_unknown(&mut self, machine: &ListedMachine, now: Seconds) {
+    /// Records a listed machine that is not registered to be written to the machine registry,
+    /// once the machine is certain to run. Such a machine was rented by a request that the
+    /// cloud carried out late, or by an earlier leader.
+    fn register_if_unknown(&mut self, machine: &ListedMachine, now: Seconds) {
         let id = &machine.id;
         let is_known = self.cache.registry.contains_key(id)
             || self.registry.is_unwritten(id)
--- a/src/controller/command_dispatch.rs
+++ b/src/controller/command_dispatch.rs
@@ -12,15 +12,15 @@
 const RESPONSIVE_SOCKET_SHARE: f64 = 1.0 / 120.0;
 
 /// The share of the sockets that commands to unverified machines may use at once. Each of
-/// these commands may last until its timeout: commands to a hundred machines that hang, or
-/// to a partitioned zone, must soon be completed all the same.
+/// these commands may take until its timeout, yet even the commands to a hundred machines
+/// that hang, or to a partitioned zone, must complete soon.
 const UNVERIFIED_SOCKET_SHARE: f64 = 1.0 / 20.0;
 
-/// The fewest threads of a pool.
+/// The least capacity of a pool, in threads.
 const MIN_POOL_THREADS: f64 = 4.0;
 
-/// Sends direct commands to workers. Machines that may not respond have a pool of their
-/// own, so that they do not delay commands to the others.
+/// Sends direct commands to workers. Commands to unverified machines, which may not respond,
+/// have a pool of their own, so that they do not delay the other commands.
 pub(super) struct CommandDispatcher {
     responsive: CommandPool,
     unverified: CommandPool,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Queues a command, which is not sent after `valid_until`. Returns the command if its
-    /// pool is full.
+    /// Queues a command, which is not sent after `valid_until`. Returns the command as an
+    /// error if its pool is full.
     pub(super) fn send(
         &mut self,
         command: DirectCommand,
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -1,5 +1,5 @@
-//! Commits of finished tasks to the key-value store. Only once they are committed may a job
-//! be reported as done, or a worker discard a result.
+//! Commits of finished tasks to the key-value store. Only after the commit may a job be
+//! reported as done, or a worker discard the result of a task.
 
 use super::writes::{put_record, put_value};
 use super::{Controller, WritePurpose};
@@ -33,11 +33,11 @@
 }
 
 impl Controller {
-    /// Commits finished tasks: by their chunks, or by marking the job as done if all its
-    /// tasks are finished.
+    /// Commits the finished tasks of jobs. If all tasks of a job are finished, its record is
+    /// marked as done; otherwise the chunks that contain the finished tasks are written.
     pub(super) fn commit_finished(&mut self, now: Seconds) {
-        // Only a few at a time: the write rate limits them, and a job's last commit must
-        // not wait behind the progress of other jobs.
+        // Only a few commits are in flight at a time: the write rate limits them, and the
+        // last commit of a job must not wait for the progress commits of other jobs.
         let limits = self.settings.params.state.clone();
         let max_commits = (limits.write_rps * BULK_SHARE / 2.0).max(MIN_CONCURRENT_COMMITS);
         let free_slots = (max_commits as usize).saturating_sub(self.pending_completions.count());
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Handles the outcome of a commit of finished tasks. What was committed is applied to
-    /// the cache at once: a second commit under the old revisions would only be refused,
-    /// and would count against the write rate.
+    /// Handles the outcome of a commit of finished tasks. The committed records are applied
+    /// to the cache at once: a further commit that expects the old revisions would only be
+    /// refused, and would count against the write rate.
     pub(super) fn completion_write_completed(
         &mut self,
         job: &JobId,
@@ -101,8 +101,8 @@
     }
 }
 
-/// Returns the transaction that stores finished tasks of a job: the chunks that they are
-/// in, or the job's record as done.
+/// Returns the transaction that stores finished tasks of a job. It marks the job's record as
+/// done if all tasks are finished, and otherwise writes the chunks that contain them.
 fn completion_transaction(
     completion: &FinishedTasks,
     job: &CachedJob,
@@ -133,8 +133,8 @@
     Transaction { conditions, ops }
 }
 
-/// Returns the operations that store a job's record as done and delete as many of its
-/// chunks as fit into the same transaction.
+/// Returns the operations that mark a job's record as done, and delete as many of its chunks
+/// as fit into the same transaction.
 fn job_done_ops(id: &JobId, job: &CachedJob, limits: &StateLimits) -> Vec<WriteOp> {
     let record = JobRecord {
         spec: None,
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -54,8 +54,8 @@
     },
 }
 
-/// Returns a callback for a component thread. It wraps its argument in an event, queues
-/// that, and returns whether the event loop still runs.
+/// Returns a callback for a component thread, which wraps its argument in an event and queues
+/// the event. The callback returns false once the event loop has ended.
 pub(super) fn event_sink<T, F>(
     events: &Sender<ControllerEvent>,
     event: F,
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,5 +1,6 @@
-//! Handling of workers' heartbeats: this node responds to those of the machines that it
-//! owns. It relays the others to the owner, or redirects the worker to another controller.
+//! Handling of workers' heartbeats. This node responds to the heartbeats of the machines
+//! that it owns. Other heartbeats are relayed to the owner of the machine, or their workers
+//! are redirected to another controller.
 
 use super::worker_redirects::OwnerAttempt;
 use super::{Controller, RETRY_AFTER_S};
@@ -11,11 +12,11 @@
 use crate::shard::HeartbeatReply;
 use crate::wire::{Heartbeat, HeartbeatResponse, Redirect};
 
-/// How a heartbeat reaches the owner of its machine.
+/// The way in which a heartbeat reaches the owner of its machine.
 enum Route {
     /// The worker is redirected to the controller with this name.
     Redirect(String),
-    /// This node relays it to the owner.
+    /// This node relays the heartbeat to the owner.
     Relay,
 }
 
@@ -38,7 +39,7 @@
                 "not a member now",
             );
         };
-        // Fenced: this node's state may be outdated, so that neither a response nor a
+        // This node is fenced: its state may be outdated, so neither a response nor a
         // redirect would be reliable.
         let Some(valid_until) = self.may_act_until().filter(|until| now < *until) else {
             return responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "fenced");
@@ -48,7 +49,7 @@
                 .map(String::from);
         match owner {
             Some(owner) if owner == self.settings.node_name => {
-                self.answer_heartbeat(&heartbeat, relayed, responder, valid_until, now);
+                self.respond_to_heartbeat(&heartbeat, relayed, responder, valid_until, now);
             }
             _ if relayed => {
                 responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "not the owner")
@@ -58,7 +59,7 @@
         }
     }
 
-    fn answer_heartbeat(
+    fn respond_to_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         relayed: bool,
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Chooses how a heartbeat reaches the owner, given which controllers can reach each
-    /// other.
+    /// Chooses how a heartbeat reaches the owner, depending on which controllers can reach
+    /// each other and on the worker's attempts to reach the owner.
     fn route_to_owner(
         &self,
         heartbeat: &Heartbeat,
@@ -124,15 +125,16 @@
     ) -> Route {
         let reachability = self.peers.reachability();
         if reachability.is_partitioned(&heartbeat.zone, owner, now) {
-            // The worker presumably cannot reach its owner either: it is redirected to a
-            // controller that can reach both, if there is one.
+            // The worker presumably cannot reach its owner either. If this node cannot reach
+            // the owner but can reach another controller that can, the worker is redirected
+            // to that controller.
             return match reachability.alternate_controller(owner, now) {
                 Some(target) => Route::Redirect(target.into()),
                 None => Route::Relay,
             };
         }
-        // A worker that already has a token of this epoch has received a response from its
-        // owner, and would still send its heartbeats there if it could reach it.
+        // A worker with a token of this epoch has received a response from its owner, and
+        // would still send its heartbeats to the owner if it could reach it.
         let has_token_of_epoch = self
             .entered_epoch()
             .is_some_and(|epoch| membership::token_epoch(heartbeat.token) == epoch.number);
--- a/src/controller/interval_timer.rs
+++ b/src/controller/interval_timer.rs
@@ -1,11 +1,11 @@
-//! Timers for what is done at intervals rather than in every round.
+//! Timers for work that is done at intervals rather than in every round.
 
 use crate::clock::Seconds;
 
-/// When the process started, on the monotonic clock.
+/// The start of the process, on the monotonic clock.
 const PROCESS_START: Seconds = 0.0;
 
-/// A timer for something that is done at intervals.
+/// A timer for work that is done at intervals.
 #[derive(Debug)]
 pub(super) struct IntervalTimer {
     /// When the current interval began; `None` if the timer is due at once.
@@ -13,7 +13,7 @@
 }
 
 impl IntervalTimer {
-    /// Creates a timer whose first interval begins with the process.
+    /// Creates a timer whose first interval begins when the process starts.
     pub(super) fn since_process_start() -> IntervalTimer {
         IntervalTimer {
             last_at: Some(PROCESS_START),
--- a/src/controller/job_requests.rs
+++ b/src/controller/job_requests.rs
@@ -1,6 +1,6 @@
-//! Handling of users' requests. They are answered at once from the cache where that is
-//! safe, after a fresh read of the key-value store where it is not, and after the commit
-//! where something is to be stored.
+//! Handling of users' requests. The response is sent at once where the cache is sufficient,
+//! after a fresh read of the key-value store where the cache may be outdated, and after the
+//! commit where the request writes to the store.
 
 use super::writes::{put_record, put_value, to_value};
 use super::{Controller, WritePurpose, RETRY_AFTER_S};
@@ -17,7 +17,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// An upper bound of the size that a cancellation adds to a job's record, in bytes.
+/// An upper bound on the number of bytes that a cancellation adds to a job's record.
 const CANCELLATION_BYTES: usize = 48;
 
 /// The `Retry-After` value of a submission that cannot be accepted at present, in seconds.
@@ -27,8 +27,8 @@
 /// upgraded, in seconds.
 const UPGRADE_RETRY_AFTER_S: u32 = 5;
 
-/// The `Retry-After` value of a request about a job whose record is invalid, in seconds. No
-/// other response is possible until an operator has repaired the record.
+/// The `Retry-After` value of a request about a job whose record is invalid, in seconds. The
+/// request cannot be served until an operator has repaired the record.
 const INVALID_RECORD_RETRY_AFTER_S: u32 = 30;
 
 /// How long a request may wait before it is refused, in seconds: a fifth of the time after
@@ -48,7 +48,8 @@
     /// No machine type in an allowed zone is large enough for a task.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// The tasks must be scattered over two zones, and may only be in one.
+    /// The tasks must be scattered over two zones, but must also be in one zone, or only one
+    /// zone has an allowed machine type that is large enough.
     #[error("its tasks must be in two zones and may only be in one")]
     NeedsTwoZones,
     /// The tasks that must run at the same time need more than the team may ever use.
@@ -107,10 +108,10 @@
     responders: Vec<Responder>,
 }
 
-/// The waiting requests, and the counts of running tasks that users are shown.
+/// The waiting requests, and the counts of running tasks that are sent to users.
 pub(super) struct JobRequests {
-    /// The most reads that may wait, and the most submissions that may be pending: the
-    /// number of connections, as each request has one.
+    /// The most reads that may wait, and the most submissions that may be pending. It is the
+    /// greatest number of connections, as each request has a connection of its own.
     max_waiting: usize,
     waiting_reads: Vec<WaitingRead>,
     submissions: HashMap<JobId, PendingSubmission>,
@@ -120,7 +121,7 @@
 }
 
 impl JobRequests {
-    /// Creates the state without waiting requests.
+    /// Creates the state, without any waiting requests.
     pub(super) fn new(settings: &Settings) -> JobRequests {
         JobRequests {
             max_waiting: settings.params.machine_limits.max_connections,
@@ -166,10 +167,11 @@
 }
 
 impl Controller {
-    /// Handles a submission: accepts the job, unless it can never run.
+    /// Handles a submission. Accepts the job, unless it can never run; responds with the
+    /// job's status if the job was accepted before.
     pub(super) fn submit(&mut self, spec: JobSpec, responder: Responder, now: Seconds) {
         let id = spec.id.clone();
-        if self.is_known(&id) {
+        if self.is_accepted(&id) {
             return self.query(id, responder, now);
         }
         let Some(responder) = self.job_requests.join_submission(&id, responder) else {
@@ -190,9 +192,10 @@
             );
         };
         if let Err(reason) = self.check_runnable(&spec, &catalog) {
-            return self.reject_unless_known(id, reason, responder, now);
+            return self.reject_unless_accepted(id, reason, responder, now);
         }
-        // A controller of a version without gangs would start their tasks one by one.
+        // A controller of a version without support for gangs would start the tasks of a
+        // gang one by one.
         if spec.job_kind == JobKind::Gang && !self.cache.all_members_support_gangs() {
             return responder.retry_later(
                 status::SERVICE_UNAVAILABLE,
@@ -213,13 +216,12 @@
     fn write_submission(&mut self, id: JobId, spec: JobSpec, responder: Responder, now: Seconds) {
         let record = self.new_job_record(spec);
         let value = to_value(&record);
-        // The key-value store must accept the record now, and also once the job is
-        // cancelled or the store's limits are lower; otherwise the record could not be
-        // kept.
+        // The record must also fit into the key-value store once the job is cancelled or the
+        // store's lower limits apply; otherwise it could not be kept.
         let size = value.to_string().len() + CANCELLATION_BYTES;
         if size > self.settings.params.state.lowest_value_bytes() {
             let reason = RejectReason::DescriptionTooLong;
-            return self.reject_unless_known(id, reason, responder, now);
+            return self.reject_unless_accepted(id, reason, responder, now);
         }
         let write = ConditionalWrite {
             conditions: vec![Condition::new(job_key(&id), 0)],
@@ -280,10 +282,10 @@
         Ok(())
     }
 
-    /// Rejects a submission after a fresh read of the key-value store. A rejection is final
-    /// for the user: it must not be given for a job that another controller has just
-    /// accepted, whatever this submission contains.
-    fn reject_unless_known(
+    /// Rejects a submission after a fresh read of the key-value store, unless some controller
+    /// has accepted the job. A rejection is final for the user, so it must not be sent for a
+    /// job that another controller has just accepted, whatever this submission contains.
+    fn reject_unless_accepted(
         &mut self,
         job: JobId,
         reason: RejectReason,
@@ -345,20 +347,20 @@
         self.record_first_accepted(now);
     }
 
-    /// Answers with a job's status: at once if it is final, else after a fresh read of the
-    /// key-value store.
+    /// Responds with a job's status: at once if the job has ended, otherwise after a fresh
+    /// read of the key-value store.
     pub(super) fn query(&mut self, id: JobId, responder: Responder, now: Seconds) {
         if self.cache.jobs.get(&id).is_some_and(|job| !job.is_live()) {
-            return self.answer_status(&id, responder);
+            return self.respond_with_status(&id, responder);
         }
         let request = ReadRequest::Query { job: id, responder };
         self.wait_for_fresh_read(request, now);
     }
 
-    /// Handles a cancellation: cancels the job, unless it has ended.
+    /// Handles a cancellation. Cancels the job, unless it has ended already.
     pub(super) fn cancel(&mut self, id: JobId, responder: Responder, now: Seconds) {
         match self.cache.jobs.get(&id) {
-            Some(job) if !job.is_live() => self.answer_final_state(&id, responder),
+            Some(job) if !job.is_live() => self.respond_with_final_state(&id, responder),
             Some(_) => self.write_cancellation(id, responder, now),
             None => self.cancel_after_fresh_read(id, responder, now),
         }
@@ -374,7 +376,7 @@
     }
 
     /// Returns whether some controller has accepted a job, even if its record is invalid.
-    fn is_known(&self, id: &JobId) -> bool {
+    fn is_accepted(&self, id: &JobId) -> bool {
         self.cache.jobs.contains_key(id) || self.cache.invalid_records.contains(&job_key(id))
     }
 
@@ -448,7 +450,7 @@
             CommitOutcome::Committed(revision) => {
                 self.apply_committed_cancellation(&id, revision, pending.cancelled_at_ms, now);
                 for responder in pending.responders {
-                    self.answer_final_state(&id, responder);
+                    self.respond_with_final_state(&id, responder);
                 }
             }
             CommitOutcome::Conflict(_) => {
@@ -481,8 +483,8 @@
         self.peers.record_cancellation(notice, now);
     }
 
-    /// Serves the requests for which a read has begun since they arrived, and refuses those
-    /// that have waited too long.
+    /// Serves the waiting requests that arrived before the last successful read began, and
+    /// refuses those that have waited too long.
     pub(super) fn serve_waiting_reads(&mut self, now: Seconds) {
         if self.job_requests.waiting_reads.is_empty() {
             return;
@@ -509,14 +511,14 @@
 
     fn serve_read(&mut self, request: ReadRequest, now: Seconds) {
         match request {
-            ReadRequest::Query { job, responder } => self.answer_status(&job, responder),
+            ReadRequest::Query { job, responder } => self.respond_with_status(&job, responder),
             ReadRequest::Reject {
                 job,
                 reason,
                 responder,
             } => {
-                if self.is_known(&job) {
-                    self.answer_status(&job, responder);
+                if self.is_accepted(&job) {
+                    self.respond_with_status(&job, responder);
                 } else {
                     responder.send(
                         status::UNPROCESSABLE_CONTENT,
@@ -529,25 +531,25 @@
                 responder,
                 deadline,
             } => match self.cache.jobs.get(&job) {
-                Some(known) if !known.is_live() => self.answer_final_state(&job, responder),
+                Some(cached) if !cached.is_live() => self.respond_with_final_state(&job, responder),
                 Some(_) if now < deadline => self.write_cancellation(job, responder, now),
                 Some(_) => {
                     responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, NOT_COMMITTED)
                 }
-                None => self.answer_without_record(&job, responder),
+                None => self.respond_without_record(&job, responder),
             },
         }
     }
 
-    fn answer_final_state(&self, id: &JobId, responder: Responder) {
+    fn respond_with_final_state(&self, id: &JobId, responder: Responder) {
         let done = self.cache.jobs.get(id).is_some_and(|job| job.record.done);
         let state = if done { "done" } else { "cancelled" };
         send_job_status(status::OK, &status_without_counts(id, state), responder);
     }
 
-    /// Answers a request about a job that has no valid record. A job whose record exists
-    /// but is invalid was accepted, and must not be reported as unknown.
-    fn answer_without_record(&self, id: &JobId, responder: Responder) {
+    /// Responds to a request about a job that has no valid record. A job whose record exists
+    /// but is invalid has been accepted, and must not be reported as unknown.
+    fn respond_without_record(&self, id: &JobId, responder: Responder) {
         if self.cache.invalid_records.contains(&job_key(id)) {
             return responder.retry_later(
                 status::SERVICE_UNAVAILABLE,
@@ -558,19 +560,19 @@
         responder.send(status::NOT_FOUND, error_body("no such job"));
     }
 
-    fn answer_status(&self, id: &JobId, responder: Responder) {
+    fn respond_with_status(&self, id: &JobId, responder: Responder) {
         match self.cache.jobs.get(id) {
             Some(job) => {
                 let running = self.job_requests.running_tasks(id);
                 send_job_status(status::OK, &job_status(id, job, running), responder);
             }
-            None => self.answer_without_record(id, responder),
+            None => self.respond_without_record(id, responder),
         }
     }
 }
 
-/// Returns the status of a job. `running` is the number of its running tasks, and is
-/// ignored if the job has ended.
+/// Returns the status of a job. `running` is the number of its running tasks; it is ignored
+/// if the job has ended.
 fn job_status(id: &JobId, job: &CachedJob, running: u32) -> JobStatus {
     let (state, done, running) = if job.record.done {
         ("done", job.record.task_count, 0)
--- a/src/controller/leader_round.rs
+++ b/src/controller/leader_round.rs
@@ -14,7 +14,7 @@
 /// proportion to the size of the fleet.
 const FLEET_REVIEW_INTERVAL_REPORTS: f64 = 1.0 / 12.0;
 
-/// The timers for what the leader does less often than every round.
+/// The timers of the work that the leader does less often than every round.
 #[derive(Debug)]
 pub(super) struct LeaderTimers {
     fleet_review: IntervalTimer,
@@ -33,7 +33,7 @@
 }
 
 impl Controller {
-    /// Runs one round of the leader, which assigns no more tasks after `deadline`.
+    /// Runs one round of the leader. No tasks are assigned after `deadline`.
     pub(super) fn run_leader_round(&mut self, now: Seconds, deadline: Seconds) {
         let deletions = &self.autoscaler.deletions;
         self.leader
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Logs the leader's counts, and the pending tasks by priority, once per report
+    /// Logs the leader's counts and the number of pending tasks by priority, once per report
     /// interval.
     fn log_state(&mut self, now: Seconds) {
         let report_interval = self.report_interval();
--- a/src/controller/member.rs
+++ b/src/controller/member.rs
@@ -1,5 +1,5 @@
-//! Cluster membership: whether this node may act, whether it accepts requests from users,
-//! and which members the next epoch has.
+//! Cluster membership: decides whether this node may act, whether it accepts requests from
+//! users, and which members the next epoch has.
 
 use super::writes::put_record;
 use super::{Controller, WritePurpose, PEER_TIMEOUT_REPORTS};
@@ -10,19 +10,20 @@
 use crate::store::{self, Condition, ConditionalWrite, WriteClass};
 use std::collections::BTreeMap;
 
-/// The greatest age of evidence that a controller reaches the key-value store, in durations
-/// of a member's lease.
+/// The greatest age of a successful read of the key-value store, or of a peer's report that
+/// it reaches the store, that shows that the store is reachable, in durations of a member's
+/// lease.
 const MAX_STORE_CONTACT_AGE_LEASES: f64 = 1.0 / 4.0;
 
-/// The greatest age of the last message from a peer that counts as contact with it, in
-/// durations of a member's lease.
+/// The greatest age of the last message from any peer that shows that this node has contact
+/// with other controllers, in durations of a member's lease.
 const MAX_PEER_CONTACT_AGE_LEASES: f64 = 1.0 / 2.0;
 
-/// How long the write of a proposed epoch may take, in durations of a member's lease.
+/// The timeout of the write of a proposed epoch, in durations of a member's lease.
 const PROPOSAL_TIMEOUT_LEASES: f64 = 1.0 / 4.0;
 
-/// How much longer each member waits with a proposal of an epoch than the one before it in
-/// the order of members, in poll intervals of the store.
+/// How much longer each member delays its proposal of an epoch than the preceding member, in
+/// poll intervals of the store. Members are ordered by name.
 const PROPOSAL_DELAY_POLLS: f64 = 4.0;
 
 impl Controller {
@@ -41,9 +42,10 @@
         })
     }
 
-    /// Returns until when this node may act: until its lease ends, or until its cached
-    /// state of the key-value store is too old, whichever comes first. Returns `None` if it
-    /// has not entered the epoch, has no lease, or has not read the key-value store.
+    /// Returns until when this node may act: until its lease expires, or until its cached
+    /// state of the key-value store is too old, whichever comes first. Returns `None` if this
+    /// node has not entered the current epoch, has no lease, or has not read the key-value
+    /// store.
     pub(super) fn may_act_until(&self) -> Option<Seconds> {
         self.entered_epoch()?;
         let lease_valid_until = self.membership.lease_valid_until()?;
@@ -57,10 +59,11 @@
             .is_some_and(|epoch| epoch.leader == self.settings.node_name)
     }
 
-    /// Returns whether users should send their requests to this node: it has read the
-    /// key-value store recently, or it has read it before and no other controller reports
-    /// that it reaches it now. A node without contact to any other controller cannot
-    /// determine that, and is itself partitioned.
+    /// Returns whether users should send their requests to this node. They should if this
+    /// node has read the key-value store recently. They also should if it read the store
+    /// earlier and no other controller reports that the store is reachable now. If there are
+    /// other controllers and this node has no contact with any of them, it cannot determine
+    /// the latter: this node itself is partitioned, and does not accept users.
     pub(super) fn accepts_users(&self, now: Seconds) -> bool {
         let lease = self.settings.member_lease_s();
         let max_age = lease * MAX_STORE_CONTACT_AGE_LEASES;
@@ -76,17 +79,21 @@
             && !partitioned
     }
 
-    /// Returns the members with a lease, except those that are unreachable. A controller
-    /// that has lost its network except for the key-value store keeps its lease: its
-    /// machines, and perhaps the leadership, would remain with it, out of reach of all
-    /// others. A member is left out if this node has no contact with it, and neither has
-    /// some other member with which this node is in mutual contact. Contact with a member
-    /// means that a recent message from it reports that it reaches the key-value store.
-    /// Returns `None` if this node has no contact with any other member, since it then
-    /// cannot determine which of them are unreachable.
+    /// Returns the members with a lease, except those that are unreachable.
+    ///
+    /// A controller whose network fails, except for its connection to the key-value store,
+    /// keeps its lease. It would remain the owner of its machines, and perhaps the leader,
+    /// although no other controller can reach it. Such a member is left out.
     ///
-    /// Returns all members if there are no others, or if this process has not run long
-    /// enough to have received messages from them.
+    /// This node has contact with a member if a recent message from the member reported that
+    /// the member reaches the key-value store. A member is left out if this node has no
+    /// contact with it, and another member, which is in mutual contact with this node, has
+    /// no contact with it either.
+    ///
+    /// Returns `None` if this node has no contact with any other member, since it then
+    /// cannot determine which of them are unreachable. Returns all members if there are no
+    /// members besides this node, or if this process has not run long enough to have
+    /// received messages from them.
     fn reachable_members(&self, now: Seconds) -> Option<BTreeMap<String, Versioned<MemberRecord>>> {
         let timeout = self.report_interval() * PEER_TIMEOUT_REPORTS;
         let this_node = &self.settings.node_name;
@@ -114,9 +121,9 @@
         Some(reachable)
     }
 
-    /// Proposes the next epoch if one should follow the current one. The leader of the
-    /// proposed epoch proposes it at once and the other members after a delay, so that they
-    /// rarely compete; only one proposal can succeed.
+    /// Proposes the next epoch if the current one should not continue. The member that would
+    /// lead the next epoch proposes it at once, and the other members after different delays,
+    /// so that proposals rarely compete; only one of them can succeed.
     pub(super) fn propose_epoch(&mut self, now: Seconds) {
         if !self.may_propose_epoch(now) {
             return;
@@ -145,8 +152,9 @@
         member.map(|member| member.value.incarnation) == self.membership.incarnation()
     }
 
-    /// Returns the epoch that should follow: one with the live members if those differ from
-    /// the members of the current epoch, else a renewed one if the leader needs it. Returns
+    /// Returns the epoch that should follow the current one. Its members are the live ones if
+    /// those differ from the members of the current epoch. Otherwise, if this node is the
+    /// leader and is running out of attempt numbers, the current epoch is renewed. Returns
     /// `None` if the current epoch should continue.
     fn next_epoch(&self, members: &BTreeMap<String, Versioned<MemberRecord>>) -> Option<Epoch> {
         let current = self.cache.epoch.as_ref();
@@ -156,8 +164,9 @@
             .or_else(|| epoch_to_renew().map(membership::renewed_epoch))
     }
 
-    /// Returns how long this node waits before it proposes an epoch: not at all if it is to
-    /// be the leader, else longer the later it comes in the order of members.
+    /// Returns how long this node waits before it proposes an epoch. The delay is zero if this
+    /// node is to be the leader, and otherwise grows with its position among the members,
+    /// which are ordered by name.
     fn proposal_delay(&self, next: &Epoch) -> Seconds {
         let this_node = &self.settings.node_name;
         if next.leader == *this_node {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,6 +1,6 @@
-//! The event loop of a controller. It owns the local cache of the key-value store, this
-//! node's shard and, while this node is the leader, the leader's state. All other threads
-//! send it events; it never waits for the network itself.
+//! The event loop of a controller. The loop owns the local cache of the key-value store,
+//! this node's shard and, while this node is the leader, the leader's state. All other
+//! threads send events to the loop, which itself never waits for the network.
 
 mod autoscaling;
 mod cloud_responses;
@@ -53,29 +53,30 @@
 use store_sync::StoreSync;
 use worker_redirects::WorkerRedirects;
 
-/// The `Retry-After` value of a request that cannot be answered at present, in seconds.
+/// The `Retry-After` value of a request that cannot be served at present, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
 /// The most threads of one command pool, and of all relay pools together, however many
-/// sockets there are. It keeps the process far below its limit of 2,000 threads.
+/// sockets the process may open. This limit keeps the process far below its limit of 2,000
+/// threads.
 const MAX_POOL_THREADS: f64 = 300.0;
 
-/// The most queued events that are handled, after the one that ended the wait, before
-/// checking whether a round is due.
+/// The most further events that the event loop takes from its queue, after it has waited for
+/// one, before it checks whether a round is due.
 const MAX_EVENT_BATCH: usize = 64;
 
 /// The shortest time between two rounds, in report intervals.
 const ROUND_INTERVAL_REPORTS: f64 = 1.0 / 60.0;
 
-/// The time between reports of a shard to the leader, if it has changed and if it has not,
-/// in report intervals.
+/// The time between reports of a shard to the leader, in report intervals: if the shard has
+/// changed since the last report, and if it has not.
 const CHANGED_SHARD_INTERVAL_REPORTS: f64 = 1.0 / 20.0;
 const UNCHANGED_SHARD_INTERVAL_REPORTS: f64 = 1.0 / 3.0;
 
 /// The time between keepalives to the other controllers, in report intervals.
 const KEEPALIVE_INTERVAL_REPORTS: f64 = 1.0 / 3.0;
 
-/// How long the contents of a message from a peer remain valid, in report intervals.
+/// How long the contents of a message from a peer count as current, in report intervals.
 const PEER_TIMEOUT_REPORTS: f64 = 2.0;
 
 /// The state of the controller: its components, which the event loop connects.
@@ -192,8 +193,8 @@
                 responder.send(status::OK, Vec::new());
                 self.handle_envelope(*envelope, now);
             }
-            // The listener responds to these from the last published report, before they
-            // get here.
+            // The listener responds to these requests with the last published report, and
+            // does not pass them on to the event loop.
             Request::RestartReport | Request::ShardMapReport => {
                 responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "no report yet")
             }
@@ -232,10 +233,10 @@
         }
     }
 
-    /// Runs one round, which is due at every round interval.
+    /// Runs one round. A round is due once per round interval.
     fn run_round(&mut self, now: Seconds) {
-        // If the lease was reported only after the epoch that lists it was read, the epoch
-        // is entered here.
+        // The event of a new lease may arrive only after an epoch that contains its
+        // incarnation was read. In that case the epoch is entered here.
         if self.has_epoch_to_enter() {
             self.apply_epoch_change(now);
         }
@@ -252,8 +253,8 @@
             .send_keepalives(keepalive_interval, self.store_sync.is_synced(), now);
     }
 
-    /// Runs the part of a round for which this node must have permission to act, which it
-    /// has until `valid_until`.
+    /// Runs the part of a round that requires that this node may act, which it may until
+    /// `valid_until`.
     fn run_shard_round(&mut self, valid_until: Seconds, now: Seconds) {
         let deadline = now + self.round_time_budget();
         self.shard.expire_leases(now);
--- a/src/controller/node_membership.rs
+++ b/src/controller/node_membership.rs
@@ -15,8 +15,8 @@
     node_name: String,
     started_at: Seconds,
     lease: Option<NodeLease>,
-    /// Since when the live members have differed from those of the epoch; after a proposal,
-    /// when it completed. `None` while the members match.
+    /// Since when another epoch should follow the current one, or when the last proposal
+    /// completed, whichever is later. `None` while the current epoch should continue.
     epoch_stale_since: Option<Seconds>,
     /// Whether a proposal of an epoch is in progress.
     proposal_pending: bool,
@@ -62,7 +62,7 @@
         self.lease.as_ref().map(|lease| lease.incarnation)
     }
 
-    /// Returns until when the lease is valid; `None` without a lease.
+    /// Returns when the lease expires; `None` without a lease.
     pub(super) fn lease_valid_until(&self) -> Option<Seconds> {
         self.lease.as_ref().map(|lease| lease.valid_until)
     }
@@ -88,20 +88,20 @@
         self.proposal_pending = true;
     }
 
-    /// Records that the proposal has completed. The delay before the next one starts over,
-    /// so that the cache can catch up first.
+    /// Records that the write of the proposal has completed. The delay before the next
+    /// proposal starts anew, so that the cache can first receive the outcome.
     pub(super) fn complete_proposal(&mut self, now: Seconds) {
         self.proposal_pending = false;
         self.epoch_stale_since = Some(now);
     }
 
-    /// Records that the live members differ from those of the epoch. Returns since when
-    /// they have.
+    /// Records that the live members differ from those of the epoch, or that the epoch has to
+    /// be renewed. Returns since when this has been so.
     pub(super) fn mark_epoch_stale(&mut self, now: Seconds) -> Seconds {
         *self.epoch_stale_since.get_or_insert(now)
     }
 
-    /// Records that the epoch has changed, or that the live members match it.
+    /// Records that a new epoch was read, or that the current one should continue.
     pub(super) fn mark_epoch_current(&mut self) {
         self.epoch_stale_since = None;
     }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -7,12 +7,12 @@
 use crate::shard::{Orders, ShardReport};
 
 impl Controller {
-    /// Applies what an envelope reports of its sender and of cancellations, then handles
-    /// its message, or forwards it if it is addressed to another controller.
+    /// Applies what an envelope reports about its sender and about cancellations. Then handles
+    /// its message, or forwards the envelope if it is addressed to another controller.
     pub(super) fn handle_envelope(&mut self, envelope: Envelope, now: Seconds) {
         self.peers.record_envelope(&envelope, now);
-        // A committed cancellation holds no matter where it was received from, so that a
-        // controller that cannot reach the key-value store need not wait until it can.
+        // A committed cancellation is valid whichever controller reports it. A controller
+        // that cannot reach the key-value store therefore need not wait until it can.
         for notice in &envelope.cancellation_notices {
             if self
                 .cache
@@ -22,7 +22,7 @@
             }
         }
         if envelope.to != self.settings.node_name {
-            // Its sender cannot reach the addressee directly.
+            // The sender of the envelope cannot reach the addressee directly.
             if envelope.from != self.settings.node_name {
                 self.peers.forward(envelope);
             }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Applies a shard's report and answers it with orders, if this node is the leader.
+    /// If this node is the leader, applies a shard's report and sends orders to the shard.
     fn apply_shard_report(&mut self, mut report: ShardReport, now: Seconds) {
         let transfers = std::mem::take(&mut report.transfers);
         let from = report.node.clone();
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sends a shard the leader's orders for it, if there are any.
+    /// Sends the leader's orders to the shard of a controller, if there are any for it.
     pub(super) fn send_orders(&mut self, to: &str) {
         let Some(mut orders) = self.leader.orders(to) else {
             return;
@@ -72,8 +72,8 @@
         self.peers.send(to, message, self.store_sync.is_synced());
     }
 
-    /// Sends this node's shard report to the leader, if that is due. It is due sooner if
-    /// the shard has changed.
+    /// Sends the report of this node's shard to the leader, if one is due. Reports are due at
+    /// shorter intervals if the shard has changed.
     pub(super) fn report_to_leader(&mut self, now: Seconds) {
         let interval_reports = if self.shard.report_due {
             CHANGED_SHARD_INTERVAL_REPORTS
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -1,4 +1,4 @@
-//! The other controllers: the state that they report, and the transport to them.
+//! The state that the other controllers report, and the transport of messages to them.
 
 use super::events::ControllerEvent;
 use super::interval_timer::IntervalTimer;
@@ -9,8 +9,8 @@
 use crossbeam::channel::Sender;
 use std::collections::HashMap;
 
-/// The peers from which another controller receives messages and which reach the key-value
-/// store, as it last reported.
+/// The controllers with which a peer last reported contact: those that it receives messages
+/// from and that reach the key-value store.
 struct PeerContacts {
     reported_at: Seconds,
     names: Vec<String>,
@@ -22,7 +22,8 @@
     }
 }
 
-/// A cancellation that this node committed, and repeats to all peers for a while.
+/// A cancellation that this node committed. It is included in all messages to peers for a
+/// while.
 struct RecentCancellation {
     notice: CancellationNotice,
     committed_at: Seconds,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Returns which controllers can reach each other directly.
+    /// Returns the record of which controllers can reach each other directly.
     pub(super) fn reachability(&self) -> &Reachability {
         &self.reachability
     }
@@ -101,8 +102,9 @@
         }
     }
 
-    /// Records a cancellation that this node committed. The peers are notified in this
-    /// round, as they may own machines that run its tasks.
+    /// Records a cancellation that this node committed. The peers are notified in the next
+    /// round rather than after the keepalive interval, as they may own machines that run tasks
+    /// of the job.
     pub(super) fn record_cancellation(&mut self, notice: CancellationNotice, now: Seconds) {
         self.recent_cancellations.push(RecentCancellation {
             notice,
@@ -163,8 +165,8 @@
         self.transport.send(envelope);
     }
 
-    /// Discards cancellations, and reports of access to the key-value store, that are at
-    /// least `max_age` old.
+    /// Discards cancellations, and peers' reports that they reach the key-value store, once
+    /// they are `max_age` old.
     pub(super) fn expire(&mut self, max_age: Seconds, now: Seconds) {
         self.store_reached_at.retain(|_, at| now - *at < max_age);
         self.recent_cancellations
--- a/src/controller/registry.rs
+++ b/src/controller/registry.rs
@@ -1,6 +1,6 @@
 //! The machine registry: pages of machines in the key-value store, which the leader updates
-//! with few writes. A page has at most one write in flight; changes that come meanwhile go
-//! into its next write.
+//! with few writes. A page has at most one write in flight; changes that are made in the
+//! meantime are part of its next write.
 
 use super::writes::{put_record, to_value};
 use super::{Controller, WritePurpose};
@@ -19,15 +19,16 @@
 /// How long a write of a page may take, in seconds.
 const PAGE_WRITE_TIMEOUT: Seconds = 2.0;
 
-/// How long the cache may take to show the outcome of a page's write, in seconds.
+/// How long after the completion of a page's write the cache may not show its outcome yet, in
+/// seconds.
 const CACHE_LAG: Seconds = 0.5;
 
-/// The number of page writes that may always be in flight at once, however small the
-/// transactions are.
+/// The number of page writes that may always be in flight at once, however few operations a
+/// transaction may have.
 const MIN_CONCURRENT_WRITES: usize = 2;
 
-/// How long a deleted machine is remembered beyond the duration of a worker's lease, in
-/// multiples of the lag of the cloud's machine list.
+/// How long a machine that no longer exists is remembered in addition to the duration of a
+/// worker's lease, in multiples of the lag of the cloud's machine list.
 const DELETED_LIST_LAGS: f64 = 4.0;
 
 /// A machine that the cached registry does not contain yet.
@@ -58,14 +59,15 @@
     unwritten: BTreeMap<MachineId, UnwrittenMachine>,
     /// The number of groups of found machines so far. Each group gets pages of its own.
     found_groups: u64,
-    /// When those writes completed whose outcomes the cache may not show yet, by page key.
+    /// The completion times of the writes whose outcomes the cache may not show yet, by page
+    /// key.
     completed_at: HashMap<Arc<str>, Seconds>,
     /// The order in which changed pages are written.
     queue: PageQueue,
 }
 
 impl RegistryWriter {
-    /// Resets what depends on the epoch, as this node begins to lead a new one.
+    /// Discards the state that depends on the epoch, as this node begins to lead a new one.
     pub(super) fn begin_leading(&mut self) {
         self.completed_at.clear();
     }
@@ -83,8 +85,8 @@
             .map(|(id, machine)| (id, &machine.record))
     }
 
-    /// Returns whether a page's write is in flight, or completed so recently that the cache
-    /// may not show its outcome.
+    /// Returns whether a write of a page is in flight, or completed so recently that the cache
+    /// may not show its outcome yet.
     fn is_page_busy(&self, key: &Arc<str>) -> bool {
         self.writing.contains(key) || self.completed_at.contains_key(key)
     }
@@ -140,7 +142,7 @@
     }
 
     /// Updates the registry: adds rented and found machines, marks machines that have sent
-    /// their first heartbeat, and removes machines that are gone.
+    /// their first heartbeat, and removes machines that no longer exist.
     pub(super) fn update_registry(&mut self, now: Seconds) {
         self.registry
             .completed_at
@@ -158,7 +160,8 @@
     }
 
     /// Records the machines that have sent heartbeats and are on no page, to be written to
-    /// the registry. Returns those that are on a page and have sent their first heartbeat.
+    /// the registry. Returns the machines that have sent heartbeats and are on a page, but are
+    /// not marked as in use there.
     fn add_unregistered_machines(&mut self) -> Vec<StartedMachine> {
         let mut started = Vec::new();
         let mut found = Vec::new();
@@ -167,7 +170,7 @@
                 continue;
             }
             match self.cache.registry.get(&machine.id) {
-                Some(known) if known.record.in_use => {}
+                Some(registered) if registered.record.in_use => {}
                 Some(_) => started.push(StartedMachine {
                     id: machine.id.clone(),
                     address: machine.address.clone().unwrap_or_else(|| "".into()),
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Removes deleted machines from their pages.
+    /// Removes machines that no longer exist from their pages.
     fn remove_deleted_from_pages(&self, pages: &mut Pages) {
         let deleted: BTreeSet<&MachineId> = self
             .autoscaler
@@ -245,8 +248,8 @@
         }
     }
 
-    /// Forgets deleted machines that are no longer in the registry and, by the time that
-    /// has passed, no longer listed by the cloud.
+    /// Forgets the machines that no longer exist, once they have been removed from the
+    /// registry and enough time has passed that the cloud no longer lists them.
     fn forget_deleted(&mut self, now: Seconds) {
         let params = &self.settings.params;
         let max_age = params.cloud.list_lag_s * DELETED_LIST_LAGS + params.workers.lease_s;
@@ -256,9 +259,9 @@
             .forget_gone(max_age, |id| registry.contains_key(id), now);
     }
 
-    /// Writes the changed pages that have no write in flight. As many writes may be in
-    /// flight as half a transaction has operations: the longer a page waits, the more
-    /// changes go into its next write.
+    /// Writes the changed pages that have no write in flight. At most half as many writes as
+    /// a transaction may have operations are in flight at once: the longer a page waits, the
+    /// more changes its next write contains.
     fn write_pages(
         &mut self,
         pages: Pages,
@@ -322,14 +325,13 @@
         }
         let machines = page.as_ref().map_or(0, |page| page.machines.len());
         tracing::debug!(%key, revision, machines, "writing a registry page");
-        // Later changes of the page begin a new wait.
+        // The waiting time of the page's next change starts at zero.
         self.registry.queue.record_write(&key);
         self.registry.writing.insert(write_id, key, page);
         true
     }
 
-    /// Handles the outcome of a page's write. What was committed is applied to the cache at
-    /// once.
+    /// Handles the outcome of a page's write. A committed page is applied to the cache at once.
     pub(super) fn registry_page_write_completed(
         &mut self,
         write_id: WriteId,
--- a/src/controller/restart.rs
+++ b/src/controller/restart.rs
@@ -29,8 +29,8 @@
 }
 
 impl ColdRestart {
-    /// Creates the state without an active hold-off; one begins when this node becomes the
-    /// leader.
+    /// Creates the state without an active hold-off. A hold-off begins when this node becomes
+    /// the leader.
     pub(super) fn new(
         config: &ColdRestartConfig,
         settings: &Settings,
@@ -51,7 +51,7 @@
 }
 
 impl Controller {
-    /// Begins a hold-off as this node enters an epoch as its leader, unless the leader's
+    /// Begins a hold-off when this node enters an epoch as its leader, unless the leader's
     /// state was kept from the previous epoch.
     pub(super) fn begin_hold_off(&mut self, kept_state: bool, now: Seconds) {
         if let Some(restart) = self.cold_restart.as_mut().filter(|_| !kept_state) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the machines that are not reconciled yet; `None` if no hold-off is active.
+    /// Returns the unreconciled machines; `None` if no hold-off is active.
     pub(super) fn unreconciled_machines(&self, now: Seconds) -> Option<UnreconciledMachines> {
         let restart = self.cold_restart.as_ref()?;
         let deletions = &self.autoscaler.deletions;
@@ -70,9 +70,9 @@
         restart.hold_off.is_active(now).then(unreconciled)
     }
 
-    /// Returns whether an action is held off until machines are reconciled, and records it
-    /// for the restart report if so. `spec` is the job that needs the action, if it is for
-    /// a job.
+    /// Returns whether an action is held off until machines are reconciled. If so, records
+    /// this for the restart report. `spec` is the job for which the action is needed; `None`
+    /// if it is not for a single job.
     pub(super) fn is_held_off(
         &mut self,
         action: Action,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Records when this node accepted its first job.
+    /// Records that this node accepted a job at `now`. Only the first call has an effect.
     pub(super) fn record_first_accepted(&mut self, now: Seconds) {
         if let Some(restart) = &mut self.cold_restart {
             restart
@@ -106,15 +106,15 @@
         }
     }
 
-    /// Logs dangling references: stored records that name a team, zone or machine type
-    /// which neither the settings nor the catalog has.
+    /// Logs the dangling references: stored records that name a team, zone or machine type
+    /// that neither the settings nor the catalog contains.
     pub(super) fn log_dangling_references(&self) {
         for record in find_dangling_references(&self.cache, &self.settings) {
             tracing::warn!(key = record.key, error = %record.error, "a stored record doesn't fit");
         }
     }
 
-    /// Publishes the restart report, if that is due.
+    /// Publishes the restart report, if the feature is enabled and the report is due.
     pub(super) fn publish_restart_report(&mut self, now: Seconds) {
         let interval = self.report_interval() * PUBLISH_INTERVAL_REPORTS;
         let due = self
--- a/src/controller/shard_transfers.rs
+++ b/src/controller/shard_transfers.rs
@@ -1,5 +1,5 @@
 //! Transfers of hash ranges between live shards, for the feature `shared-machines`: the
-//! leader's part in them, and the shard map that all controllers use.
+//! leader's management of the transfers, and the shard map that all controllers use.
 
 use super::interval_timer::IntervalTimer;
 use super::writes::{put_record, to_value};
@@ -26,11 +26,11 @@
 /// in seconds.
 const UPGRADE_RETRY_AFTER_S: u32 = 5;
 
-/// An upper bound of the size of one range in the stored shard map, in bytes.
+/// An upper bound on the size of one range in the stored shard map, in bytes.
 const RANGE_BYTES: usize = 120;
 
-/// How long the source or the target of a transfer may take to respond, in report
-/// intervals.
+/// How long the source or the target of a transfer may take to respond to the leader, in
+/// report intervals.
 const TRANSFER_TIMEOUT_REPORTS: f64 = 3.0;
 
 /// How long a write of the shard map may take, in seconds.
@@ -48,8 +48,8 @@
     planner: Planner,
     /// Whether a write of the shard map is in flight.
     write_pending: bool,
-    /// When the key-value store definitely refused a write of the shard map; `None` if no
-    /// refusal awaits its confirmation by a read.
+    /// When the outcome of a write of the shard map was that the store did not apply it.
+    /// `None` if there was no such outcome, or a later read has confirmed it.
     refused_at: Option<Seconds>,
     published: PublishedReport<ShardMapReport>,
     publish_timer: IntervalTimer,
@@ -57,7 +57,7 @@
 }
 
 impl ShardTransfers {
-    /// Creates the state without transfers in progress.
+    /// Creates the state, without any transfers in progress.
     pub(super) fn new(
         config: &SharedMachinesConfig,
         settings: &Settings,
@@ -100,8 +100,8 @@
 }
 
 impl Controller {
-    /// Returns the owner of a machine, by the shard map or its hash; `None` if this node
-    /// has not entered the epoch.
+    /// Returns the owner of a machine: the one in the shard map, or else the owner by hash.
+    /// Returns `None` if this node has not entered the current epoch.
     pub(super) fn owner_of(&self, machine: &str) -> Option<&str> {
         membership::owner_by_shard_map(self.entered_epoch()?, &self.cache.shard_map, machine)
     }
@@ -121,12 +121,12 @@
             owner == Some(this_node.as_str())
         };
         self.shard.apply_shard_map(&self.cache, now, owns);
-        // The change is reported to the leader in this round.
+        // The report to the leader is due in the next round.
         self.leader_report_timer = IntervalTimer::due_now();
     }
 
-    /// Aborts the transfers of the previous epoch. What they had already changed stays as
-    /// it is.
+    /// Aborts the transfers of the previous epoch. Their committed changes of the shard map
+    /// remain.
     pub(super) fn reset_transfers(&mut self, now: Seconds) {
         if let Some(state) = &mut self.shard_transfers {
             state.transfers.abort_all(now);
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Returns the transfer orders for the shard of a controller; empty if it takes part in
-    /// no transfer.
+    /// Returns the transfer orders for the shard of a controller. There are none if the shard
+    /// is neither the source nor the target of a transfer.
     pub(super) fn transfer_orders(&self, node: &str) -> Vec<TransferOrder> {
         self.shard_transfers
             .as_ref()
@@ -159,13 +159,13 @@
         let before = state.states();
         state.transfers.apply_report(from, report, now);
         if before != state.states() {
-            // The reporting shard gets its orders in response to its report.
+            // The reporting shard receives its orders in response to its report.
             self.send_orders_to_participants(Some(from));
         }
     }
 
-    /// Returns whether a machine is being transferred, so that no single shard's report on
-    /// it is reliable.
+    /// Returns whether a machine is being transferred, or is not reported by exactly one
+    /// shard. In either case no shard's report on the machine is reliable by itself.
     pub(super) fn is_being_transferred(&self, machine: &MachineId) -> bool {
         let (Some(state), Some(epoch)) = (&self.shard_transfers, self.entered_epoch()) else {
             return false;
@@ -181,7 +181,8 @@
         in_transfer || !self.leader.has_one_owner(machine)
     }
 
-    /// Sends orders to all shards that take part in transfers, except `except`.
+    /// Sends orders to the sources and targets of all transfers in progress, except to the
+    /// controller `except`.
     fn send_orders_to_participants(&mut self, except: Option<&str>) {
         let Some(state) = &self.shard_transfers else {
             return;
@@ -193,9 +194,9 @@
         }
     }
 
-    /// Advances the leader's transfers by one step: applies the shard map, aborts transfers
-    /// whose participants do not respond in time, writes the next shard map, and begins the
-    /// next transfer.
+    /// Advances the transfers by one step, as the leader: applies the shard map that was read
+    /// last, aborts transfers whose source or target has not responded in time, writes the next
+    /// shard map, and begins the next transfer.
     pub(super) fn run_transfers(&mut self, now: Seconds) {
         let in_use = self
             .entered_epoch()
@@ -207,8 +208,8 @@
         state
             .transfers
             .observe_shard_map(&self.cache.shard_map, now);
-        // The write was definitely refused, and a read that began later does not show it
-        // either.
+        // The store did not apply the write, and a read that began after that outcome does
+        // not show the written shard map either.
         let synced_at = self.store_sync.last_synced_at();
         if state.refused_at.is_some_and(|at| synced_at > Some(at)) {
             state.transfers.write_refused(now);
@@ -231,7 +232,8 @@
             return;
         };
         let write = ConditionalWrite {
-            // Prevents overwriting the shard map of another leader or of another epoch.
+            // These conditions prevent the shard map of another leader or epoch from being
+            // overwritten.
             conditions: vec![
                 Condition::new(SHARD_MAP_KEY, self.cache.shard_map_revision),
                 Condition::new(EPOCH_KEY, self.cache.epoch_revision),
@@ -243,8 +245,9 @@
         state.write_pending = self.writer.send(WriteClass::Urgent, write).is_ok();
     }
 
-    /// Handles the outcome of a write of the shard map. A write that was not carried out in
-    /// time, or whose outcome is unknown, is sent again under the same conditions.
+    /// Handles the outcome of a write of the shard map. If the store was unavailable, the
+    /// deadline passed, or the outcome is unknown, the write is sent again under the same
+    /// conditions.
     pub(super) fn shard_map_write_completed(&mut self, outcome: CommitOutcome, now: Seconds) {
         let Some(state) = &mut self.shard_transfers else {
             return;
@@ -315,8 +318,7 @@
         }
     }
 
-    /// Returns all machines of the registry, with their owners by the hash and by the shard
-    /// map.
+    /// Returns all registered machines, with their owners by hash and by shard map.
     fn owned_machines(&self, members: &BTreeMap<String, u64>) -> Vec<OwnedMachine> {
         let owned = |id: &MachineId| {
             let hash_owner = membership::owner_by_hash(members, id)?;
@@ -330,7 +332,7 @@
         self.cache.registry.keys().filter_map(owned).collect()
     }
 
-    /// Handles a request of the operators to replace their plan of transfers.
+    /// Handles a request of an operator to replace the plan of transfers.
     pub(super) fn set_transfer_plan(&mut self, plan: Plan, responder: Responder) {
         let is_leader = self.is_leader();
         let Some(epoch) = self.entered_epoch() else {
@@ -364,7 +366,7 @@
         responder.send(status::OK, b"{}".to_vec());
     }
 
-    /// Publishes the shard map report, if that is due.
+    /// Publishes the shard map report, if the feature is enabled and the report is due.
     pub(super) fn publish_shard_map_report(&mut self, now: Seconds) {
         let interval = self.report_interval() * PUBLISH_INTERVAL_REPORTS;
         let due = self
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -74,8 +74,9 @@
     }
 }
 
-/// Opens the listeners for users and workers, and for the other controllers. Their requests
-/// go to the event loop, except those for published reports.
+/// Opens the listener for users and workers, and the one for the other controllers and
+/// operators. Their requests are passed to the event loop, except those for published
+/// reports.
 fn listen(
     settings: &Settings,
     reports: &PublishedReports,
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -6,14 +6,15 @@
 use crate::store::{self, RateBudget};
 use crossbeam::channel::{bounded, Sender};
 
-/// Whether the key-value store is reachable, and how old the contents of the cache are.
+/// The state of the synchronization: whether the key-value store is reachable, and how old the
+/// contents of the cache are.
 pub(super) struct StoreSync {
-    /// When the last successful read began: the cache shows every write committed before.
-    /// `None` before the first one.
+    /// When the last successful read began. The cache shows every write that was committed
+    /// before that time. `None` before the first successful read.
     last_synced_at: Option<Seconds>,
     /// Whether the last read failed.
     unreachable: bool,
-    /// Makes the watch poll before its next poll is due.
+    /// The channel that makes the watch poll the store before its next poll is due.
     watch_wakeups: Sender<()>,
 }
 
@@ -65,8 +66,8 @@
         self.last_synced_at.is_some_and(|at| now - at < max_age)
     }
 
-    /// Makes the watch poll as soon as its rate allows. A wake-up that is already pending
-    /// is enough.
+    /// Makes the watch poll the store as soon as the rate limit allows it. Has no effect if
+    /// such a request is pending already.
     pub(super) fn request_poll(&self) {
         let _ = self.watch_wakeups.try_send(());
     }
--- a/src/controller/watch_events.rs
+++ b/src/controller/watch_events.rs
@@ -1,5 +1,5 @@
-//! Handling of the events of the key-value store's watch: updates the cache, and notifies
-//! the shard and the leader of the changes.
+//! Handling of the events from the watch of the key-value store: updates the cache, and
+//! notifies the shard and the leader of the changes.
 
 use super::interval_timer::IntervalTimer;
 use super::Controller;
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Handles that a machine was added to the registry, changed there, or removed from it.
+    /// Notifies the shard of a machine that was added to the registry, changed there, or
+    /// removed from it. The autoscaler is notified of a removal.
     fn apply_machine_change(&mut self, id: &MachineId, now: Seconds) {
         match self.cache.registry.get(id) {
             Some(machine) => {
@@ -140,7 +141,8 @@
             self.autoscaler.start_leading(now);
             self.registry.begin_leading();
         }
-        // The first report is due at once, unless the process has only just started.
+        // The first report in the epoch is due at once, unless the process has only just
+        // started.
         self.leader_report_timer = IntervalTimer::since_process_start();
     }
 }
--- a/src/controller/worker_redirects.rs
+++ b/src/controller/worker_redirects.rs
@@ -1,5 +1,5 @@
-//! Workers of other shards that send their heartbeats to this node, and the relays to their
-//! owners.
+//! The state of the workers of other shards that send heartbeats to this node, and the pools
+//! that relay these heartbeats to the owners.
 
 use super::MAX_POOL_THREADS;
 use crate::api::relay_pool::{start_relay_pool, RelayedHeartbeat};
@@ -9,31 +9,35 @@
 use crossbeam::channel::Sender;
 use std::collections::HashMap;
 
-/// The share of the sockets that relays to one other controller may use.
+/// The share of the sockets that the relay pool of one other controller may use.
 const RELAY_SOCKET_SHARE: f64 = 1.0 / 500.0;
 
-/// The timeout of a relay, in report intervals: the worker waits for the response for about
-/// as long.
+/// The timeout of a relayed heartbeat, in report intervals. The worker waits for the response
+/// for about as long.
 const RELAY_TIMEOUT_REPORTS: f64 = 0.8;
 
-/// For how long an attempt of a worker to reach its owner counts as recent, in durations of
-/// a worker's lease.
+/// How long an attempt of a worker to reach its owner counts as recent, in durations of a
+/// worker's lease.
 const OWNER_ATTEMPT_LEASES: f64 = 2.0;
 
 /// The state that this node keeps of a worker that belongs to another shard.
 struct RedirectedWorker {
     last_heartbeat_at: Seconds,
-    /// When the worker last tried to reach its owner, as far as is known.
+    /// The assumed time of the worker's last attempt to reach its owner: when it sent its first
+    /// heartbeat to this node, or the first one after the previous attempt ceased to count as
+    /// recent. At such a heartbeat the worker is usually redirected to its owner.
     owner_tried_at: Option<Seconds>,
     /// The session and sequence number of its newest heartbeat.
     newest_seq: (u64, u64),
-    /// When a heartbeat arrived that was newer than an earlier one. A single heartbeat may
-    /// be an old duplicate, and proves nothing.
+    /// When the last heartbeat arrived that was newer than all earlier ones. `None` until
+    /// there is a second heartbeat: a single one may be an old duplicate, and does not prove
+    /// that the worker is alive.
     verified_at: Option<Seconds>,
 }
 
 impl RedirectedWorker {
-    /// Returns the state of a worker after one more heartbeat.
+    /// Returns the state of a worker after a further heartbeat. `previous` is its state before;
+    /// `None` if this is the first heartbeat.
     fn after_heartbeat(
         previous: Option<&RedirectedWorker>,
         heartbeat: &Heartbeat,
@@ -42,14 +46,14 @@
     ) -> RedirectedWorker {
         let newest_seq = (heartbeat.session, heartbeat.seq);
         let verified_at = match previous {
-            Some(known) if newest_seq > known.newest_seq => Some(now),
-            Some(known) => known.verified_at,
+            Some(worker) if newest_seq > worker.newest_seq => Some(now),
+            Some(worker) => worker.verified_at,
             None => None,
         };
         RedirectedWorker {
             last_heartbeat_at: now,
             owner_tried_at: owner_tried_at.or(Some(now)),
-            newest_seq: previous.map_or(newest_seq, |known| known.newest_seq.max(newest_seq)),
+            newest_seq: previous.map_or(newest_seq, |worker| worker.newest_seq.max(newest_seq)),
             verified_at,
         }
     }
@@ -60,19 +64,19 @@
 pub(super) struct OwnerAttempt {
     /// When the worker last tried to reach its owner, if that was recent.
     tried_at: Option<Seconds>,
-    /// Whether no attempt is known.
+    /// Whether no attempt is known, not even one that is no longer recent.
     pub(super) never_tried: bool,
 }
 
 impl OwnerAttempt {
-    /// Returns whether the worker tried to reach its owner recently. As it sends its
-    /// heartbeats to this node again, it cannot reach the owner.
+    /// Returns whether the worker tried to reach its owner recently. A worker that did, and
+    /// sends a heartbeat to this node again, cannot reach its owner.
     pub(super) fn is_recent(&self) -> bool {
         self.tried_at.is_some()
     }
 }
 
-/// The workers of other shards that send heartbeats to this node, and the relays to the
+/// The workers of other shards that send heartbeats to this node, and the relay pools of the
 /// other controllers.
 pub(super) struct WorkerRedirects {
     workers: HashMap<MachineId, RedirectedWorker>,
@@ -131,18 +135,19 @@
         self.workers.insert(heartbeat.machine, worker);
     }
 
-    /// Returns the queue of the relay to a controller; `None` if there is none to it.
+    /// Returns the queue of the relay pool of a controller; `None` if the controller has no
+    /// relay pool.
     pub(super) fn relay_to(&self, owner: &str) -> Option<&Sender<RelayedHeartbeat>> {
         self.relay_pools.get(owner)
     }
 
-    /// Returns the timeout of a relay, in seconds.
+    /// Returns the timeout of a relayed heartbeat, in seconds.
     pub(super) fn relay_timeout(&self) -> Seconds {
         self.relay_timeout
     }
 
-    /// Returns the workers that are certain to have been alive, and how many seconds ago
-    /// that was.
+    /// Returns the workers that have proven to be alive by a heartbeat newer than an earlier
+    /// one, and how many seconds ago each last did so.
     pub(super) fn verified_workers(&self, now: Seconds) -> Vec<(MachineId, Seconds)> {
         self.workers
             .iter()
@@ -150,8 +155,8 @@
             .collect()
     }
 
-    /// Discards the workers that have not sent a heartbeat to this node for the duration of
-    /// a worker's lease.
+    /// Discards the state of workers that have sent no heartbeat to this node for the duration
+    /// of a worker's lease.
     pub(super) fn expire(&mut self, now: Seconds) {
         let worker_lease = self.worker_lease;
         self.workers
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -4,14 +4,14 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// Returns a put of a serialized record that is not attached to a lease, so that it is kept
+/// Returns an operation that stores a record without a lease, so that the record is kept
 /// until it is deleted.
 pub(super) fn put_record<R: Serialize>(key: impl Into<String>, record: &R) -> WriteOp {
     put_value(key, to_value(record))
 }
 
-/// Returns a put of a value that is not attached to a lease, so that it is kept until it is
-/// deleted.
+/// Returns an operation that stores a value without a lease, so that the value is kept until
+/// it is deleted.
 pub(super) fn put_value(key: impl Into<String>, value: Value) -> WriteOp {
     WriteOp::Put {
         key: key.into(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! finchwood: a cluster scheduler that consists of a few controllers, machines rented from
 //! a cloud, and one small key-value store.
 //!
-//! All of the program is in this library; `main.rs` only parses arguments. The modules that
-//! make decisions ([`scheduler`], [`shard`], most of [`cluster`] and [`autoscaler`]) do no
-//! I/O: they take the time as an argument and return their effects as values.
+//! This library contains the whole program, except for the parsing of arguments in `main.rs`.
+//! The modules that make decisions ([`scheduler`], [`shard`], most of [`cluster`] and
+//! [`autoscaler`]) do no I/O: they take the time as an argument and return their effects as
+//! values.
 //! [`controller`] runs the event loop that owns the state; the threads of [`api`],
 //! [`store`], [`cluster`] and [`autoscaler`] exchange events with it through channels.
 //! `docs/architecture.md` describes the path of each request.
--- a/src/main.rs
+++ b/src/main.rs
@@ -38,8 +38,8 @@
     Controller(#[from] StartError),
 }
 
-/// Sends log events to the standard error stream. `LOG_LEVEL` sets the level: `debug`,
-/// `info`, or otherwise `error`.
+/// Sets up logging to the standard error stream. The environment variable `LOG_LEVEL` sets
+/// the level: `debug` or `info`; any other value, or none, means `error`.
 fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => Level::DEBUG,
