--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -24,7 +24,7 @@
     Query(String),
     /// A user cancels the job with this id.
     Cancel(String),
-    /// A client requests whether the controller is ready to serve users.
+    /// A client checks whether the controller is ready to serve users.
     HealthCheck,
     /// A worker reports the state of its machine and tasks.
     Heartbeat {
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -31,7 +31,8 @@
     booting: Vec<BootingMachine>,
     /// Machines whose boot has timed out, which are to be deleted.
     timed_out: Vec<MachineId>,
-    /// The number of on-demand machines in each zone, including those that have sent heartbeats.
+    /// The number of all on-demand machines in each zone, including those that have sent
+    /// heartbeats.
     on_demand_in_zone: BTreeMap<Arc<str>, u32>,
 }
 
@@ -251,8 +252,8 @@
             review.drained.push(machine.id.clone());
         }
         if !machine.spot && machine.schedulable {
-            // Half of the CPUs that preemptible tasks use count as free: these tasks end in
-            // the time that a new machine takes to boot.
+            // Half of the CPUs that preemptible tasks use count as free: about half of this
+            // work ends in the time that a new machine takes to boot.
             review.free_on_demand_cpus +=
                 (machine.free.cpus + machine.preemptible.cpus / 2.0).max(0.0);
         }
@@ -312,8 +313,8 @@
         machines.into_iter().collect()
     }
 
-    /// Requests the deletion of those machines that still exist and are not being deleted
-    /// yet.
+    /// Requests the deletion of machines, except those that no longer exist and those whose
+    /// deletion was requested recently.
     pub(super) fn delete_machines(&mut self, machines: Vec<MachineId>, now: Seconds) {
         let machines = self.autoscaler.deletions.due(machines, now);
         if machines.is_empty() {
