--- a/tests/control_plane/cold_restart.rs
+++ b/tests/control_plane/cold_restart.rs
@@ -29,8 +29,8 @@
     (new_leader(cache), shard)
 }
 
-/// Sends two heartbeats of a machine with `tasks`, the first under an old token and the second
-/// under the token that the new owner replied with. Returns the commands in the second reply.
+/// Sends two heartbeats of a machine with `tasks`, the first with an old token and the second
+/// with the token of the new owner's reply. Returns the commands in the second reply.
 fn report_until_reconciled(
     shard: &mut Shard,
     cache: &StoreCache,
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn only_tasks_that_are_over_according_to_the_store_are_stopped() {
+fn only_tasks_that_the_store_records_as_finished_or_cancelled_are_stopped() {
     let (half_finished, cancelled, done) = (job("wk-1", 2), job("wk-2", 1), job("wk-3", 1));
     let mut cache = store_cache(1, &[&half_finished, &cancelled, &done]);
     cache.put("fw/f/wk-1/0", json!("1"), 200);
@@ -230,12 +230,12 @@
 }
 
 #[test]
-fn a_silent_worker_blocks_its_task_until_its_lease_expires_and_returns_empty() {
+fn a_silent_worker_blocks_its_task_until_its_lease_expires_and_returns_without_tasks() {
     let spec = job("wk-1", 1);
     let cache = store_cache(2, &[&spec]);
     let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
     report_until_reconciled(&mut shard, &cache, 1, &[], 0.1);
-    // The other worker has sent one heartbeat, but never one under the new owner's token.
+    // The other worker has sent one heartbeat, but none that carries the new owner's token.
     let heartbeat = heartbeat_from(
         2,
         1,
@@ -313,11 +313,11 @@
     );
 }
 
-/// Sends a heartbeat of an empty machine, with a token that its new owner has given it.
+/// Sends a heartbeat of a machine without tasks, with a token that its new owner has issued.
 fn report_empty(shard: &mut Shard, cache: &StoreCache, machine: usize, now: f64) {
-    let known_token = token(EPOCH, (1 << 10) + 2 * now as u64);
+    let issued_token = token(EPOCH, (1 << 10) + 2 * now as u64);
     accepted(shard.apply_heartbeat(
-        &heartbeat_from(machine, 1, 10 + now as u64, known_token, &[]),
+        &heartbeat_from(machine, 1, 10 + now as u64, issued_token, &[]),
         false,
         cache,
         now,
@@ -449,7 +449,7 @@
 }
 
 #[test]
-fn unknown_tasks_are_left_unreconciled_and_count_for_nothing() {
+fn unknown_tasks_are_left_unreconciled_and_are_not_committed() {
     let spec = job("wk-1", 2);
     let cache = store_cache(1, &[&spec]);
     let (mut leader, mut shard) = restarted_leader_and_shard(&cache);
@@ -546,7 +546,7 @@
     }
     assert!(
         earlier_cache.registry.contains_key("m-2"),
-        "machines that were known before should stay"
+        "machines that were cached before should stay in the cache"
     );
     assert!(cache.invalid_records.contains_registry_page() && cache.registry.is_empty());
     cache.put(
--- a/tests/control_plane/concurrent_faults.rs
+++ b/tests/control_plane/concurrent_faults.rs
@@ -14,9 +14,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-// Guards against `ran_twice` under unidirectional reachability: the worker's heartbeats reach
-// no controller, but direct commands reach the worker. Its lease expires again and again, and
-// each new session has a full lease from its own start, in which its tasks may still run.
+// Guards against `ran_twice` when a machine is reachable in one direction only: the worker's
+// heartbeats reach no controller, but direct commands reach the worker. Its lease expires again
+// and again, and each new session has a full lease from its own start, in which its tasks may
+// still run.
 #[test]
 fn each_session_has_a_full_lease_from_its_own_start() {
     let spec = job_spec("wk-1", 1, |_| {});
@@ -107,7 +108,7 @@
     let reported_at = reported_at.expect("the machine was never reported as ignoring commands");
     assert!(
         reported_at < TIMING.lease_s,
-        "reported only after its lease, at {reported_at} s"
+        "reported only at {reported_at} s, after its lease had expired"
     );
     // Once it sends heartbeats again, it is schedulable and no longer reported.
     shard.apply_heartbeat(
@@ -124,10 +125,10 @@
 }
 
 // During an outage, no controller may send commands or reply to heartbeats. A machine that
-// responded to commands just before and just after a long outage is not reachable in one
-// direction only, and neither is one whose heartbeats were refused.
+// responded to commands just before and just after a long outage must not count as reachable
+// in one direction only, and neither must a machine whose heartbeats were refused.
 #[test]
-fn an_outage_does_not_make_a_machine_look_unidirectional() {
+fn an_outage_does_not_make_a_machine_count_as_ignoring_commands() {
     let spec = job_spec("wk-1", 1, |_| {});
     let cache = store_cache(1, &[&spec]);
     let mut shard = new_shard(&cache);
@@ -135,7 +136,7 @@
     let mut seq = 2;
     // Responds to all due commands, and returns whether the shard then reports the machine as
     // ignoring commands.
-    let mut looks_unidirectional = |shard: &mut Shard, now: f64| {
+    let mut ignores_commands_after_responding = |shard: &mut Shard, now: f64| {
         for command in shard.due_commands(&cache, now) {
             seq += 1;
             shard.command_completed(
@@ -152,22 +153,22 @@
             .iter()
             .any(|status| status.ignores_commands)
     };
-    assert!(!looks_unidirectional(&mut shard, 5.0));
+    assert!(!ignores_commands_after_responding(&mut shard, 5.0));
     assert!(
-        !looks_unidirectional(&mut shard, 65.0),
+        !ignores_commands_after_responding(&mut shard, 65.0),
         "no commands were sent to the machine for a minute"
     );
-    let ever_looked_unidirectional = (0..24).any(|second| {
+    let ever_ignored_commands = (0..24).any(|second| {
         // Its heartbeats arrive, and are refused.
         shard.record_heartbeat_received(&"m-1".into());
-        looks_unidirectional(&mut shard, 66.0 + f64::from(second))
+        ignores_commands_after_responding(&mut shard, 66.0 + f64::from(second))
     });
-    assert!(!ever_looked_unidirectional);
+    assert!(!ever_ignored_commands);
 }
 
 // Guards against `went_back`: a shard that has not received the cancellation reports the end
-// of the job's last task to a leader that has. The job was committed as done after the user
-// had been told that it was `cancelled`.
+// of the job's last task to a leader that has. The job was committed as done after it had been
+// reported to the user as `cancelled`.
 #[test]
 fn a_task_end_reported_after_the_cancellation_does_not_complete_the_job() {
     let spec = job_spec("wk-1", 1, |_| {});
@@ -257,9 +258,9 @@
     );
 }
 
-// Owners change faster than a worker sends heartbeats, and each replies to it before its
-// machine is reconciled. Each of these replies renews the lease of the tasks there, so that it
-// also has to stop cancelled tasks.
+// The owner of a machine changes more often than the worker sends heartbeats, and each owner
+// replies to a heartbeat before it has reconciled the machine. Each reply renews the worker's
+// lease and so lets its tasks run on, so that each reply must also stop cancelled tasks.
 #[test]
 fn a_reply_to_an_unreconciled_machine_stops_cancelled_tasks() {
     let (spec, other) = (job_spec("wk-1", 1, |_| {}), job_spec("wk-2", 1, |_| {}));
@@ -284,13 +285,14 @@
             grace_s: 0.0
         }]
     );
-    // A direct command stops them too, as it may reach the worker when replies don't.
+    // A direct command also stops them, as it may reach the worker when replies don't.
     let direct_commands = shard.due_commands(&cache, 0.3);
     assert_eq!(direct_commands[0].body.commands, commands);
 }
 
-// Direct commands don't reach a machine, while its heartbeats are answered. Each probe had a
-// higher token, which kept the machine unreconciled for as long as this lasted.
+// Guards against a machine that stays unreconciled: direct commands don't reach it, while its
+// heartbeats are replied to. Each failed probe raised the token, so that no heartbeat carried
+// the current one for as long as the probes failed.
 #[test]
 fn unanswered_probes_do_not_keep_a_machine_unreconciled() {
     let spec = job_spec("wk-1", 1, |_| {});
@@ -299,7 +301,8 @@
     let (mut token, mut seq) = (0, 0);
     for step in 0..160u32 {
         let now = f64::from(step) * 0.1;
-        // Heartbeats come slowly, but within the quarter by which their intervals vary.
+        // A heartbeat arrives every 3.7 s. That is late, but within the quarter by which the
+        // intervals of 3 s may vary.
         if step % 37 == 0 {
             seq += 1;
             token = accepted(shard.apply_heartbeat(
@@ -318,8 +321,8 @@
     assert!(report.machines[0].reconciled, "{:?}", report.machines[0]);
 }
 
-// A worker that reports the highest token of an epoch can't be given a higher one, so that
-// no start sent to it could ever be proven to have no further effect.
+// The token of a worker that reports the highest token of an epoch can't be raised. A start
+// sent to the worker could then never be proven to have no further effect.
 #[test]
 fn no_task_starts_on_a_machine_whose_token_cannot_be_raised() {
     let spec = job_spec("wk-1", 1, |_| {});
@@ -460,7 +463,8 @@
         1,
         "only the machine of the cancelled job should be listed"
     );
-    // Once the machine is unregistered, the task is proven gone and nothing is listed.
+    // Once the machine is unregistered, the task is confirmed to run on no machine, and nothing
+    // is listed.
     let machine = leader
         .machines_with_cancelled_tasks(
             &cache,
@@ -518,9 +522,9 @@
     }
 }
 
-// Tasks of a one-zone job that are already assigned determine the zone of the others: machines
-// for the rest are rented in that zone and nowhere else. For a `scatter` job they are rented
-// in another zone.
+// The tasks of a one-zone job that are already assigned determine the zone of the others:
+// machines for the others are rented in that zone only. For a `scatter` job they are rented in
+// another zone.
 #[test]
 fn machines_for_the_rest_of_a_one_zone_job_are_rented_in_its_zone() {
     let one_zone = job_spec("wk-1", 4, |fields| fields["one_zone"] = true.into());
@@ -557,8 +561,8 @@
     assert_eq!(rental_zones(&scattered, &[("e", 2)], 2), ["w"]);
 }
 
-/// Returns a leader with the shards of two controllers, `a` and `b`, to which the machines
-/// belong in alternating pairs.
+/// Returns a leader that has reports from the shards of two controllers, `a` and `b`, which own
+/// the machines in alternating pairs.
 fn leader_of_two_shards(cache: &StoreCache, machines: usize) -> Leader {
     let mut leader = Leader::new(&settings_with(&[]).expect("settings"));
     let members: BTreeMap<String, u64> = [("a".to_string(), 7), ("b".to_string(), 8)]
@@ -628,7 +632,8 @@
 }
 
 // A one-zone service loses a machine. Its zone has no free capacity left, while another zone
-// has enough for all of it: the service moves as a whole, once every task is proven gone.
+// has enough for all replicas: the service moves as a whole, once each of its tasks is
+// confirmed to run on no machine.
 #[test]
 fn a_one_zone_service_without_capacity_in_its_zone_moves_as_a_whole() {
     let spec = job_spec("wk-1", 2, |fields| {
@@ -705,11 +710,11 @@
     );
 }
 
-// A team is at its limit when the leader changes, one of its machines is silent, and the job
-// that may run there is cancelled. Its quota is free only once the tasks are proven gone,
-// which they are when the lease of the silent machine expires.
+// A team is at its limit when the leader changes, one of the machines is silent, and the job
+// that may run there is cancelled. The job's quota is freed only once its tasks are confirmed
+// to run on no machine, which they are when the lease of the silent machine expires.
 #[test]
-fn a_cancellation_frees_no_quota_before_the_tasks_are_proven_gone() {
+fn a_cancellation_frees_no_quota_before_the_tasks_are_confirmed_to_run_on_no_machine() {
     let (cancelled, waiting) = (job_spec("wk-1", 4, |_| {}), job_spec("wk-2", 4, |_| {}));
     let mut cache = store_cache(4, &[&cancelled]);
     let mut accepted_job: JobRecord =
@@ -733,7 +738,7 @@
         .map(|machine| reconcile_machine(&mut shard, &cache, machine, 0.2))
         .collect();
     let mut seq = 2;
-    let mut count_assigned =
+    let mut tasks_assigned_in_round =
         |leader: &mut Leader, shard: &mut Shard, cache: &StoreCache, now: f64| {
             seq += 1;
             for machine in 1..=3 {
@@ -765,7 +770,7 @@
                 .sum::<usize>()
         };
     assert_eq!(
-        count_assigned(&mut leader, &mut shard, &cache, 0.5),
+        tasks_assigned_in_round(&mut leader, &mut shard, &cache, 0.5),
         0,
         "the fourth machine may have tasks up to the team's limit"
     );
@@ -773,17 +778,17 @@
     leader.job_changed(&"wk-1".into(), &cache);
     shard.job_changed(&"wk-1".into(), &cache);
     assert_eq!(
-        count_assigned(&mut leader, &mut shard, &cache, 1.0),
+        tasks_assigned_in_round(&mut leader, &mut shard, &cache, 1.0),
         0,
-        "a cancellation does not prove that the tasks are gone"
+        "a cancellation does not prove that the tasks have stopped"
     );
     assert_eq!(
-        count_assigned(&mut leader, &mut shard, &cache, 27.0),
+        tasks_assigned_in_round(&mut leader, &mut shard, &cache, 27.0),
         0,
         "the worker's lease may not have expired"
     );
     assert_eq!(
-        count_assigned(&mut leader, &mut shard, &cache, 29.0),
+        tasks_assigned_in_round(&mut leader, &mut shard, &cache, 29.0),
         4,
         "the lease has expired, so that nothing is unreconciled"
     );
--- a/tests/control_plane/epochs.rs
+++ b/tests/control_plane/epochs.rs
@@ -28,7 +28,7 @@
     assert_eq!(
         (second.number, second.leader.as_str()),
         (2, "b"),
-        "a restarted controller has no state, and should not lead"
+        "a restarted controller has no state and should not lead"
     );
     let survivors: BTreeMap<String, u64> = [("a".to_string(), 1), ("b".to_string(), 2)].into();
     let moved = (0..300)
--- a/tests/control_plane/failing_tasks.rs
+++ b/tests/control_plane/failing_tasks.rs
@@ -11,7 +11,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The ID of a broken job, and the prefix of the IDs of several.
+/// The ID of the broken job in a test with one, and the prefix of their IDs in a test with
+/// several.
 const BROKEN_JOB: &str = "wk-broken";
 
 /// A leader, its only shard and machines that execute commands. Tasks of broken jobs fail at
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Commits each sound job as done whose only task has completed.
+    /// Commits each sound job whose only task has completed as done.
     fn commit_completed_jobs(&mut self) {
         let completed_tasks: Vec<String> = self
             .completed
--- a/tests/control_plane/gangs.rs
+++ b/tests/control_plane/gangs.rs
@@ -155,7 +155,7 @@
     }
 
     /// Returns the machine, the attempt and the state of every task that has not ended.
-    fn on_machines(&self) -> Vec<(usize, u64, TaskState)> {
+    fn active_tasks(&self) -> Vec<(usize, u64, TaskState)> {
         let tasks = self
             .reported
             .iter()
@@ -164,16 +164,17 @@
         tasks.filter(|task| task.2 != TaskState::Ended).collect()
     }
 
-    /// Returns the attempt that all tasks on the machines share; there have to be `count` tasks.
+    /// Returns the attempt that all tasks on the machines share. Panics unless there are `count`
+    /// tasks and they share one attempt.
     fn shared_attempt(&self, count: usize) -> u64 {
-        let on_machines = self.on_machines();
-        let attempts: BTreeSet<u64> = on_machines.iter().map(|task| task.1).collect();
+        let active_tasks = self.active_tasks();
+        let attempts: BTreeSet<u64> = active_tasks.iter().map(|task| task.1).collect();
         assert_eq!(
-            (on_machines.len(), attempts.len()),
+            (active_tasks.len(), attempts.len()),
             (count, 1),
-            "{on_machines:?}"
+            "{active_tasks:?}"
         );
-        on_machines[0].1
+        active_tasks[0].1
     }
 
     /// Makes every task that has not ended report this state and cause from now on.
@@ -195,7 +196,7 @@
     cluster.run_round();
     cluster.shared_attempt(3);
     let zones: BTreeSet<usize> = cluster
-        .on_machines()
+        .active_tasks()
         .iter()
         .map(|task| task.0 % 2)
         .collect();
@@ -206,8 +207,8 @@
 fn a_gang_without_capacity_for_all_tasks_starts_none_and_reserves_capacity() {
     let (spec, array) = (gang("wk-1", 3, |_| {}), job_spec("wk-2", 8, |_| {}));
     let mut cache = store_cache(2, &[&spec, &array]);
-    // Both jobs are accepted only now: a gang that has waited for very long comes first, but
-    // no capacity is reserved for it.
+    // Both jobs are accepted just now: a gang that has waited for very long is assigned first,
+    // but no capacity is reserved for it any more.
     for (job, revision) in [(&spec, 400), (&array, 401)] {
         let mut accepted_job = job_record(job, false);
         accepted_job["t"] = finchwood::clock::wall_clock_ms().into();
@@ -216,7 +217,7 @@
     let mut cluster = TestCluster::new(cache, 2);
     cluster.run_rounds(3);
     assert!(
-        cluster.on_machines().is_empty(),
+        cluster.active_tasks().is_empty(),
         "neither a part of the gang nor the job after it should start"
     );
     let demanded: u32 = cluster
@@ -267,15 +268,15 @@
 
 // A worker refuses one task of a gang. The task never had its image, so that the gang can't
 // have run, and the other tasks wait for a replacement under the same attempt. The shard
-// reports again and again that the refused task was removed, which must not free the
-// replacement.
+// reports again and again that the refused task was removed. The leader must not apply these
+// reports to the replacement.
 #[test]
 fn a_refused_task_is_replaced_under_the_same_attempt_and_a_stale_report_frees_nothing() {
     let spec = gang("wk-1", 3, |_| {});
     let mut cluster = TestCluster::new(store_cache(4, &[&spec]), 4);
     cluster.run_round();
     let attempt = cluster.shared_attempt(3);
-    let refusing_machine = cluster.on_machines()[0].0;
+    let refusing_machine = cluster.active_tasks()[0].0;
     cluster.reported[refusing_machine]
         .values_mut()
         .for_each(|task| (task.1, task.2) = (TaskState::Ended, Some("no_room")));
@@ -291,7 +292,7 @@
     assert_eq!(cluster.shared_attempt(3), attempt);
     assert!(
         cluster
-            .on_machines()
+            .active_tasks()
             .iter()
             .all(|task| task.0 != refusing_machine),
         "the replacement should be on another machine"
@@ -308,7 +309,7 @@
     let new_assignments = cluster.leader.orders("a").expect("orders").assignments;
     assert!(
         new_assignments.is_empty(),
-        "the replacement was taken to be removed: {new_assignments:?}"
+        "the replacement was treated as removed: {new_assignments:?}"
     );
 }
 
@@ -321,17 +322,17 @@
     cluster.set_all_tasks(TaskState::Running, None);
     cluster.run_round();
     // One task ends because it lost a peer; the other has not noticed yet.
-    let (machine, other_machine) = (cluster.on_machines()[0].0, cluster.on_machines()[1].0);
+    let (machine, other_machine) = (cluster.active_tasks()[0].0, cluster.active_tasks()[1].0);
     cluster.reported[machine]
         .values_mut()
         .for_each(|task| (task.1, task.2) = (TaskState::Ended, Some("peers")));
     cluster.run_rounds(2);
-    let on_machines = cluster.on_machines();
+    let active_tasks = cluster.active_tasks();
     assert!(
-        on_machines
+        active_tasks
             .iter()
-            .all(|task| task.1 == first || !on_machines.iter().any(|other| other.1 == first)),
-        "tasks of a new attempt run beside the old one: {on_machines:?}"
+            .all(|task| task.1 == first || !active_tasks.iter().any(|other| other.1 == first)),
+        "tasks of a new attempt run beside the old one: {active_tasks:?}"
     );
     cluster.run_rounds(4);
     let second = cluster.shared_attempt(2);
@@ -342,27 +343,27 @@
     assert!(cluster.reported[other_machine]
         .values()
         .all(|task| task.1 == TaskState::Ended || task.0 == second));
-    // The cause `peers` is the fault of neither the machines nor the job.
+    // The cause `peers` indicates a fault of neither the machines nor the job.
     let report = cluster.shard.next_report(&cluster.cache, cluster.now);
     assert!(!report.machines.iter().any(|machine| machine.faulty));
 }
 
-// The lost task may have had its image in the moment before it was lost, so that the gang may
-// have run: the other tasks don't wait for a replacement.
+// The lost task may have obtained its image just before it was lost, so that the gang may have
+// run: the other tasks don't wait for a replacement.
 #[test]
 fn a_gathering_gang_that_loses_a_task_starts_a_new_attempt() {
     let spec = gang("wk-1", 2, |_| {});
     let mut cluster = TestCluster::new(store_cache(4, &[&spec]), 4);
     cluster.run_rounds(2);
     let first = cluster.shared_attempt(2);
-    let machine = cluster.on_machines()[1].0;
+    let machine = cluster.active_tasks()[1].0;
     cluster.reported[machine].clear();
     cluster.run_rounds(8);
     assert!(cluster.shared_attempt(2) > first);
 }
 
-// A task is refused on a machine that is about to be reclaimed. Its zone has no other free
-// capacity, while another zone has.
+// A task is refused on a machine that is about to be reclaimed. The zone of the gang has no
+// other free capacity, while the other zone has some.
 #[test]
 fn a_refused_task_of_a_one_zone_gang_is_not_replaced_in_another_zone() {
     let spec = gang("wk-1", 2, |fields| fields["one_zone"] = true.into());
@@ -390,7 +391,7 @@
     cluster.run_round();
     cluster.set_all_tasks(TaskState::Running, None);
     cluster.run_round();
-    let machine = cluster.on_machines()[0].0;
+    let machine = cluster.active_tasks()[0].0;
     cluster.reported[machine]
         .values_mut()
         .for_each(|task| (task.1, task.2) = (TaskState::Ended, Some("done")));
@@ -410,7 +411,7 @@
 }
 
 // A machine is about to be reclaimed: all tasks of the gang are commanded to save in the same
-// round, also those that have started only recently.
+// round, including those that have started only recently.
 #[test]
 fn a_reclaim_notice_stops_the_whole_gang_with_time_to_save() {
     let spec = gang("wk-1", 2, |_| {});
@@ -418,7 +419,7 @@
     cluster.run_round();
     cluster.set_all_tasks(TaskState::Running, None);
     cluster.run_round();
-    let machine = cluster.on_machines()[0].0;
+    let machine = cluster.active_tasks()[0].0;
     cluster.send_reclaim_notice(machine);
     cluster
         .shard
@@ -449,18 +450,18 @@
     cluster.leader.job_changed(&"wk-1".into(), &cluster.cache);
     cluster.shard.job_changed(&"wk-1".into(), &cluster.cache);
     cluster.run_round();
-    assert!(cluster.on_machines().is_empty());
+    assert!(cluster.active_tasks().is_empty());
 }
 
-// A new leader finds one of two tasks. It is not known what became of the other, so that the
-// attempt may have run: it is withdrawn, and the next has a new number.
+// A new leader finds one of two tasks. Whether the other one has run is unknown, so that the
+// whole gang may have run: the attempt is withdrawn, and the next has a new number.
 #[test]
 fn a_new_leader_withdraws_an_attempt_with_a_missing_task() {
     check_takeover_of_a_gang_with_a_missing_task(7);
 }
 
 // The machines have a new owner as well. It does not report the missing task as removed: the
-// task is only found to run on no machine. The attempt may have run.
+// task is only confirmed to run on no machine. The attempt may have run.
 #[test]
 fn a_task_confirmed_to_run_on_no_machine_ends_the_attempt() {
     check_takeover_of_a_gang_with_a_missing_task(8);
@@ -473,19 +474,20 @@
     let mut cluster = TestCluster::new(store_cache(3, &[&spec]), 3);
     cluster.run_rounds(2);
     let first = cluster.shared_attempt(2);
-    let machine = cluster.on_machines()[1].0;
+    let machine = cluster.active_tasks()[1].0;
     cluster.reported[machine].clear();
     cluster.start_next_epoch(incarnation);
     for _ in 0..12 {
         cluster.run_round();
-        let attempts: BTreeSet<u64> = cluster.on_machines().iter().map(|task| task.1).collect();
+        let attempts: BTreeSet<u64> = cluster.active_tasks().iter().map(|task| task.1).collect();
         assert!(attempts.len() <= 1, "{attempts:?}");
     }
     assert!(cluster.shared_attempt(2) > first);
 }
 
 // A shard that is full by the time its orders arrive can't start its task. An attempt that
-// can't be completed within a share of the time that tasks wait for each other is withdrawn.
+// stays incomplete for a fraction of `gang_wait_s`, the time that tasks wait for each other, is
+// withdrawn.
 #[test]
 fn a_gang_that_stays_incomplete_is_withdrawn_and_frees_its_capacity() {
     let spec = gang("wk-1", 2, |_| {});
@@ -493,7 +495,7 @@
     cluster.run_round();
     cluster.shared_attempt(2);
     cluster.now += 1.0;
-    let refusing_machine = cluster.on_machines()[1].0;
+    let refusing_machine = cluster.active_tasks()[1].0;
     cluster.reported[refusing_machine]
         .values_mut()
         .for_each(|task| (task.1, task.2) = (TaskState::Ended, Some("no_room")));
@@ -513,7 +515,7 @@
         {
             (task.1, task.2) = (TaskState::Ended, Some("no_room"));
         }
-        withdrawn |= cluster.on_machines().is_empty();
+        withdrawn |= cluster.active_tasks().is_empty();
     }
     assert!(withdrawn, "the first task should have released its machine");
 }
@@ -534,7 +536,7 @@
         .leader
         .set_gangs_allowed(cluster.cache.all_members_support_gangs());
     cluster.run_rounds(2);
-    assert!(cluster.on_machines().is_empty());
+    assert!(cluster.active_tasks().is_empty());
     put_member(
         601,
         json!(finchwood::store::records::MemberRecord::of_this_version(5)),
@@ -550,7 +552,7 @@
     assert!(!cluster.cache.all_members_support_gangs());
 }
 
-// A task in a state that this version doesn't know still counts as running on its machine.
+// A task in a state that is unknown to this version still counts as running on its machine.
 #[test]
 fn a_task_in_an_unknown_state_stays_on_its_machine() {
     let spec = gang("wk-1", 2, |_| {});
@@ -573,7 +575,7 @@
     let mut cluster = TestCluster::new(store_cache(4, &[&spec]), 4);
     cluster.run_rounds(2);
     let first = cluster.shared_attempt(2);
-    let machine = cluster.on_machines()[0].0;
+    let machine = cluster.active_tasks()[0].0;
     cluster.reported[machine]
         .values_mut()
         .for_each(|task| (task.1, task.2) = (TaskState::Ended, Some("weather")));
@@ -589,7 +591,7 @@
 
 #[test]
 fn orders_of_a_version_without_gangs_are_accepted() {
-    // Such orders have no assignment numbers: the attempts stand for them.
+    // Such orders contain no assignment numbers: the attempt serves as the assignment number.
     let spec = gang("wk-1", 2, |_| {});
     let cache = store_cache(2, &[&spec]);
     let mut shard = new_shard(&cache);
--- a/tests/control_plane/incremental_reports.rs
+++ b/tests/control_plane/incremental_reports.rs
@@ -1,5 +1,5 @@
-//! Tests of incremental reports, with which a shard sends the leader only what has changed, and
-//! of how the leader applies them when they are lost, repeated or late.
+//! Tests of incremental reports, in which a shard sends the leader only what has changed, and
+//! of the state of the leader when such reports are lost, repeated or late.
 
 use crate::builders::*;
 use finchwood::cluster::membership::token;
@@ -60,17 +60,17 @@
     }
 }
 
-/// Returns what the leader knows of each machine: whether it has reported, and its number of
-/// tasks.
-fn known_machines(leader: &Leader) -> BTreeMap<String, (bool, u32)> {
+/// Returns the leader's state of each machine: whether the machine has proved to be alive, and
+/// its number of tasks.
+fn machine_states(leader: &Leader) -> BTreeMap<String, (bool, u32)> {
     leader
         .machines()
         .map(|status| (status.id.to_string(), (status.has_reported, status.tasks)))
         .collect()
 }
 
-// Incremental reports are lost, repeated and late. Afterwards the leader has the same state as
-// one that received a single full report.
+// Some incremental reports are lost, repeated or late. Afterwards the leader has the same state
+// as one that received a single full report.
 #[test]
 fn incremental_reports_lost_repeated_or_late_lead_to_the_full_state() {
     for seed in 0..20 {
@@ -141,7 +141,7 @@
         assert_eq!(full_report.since, 0);
         let mut fresh_leader = new_leader(&fleet.cache);
         assert!(fresh_leader.apply_shard_report(full_report, &fleet.cache, 20.0));
-        assert_eq!(known_machines(&leader), known_machines(&fresh_leader));
+        assert_eq!(machine_states(&leader), machine_states(&fresh_leader));
         let assigned: usize = running.iter().map(BTreeSet::len).sum();
         assert!(assigned > 50, "too few tasks are left to compare");
         assert_eq!(
@@ -196,13 +196,13 @@
     );
 }
 
-// Guards against a fault in which the return of one controller left all tasks that a
-// partitioned zone had lost unreconciled until the last machine of that zone had sent a
-// heartbeat. A shard that has retained its state and its machines proves by itself what became
-// of its own tasks. One that has only what was reported since, or that has lost machines to
-// another owner, does not.
+// Guards against this fault: when one controller returned, all tasks that were lost in a
+// partitioned zone stayed unreconciled until the last machine of that zone had sent a
+// heartbeat. A shard that has retained its state and its machines proves by itself which of its
+// own tasks still run. A shard that has not retained its state has only what was reported
+// since, and proves nothing; neither does one that has lost machines to another owner.
 #[test]
-fn a_shard_that_retained_its_state_proves_its_own_tasks_gone() {
+fn a_shard_that_retained_its_state_proves_that_its_own_tasks_have_ended() {
     let unreconciled_after = |incarnation: u64, others: &[(&str, u64)], retained: bool| {
         let mut fleet = Fleet::new();
         let mut leader = Leader::new(&settings_with(&[]).expect("settings"));
@@ -272,6 +272,6 @@
     assert_eq!(
         unreconciled_after(7, &[("b", 10)], false),
         1000,
-        "the shard has only what was reported since"
+        "the shard has not retained its state"
     );
 }
--- a/tests/control_plane/many_small_jobs.rs
+++ b/tests/control_plane/many_small_jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs of one task, four per second for two minutes, of which up to a quarter are cancelled.
 //! A cancelled task must not start, or must stop; the other tasks must run once and end; no
-//! state may be kept of either. The real leader and shard are driven directly, without threads
-//! or a network.
+//! state may be kept of any of them. The real leader and shard are driven directly, without
+//! threads or a network.
 
 use crate::builders::*;
 use finchwood::scheduler::Leader;
--- a/tests/control_plane/preemption.rs
+++ b/tests/control_plane/preemption.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Runs rounds for so many seconds.
+    /// Runs rounds for this many seconds of simulated time.
     fn run_for(&mut self, seconds: f64) {
         (0..(seconds * 2.0) as usize).for_each(|_| self.step());
     }
@@ -205,6 +205,7 @@
     );
 }
 
+// A start counts for users only once the task has run for 30 s.
 #[test]
 fn standard_jobs_do_not_preempt_tasks_whose_start_does_not_count_yet() {
     let mut fleet = Fleet::new(4, 0.0, "");
@@ -282,7 +283,7 @@
         .pending_demand
         .iter()
         .find(|demand| &*demand.spec.id == "wk-low")
-        .expect("not all tasks of the job fit");
+        .expect("the job has pending demand");
     (demand.count, demand.spot_only)
 }
 
--- a/tests/control_plane/shard_transfers.rs
+++ b/tests/control_plane/shard_transfers.rs
@@ -54,10 +54,10 @@
     executed_commands: Vec<(String, MachineId, Command)>,
     /// The number of direct commands that were sent, probes included.
     direct_commands: usize,
-    /// The size of all reports and orders between the shards and the leader.
+    /// The size in bytes of all reports and orders between the shards and the leader.
     message_bytes: usize,
     store_unreachable: bool,
-    /// Whether the leader does not start to write the shard map yet.
+    /// Whether the leader is kept from beginning a write of the shard map.
     shard_map_write_delayed: bool,
     now: f64,
 }
@@ -260,8 +260,8 @@
     }
 
     /// Sends a worker's heartbeat to the owner of its machine, and executes the commands of
-    /// the reply. Returns false if the owner refuses the heartbeat, or if the worker rejects
-    /// the reply for its token.
+    /// the reply. Returns false if the owner has stopped or refuses the heartbeat, or if the
+    /// worker rejects the reply because of its token.
     fn send_heartbeat(&mut self, id: &MachineId) -> bool {
         let owner = self.owner(id);
         let worker = self.workers.get_mut(id).expect("each machine has a worker");
@@ -326,8 +326,8 @@
             .map(|transfer| transfer.state)
     }
 
-    /// Runs rounds until the transfer is in a state. The key-value store or the write of the
-    /// shard map is held back so that the transfer doesn't pass the state.
+    /// Runs rounds until the transfer is in a state. To keep it in that state, the key-value
+    /// store is made unreachable or the write of the shard map is delayed.
     fn run_until(&mut self, state: TransferState) {
         self.store_unreachable = state <= TransferState::Committing;
         self.shard_map_write_delayed = state <= TransferState::Fenced;
@@ -335,8 +335,8 @@
             if self.transfer_state() == Some(state) {
                 return;
             }
-            // From committing to committed, only the write is carried out, without the commands
-            // and heartbeats that follow it in a round.
+            // `Committed` is reached by the write of the shard map alone, without the commands
+            // and heartbeats that follow the write in a round.
             match (state, self.transfer_state()) {
                 (TransferState::Committed, Some(TransferState::Committing)) => {
                     self.write_shard_map()
@@ -350,9 +350,9 @@
         );
     }
 
-    /// Asserts that within 12 rounds with a reachable store every task is assigned to the
-    /// owner of its machine alone, no machine is fenced, and that no command was executed
-    /// since the tasks started: none was started again or stopped.
+    /// Runs 12 rounds with a reachable store. Asserts that then every task runs and is assigned,
+    /// each machine has exactly one owner, and no machine is fenced; and that no command was
+    /// executed since the tasks started, so that no task was started again or stopped.
     fn assert_settles(&mut self, when: &str) {
         (self.store_unreachable, self.shard_map_write_delayed) = (false, false);
         (0..12).for_each(|_| self.run_round());
@@ -434,13 +434,16 @@
 #[test]
 fn a_transfer_moves_a_range_with_all_its_tasks_and_no_command_is_executed() {
     let mut cluster = TwoControllers::new();
-    let moved: Vec<MachineId> = cluster
+    let transferred: Vec<MachineId> = cluster
         .workers
         .keys()
         .filter(|id| cluster.owner(id) == "a")
         .cloned()
         .collect();
-    assert!(moved.len() >= 2 && moved.len() < 8, "{moved:?}");
+    assert!(
+        transferred.len() >= 2 && transferred.len() < 8,
+        "{transferred:?}"
+    );
     (cluster.direct_commands, cluster.message_bytes) = (0, 0);
     (0..5).for_each(|_| cluster.run_round());
     let idle_bytes_per_round = cluster.message_bytes / 5;
@@ -452,22 +455,22 @@
         rounds += 1;
         assert!(rounds < 20, "{:?}", cluster.transfer_state());
     }
-    let machine_bytes = (cluster.message_bytes - rounds * idle_bytes_per_round) / moved.len();
+    let machine_bytes = (cluster.message_bytes - rounds * idle_bytes_per_round) / transferred.len();
     println!(
-        "transfer of {} machines in {rounds} rounds: {} direct commands, {machine_bytes} bytes each",
-        moved.len(),
+        "transfer of {} machines in {rounds} rounds: {} direct commands, {machine_bytes} bytes per machine",
+        transferred.len(),
         cluster.direct_commands
     );
     assert!(
-        cluster.direct_commands <= moved.len(),
-        "more than one direct command per machine, the probe by the target"
+        cluster.direct_commands <= transferred.len(),
+        "expected at most one direct command per machine, the probe by the target"
     );
-    assert!(moved.iter().all(|id| cluster.owner(id) == "b"));
+    assert!(transferred.iter().all(|id| cluster.owner(id) == "b"));
     assert_eq!(
         cluster.transfers.ended.get(&TransferOutcome::Completed),
         Some(&1)
     );
-    cluster.assert_settles("moved");
+    cluster.assert_settles("after the transfer");
     // For comparison: the target restarts and takes over its machines in a new epoch.
     cluster.direct_commands = 0;
     cluster.start_controller("b");
@@ -613,10 +616,9 @@
     }
 }
 
-/// During a transfer the reports of neither side decide on the machines of the range: until
-/// the source has released them, the leader has reports on them from both sides, and must not
-/// take either as final. A machine that is fenced for long must not count as silent
-/// while its heartbeats arrive.
+/// Until the source has released the machines of a range, the leader has reports on them from
+/// both the source and the target, and must take neither as final. A machine that is fenced for
+/// long must not count as silent while its heartbeats arrive.
 #[test]
 fn machines_in_transfer_have_no_single_owner_and_are_not_silent() {
     let mut cluster = TwoControllers::new();
@@ -660,12 +662,12 @@
         fenced.iter().all(|id| !cluster.leader.has_one_owner(id)),
         "a machine has one owner before the source has released it"
     );
-    cluster.assert_settles("moved");
+    cluster.assert_settles("after the transfer");
     assert!(fenced.iter().all(|id| cluster.leader.has_one_owner(id)));
 }
 
-/// A machine that is registered while its range is being transferred is not in the state that
-/// the source has sent, so that the source must send it no commands.
+/// A machine that is registered while its range is being transferred is not part of the state
+/// that the source has sent to the target, so that the source must send it no commands.
 #[test]
 fn a_machine_registered_while_its_range_is_transferred_is_fenced() {
     let mut cluster = TwoControllers::new();
@@ -674,7 +676,7 @@
     let id = (9..99)
         .map(|i| format!("m-{i}"))
         .find(|id| cluster.owner(id) == "a")
-        .expect("a free name whose hash owner is a");
+        .expect("an unused id whose hash owner is a");
     let record = json!({"b": "k", "z": "e", "s": false, "u": true, "a": "x:1"});
     cluster.put(&format!("fw/r/{id}"), record);
     let record = cluster.cache.registry[id.as_str()].record.clone();
--- a/tests/control_plane/stale_heartbeats.rs
+++ b/tests/control_plane/stale_heartbeats.rs
@@ -28,7 +28,7 @@
 /// A late copy of an old heartbeat may arrive long after its machine was deleted, at a
 /// controller that never received the original.
 #[test]
-fn a_late_copy_of_a_heartbeat_proves_no_life_and_restores_no_deleted_machine() {
+fn a_late_copy_of_a_heartbeat_neither_proves_liveness_nor_restores_a_deleted_machine() {
     let cache = cache_with(&[("wk-1", Priority::Low, false)]);
     let mut shard = Shard::new("a", TIMING, HashMap::new());
     shard.start_epoch(3, 7, &cache, 0.0, |_| true);
@@ -112,7 +112,7 @@
     assert_eq!(report.assigned.len(), 1);
     assert!(
         report.silent_machines[0].silent_s > 7.9,
-        "the copy counts as a sign of life"
+        "the copy counts as proof that the machine is alive"
     );
     // Nor does the copy extend the lease, which expires a lease after the original.
     shard.expire_leases(1.0 + 20.5);
--- a/tests/control_plane/unresponsive_machines.rs
+++ b/tests/control_plane/unresponsive_machines.rs
@@ -60,8 +60,9 @@
 }
 
 /// A worker whose heartbeats are relayed may receive no replies, which would go unnoticed as
-/// long as no commands are due. So its token is raised, for the worker to acknowledge. So is
-/// the token of a worker that has begun a new session although its heartbeats were replied to.
+/// long as no commands are due. Its token is therefore raised, for the worker to acknowledge,
+/// and so is the token of a worker that has begun a new session although its heartbeats were
+/// replied to.
 #[test]
 fn a_relayed_or_restarted_worker_must_acknowledge_a_raised_token() {
     let cache = cache_with(&[]);
--- a/tests/control_plane/versions.rs
+++ b/tests/control_plane/versions.rs
@@ -1,5 +1,5 @@
-//! Compatibility with the version in production, which runs beside this one during an update:
-//! each version reads the stored values and the messages that the other one writes.
+//! Compatibility with the version in production, which runs alongside this one during an
+//! update: each version reads the stored values and the messages that the other one writes.
 //!
 //! The fixtures contain bytes that the version in production wrote: one line for each key of
 //! the key-value store, and messages between controllers in hex. The module [`production`]
@@ -288,7 +288,7 @@
     ));
 }
 
-/// A rejected task of a gang is assigned again under the same attempt, with a new assignment
+/// A refused task of a gang is assigned again under the same attempt, with a new assignment
 /// number. The version in production ignores the assignment numbers, and does not accept a
 /// task twice under one attempt.
 #[test]
@@ -335,8 +335,8 @@
 }
 
 /// Reports on a gang, whether its tasks wait for each other or were removed, must contain no
-/// task phase and no removal reason that the version in production doesn't have: it could not
-/// read the whole message.
+/// task phase and no removal reason that the version in production doesn't have: that version
+/// could then not read any of the message.
 #[test]
 fn the_version_in_production_reads_reports_on_gangs() {
     for phase in [
@@ -501,10 +501,10 @@
     );
 }
 
-/// Whether an epoch uses the shard map, and all that concerns transfers of hash ranges, are
-/// fields that the version in production ignores. An epoch with a member that does not follow
-/// the shard map, such as one of that version, does not use it, and its record is the same as
-/// one that the version in production writes.
+/// The version in production ignores the field that states whether an epoch uses the shard map,
+/// and all fields about transfers of hash ranges. An epoch with a member that does not follow
+/// the shard map, such as one of that version, does not use the map, and its record is the same
+/// as one that the version in production writes.
 #[test]
 fn the_version_in_production_ignores_the_shard_map_and_transfers() {
     let member = |name: &str, incarnation: u64, uses_shard_map: bool| {
@@ -535,8 +535,8 @@
     let read: production::Member = serde_json::from_value(json!(MemberRecord::new(9, true)))
         .expect("production reads the record");
     assert_eq!(read.inc, 9);
-    // With a member that does not follow the shard map, the owner by hash counts, whatever the
-    // map contains.
+    // With a member that does not follow the shard map, the owner by hash is the owner, whatever
+    // the map contains.
     let shard_map = ShardMap::default()
         .with_owner(&HashRange::whole("a"), "b")
         .with_owner(&HashRange::whole("b"), "a");
@@ -574,8 +574,9 @@
     );
 }
 
-/// A member's capability is in its own key, which is deleted when its lease ends. If the
-/// process is restarted with an earlier version, its new key contains no capability.
+/// A member's capability is stored in the member's own key, which is deleted when its lease
+/// expires. If the process is restarted with an earlier version, the new value of the key
+/// contains no capability.
 #[test]
 fn the_version_in_production_reads_a_member_with_capabilities() {
     let written = json!(MemberRecord::of_this_version(9));
