--- a/crates/reconciliation/tests/model.rs
+++ b/crates/reconciliation/tests/model.rs
@@ -1,8 +1,8 @@
-//! Checks the crate against a simple model that knows the actual state: machines with tasks on
-//! them, commands of an earlier owner still in flight, workers that are silent, start new
+//! Checks the crate against a simple model that contains the actual state: machines with tasks
+//! on them, commands of an earlier owner still in flight, workers that are silent, start new
 //! sessions or report under old tokens, and stored records in any state.
 //!
-//! The new owner in the model does exactly what the crate decides. In any order of events it
+//! The new owner in the model follows the decisions of the crate. In any order of events it
 //! must not free a task that is on a machine or may still be started on one, stop a task that
 //! has to run, or let a worker forget a result that is not committed; and once every machine
 //! has reported or its lease has expired, nothing is unreconciled.
@@ -25,16 +25,17 @@
 const OLD_TOKEN: u64 = 8 << 24 | 3;
 const ZONES: [&str; 2] = ["e", "w"];
 
-/// The number of a task. Its job allows one zone, or all.
+/// The index of a task in the model.
 type TaskId = usize;
 
 #[derive(Debug, Clone)]
 struct ModelTask {
     stored: StoredTask,
+    /// The only zone that the task's job allows; `None` if it allows all.
     zone: Option<&'static str>,
 }
 
-/// A task on a worker: its attempt, and whether it is running (or has completed).
+/// A task on a worker: its attempt, and whether it still runs. If not, it has completed.
 type WorkerTask = (u64, bool);
 
 #[derive(Debug, Clone)]
@@ -47,18 +48,20 @@
     starts_in_flight: Vec<(TaskId, u64)>,
 }
 
+/// An event in the model. The number in `Complete` selects a running task, the others select a
+/// machine, modulo the number of machines.
 #[derive(Debug, Clone)]
 enum Step {
     /// A worker sends a report, which arrives at once.
     Heartbeat(usize),
-    /// A worker sends a report, which arrives with the next `DeliverDelayed`.
+    /// A worker sends a report, which arrives with the next `DeliverDelayed` for it.
     DelayReport(usize),
     DeliverDelayed(usize),
-    /// A probe of the new owner arrives, and its response.
+    /// A probe of the new owner reaches the worker, whose response arrives at once.
     Probe(usize),
     /// A command of the earlier owner arrives.
     LateStart(usize),
-    /// The worker's lease expires, and its owner applies that event.
+    /// The worker's lease expires, and the new owner applies that event.
     LeaseExpired(usize),
     /// A task completes on its machine.
     Complete(usize),
@@ -67,10 +70,13 @@
 /// The new owner and leader, which follows the decisions of the crate.
 struct Owner {
     states: Vec<MachineState>,
+    /// Whether each machine has reported under the new owner's token.
     reported_under_token: Vec<bool>,
+    /// The machine and the attempt of each assigned task.
     assigned: BTreeMap<TaskId, (usize, u64)>,
+    /// The tasks whose results have been reported.
     results: BTreeSet<TaskId>,
-    /// Whether the machine's session has ended, so that its reports are refused.
+    /// Whether each machine's session has ended, so that reports of that session are refused.
     session_ended: Vec<bool>,
 }
 
@@ -93,7 +99,7 @@
 
 impl Model {
     fn unreconciled_machines(&self) -> UnreconciledMachines {
-        let uncertain = self
+        let unreconciled = self
             .machines
             .iter()
             .zip(&self.owner.states)
@@ -103,7 +109,9 @@
             zone: zone.into(),
             spot: false,
         };
-        uncertain.map(|(machine, _)| class(machine.zone)).collect()
+        unreconciled
+            .map(|(machine, _)| class(machine.zone))
+            .collect()
     }
 
     fn known_assignment(&self, machine: usize, task: TaskId, attempt: u64) -> KnownAssignment {
@@ -114,7 +122,8 @@
         }
     }
 
-    /// Applies a report as the owner does: state, verdicts and commands, which arrive at once.
+    /// Applies a report as the owner does: it changes the machine's state, decides on each
+    /// reported task, and checks the commands that follow. The commands are not carried out.
     fn apply_report(&mut self, id: usize, seen_token: u64, tasks: &BTreeMap<TaskId, WorkerTask>) {
         let owner_token = token(EPOCH, 0);
         let event = MachineEvent::Heartbeat {
@@ -162,7 +171,8 @@
                 "the result of task {task} was forgotten"
             );
         }
-        // A task that is assigned here and no longer reported is gone: the token confirms it.
+        // A task that is assigned to this machine but no longer reported is not on it any
+        // more: a report under the owner's token confirms that.
         self.owner
             .assigned
             .retain(|task, (machine, _)| *machine != id || tasks.contains_key(task));
@@ -213,7 +223,7 @@
             Step::LeaseExpired(n) => {
                 let id = pick(n);
                 self.machines[id].tasks.clear();
-                // Its session has ended, and the starts in flight belong to that session.
+                // The starts in flight belong to the session that has ended.
                 self.machines[id].starts_in_flight.clear();
                 self.owner.states[id] = self.owner.states[id]
                     .after(MachineEvent::LeaseExpired)
@@ -235,8 +245,8 @@
         }
     }
 
-    /// Checks that each task that the leader would free now is on no machine, and can't be
-    /// started on one any more.
+    /// Checks that each task that the leader would free now is on no machine, and can no
+    /// longer be started on one by an old command.
     fn check(&self) {
         let unreconciled = self.unreconciled_machines();
         for (task, model_task) in self.tasks.iter().enumerate() {
@@ -309,7 +319,8 @@
         let zone = (zone < 2).then(|| ZONES[zone]);
         model_tasks.push(ModelTask { stored, zone });
         let id = at % machines;
-        // Nothing was ever started on a machine that is unused according to the machine registry.
+        // Nothing was ever started on a machine that is unused according to the machine
+        // registry.
         if !model_machines[id].used || zone.is_some_and(|z| z != model_machines[id].zone) {
             continue;
         }
@@ -368,7 +379,8 @@
             model.check();
         }
         prop_assert!(model.unreconciled_machines().is_empty(), "not reconciled: {:?}", model.owner.states);
-        // Each unfinished task is assigned where it is, or is free: none is forgotten.
+        // Each unfinished task is assigned to the machine that it is on, or is on none and
+        // free: none is forgotten.
         for (task, model_task) in model.tasks.iter().enumerate() {
             let machine = model.machines.iter().position(|m| m.tasks.contains_key(&task));
             let assigned = model.owner.assigned.get(&task).map(|assigned| assigned.0);
@@ -376,8 +388,9 @@
         }
     }
 
-    /// Every action is allowed again in time, and renting is never delayed for jobs that no
-    /// unreconciled machine may hold.
+    /// Renting, consolidation and the deletion of unprobed machines are allowed again in time.
+    /// Once all shards have reported, renting is delayed only for jobs of which an
+    /// unreconciled machine may hold a task.
     #[test]
     fn hold_off_ends_in_time_and_delays_only_jobs_that_unreconciled_machines_may_hold(
         age_s in 0.0..60.0f64,
--- a/crates/sharding/tests/shard_map.rs
+++ b/crates/sharding/tests/shard_map.rs
@@ -1,5 +1,5 @@
-//! Checks the shard map against a simple model that keeps the owner of every machine, and that
-//! plans and planners come to an end.
+//! Checks the shard map against a simple model that keeps the owner of every machine. Also
+//! checks plans, that the moves of a planner come to an end, and the states of a transfer.
 
 use finchwood_sharding::hash_position::position;
 use finchwood_sharding::plan::{Plan, PlanError, PlannedMove};
@@ -64,8 +64,8 @@
         prop_assert_eq!(ShardMap::from_stored(&stored), (shard_map, Vec::new()));
     }
 
-    /// For any plan, each range that the planner moves has a single owner, and if the moves are
-    /// carried out one after the other, they come to an end: no range flaps.
+    /// For any plan, each range that the planner moves has a single owner. If the moves are
+    /// carried out one after the other, they come to an end: no range is moved back and forth.
     #[test]
     fn moves_of_the_planner_come_to_an_end_and_drain_controllers(
         fleet_size in 1..50usize,
@@ -196,7 +196,7 @@
     assert!(transfers.begin(range_move.clone(), 0.0));
     assert!(
         !transfers.begin(range_move.clone(), 0.0),
-        "a range in transfer is moved again"
+        "a second transfer of a range in transfer has begun"
     );
     let report = |accepted: &[u64], fenced: &[u64], taken_over: &[u64]| TransferReport {
         accepted: accepted.to_vec(),
@@ -248,7 +248,8 @@
     assert!(state(&transfers).is_some());
     transfers.apply_report("a", released, 104.0);
     assert_eq!(state(&transfers), None);
-    // A transfer ends if its target does not respond, and if its write is refused for certain.
+    // A transfer is aborted if its target does not respond in time, and if its write is
+    // refused for certain.
     assert!(transfers.begin(range_move.clone(), 200.0));
     transfers.time_out_stale(5.0, 204.0);
     assert!(state(&transfers).is_some());
--- a/tests/cancel_bound.rs
+++ b/tests/cancel_bound.rs
@@ -29,9 +29,9 @@
 struct Scenario {
     /// The interval at which the owner reads the key-value store.
     poll_s: f64,
-    /// When the key-value store begins to refuse this owner alone, for good.
+    /// When the key-value store begins to refuse requests of this owner alone, for good.
     refused_at: f64,
-    /// When the key-value store begins to respond to nobody, for good.
+    /// When the key-value store stops responding to all controllers, for good.
     outage_at: f64,
     /// When the worker hangs.
     hang_at: f64,
@@ -43,15 +43,16 @@
     interval_factors: Vec<f64>,
     /// The time from sending a heartbeat to receiving the response.
     round_trip_s: f64,
-    /// The delay with which the worker receives a start that the owner sent by direct command
-    /// at the last moment possible.
+    /// The delay with which the worker receives the last start that the owner could send by
+    /// direct command.
     start_delay_s: f64,
-    /// The number of later owners. They have reconciled nothing when they respond.
+    /// The number of later owners. They have not reconciled the machine when they respond.
     successors: u32,
 }
 
-/// When the cancellation of the job is confirmed.
+/// When the cancellation of the job is confirmed, in seconds.
 const CONFIRMED_AT: f64 = 50.0;
+/// The length of one step of the model, in seconds.
 const STEP: f64 = 0.05;
 
 /// Returns the last moment at which a task of the job runs on the worker and the worker does
@@ -78,9 +79,9 @@
             (cache_read_at, polled_at) = (now, now);
         }
         let cache_is_fresh = now - cache_read_at < timing.max_staleness_s;
-        let knows_cancellation = cache_read_at >= CONFIRMED_AT;
+        let has_read_cancellation = cache_read_at >= CONFIRMED_AT;
         // Until the owner has read the cancellation, it may start the task again at any time.
-        if cache_is_fresh && !knows_cancellation {
+        if cache_is_fresh && !has_read_cancellation {
             last_start = (now, session);
         }
         if !hangs(now) {
@@ -103,7 +104,7 @@
             .collect();
         in_flight.retain(|heartbeat| heartbeat.1 > now);
         for (sent_at, _) in arrived {
-            // A successor either knows of the cancellation or does not respond. It may not have
+            // A successor has read the cancellation, or does not respond. It may not have
             // reconciled the machine, but stops the tasks that the heartbeat reports anyway.
             let reaches_successor = now > CONFIRMED_AT + timing.max_staleness_s
                 && (heartbeat_count as u32).is_multiple_of(scenario.successors.max(1));
@@ -112,7 +113,7 @@
             // The worker uses a response only within the time for which it waits.
             if responds && !hangs(now) && now - sent_at < 4.0 {
                 lease_renewed_at = sent_at;
-                if knows_cancellation || !cache_is_fresh {
+                if has_read_cancellation || !cache_is_fresh {
                     (running, stopped) = (false, true);
                 }
             }
@@ -209,7 +210,8 @@
     )
 }
 
-/// The error of the model due to its steps: one step, and a response that arrives within it.
+/// The error of the model due to the length of its steps, in seconds: one step, and one more
+/// for a response that arrives within a step.
 const SLACK: f64 = 2.0 * STEP;
 
 #[test]
@@ -237,7 +239,7 @@
         .unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// If the owner's cache may be older, or leases are longer, than the settings allow, by more
+/// If the owner's cache may be older, or the lease longer, than `cancel_s` allows, by more
 /// than a report interval, the model must find a task that runs for longer than `cancel_s`.
 /// This shows that the limits are not stricter than necessary and that the model detects
 /// violations.
--- a/tests/common/builders/controllers.rs
+++ b/tests/common/builders/controllers.rs
@@ -20,8 +20,8 @@
 /// The number of the epoch in which tests begin.
 pub(crate) const EPOCH: u64 = 3;
 
-/// Returns the settings of a small deployment, in whose text each first string of
-/// `replacements` is replaced by the second, or the error with which they are refused.
+/// Parses the settings of a small deployment after replacing the first text of each pair in
+/// `replacements` by the second. Returns the error text if the settings are invalid.
 pub(crate) fn settings_with(replacements: &[(&str, &str)]) -> Result<Settings, String> {
     let mut text = SETTINGS.to_string();
     for (from, to) in replacements {
@@ -69,8 +69,8 @@
     .0
 }
 
-/// Returns a leader and its only shard, after both have reconciled `machines` empty machines,
-/// and the fencing tokens of these machines.
+/// Returns a leader and its only shard, after both have reconciled `machines` machines without
+/// tasks, and the fencing tokens of these machines.
 pub(crate) fn leader_and_shard(cache: &StoreCache, machines: usize) -> (Leader, Shard, Vec<u64>) {
     let mut shard = new_shard(cache);
     let tokens = (1..=machines)
@@ -82,7 +82,7 @@
     (leader, shard, tokens)
 }
 
-/// Places the queued tasks. The wall clock is left at 0.
+/// Places the queued tasks, with the wall clock at 0.
 pub(crate) fn place_tasks(shard: &mut Shard, cache: &StoreCache, now: f64) {
     shard.place_queued(
         cache,
--- a/tests/common/builders/heartbeats.rs
+++ b/tests/common/builders/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Builders for heartbeats, and access to the replies.
+//! Builders for heartbeats, and a helper that reads the replies.
 
 use finchwood::shard::HeartbeatReply;
 use finchwood::wire::{Command, Heartbeat, TaskReport, TaskState};
--- a/tests/common/builders/jobs.rs
+++ b/tests/common/builders/jobs.rs
@@ -22,7 +22,8 @@
     job_spec(id, tasks, |fields| fields["shape"] = json!(job_kind))
 }
 
-/// Returns the stored record of a job that is not done; if `cancelled`, since 10 s.
+/// Returns the stored record of a job that is not done. With `cancelled`, the job was
+/// cancelled at 10 s.
 pub(crate) fn job_record(spec: &Arc<JobSpec>, cancelled: bool) -> Value {
     json!(JobRecord {
         task_count: spec.task_count,
--- a/tests/common/builders/orders.rs
+++ b/tests/common/builders/orders.rs
@@ -3,7 +3,8 @@
 use super::controllers::EPOCH;
 use finchwood::shard::{JobAssignment, Orders};
 
-/// Returns orders to the controller `a` with this sequence number and these assignments only.
+/// Returns orders to the controller `a` that contain only this sequence number and these
+/// assignments.
 pub(crate) fn orders(sequence: u64, assignments: Vec<JobAssignment>) -> Orders {
     Orders {
         epoch: EPOCH,
--- a/tests/common/cluster.rs
+++ b/tests/common/cluster.rs
@@ -67,7 +67,7 @@
 }
 
 /// How long tests wait for a condition: longer than any of them takes to become true, even
-/// on a busy machine.
+/// on a busy test host.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// Controllers that run as processes. Dropping it kills them.
@@ -108,7 +108,7 @@
 pub struct ClusterOptions {
     /// The interval between heartbeats of a worker, in seconds. A machine counts as dead if
     /// it is silent for two intervals and does not respond to a probe within half of one, so
-    /// the interval must be long enough for a busy machine.
+    /// the interval must be long enough for a worker on a busy test host.
     pub report_s: f64,
     /// The duration of a worker's lease, in seconds; `cancel_s` is set to twice that.
     pub lease_s: u32,
@@ -352,7 +352,7 @@
             if accept(last.0, &last.1) {
                 return;
             }
-            // A request that can't be served now must be told when to retry.
+            // The response to a request that can't be served now must say when to retry.
             if matches!(last.0, 429 | 503) {
                 assert!(
                     last.2.is_some(),
@@ -386,8 +386,8 @@
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Waits until `condition` holds. Panics with `failure`, which says what did not happen,
-/// after [`WAIT_TIMEOUT`].
+/// Waits until `condition` holds. Panics after [`WAIT_TIMEOUT`] with the message `failure`,
+/// which describes what did not happen.
 pub fn wait_until(failure: &str, condition: impl Fn() -> bool) {
     let begin = Instant::now();
     while !condition() {
--- a/tests/common/recorder.rs
+++ b/tests/common/recorder.rs
@@ -43,7 +43,7 @@
     }
 
     /// Waits for the next request and returns its method, path and body, separated by
-    /// spaces. A body that is not UTF-8 is returned in hexadecimal, an empty one left out.
+    /// spaces. A body that is not UTF-8 is returned in hexadecimal; an empty one is left out.
     pub fn next_call(&self) -> String {
         self.requests
             .recv_timeout(Duration::from_secs(20))
@@ -51,7 +51,7 @@
     }
 }
 
-/// Returns the text of UTF-8 bytes, and the hexadecimal digits of others.
+/// Returns the bytes as text if they are UTF-8, and as hexadecimal digits otherwise.
 fn text_or_hex(bytes: Vec<u8>) -> String {
     let hex = |error: std::string::FromUtf8Error| {
         error
--- a/tests/common/simulated_cluster/checks.rs
+++ b/tests/common/simulated_cluster/checks.rs
@@ -26,8 +26,8 @@
         self.check_team_limit();
     }
 
-    /// Asserts that a task runs on exactly one machine when it starts, so on one at most at any
-    /// time.
+    /// Asserts that a task that has just started is on exactly one machine. Since this is
+    /// checked at every start, no task is ever on two machines.
     fn check_runs_once(&self, task: &Task) {
         let id = task.to_string();
         let machines: Vec<&str> = self
@@ -40,7 +40,7 @@
         assert_eq!(
             machines.len(),
             1,
-            "{task} runs on {machines:?} at {} s",
+            "{task} is on {machines:?} at {} s",
             self.now
         );
     }
@@ -66,7 +66,8 @@
         );
     }
 
-    /// Asserts that a job that is spread over zones has at most its limit of tasks in a zone.
+    /// Asserts that a job that is spread over zones has no more tasks in the worker's zone
+    /// than its limit per zone.
     fn check_scatter(&self, worker: usize, task: &Task) {
         let prefix = format!("{}/", task.job);
         let zone = &self.workers[worker].zone;
@@ -101,9 +102,9 @@
         );
     }
 
-    /// Asserts that no task runs for longer after the confirmed cancellation of its job than the
-    /// settings promise, even if stop commands were lost. Workers that hang are exempt, since
-    /// they can't kill a task.
+    /// Asserts that no task runs for longer after the confirmed cancellation of its job than
+    /// the settings promise, even if stop commands were lost. Workers that hang are exempt,
+    /// since they can't kill a task.
     pub(super) fn check_cancelled(&self) {
         let bound = self.settings.cancellation_bound_s() + CANCELLATION_SLACK_S;
         let responsive = self
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Asserts that no cancelled job, and no gang that still runs, is committed as finished.
+    /// Asserts that a job whose tasks are committed as finished is not cancelled and, if it is
+    /// a gang, has completed.
     pub(super) fn check_finish(&self, job: &str) {
         assert!(
             !self.cancelled.contains_key(job),
@@ -136,7 +138,7 @@
         );
     }
 
-    /// Asserts that every job is done or cancelled, long after all faults.
+    /// Asserts that every job is done or cancelled. Must be called long after the last fault.
     pub(crate) fn check_all_jobs_ended(&self, seed: u64) {
         for (id, spec) in &self.specs {
             let done = self.finished.get(id).map_or(0, HashSet::len);
@@ -150,7 +152,7 @@
     }
 
     /// Asserts that no controller reports a machine that was deleted.
-    pub(crate) fn check_deleted_machines_stay_deleted(&mut self) {
+    pub(crate) fn check_no_deleted_machine_is_reported(&mut self) {
         let deleted: HashSet<&str> = self
             .workers
             .iter()
--- a/tests/common/simulated_cluster/controllers.rs
+++ b/tests/common/simulated_cluster/controllers.rs
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Returns the latest epoch that the controller has read, if it has entered that epoch as a
-    /// member.
+    /// Returns the latest epoch that the controller has read, if it has entered that epoch as
+    /// a member.
     pub(super) fn entered_epoch(&self) -> Option<Epoch> {
         let epoch = self.cache.epoch.as_ref()?;
         let is_member = epoch.members.get(self.name) == Some(&self.incarnation);
@@ -152,7 +152,8 @@
         }
     }
 
-    /// Adds a changed machine to the shard, or removes it, as the machine registry says.
+    /// Registers a changed machine with the shard if this controller owns it, or unregisters
+    /// it if it is no longer in the machine registry.
     fn registry_changed(&mut self, id: &Arc<str>, now: f64) {
         let Some(machine) = self.cache.registry.get(id) else {
             self.shard.unregister_machine(id);
@@ -230,8 +231,8 @@
         decisions
     }
 
-    /// Returns one machine that ignores commands or is silent, and all machines on which
-    /// cancelled tasks could run for too long.
+    /// Returns at most one machine that ignores commands or is silent, and all machines on
+    /// which cancelled tasks could run for too long.
     fn machines_to_replace(&self, now: f64, evict_after_s: f64) -> Vec<String> {
         let mut machines: Vec<String> = self
             .leader
@@ -251,11 +252,12 @@
 }
 
 impl SimulatedCluster {
-    /// Runs one round of a controller: it reads the store, if it can, and acts if it may.
+    /// Runs one round of a controller: it usually reads the store, if it can reach it, and
+    /// acts if its cache is fresh enough and it is a member of the epoch.
     pub(super) fn controller_round(&mut self, index: usize) {
         let now = self.now;
-        let reaches_store = self.store_answers(index) && self.reaches_peers(index);
-        // The cache may lag behind the store, but a controller with a stale cache does not act.
+        let reaches_store = self.store_responds_to(index) && self.reaches_peers(index);
+        // The cache may lag behind the store. A controller with a stale cache does not act.
         if self.controllers[index].alive && reaches_store && self.rng.gen_bool(0.8) {
             self.controllers[index].read_store(&self.store_log, now);
         }
@@ -307,14 +309,14 @@
         deleted.map(|worker| worker.id.clone()).collect()
     }
 
-    /// Sends a direct command. Some of them time out for the sender although they arrive.
+    /// Sends a direct command to the worker of its machine. Some commands time out for the
+    /// sender although they may still be carried out.
     fn send_direct_command(&mut self, index: usize, command: DirectCommand) {
         let worker = self
             .worker_on(&command.machine)
             .expect("a worker on the machine");
         let incarnation = self.controllers[index].incarnation;
         if self.rng.gen_bool(0.1) {
-            // The command times out for the sender but may still be carried out.
             let controller = &mut self.controllers[index];
             controller.shard.command_completed(
                 &command.machine,
@@ -332,7 +334,8 @@
         }));
     }
 
-    /// Commits finished tasks, either now or after the sender stopped waiting.
+    /// Sends a commit of finished tasks to the store, which carries it out either at once or
+    /// after the sender has stopped waiting.
     fn send_finish(&mut self, index: usize, finish: FinishedTasks) {
         let Some(job) = self.controllers[index].cache.jobs.get(&finish.job) else {
             return;
--- a/tests/common/simulated_cluster/faults.rs
+++ b/tests/common/simulated_cluster/faults.rs
@@ -9,7 +9,7 @@
 /// The number of latest machines from which a fault of a single worker selects one.
 const LATEST_MACHINES: usize = 5;
 
-/// A failed controller and when it recovers.
+/// A failed controller and the time at which it recovers.
 #[derive(Clone, Copy)]
 pub(super) struct PendingRecovery {
     controller: usize,
@@ -17,8 +17,8 @@
 }
 
 impl SimulatedCluster {
-    /// Injects random faults, or lets the failed controller recover when that is due. While a
-    /// recovery is pending there are no further faults.
+    /// Injects random faults. While the recovery of a controller is pending, it injects none
+    /// and only carries out the recovery once it is due.
     pub(super) fn inject_faults(&mut self) {
         if let Some(recovery) = self.recovery {
             if self.now >= recovery.at {
@@ -46,7 +46,8 @@
             self.cancel_many_and_stop_store();
         }
         if self.rng.gen_bool(0.001) {
-            // After the outage all leases last for their full duration again.
+            // Member leases do not expire during the outage: after it they last for their full
+            // duration again.
             self.store_outage_until = self.now + self.rng.gen_range(1.0..2.0 * MEMBER_LEASE_S);
         }
         if self.rng.gen_bool(0.001) {
@@ -75,14 +76,15 @@
             .gen_range(count.saturating_sub(LATEST_MACHINES)..count)
     }
 
-    /// Lets a worker receive nothing, for less or more than the duration of its lease.
+    /// Drops all messages to one worker, for less or more time than its lease lasts.
     fn drop_incoming_of_one_worker(&mut self) {
         let index = self.latest_machine();
         self.workers[index].drops_incoming_until =
             self.now + self.rng.gen_range(5.0..LONGEST_WORKER_FAULT_S);
     }
 
-    /// Lets many workers receive nothing at the same time: most of a zone, or half of all.
+    /// Drops all messages to many workers at the same time: to most of a zone, or to half of
+    /// all workers.
     fn drop_incoming_of_many_workers(&mut self) {
         let until = self.now + self.rng.gen_range(5.0..LONGEST_WORKER_FAULT_S);
         let choice = self.rng.gen_range(0..3);
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Lets up to three workers hang, or loses the heartbeats of up to three workers.
+    /// Pauses up to three workers, or drops the heartbeats of up to three workers.
     fn pause_or_silence_workers(&mut self) {
         let duration_s = self.rng.gen_range(5.0..LONGEST_WORKER_FAULT_S);
         let pauses = self.rng.gen_bool(0.5);
@@ -114,9 +116,9 @@
         }
     }
 
-    /// Lets the store refuse one controller, most often the leader, and plans the cancellation
-    /// of many jobs through the others. An outage of the store may follow that lasts longer
-    /// than a cancellation may take.
+    /// Makes the store refuse one controller, most often the leader, and plans the
+    /// cancellation of many jobs through the others. An outage of the store may follow the
+    /// cancellation and last longer than a cancelled task may continue to run.
     fn refuse_one_controller(&mut self) {
         let leader = super::membership::controller_index(&self.epoch.leader).unwrap_or(0);
         let index = if self.rng.gen_bool(0.7) {
@@ -143,8 +145,8 @@
         }
     }
 
-    /// Stops all controllers, for less or more than the duration of a worker's lease. One of
-    /// them recovers before the others.
+    /// Stops all controllers, for less or more time than a worker's lease lasts. One of them
+    /// recovers before the others.
     fn stop_all_controllers(&mut self) {
         for index in 0..CONTROLLERS.len() {
             self.controllers[index] = Controller::stopped(index);
@@ -180,14 +182,15 @@
         }
     }
 
-    /// Plans the recovery of a failed controller.
+    /// Plans the recovery of a failed controller within 15 s.
     fn recover_within_seconds(&mut self, controller: usize) {
         let at = self.now + self.rng.gen_range(0.5..15.0);
         self.recovery = Some(PendingRecovery { controller, at });
     }
 
     /// Partitions a controller from the store and the other controllers; workers still reach
-    /// it. It is removed from the members only once its member lease must have expired.
+    /// it. The partition lasts longer than its member lease, and the controller is removed
+    /// from the members only once that lease must have expired.
     fn partition(&mut self, controller: usize) {
         self.statistics.partitioned_controllers += 1;
         let at = self.now
--- a/tests/common/simulated_cluster/gangs.rs
+++ b/tests/common/simulated_cluster/gangs.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Lets a task whose image is fetched wait for the others, and ends it when they take too
-    /// long.
+    /// Lets a task whose image is fetched wait for the others. Ends it if they take too long,
+    /// or if the gang has completed already.
     fn wait_for_others(&mut self, job: &Arc<str>, member: &GangMember) {
         let now = self.now;
         let worker = &mut self.workers[member.worker];
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Starts an attempt whose tasks all wait, ends one that has lost a task, and completes one
-    /// that has run for its time.
+    /// Begins the run of an attempt whose tasks all wait, ends an attempt that has lost a
+    /// task, and completes one that has run for long enough.
     fn attempt_round(&mut self, job: &Arc<str>, attempt: u64, members: Vec<GangMember>) {
         let task_count = self.specs[job].task_count as usize;
-        let in_state = |state: TaskState| {
+        let count_in_state = |state: TaskState| {
             members
                 .iter()
                 .filter(|member| !self.is_paused(member.worker))
@@ -109,10 +109,10 @@
                 .count()
         };
         let key = (job.clone(), attempt);
-        if in_state(TaskState::Gathering) == task_count {
+        if count_in_state(TaskState::Gathering) == task_count {
             return self.begin_gang_run(key, &members);
         }
-        let all_run = in_state(TaskState::Running) == task_count;
+        let all_run = count_in_state(TaskState::Running) == task_count;
         let Some(run) = self.gang_runs.get_mut(&key) else {
             return;
         };
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Lets all tasks of a gang run.
+    /// Begins the run of an attempt: all its tasks change to running.
     fn begin_gang_run(&mut self, key: (Arc<str>, u64), members: &[GangMember]) {
         let run = GangRun {
             completes_at: self.now + self.rng.gen_range(10.0..90.0),
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Whether a worker hangs.
+    /// Whether a worker is paused.
     fn is_paused(&self, worker: usize) -> bool {
         self.now < self.workers[worker].paused_until
     }
--- a/tests/common/simulated_cluster/jobs.rs
+++ b/tests/common/simulated_cluster/jobs.rs
@@ -40,7 +40,7 @@
 }
 
 impl SimulatedCluster {
-    /// Submits and cancels jobs at random; one round of the users.
+    /// Runs one round of the users, who submit and cancel jobs at random.
     pub(super) fn users_round(&mut self) {
         if self.next_job < JOB_NUMBERS && self.rng.gen_bool(0.06) {
             self.submit(self.next_job);
@@ -80,7 +80,8 @@
         self.put_job(&id, record);
     }
 
-    /// Cancels a job, unless it is done, already cancelled or not submitted yet.
+    /// Cancels the job with this number, unless it is done, already cancelled or not submitted
+    /// yet.
     pub(super) fn cancel(&mut self, number: u32) {
         let id = job_id(number);
         let Some(spec) = self.specs.get(&id).cloned() else {
--- a/tests/common/simulated_cluster/membership.rs
+++ b/tests/common/simulated_cluster/membership.rs
@@ -28,8 +28,8 @@
         self.remove_member(index);
     }
 
-    /// Removes a controller from the members, which begins a new epoch. The controller continues
-    /// to act until it reads that epoch.
+    /// Removes a controller from the members, which begins a new epoch. The controller
+    /// continues to act until it reads that epoch.
     pub(super) fn remove_member(&mut self, index: usize) {
         let mut members = self.epoch.members.clone();
         members.remove(CONTROLLERS[index]);
@@ -48,8 +48,8 @@
         self.begin_epoch(&members);
     }
 
-    /// Adds a controller that lost its lease while it was partitioned to the members in a new
-    /// incarnation, within the same process.
+    /// Adds a controller to the members again after it lost its lease during a partition. It
+    /// joins in a new incarnation, within the same process.
     pub(super) fn rejoin(&mut self, index: usize) {
         self.last_incarnation += 1;
         self.controllers[index].incarnation = self.last_incarnation;
@@ -69,18 +69,18 @@
         controller.alive && cache_age_s < self.settings.max_staleness_s()
     }
 
-    /// Whether a controller reaches the other controllers, that is, is not partitioned.
+    /// Whether a controller is not partitioned and so reaches the other controllers.
     pub(super) fn reaches_peers(&self, index: usize) -> bool {
         self.now >= self.controllers[index].partitioned_until
     }
 
-    /// Whether the key-value store responds to a controller, unless that is partitioned.
-    pub(super) fn store_answers(&self, index: usize) -> bool {
+    /// Whether the key-value store responds to a controller that is not partitioned from it.
+    pub(super) fn store_responds_to(&self, index: usize) -> bool {
         self.now >= self.store_outage_until && self.now >= self.controllers[index].refused_until
     }
 
-    /// Removes a controller from the members if it could not renew its member lease and the
-    /// lease has expired, never earlier.
+    /// Removes a controller from the members once its member lease has expired because it
+    /// could not renew it, never earlier.
     pub(super) fn remove_member_if_lease_expired(&mut self, index: usize) {
         let controller = &self.controllers[index];
         let cannot_renew = controller.partitioned_until.max(controller.refused_until) > self.now;
--- a/tests/common/simulated_cluster/mod.rs
+++ b/tests/common/simulated_cluster/mod.rs
@@ -39,7 +39,7 @@
 
 const CONTROLLERS: [&str; 5] = ["a", "b", "c", "d", "e"];
 const INITIAL_MACHINES: usize = 5;
-/// The numbers of jobs are below this.
+/// Job numbers are below this limit.
 const JOB_NUMBERS: u32 = 60;
 const WORKER_LEASE_S: f64 = 20.0;
 /// The duration of a controller's member lease.
@@ -48,7 +48,7 @@
 /// The length of one round of the simulation.
 const STEP_S: f64 = 0.1;
 
-/// A message or write that takes effect at a later time.
+/// A message or a write, and the time at which it takes effect.
 struct Scheduled<T> {
     due_at: f64,
     item: T,
@@ -90,7 +90,7 @@
     delayed_finishes: Vec<Scheduled<ConditionalFinishWrite>>,
     /// The key-value store responds to no controller before this time.
     store_outage_until: f64,
-    /// When many jobs are to be cancelled at once, after the store began to refuse one
+    /// When many jobs are to be cancelled at once, while or after the store refuses one
     /// controller; `None` if that is not planned.
     mass_cancellation_at: Option<f64>,
     /// The controller that is to recover next; `None` while none has failed.
--- a/tests/common/simulated_cluster/network.rs
+++ b/tests/common/simulated_cluster/network.rs
@@ -13,7 +13,7 @@
 const COMMAND_TIMEOUT_S: f64 = 1.5;
 /// How long a worker waits for the response to a heartbeat.
 const HEARTBEAT_TIMEOUT_S: f64 = 4.0;
-/// The delay after a pause with which a worker receives the commands that arrived meanwhile.
+/// How long after the end of a pause a worker receives the commands that arrived during it.
 const RESUME_DELAY_S: f64 = 0.05;
 
 /// A message between controllers or between a controller and a worker.
@@ -48,7 +48,7 @@
     commands: Vec<Command>,
 }
 
-/// A direct command from a controller to a worker, sent without a preceding heartbeat.
+/// A batch of direct commands from a controller to a worker, sent independently of heartbeats.
 #[derive(Clone)]
 pub(super) struct DirectCommandPacket {
     pub(super) from: usize,
@@ -57,7 +57,8 @@
     pub(super) batch: CommandBatch,
 }
 
-/// The outcome of a direct command: the worker's response, or `None` if there was none in time.
+/// The outcome of a direct command: the heartbeat with which the worker responded, or `None`
+/// if the command timed out.
 #[derive(Clone)]
 pub(super) struct CommandResult {
     to: usize,
@@ -112,7 +113,8 @@
         });
     }
 
-    /// Drops a packet. If it belongs to a direct command, that times out for its sender.
+    /// Drops a packet. If it is a direct command or the response to one, the command times out
+    /// for its sender.
     fn lose(&mut self, packet: Packet) {
         let timed_out = match packet {
             Packet::DirectCommand(command) => CommandResult {
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Passes a response to the worker, unless it is stale or the worker can't receive it. It
-    /// renews the lease from when the heartbeat was sent.
+    /// Passes a response to the worker, unless it is stale or the worker can't receive it. The
+    /// response renews the worker's lease as of the time when the heartbeat was sent.
     fn deliver_heartbeat_response(&mut self, response: HeartbeatResponse) {
         let now = self.now;
         let worker = &mut self.workers[response.worker];
@@ -290,7 +292,7 @@
         self.send(Packet::Orders { to, orders });
     }
 
-    /// Passes orders to a shard.
+    /// Passes orders to a shard, unless its controller is stopped or partitioned.
     fn deliver_orders(&mut self, to: usize, orders: &Orders) {
         let controller = &mut self.controllers[to];
         if self.now >= controller.partitioned_until && controller.alive {
@@ -300,7 +302,7 @@
         }
     }
 
-    /// Passes a cancellation to a controller that may not have read it yet.
+    /// Passes a cancellation to a controller that may not have read it from the store yet.
     fn deliver_cancellation_notice(&mut self, notice: &CancellationNotice) {
         let controller = &mut self.controllers[notice.to];
         if self.now < controller.partitioned_until || !controller.alive {
--- a/tests/common/simulated_cluster/shard_transfers.rs
+++ b/tests/common/simulated_cluster/shard_transfers.rs
@@ -1,5 +1,6 @@
 //! The leader's transfers of hash ranges. Writes of the shard map are carried out at once, or
-//! late and without a response, and ranges move faster than workers send heartbeats.
+//! late and without a response, and a range may be transferred again before its workers send a
+//! heartbeat.
 
 use super::state_store::ConditionalShardMapWrite;
 use super::{Scheduled, SimulatedCluster, CONTROLLERS};
@@ -9,11 +10,11 @@
 use finchwood_sharding::transfer::{MoveReason, RangeMove, TransferOutcome};
 use rand::Rng;
 
-/// The time after which a transfer without progress times out.
+/// The time after which an offered or accepted transfer without a response times out.
 const STALE_AFTER_S: f64 = 9.0;
 
 impl SimulatedCluster {
-    /// Runs one round of transfers on the leading controller.
+    /// Runs one round of transfers on the leading controller with this index.
     pub(super) fn transfer_round(&mut self, index: usize, reaches_store: bool) {
         let now = self.now;
         let controller = &mut self.controllers[index];
@@ -32,8 +33,8 @@
             controller.shard_map_refused_at = None;
         }
         transfers.time_out_stale(STALE_AFTER_S, now);
-        let moved = transfers.ended.remove(&TransferOutcome::Completed);
-        self.statistics.completed_transfers += moved.unwrap_or(0);
+        let completed = transfers.ended.remove(&TransferOutcome::Completed);
+        self.statistics.completed_transfers += completed.unwrap_or(0);
         if reaches_store {
             self.write_shard_map(index);
         }
--- a/tests/common/simulated_cluster/state_store.rs
+++ b/tests/common/simulated_cluster/state_store.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Commits finished tasks if the condition holds. With the last task of a job, its record
-    /// is marked as done.
+    /// Commits finished tasks if the condition holds. The commit of a job's last task also
+    /// marks the job's record as done.
     pub(super) fn commit_finish(&mut self, finish: ConditionalFinishWrite) {
         let ConditionalFinishWrite {
             expected_revision,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Writes the shard map if the condition holds, and returns whether it did.
+    /// Writes the shard map if the condition holds, and returns whether it was written.
     pub(super) fn commit_shard_map(&mut self, write: &ConditionalShardMapWrite) -> bool {
         if self.shard_map_revision != write.expected_revision
             || self.epoch.number != write.expected_epoch
--- a/tests/common/simulated_cluster/statistics.rs
+++ b/tests/common/simulated_cluster/statistics.rs
@@ -17,9 +17,10 @@
     pub(crate) full_outages: u32,
     /// Times that the key-value store stopped responding to one controller alone.
     pub(crate) refused_controllers: u32,
-    /// Times that the heartbeats of a worker were lost while commands reached it.
+    /// Times that the heartbeats of a worker were dropped while commands reached it.
     pub(crate) silenced_workers: u32,
-    /// Cancellations that a controller received from another controller before it read them.
+    /// Cancellations that a controller received from another controller before it read them
+    /// from the store.
     pub(crate) cancellations_from_peers: u32,
     /// Times that all tasks of a gang started to run.
     pub(crate) gang_runs: u32,
--- a/tests/common/simulated_cluster/workers.rs
+++ b/tests/common/simulated_cluster/workers.rs
@@ -49,7 +49,8 @@
     pub(super) drops_incoming_until: f64,
     /// The time before which its heartbeats are lost, though commands reach it.
     pub(super) drops_outgoing_until: f64,
-    /// The time before which it hangs. Commands that arrive meanwhile wait.
+    /// The time before which it is paused, that is, hangs. Commands that arrive during the
+    /// pause are delivered after it.
     pub(super) paused_until: f64,
     pub(super) next_heartbeat_at: f64,
     /// For each task of a gang, when its image is fetched, and after that since when it waits
@@ -114,8 +115,8 @@
         started
     }
 
-    /// Starts a task. The command is ignored if the same attempt is known or another one is
-    /// active, and heartbeats continue to report that one.
+    /// Starts a task. The command is ignored if the worker already has this attempt, or
+    /// another attempt is active; heartbeats continue to report the existing one.
     fn start(
         &mut self,
         id: &str,
@@ -193,7 +194,7 @@
     }
 
     /// Deletes a machine and adds another in its place, as the leader does through the cloud.
-    /// The machine stops at once; controllers read of it a little later.
+    /// The machine stops at once; controllers read the change from the store a little later.
     pub(super) fn replace_machine(&mut self, id: &str) {
         let found = self
             .workers
@@ -218,8 +219,8 @@
         self.workers.iter().position(|worker| worker.id == machine)
     }
 
-    /// Runs one round of a worker: it occasionally completes a task, and sends a heartbeat if one
-    /// is due.
+    /// Runs one round of a worker: it occasionally completes a task, and sends a heartbeat if
+    /// one is due.
     pub(super) fn worker_round(&mut self, index: usize) {
         let now = self.now;
         let worker = &mut self.workers[index];
@@ -235,7 +236,8 @@
         }
     }
 
-    /// Completes a running task of an array job, if the worker has one.
+    /// Completes a running task of an array job, if the worker has one, and sometimes cancels
+    /// the job at the same moment.
     fn complete_array_task(&mut self, index: usize) {
         let is_running_array_task = |(id, task): (&String, &WorkerTask)| {
             let kind = Task::parse(id).map(|task| self.specs[&task.job].job_kind);
@@ -252,9 +254,8 @@
         if let Some(task) = self.workers[index].tasks.get_mut(&id) {
             task.end("done");
         }
-        // Sometimes the job is cancelled at the same moment.
-        let store_available = self.now >= self.store_outage_until && !self.faults_ended;
-        if store_available && self.rng.gen_bool(0.1) {
+        let may_cancel = self.now >= self.store_outage_until && !self.faults_ended;
+        if may_cancel && self.rng.gen_bool(0.1) {
             let job = id.split_once('/').map_or("", |(job, _)| job);
             let number = job
                 .strip_prefix("wk-")
--- a/tests/common/stand_ins/mod.rs
+++ b/tests/common/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the systems that controllers talk to, each as small as the protocol allows:
-//! a key-value store, a cloud, and the workers of its machines.
+//! Stand-ins for the external systems that controllers depend on, each as small as the
+//! protocol allows: a key-value store, a cloud, and the workers of its machines.
 
 pub mod cloud;
 mod json_server;
--- a/tests/common/stand_ins/worker.rs
+++ b/tests/common/stand_ins/worker.rs
@@ -46,7 +46,7 @@
     heartbeat: Value,
     /// When each task is due to complete, if it completes by itself.
     completes_at: BTreeMap<String, Instant>,
-    /// When the last heartbeat with a response was sent, or the session began.
+    /// When the last heartbeat that got a response was sent, or when the session began.
     lease_renewed_at: Instant,
 }
 
@@ -58,7 +58,7 @@
     }
 
     /// Increments the sequence number of the next heartbeat.
-    fn next_sequence(&mut self) {
+    fn increment_sequence(&mut self) {
         self.heartbeat["chirp"] = (self.heartbeat["chirp"].as_u64().unwrap_or(0) + 1).into();
     }
 
@@ -207,12 +207,13 @@
     });
 }
 
-/// Serves the direct commands and probes of controllers.
+/// Serves the direct commands and probes of controllers, and returns the address of the
+/// server.
 fn serve_commands(worker: Shared<Worker>, activity: Shared<WorkerActivity>) -> SocketAddr {
     serve_json(move |method, url, body| {
         let mut worker = lock(&worker);
         worker.expire_lease(&mut lock(&activity));
-        worker.next_sequence();
+        worker.increment_sequence();
         if *method == Method::Post && url == "/commands" {
             return worker.apply_direct_commands(&body, &mut lock(&activity));
         }
@@ -261,7 +262,7 @@
     let mut activity = lock(activity);
     worker.expire_lease(&mut activity);
     worker.complete_due_tasks(&mut activity);
-    worker.next_sequence();
+    worker.increment_sequence();
     worker.heartbeat.clone()
 }
 
--- a/tests/failure_detection_model.rs
+++ b/tests/failure_detection_model.rs
@@ -25,35 +25,37 @@
     /// When its next heartbeat is due. During a partition of its zone: when its worker reaches
     /// its owner again.
     heartbeat_due_at: f64,
-    /// How late its heartbeats are, from 0 to 1 of the longest delay.
+    /// The delay of its heartbeats, as a fraction of the longest delay (0 to 1).
     delay_fraction: f64,
     /// When its owner last received a heartbeat or a response to a probe.
     last_contact_at: f64,
-    /// Since when it has left probes unanswered while others of its zone were reachable.
+    /// Since when it has left probes unanswered while other machines of its zone were
+    /// reachable; `None` if it has not.
     unanswered_since: Option<f64>,
-    /// When its owner sends the next probe if it is silent, or when the current one times out.
+    /// If it is silent: when its owner sends the next probe, or when the one in flight times
+    /// out.
     next_probe_at: f64,
     probe_in_flight: bool,
-    /// When the first probe since the last contact was sent.
+    /// When the first probe since the last contact was sent; `None` if none was.
     first_probe_at: Option<f64>,
 }
 
-/// Simulates `span` seconds and returns each machine that is judged dead, by its index, and
-/// when. `partition` is a zone and the times at which its partition begins and ends. A zone
-/// may count as unreachable only around its partition, and must once it has been partitioned
-/// for long enough.
+/// Simulates `duration_s` seconds. Returns the index of each machine that is judged dead and
+/// the time of that verdict. `partition` is a zone and the times at which its partition begins
+/// and ends. Asserts that a zone counts as unreachable only during its partition and shortly
+/// after it, and that it does so once the partition has lasted for long enough.
 fn simulate(
     mut machines: Vec<Machine>,
     zones: usize,
     partition: Option<(usize, f64, f64)>,
-    span: f64,
+    duration_s: f64,
 ) -> Vec<(usize, f64)> {
     let names: Vec<Arc<str>> = (0..zones).map(|zone| format!("z{zone}").into()).collect();
     // By zone and owner, as the machines of a zone belong to several owners.
     let mut contact_spans: Vec<[Option<ZoneContactSpan>; OWNERS]> = vec![[None; OWNERS]; zones];
     let mut judged_dead = Vec::new();
     let mut now = 0.0;
-    while now < span {
+    while now < duration_s {
         for (index, machine) in machines.iter_mut().enumerate() {
             let contact_span = &mut contact_spans[machine.zone][index % OWNERS];
             let is_partitioned = partition
@@ -70,8 +72,9 @@
                 if is_reachable {
                     has_contact = true;
                 } else if machine.probe_in_flight {
-                    // The probe timed out. The first time that others of the zone were reached
-                    // meanwhile, it is repeated at once, and otherwise after a report interval.
+                    // The probe timed out. If other machines of the zone were reached since
+                    // the first probe, it is repeated at once, but only the first time that
+                    // this happens. Otherwise it is repeated after a report interval.
                     let others_reached = contact_span.is_some_and(|span| {
                         machine
                             .first_probe_at
@@ -107,7 +110,9 @@
             .enumerate()
             .map(|(index, machine)| MachineHealth {
                 zone: names[machine.zone].clone(),
-                // Some machines are not yet reconciled by the first heartbeat after a silence.
+                // The first heartbeat after a silence may not reconcile a machine. Here every
+                // third machine is unreconciled before its first contact and in each step in
+                // which it has contact.
                 tasks_known: machine.last_contact_at > 0.0
                     && now - machine.last_contact_at >= STEP_S
                     || index % 3 > 0,
@@ -126,7 +131,8 @@
             .collect();
         let detector = FailureDetector::new(REPORT_S, LEASE_S, healths.iter());
         for (zone, name) in names.iter().enumerate() {
-            // How long ago the partition began and ended; negative before that.
+            // How long ago the partition began and how long ago it ended, in seconds. Negative
+            // if that is yet to come.
             let ages = partition
                 .filter(|partition| partition.0 == zone)
                 .map(|partition| (now - partition.1, now - partition.2));
@@ -190,9 +196,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_algorithm: prop::test_runner::RngAlgorithm::ChaCha, ..ProptestConfig::default() })]
 
-    /// Machines that die together, even most of a zone, must not look like a network partition.
-    /// Each of them is replaced soon, and no live one is, as long as a machine of the zone
-    /// remains reachable.
+    /// Machines that die together, even most of a zone, must not look like a network
+    /// partition. As long as a machine of the zone remains reachable, each dead machine is
+    /// replaced soon and no live one is.
     #[test]
     fn machines_that_die_together_are_replaced_and_not_taken_for_a_partition(
         sizes in proptest::collection::vec(4usize..40, 2..5),
@@ -202,7 +208,8 @@
     ) {
         let mut machines = fleet(&sizes, &delay_fractions);
         let count = ((machines.len() as f64 * dead_fraction) as usize).max(1);
-        // They die in order from the first machine of a zone on. The last of each zone survives.
+        // They die in the order of their indices, from the first machine of a zone on. The
+        // last live machine of each zone survives.
         let order: Vec<usize> = (0..machines.len()).collect();
         let start: usize = sizes.iter().take(first_zone % sizes.len()).sum();
         let mut died = Vec::new();
@@ -251,8 +258,8 @@
     }
 
     /// No machine is replaced because its zone is partitioned, nor while workers return one
-    /// after another at the end of the partition. A machine that dies meanwhile in another zone
-    /// is replaced during the partition, and one in the partitioned zone soon after it.
+    /// after another at the end of the partition. A machine that dies meanwhile in another
+    /// zone is replaced during the partition, and one in the partitioned zone soon after it.
     #[test]
     fn machines_of_a_partitioned_zone_are_kept_and_dead_ones_are_replaced_after_it(
         sizes in proptest::collection::vec(3usize..40, 2..5),
--- a/tests/interleavings/hash_range_transfers.rs
+++ b/tests/interleavings/hash_range_transfers.rs
@@ -1,6 +1,6 @@
-//! The guarantees also hold while hash ranges are transferred all the time: writes of the
+//! Checks the same guarantees while hash ranges are transferred all the time: writes of the
 //! shard map are late, refused or without a response, and the source, the target or the leader
-//! of a transfer may crash or be partitioned during it.
+//! may crash or be partitioned during a transfer.
 
 use crate::simulated_cluster::{SimulatedCluster, Statistics};
 use crate::{ALL_ENDED_BY_S, FAULTS_UNTIL_S};
--- a/tests/interleavings/main.rs
+++ b/tests/interleavings/main.rs
@@ -1,5 +1,5 @@
 //! Checks the most important guarantees in a simulated cluster with all kinds of faults: no
-//! task starts on one machine while it runs on another, none runs for longer after the
+//! task starts on one machine while it is on another, none runs for longer after the
 //! cancellation of its job than the settings promise, and no cancelled job is marked as done.
 //! They must hold whichever messages are lost, late or repeated, whatever hangs or crashes,
 //! whichever controller the key-value store refuses, and whichever believes that it leads.
--- a/tests/interleavings/tasks_run_at_most_once.rs
+++ b/tests/interleavings/tasks_run_at_most_once.rs
@@ -13,7 +13,7 @@
         cluster.end_faults();
         cluster.run_until(ALL_ENDED_BY_S);
         cluster.check_all_jobs_ended(seed);
-        cluster.check_deleted_machines_stay_deleted();
+        cluster.check_no_deleted_machine_is_reported();
         total += cluster.statistics();
     }
     let Statistics {
@@ -42,7 +42,7 @@
         completed_gangs > 150,
         "only {completed_gangs} gangs completed"
     );
-    // There were many faults of each kind, and work was done nevertheless.
+    // There were many faults of each kind, and tasks were completed nevertheless.
     assert!(starts > 1000, "only {starts} tasks were started");
     assert!(
         committed > 500,
@@ -66,7 +66,7 @@
     );
     assert!(
         silenced_workers > 20,
-        "workers lost their heartbeats only {silenced_workers} times"
+        "the heartbeats of a worker were dropped only {silenced_workers} times"
     );
     assert!(
         cancellations_from_peers > 20,
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -13,7 +13,8 @@
 const MACHINE_TYPES: [&str; 2] = ["small", "large"];
 const ZONES: [&str; 3] = ["east", "north", "west"];
 
-/// A machine in the model. Machine type and zone are indices of the constants above.
+/// A machine in the model. Its machine type and zone are indices into [`MACHINE_TYPES`] and
+/// [`ZONES`].
 #[derive(Debug, Clone)]
 struct ModelMachine {
     id: String,
@@ -61,8 +62,8 @@
 }
 
 /// Returns the id of the machine that the algorithm selects: it filters the machines, sorts
-/// them by cost and takes the first, as in the paper. The two criteria that finchwood adds
-/// come before the cost, and its tie-breakers after it. All numbers are integers.
+/// them by cost and takes the first, as in the paper. Two criteria that finchwood adds come
+/// before the cost, and its tie-breakers after it. All numbers are integers.
 fn expected_machine(
     resources: [u32; 3],
     spot: bool,
@@ -350,9 +351,9 @@
     assert!(result.is_ok(), "{result:?}");
 }
 
-/// The number of tasks that fit in a zone, counted with one look at each machine, must equal
+/// The number of tasks that fit in a zone, counted in one pass over the machines, must equal
 /// the number that can be placed there task by task. After capacity for half of them is
-/// allocated at once, as for a gang that waits, the rest must still fit.
+/// allocated at once, as for a gang that waits, exactly the rest must still fit.
 #[test]
 fn the_count_of_tasks_that_fit_in_a_zone_equals_what_can_be_placed_there() {
     let config = Config {
@@ -437,8 +438,8 @@
 }
 
 /// Guards against array tasks that fill the last free capacity of on-demand machines. Nearly
-/// every new replica of a service then preempted one of them, and all jobs that ended late
-/// had lost a task in this way.
+/// every new replica of a service then preempted one of these tasks, and all jobs that ended
+/// late had lost a task in this way.
 #[test]
 fn array_tasks_leave_the_capacity_reserved_for_services_free() {
     let machine = |index: usize, spot: bool| ModelMachine {
@@ -466,8 +467,8 @@
         capacity.allocate(slot, &request.task_resources);
         on_spot_machine.push(capacity.slots[slot].spot);
     }
-    // The spot machine has the CPUs for four tasks. The on-demand machines have them for eight,
-    // of which half are reserved.
+    // The spot machine has the CPUs for four tasks. The on-demand machines have them for
+    // eight, of which half are reserved.
     assert_eq!(
         on_spot_machine,
         [true, true, true, true, false, false, false, false]
