--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -1,5 +1,5 @@
-//! The autoscaler's plans: which machines are rented, counting those that boot, and which are
-//! returned, drained or consolidated.
+//! The autoscaler's plans: which machines are rented in addition to those that are booting,
+//! and which are returned, drained or consolidated.
 
 use finchwood::autoscaler::{
     plan_draining, plan_scale_in, plan_scale_out, rental_backlog_is_full, select_for_consolidation,
@@ -40,7 +40,7 @@
     Arc::new(serde_json::from_value(spec).expect("a spec"))
 }
 
-/// Returns demand of `count` low-priority tasks, each of which fills a machine.
+/// Returns the demand of `count` pending low-priority tasks, each of which fills a machine.
 fn low_priority_demand(count: u32, spot_only: bool) -> PendingDemand {
     let spec = Arc::new(JobSpec {
         cpus: 4.0,
@@ -56,8 +56,8 @@
     }
 }
 
-/// Returns the numbers of spot and of on-demand machines that are rented for demand, in
-/// addition to those that boot.
+/// Returns the numbers of spot and of on-demand machines that are rented for `demand`, in
+/// addition to those that are booting.
 fn rented_machines(
     demand: PendingDemand,
     booting: &[BootingMachine],
@@ -127,7 +127,7 @@
             true
         ),
         (2, 0),
-        "an overdue machine is not planned with, so that both are rented"
+        "an overdue machine is not planned with, so that two machines are rented"
     );
 }
 
@@ -321,6 +321,6 @@
     assert_eq!(
         selected(&spread_fleet, 0.0),
         None,
-        "replicas move neither to another zone nor to spot machines"
+        "replicas are moved neither to another zone nor to spot machines"
     );
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -230,9 +230,9 @@
     }
 }
 
-/// Waits until each controller has reported the state of each job. Panics if one reports that
-/// a job is unknown.
-fn assert_all_jobs_known(cluster: &Cluster, jobs: &[String]) {
+/// Waits until each controller has reported the state of each job. Panics if a controller
+/// reports a job as unknown.
+fn assert_every_job_reported(cluster: &Cluster, jobs: &[String]) {
     for index in 0..CONTROLLERS {
         for id in jobs {
             cluster.request_until(
@@ -241,7 +241,7 @@
                 &format!("/v2/runs/{id}"),
                 None,
                 |status, _| {
-                    assert_ne!(status, 404, "controller {index} does not know {id}");
+                    assert_ne!(status, 404, "controller {index} reports {id} as unknown");
                     status == 200
                 },
             );
@@ -296,26 +296,26 @@
     submit(&cluster, 2, &mut jobs, "array", 4);
     cluster.set_partitioned(1, false);
     cluster.request_until(1, "GET", "/up", None, |status, _| status == 200);
-    assert_all_jobs_known(&cluster, &jobs);
-    // Controllers are killed and restarted at once, in quick succession, two of them a second
+    assert_every_job_reported(&cluster, &jobs);
+    // Controllers are killed in quick succession and restarted at once, two of them a second
     // time while the cluster is still electing a leader.
     for index in [0, 3, 0, 4, 3] {
         cluster.kill_controller(index);
         cluster.start_controller(index);
     }
     submit(&cluster, 2, &mut jobs, "array", 3);
-    assert_all_jobs_known(&cluster, &jobs);
+    assert_every_job_reported(&cluster, &jobs);
     // The key-value store is unreachable for all controllers, for longer than a member lease.
     cluster.set_store_outage(true);
     std::thread::sleep(Duration::from_secs(5));
     assert_refused_at_once(&cluster, 0, &jobs[0]);
     cluster.set_store_outage(false);
     submit(&cluster, 0, &mut jobs, "array", 2);
-    assert_all_jobs_known(&cluster, &jobs);
+    assert_every_job_reported(&cluster, &jobs);
     // All controllers are killed together and restarted.
     (0..CONTROLLERS).for_each(|index| cluster.kill_controller(index));
     (0..CONTROLLERS).for_each(|index| cluster.start_controller(index));
-    assert_all_jobs_known(&cluster, &jobs);
+    assert_every_job_reported(&cluster, &jobs);
     // All array jobs that were accepted run to completion.
     for id in jobs
         .iter()
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -1,12 +1,12 @@
 //! Three controllers as real processes and about fifty stand-in workers run services, arrays
 //! and a gang. All controllers are killed at once and restarted, several times: each time
-//! after a longer downtime and with other faults. The activity of the workers must show that
-//! no task is started twice or stopped, and that no machine in use is deleted. The
+//! after a longer downtime and with more severe faults. The activity of the workers must show
+//! that no task is started twice or stopped, and that no machine in use is deleted. The
 //! controllers' restart records must show that all running tasks were adopted, and that none
 //! was stopped or found in conflict with an assignment.
 //!
-//! The tests measure no durations. On a machine so slow that a worker's lease expires, the
-//! tasks that the worker killed may be started again, but no others.
+//! The tests measure no durations. If the test machine is so slow that a worker's lease
+//! expires, the tasks that the worker killed may be started again, but no others.
 
 mod common;
 
@@ -58,9 +58,10 @@
         }
     }
 
-    /// Asserts that no task ran on two machines at once. Asserts that, since then, no more
-    /// tasks were started again than were killed by an expired lease, no task was stopped, and
-    /// no machine in use was deleted. `when` names the phase of the test in failure messages.
+    /// Asserts that no task ran on two machines at once. Asserts that, since this activity was
+    /// recorded, no more tasks were started again than were killed by an expired lease, no task
+    /// was stopped, and no machine in use was deleted. `when` names the phase of the test in
+    /// failure messages.
     fn assert_undisturbed(&self, activity: &Mutex<WorkerActivity>, when: &str) {
         let activity = lock(activity);
         let starts: u32 = activity
@@ -195,7 +196,7 @@
 }
 
 /// Guards against controllers that start tasks again, stop them or delete their machines after
-/// a restart without state, when they do not know yet what runs where.
+/// a restart without state, before the workers have reported which tasks they run.
 #[test]
 fn running_tasks_are_adopted_after_a_restart_of_all_controllers() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
--- a/tests/feature_files.rs
+++ b/tests/feature_files.rs
@@ -65,7 +65,7 @@
             "machines_per_move",
         ),
     ];
-    for (text, named) in invalid {
+    for (text, expected_text) in invalid {
         let error = Features::default()
             .add("x.toml", &text)
             .expect_err(&text)
@@ -75,8 +75,8 @@
             "{text}: the error is not one line about the file: {error}"
         );
         assert!(
-            named == "TOML" || error.contains(named),
-            "{text}: the error does not name {named}: {error}"
+            expected_text == "TOML" || error.contains(expected_text),
+            "{text}: the error does not contain {expected_text}: {error}"
         );
     }
     let mut features = Features::default();
--- a/tests/fleet_of_4000.rs
+++ b/tests/fleet_of_4000.rs
@@ -39,8 +39,8 @@
 /// The numbers of commands sent to workers.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 struct CommandCounts {
-    /// Direct commands without content, and direct commands that the worker refused: it
-    /// responds to both only with its state.
+    /// Empty direct commands, and direct commands that the worker refused: it responds to
+    /// either with its state and carries out nothing.
     probes: usize,
     starts: usize,
     stops: usize,
@@ -472,7 +472,7 @@
 
 /// Guards against a size limit that rejects the full report of a large shard. One controller
 /// owns all machines, as after the failure of the others. Its report is above 2 MiB, the lower
-/// bound of the limit, so that it fits only since the limit follows from the memory in the
+/// bound of the limit, so that it fits only because the limit grows with the memory in the
 /// settings.
 #[test]
 fn full_report_of_a_shard_with_all_machines_is_within_the_message_size_limit() {
@@ -482,7 +482,7 @@
     // The first fencing token of epoch 1.
     let token = 1 << 24;
     for (number, (id, worker)) in cluster.workers.iter_mut().enumerate() {
-        // 32 tasks of two CPUs each fill a machine with 64 CPUs.
+        // 32 tasks, as many as a machine with 64 CPUs runs if each needs two CPUs.
         worker.tasks = (0..32)
             .map(|i| {
                 (
--- a/tests/http/connections.rs
+++ b/tests/http/connections.rs
@@ -6,9 +6,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Starts a server with this limit of connections. It responds to each request with the
-/// request's body. The deadline of the response has passed for `/past`, is in the future for
-/// `/ahead`, and is not set for other paths.
+/// Starts a server that accepts at most `connections` connections. It responds to each request
+/// with the request's body. The deadline of the response has passed for `/past`, is in the
+/// future for `/ahead`, and is not set for other paths.
 fn start_echo_server(connections: usize) -> SocketAddr {
     let address = TcpListener::bind("127.0.0.1:0")
         .and_then(|listener| listener.local_addr())
@@ -72,12 +72,12 @@
     let address = start_echo_server(900);
     let mut incomplete: Vec<TcpStream> = (0..400).map(|_| connect(address)).collect();
     for (index, stream) in incomplete.iter_mut().enumerate() {
-        let half: &[u8] = match index % 3 {
+        let first_part: &[u8] = match index % 3 {
             0 => b"POST /x HTTP/1.1\r\nContent-Length: 3000\r\n\r\nhalf a body",
             1 => b"POST /x HT",
             _ => b"",
         };
-        stream.write_all(half).expect("the bytes are sent");
+        stream.write_all(first_part).expect("the bytes are sent");
     }
     let mut others: Vec<TcpStream> = (0..300).map(|_| connect(address)).collect();
     for (index, stream) in others.iter_mut().enumerate() {
@@ -142,7 +142,8 @@
     );
     assert!(exchange(&mut first[3], "still here").starts_with("HTTP/1.1 200"));
     drop(first);
-    // New connections are accepted again once the server has noticed that these are closed.
+    // New connections are accepted again once the server has noticed that the others are
+    // closed.
     let text = b"POST /x HTTP/1.1\r\nContent-Length: 1\r\n\r\nx";
     let served_again = (0..600).any(|_| {
         std::thread::sleep(Duration::from_millis(50));
--- a/tests/http/requests.rs
+++ b/tests/http/requests.rs
@@ -8,7 +8,7 @@
     for length in 0..text.len() - 3 {
         assert!(
             matches!(read_request(&text[..length], 10), Progress::Incomplete),
-            "the first {length} bytes were not taken for an incomplete request"
+            "the first {length} bytes were not parsed as an incomplete request"
         );
     }
     let Progress::Complete {
--- a/tests/refusals.rs
+++ b/tests/refusals.rs
@@ -120,7 +120,7 @@
     ] {
         assert!(
             Policy::parse(script).is_err(),
-            "this policy was accepted: {script}"
+            "an invalid policy was accepted: {script}"
         );
     }
 }
--- a/tests/shared_machines.rs
+++ b/tests/shared_machines.rs
@@ -48,7 +48,7 @@
         .unwrap_or(0)
 }
 
-/// Sends the leader an operators' plan that moves up to 11 machines between two random
+/// Sends the leader an operator's plan that moves up to 11 machines between two random
 /// controllers.
 fn post_random_plan(cluster: &Cluster, rng: &mut StdRng) {
     let from = rng.gen_range(0..CONTROLLERS);
@@ -309,8 +309,8 @@
     assert_undisturbed(&activity, before);
 }
 
-/// An invalid plan is refused as a whole, with a reason of one line. The endpoint of a feature
-/// that is not enabled says so.
+/// An invalid plan is refused as a whole, with an error of one line. A request to the endpoint
+/// of a feature that is not enabled gets an error that says so.
 #[test]
 fn invalid_plans_are_refused_and_change_nothing() {
     let activity = Arc::new(Mutex::new(WorkerActivity::default()));
--- a/tests/store/keys.rs
+++ b/tests/store/keys.rs
@@ -38,14 +38,14 @@
         (Chunk::Numbered(7), "fw/f/wk-1/7", "7"),
         (Chunk::StartingAt(2048), "fw/f/wk-1/at/2048", "at/2048"),
     ];
-    for (chunk, key, section) in chunks {
+    for (chunk, key, encoded_chunk) in chunks {
         assert_eq!(chunk.key("wk-1"), key);
         let parsed = StoreKey::FinishedTasks {
             job: "wk-1",
-            chunk: section,
+            chunk: encoded_chunk,
         };
         assert_eq!(StoreKey::parse(key), Some(parsed));
-        assert_eq!(Chunk::parse(section), Some(chunk));
+        assert_eq!(Chunk::parse(encoded_chunk), Some(chunk));
     }
 }
 
--- a/tests/store/registry_cache.rs
+++ b/tests/store/registry_cache.rs
@@ -37,7 +37,7 @@
         CacheChange::Machines(vec!["m-9".into()])
     );
     assert!(cache.registry["m-9"].record.in_use && cache.registry["m-9"].record.spot);
-    // Another leader has found the same machine and put it on a page of its own.
+    // Another leader has found machine m-2 too and put it on a page of its own.
     cache.put("fw/r/b.0", json!(page(&[("m-2", Some("x"))])), 3);
     cache.put("fw/r/a.0", json!(page(&[("m-1", Some("z"))])), 4);
     assert!(
--- a/tests/wire_format.rs
+++ b/tests/wire_format.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// Job specs by the names of their fixtures, with every kind and every priority of a job.
+/// Returns job specs with the names of their fixtures. Every kind of job and every priority
+/// occurs.
 fn job_specs() -> [(&'static str, JobSpec); 5] {
     let without_optional_fields = JobSpec {
         types: None,
@@ -144,7 +145,7 @@
     }
 }
 
-/// Task reports with every state, every cause and every value of `saved`.
+/// Returns task reports in which every state, every cause and every value of `saved` occurs.
 fn task_reports() -> Vec<TaskReport> {
     use TaskState::{Ended, Fetching, Gathering, Other, Running, Saving};
     let with_state =
--- a/tests/wire_format_commands.rs
+++ b/tests/wire_format_commands.rs
@@ -41,8 +41,8 @@
     fixtures.assert_all_used();
 }
 
-/// Sends a direct command to a worker that gives the response of a fixture, and checks that
-/// the request matches its fixture. Returns the result.
+/// Sends a direct command to a worker that responds as in a fixture, and checks that the
+/// request matches its fixture. Returns the result.
 fn send_command(fixtures: &Fixtures, name: &str) -> CommandResult {
     let recorder = Recorder::new(&[fixtures.payload(&format!("{name}.answer"))]);
     let (result_sender, results) = channel();
@@ -87,9 +87,8 @@
         .is_none());
 }
 
-/// Sends a heartbeat to a listener that relays it to the controller at `owner`, where
-/// `deadline` is the deadline of the relayed heartbeat. Returns the response that the worker
-/// gets.
+/// Sends a heartbeat to a listener that relays it to the controller at `owner`. `deadline` is
+/// the time at which the worker stops waiting. Returns the response that the worker gets.
 fn relay_heartbeat(fixtures: &Fixtures, owner: SocketAddr, deadline: f64) -> String {
     let mut settings = Settings::parse(settings::SETTINGS).expect("valid settings");
     settings.client_listen = free_address();
--- a/tests/wire_format_controller.rs
+++ b/tests/wire_format_controller.rs
@@ -16,15 +16,15 @@
 
 const CONTROLLER_RESPONSES: &str = include_str!("fixtures/wire-format/controller.txt");
 
-/// Sends the request of a fixture to a node's public listener. Returns the response.
-fn send_public(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
+/// Sends the request of a fixture to a controller's public listener. Returns the response.
+fn send_public(cluster: &Cluster, index: usize, fixtures: &Fixtures, name: &str) -> String {
     exchange(
-        cluster.client_addresses[node],
+        cluster.client_addresses[index],
         fixtures.text(&format!("{name}.request")).as_bytes(),
     )
 }
 
-/// Checks that the first node's response to the request of a fixture matches the fixture.
+/// Checks that the first controller's response to the request of a fixture matches the fixture.
 fn check_response(cluster: &Cluster, fixtures: &Fixtures, name: &str) {
     fixtures.assert_text(
         &format!("{name}.answer"),
@@ -32,20 +32,21 @@
     );
 }
 
-/// Waits until a node responds to the request of a fixture with the status in the fixture.
-fn wait_for_status(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) {
+/// Waits until a controller responds to the request of a fixture with the status in the
+/// fixture.
+fn wait_for_status(cluster: &Cluster, index: usize, fixtures: &Fixtures, name: &str) {
     let status = fixtures.payload(&format!("{name}.status"));
     wait_until(&format!("{name}: no response with {status}"), || {
-        send_public(cluster, node, fixtures, name).starts_with(status)
+        send_public(cluster, index, fixtures, name).starts_with(status)
     });
 }
 
-/// Posts the body of a fixture to a node's internal listener, as another controller or an
-/// operator does. Returns the status and body of the response.
-fn post_internal(cluster: &Cluster, node: usize, fixtures: &Fixtures, name: &str) -> String {
+/// Posts the body of a fixture to a controller's internal listener, as another controller or
+/// an operator does. Returns the status and body of the response.
+fn post_internal(cluster: &Cluster, index: usize, fixtures: &Fixtures, name: &str) -> String {
     let body: Value = fixtures.read(&format!("{name}.body"));
     let (status, text) =
-        cluster.operator_post(node, fixtures.payload(&format!("{name}.path")), &body);
+        cluster.operator_post(index, fixtures.payload(&format!("{name}.path")), &body);
     format!("{status} {text}")
 }
 
@@ -58,11 +59,11 @@
         ..ClusterOptions::default()
     };
     let cluster = Cluster::start_with(2, "wire-format", &Default::default(), options);
-    for node in [0, 1] {
-        cluster.request_until(node, "GET", "/up", None, |status, _| status == 200);
+    for index in [0, 1] {
+        cluster.request_until(index, "GET", "/up", None, |status, _| status == 200);
     }
     check_response(&cluster, &fixtures, "up");
-    // From here on, the first node has the catalog and both nodes are members.
+    // After this, the first controller has the catalog and both controllers are members.
     wait_for_status(&cluster, 0, &fixtures, "unknown-team");
     wait_for_status(&cluster, 0, &fixtures, "beat-to-another");
     check_user_requests(&cluster, &fixtures);
@@ -102,8 +103,8 @@
     check_response(cluster, fixtures, "unreadable");
 }
 
-/// Checks the responses to heartbeats of machines that the other node owns, and to a heartbeat
-/// that is older than the last one of its machine.
+/// Checks the responses of the first controller to heartbeats of machines that the other one
+/// owns, and to a heartbeat that is older than the last one of its machine.
 fn check_heartbeats(cluster: &Cluster, fixtures: &Fixtures) {
     let members = ["n0", "n1"]
         .map(|name| (name.to_string(), 1))
@@ -112,13 +113,13 @@
     assert_eq!(
         owner_by_hash(&members, "m-a"),
         Some("n0"),
-        "the first node does not own m-a"
+        "the first controller does not own m-a"
     );
     for machine in ["m-b", "m-c"] {
         assert_eq!(
             owner_by_hash(&members, machine),
             Some("n1"),
-            "the second node does not own {machine}"
+            "the second controller does not own {machine}"
         );
     }
     fixtures.assert_text(
@@ -132,7 +133,7 @@
 
 /// Checks that both the leader and the follower refuse a plan.
 fn check_plans(cluster: &Cluster, fixtures: &Fixtures) {
-    // The leader is the node that joined first, which may be either.
+    // The controller that joined first leads; that may be either of the two.
     let follower_response = |leader| {
         fixtures
             .payload("plan.answer-of-the-follower")
@@ -142,7 +143,7 @@
     let first_leads = [leader_response.clone(), follower_response("n0")];
     let second_leads = [follower_response("n1"), leader_response];
     wait_until("the refusals of the plan do not match the fixtures", || {
-        let responses = [0, 1].map(|node| post_internal(cluster, node, fixtures, "plan"));
+        let responses = [0, 1].map(|index| post_internal(cluster, index, fixtures, "plan"));
         responses == first_leads || responses == second_leads
     });
 }
@@ -158,7 +159,7 @@
     ] {
         check_response(cluster, fixtures, name);
     }
-    // Heartbeats are answered as before until the node's own lease has expired.
+    // The responses to heartbeats do not change until the controller's own lease has expired.
     let refusal = fixtures.text("beat-in-an-outage.answer");
     wait_until("no refusal of heartbeats after the lease expired", || {
         send_public(cluster, 0, fixtures, "beat-in-an-outage") == refusal
--- a/tests/wire_format_operators.rs
+++ b/tests/wire_format_operators.rs
@@ -36,7 +36,7 @@
 const SETTINGS: &str = include_str!("fixtures/wire-format/settings.txt");
 const COMMAND_LINE: &str = include_str!("fixtures/wire-format/program.txt");
 
-/// Every verdict, with every reason.
+/// Returns every verdict, with every reason.
 fn all_verdicts() -> Vec<Verdict> {
     vec![
         Verdict::Known,
@@ -57,7 +57,7 @@
     ]
 }
 
-/// Every action, and every reason to hold an action back.
+/// Every action that a hold-off may delay, and every reason for the delay.
 const HOLDS: [(Action, HoldReason); 4] = [
     (Action::Rent, HoldReason::ShardReportsMissing),
     (Action::Preempt, HoldReason::MachinesUnreconciled),
@@ -101,8 +101,8 @@
     }
 }
 
-/// A record with every verdict, hold and kind of command. One decision more is recorded than
-/// it keeps, so that it leaves out the oldest.
+/// Returns a record with every verdict, every hold and every kind of command. One decision
+/// more is recorded than the record keeps, so that it leaves out the oldest.
 fn full_record() -> RestartRecord {
     let verdicts = all_verdicts();
     let mut record = RestartRecord::new(verdicts.len());
@@ -221,7 +221,7 @@
     );
 }
 
-/// A transfer in each state; together they have every reason.
+/// Returns a transfer in each state. Together the transfers have every reason.
 fn transfers_in_every_state() -> Transfers {
     let mut transfers = Transfers::default();
     begin_transfer(&mut transfers, "a", MoveReason::Plan);
--- a/tests/wire_format_peers.rs
+++ b/tests/wire_format_peers.rs
@@ -1,6 +1,6 @@
 //! The CBOR messages between controllers, compared with the hexadecimal fixtures in
-//! `fixtures/wire-format/`: each message with all of its fields, and without its optional
-//! ones.
+//! `fixtures/wire-format/`: each message with all of its fields, and without the optional
+//! fields.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -99,8 +99,8 @@
     }
 }
 
-/// A removed task with these values. The `seq` of [`RemovedTask`] is private, so that the task
-/// is made from one of a recorded message.
+/// Returns a removed task with these values. The field `seq` of [`RemovedTask`] is private, so
+/// the task is a changed copy of one in a recorded message.
 fn removed_task(reason: RemovalReason, machine: Option<&str>, assignment: u64) -> RemovedTask {
     let PeerMessage::ShardReport(report) =
         decode(&Fixtures::new(PRODUCTION_MESSAGES), "part").message
@@ -187,7 +187,7 @@
     }
 }
 
-/// One machine with all fields, and one without optional fields in each state.
+/// Returns a machine with all fields and, for each state, one without optional fields.
 fn machine_transfer_states() -> Vec<MachineTransferState> {
     use MachineState::{Confirmed, LeaseExpired, NoHeartbeat, Unconfirmed, Unused};
     let minimal = [Unused, NoHeartbeat, Unconfirmed, Confirmed, LeaseExpired]
@@ -361,9 +361,9 @@
         .unwrap_or_else(|| panic!("{name} is not a valid message"))
 }
 
-/// Checks that an envelope is encoded as its fixture, and that the fixture is decoded to it
-/// and encoded again unchanged.
-fn check_both_ways(fixtures: &Fixtures, name: &str, envelope: &Envelope) {
+/// Checks that an envelope is encoded as its fixture, and that the fixture is decoded to an
+/// equal envelope and is unchanged when that is encoded again.
+fn check_round_trip(fixtures: &Fixtures, name: &str, envelope: &Envelope) {
     fixtures.assert_bytes(name, &envelope.encode());
     let decoded = decode(fixtures, name);
     fixtures.assert_bytes(name, &decoded.encode());
@@ -373,28 +373,28 @@
 #[test]
 fn peer_messages_match_the_fixtures() {
     let fixtures = Fixtures::new(PEER_MESSAGES);
-    check_both_ways(
+    check_round_trip(
         &fixtures,
         "part",
         &full_envelope(PeerMessage::ShardReport(full_shard_report())),
     );
-    check_both_ways(
+    check_round_trip(
         &fixtures,
         "part.bare",
         &minimal_envelope(PeerMessage::ShardReport(minimal_shard_report())),
     );
-    check_both_ways(
+    check_round_trip(
         &fixtures,
         "orders",
         &full_envelope(PeerMessage::Orders(full_orders())),
     );
-    check_both_ways(
+    check_round_trip(
         &fixtures,
         "orders.bare",
         &minimal_envelope(PeerMessage::Orders(minimal_orders())),
     );
-    check_both_ways(&fixtures, "hello", &full_envelope(PeerMessage::KeepAlive));
-    check_both_ways(
+    check_round_trip(&fixtures, "hello", &full_envelope(PeerMessage::KeepAlive));
+    check_round_trip(
         &fixtures,
         "hello.bare",
         &minimal_envelope(PeerMessage::KeepAlive),
--- a/tests/wire_format_refusals.rs
+++ b/tests/wire_format_refusals.rs
@@ -57,8 +57,8 @@
     responder.send(200, description.into_bytes());
 }
 
-/// Sends the kind of response that the job's id names: a status code, a response whose deadline
-/// has passed, or else a refusal with a time to retry after.
+/// Sends the kind of response that the job's id names: a given status, a response whose
+/// deadline has passed, or else a refusal with a `Retry-After` header.
 fn respond_to_query(id: &str, responder: Responder) {
     match id
         .strip_prefix("wk-status-")
--- a/tests/wire_format_stored.rs
+++ b/tests/wire_format_stored.rs
@@ -1,5 +1,5 @@
-//! The keys and values in the key-value store, the calls of the store and the calls of the
-//! cloud, compared with the fixtures in `fixtures/wire-format/`.
+//! The keys and values in the key-value store and the calls to the store and to the cloud,
+//! compared with the fixtures in `fixtures/wire-format/`.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -32,7 +32,7 @@
 const STORED_VALUES: &str = include_str!("fixtures/wire-format/stored.txt");
 const KEYS_AND_CALLS: &str = include_str!("fixtures/wire-format/calls.txt");
 
-/// A job spec. Its machine types and zone are set only if its deadline is.
+/// Returns a job spec. Its machine types and zone are set only if its deadline is.
 fn job_spec(deadline_s: Option<f64>) -> JobSpec {
     JobSpec {
         id: "wk-1".into(),
@@ -219,8 +219,8 @@
     fixtures.assert_all_used();
 }
 
-/// Checks the keys, and that a cache in which the stored values are put under them contains
-/// the expected records.
+/// Checks the keys. Then puts the stored values into a cache under these keys, and checks that
+/// it contains the expected records.
 fn check_keys(fixtures: &Fixtures) {
     let keys = [
         ("key.epoch", EPOCH_KEY.to_string()),
@@ -295,19 +295,20 @@
     );
 }
 
-/// The settings with the service at `default_address` moved to `address`.
+/// Returns the settings in which the service at `default_address` is at `address` instead.
 fn settings_with(default_address: &str, address: std::net::SocketAddr) -> Settings {
     let text =
         settings::SETTINGS.replace(&format!("\"{default_address}\""), &format!("\"{address}\""));
     Settings::parse(&text).expect("valid settings")
 }
 
-/// The addresses of the key-value store and of the cloud in the settings.
+/// The address of the key-value store in the settings.
 const STORE_ADDRESS: &str = "127.0.0.1:2";
+/// The address of the cloud in the settings.
 const CLOUD_ADDRESS: &str = "127.0.0.1:1";
 
-/// Makes a call of a store that gives the response of a fixture, and checks that the request
-/// matches its fixture. Returns the result of the call.
+/// Makes a call to a store that responds as in a fixture, and checks that the request matches
+/// its fixture. Returns the result of the call.
 fn call_store<T>(fixtures: &Fixtures, name: &str, call: impl FnOnce(&StoreClient) -> T) -> T {
     let recorder = Recorder::new(&[fixtures.payload(&format!("state.{name}.answer"))]);
     let result = call(&StoreClient::new(&settings_with(
@@ -318,8 +319,8 @@
     result
 }
 
-/// Sends a request to a cloud that gives the response of a fixture, and checks that the
-/// request matches its fixture. Returns the response.
+/// Sends a request to a cloud that responds as in a fixture, and checks that the request
+/// matches its fixture. Returns the response.
 fn call_cloud(fixtures: &Fixtures, name: &str, request: CloudRequest) -> CloudResponse {
     let recorder = Recorder::new(&[fixtures.payload(&format!("cloud.{name}.answer"))]);
     let (response_sender, responses) = channel();
@@ -330,7 +331,7 @@
     requests.send(request).expect("the cloud actor runs");
     let response = responses
         .recv_timeout(RESPONSE_TIMEOUT)
-        .expect("a response of the cloud");
+        .expect("a response from the cloud");
     fixtures.assert_text(&format!("cloud.{name}.call"), &recorder.next_call());
     response
 }
