--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -223,7 +223,8 @@
         ),
         ("POST", format!("/v2/runs/{id}/withdraw"), None),
     ] {
-        // A delayed response would fail this: the client has a request timeout, as users have.
+        // If the response were delayed, the client's request would time out, as a user's request
+        // would, and the status would be 0.
         let (status, _, retry_after) = cluster.client_request(index, method, &path, body);
         assert_eq!(status, 503, "{method} {path}");
         assert!(retry_after.is_some(), "{method} {path}: no Retry-After");
@@ -500,7 +501,7 @@
             .map(|user| user.join().expect("a finished user thread"))
             .collect()
     });
-    // After this time, all late transactions have been carried out.
+    // Waits until all late transactions have been carried out.
     std::thread::sleep(Duration::from_secs(3));
     cluster.delay_commits.store(false, Ordering::SeqCst);
     for (id, final_states) in &outcomes {
