--- a/crates/reconciliation/src/hold_off.rs
+++ b/crates/reconciliation/src/hold_off.rs
@@ -1,78 +1,79 @@
-//! What a new leader holds back while machines are unreconciled: everything that would
-//! be asked for only because their content, and so their room, is not known yet.
+//! Delays actions of a new leader while machines are unreconciled: actions that would be taken
+//! only because the tasks on those machines, and so their free capacity, are not known yet.
 //!
-//! Each hold is bounded by time. A worker that is asked answers within a moment, so
-//! that two report intervals are enough for all that are alive; what is silent then
-//! is treated as it always is. What gives machines back, or moves work, is never
-//! urgent and waits for a worker's lease, after which nothing can be unreconciled.
+//! Each delay is bounded. A worker responds to a probe within a moment, so two report intervals
+//! are enough for all workers that are alive; machines that are still silent then are treated
+//! as they always are. Returning machines and moving work is never urgent, and waits for the
+//! length of a worker's lease, after which no machine can be unreconciled.
 
 use crate::unreconciled::UnreconciledMachines;
 use finchwood_types::clock::Seconds;
 use finchwood_types::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 
-/// Something that a leader may do to machines or work.
+/// An action of a leader that a hold-off may delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// To rent machines for work without room.
+    /// Renting machines for tasks that fit on no machine.
     Rent,
-    /// To stop lower work for higher.
+    /// Stopping tasks of lower priority in favour of higher priorities.
     Preempt,
-    /// To return idle machines, and to empty others or move their replicas.
+    /// Returning idle machines, draining machines, and moving replicas off machines.
     Consolidate,
-    /// To delete a silent machine that was not asked in vain.
+    /// Deleting a machine that sends no heartbeats, without a probe that it failed to respond to.
     #[serde(rename = "evict-unasked")]
     DeleteUnprobed,
 }
 
-/// Why an action is held back.
+/// Why an action is delayed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HoldReason {
-    /// Not every controller has told what it holds.
+    /// Some controllers have not reported yet which tasks are assigned to their machines.
     #[serde(rename = "parts-unheard")]
     ShardReportsMissing,
-    /// Machines that may have the room, or the work, have not answered yet.
+    /// Machines that may have the free capacity, or the tasks, are unreconciled.
     #[serde(rename = "machines-in-doubt")]
     MachinesUnreconciled,
-    /// Its silence may only be that nobody was there to be told anything.
+    /// The machine may be silent only because no controller was there to receive its
+    /// heartbeats.
     #[serde(rename = "own-absence")]
     ControllerDowntime,
 }
 
-/// How long actions are held back.
+/// How long actions are delayed at most, from the beginning of the hold-off.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HoldOffLimits {
-    /// How long unreconciled machines are waited for before others are rented or lower
-    /// work is stopped, in seconds.
+    /// How long renting and preemption wait for unreconciled machines to respond, in seconds.
     pub answer_timeout_s: Seconds,
-    /// How long machines are neither returned, emptied nor deleted unasked, in seconds:
-    /// a worker's lease, with its margin.
+    /// How long consolidation and the deletion of unprobed machines are delayed, in seconds: a
+    /// worker's lease with its margin for clock drift.
     pub lease_s: Seconds,
 }
 
-/// Hold-off after a leader began without knowledge of its own.
+/// Decides which actions are delayed after a leader has begun without state from an earlier
+/// epoch.
 #[derive(Debug, Clone)]
 pub struct HoldOff {
     limits: HoldOffLimits,
-    /// When the leader began to lead anew; none while it goes on from before.
+    /// When the hold-off began; `None` while the leader continues with the state it had.
     since: Option<Seconds>,
 }
 
-/// What is known at the moment of a question.
+/// The conditions under which a leader checks whether an action is delayed.
 #[derive(Debug, Clone, Copy)]
 pub struct HoldOffContext<'a> {
-    /// The present.
+    /// The current time.
     pub now: Seconds,
-    /// Every controller has told what it holds.
+    /// Whether every controller has reported which tasks are assigned to its machines.
     pub all_shards_reported: bool,
-    /// Machines whose content is not known.
+    /// The machines whose tasks are not known yet.
     pub unreconciled: &'a UnreconciledMachines,
 }
 
 impl HoldOff {
-    /// Hold-off that has not begun.
+    /// Creates a hold-off that has not begun.
     pub fn new(limits: HoldOffLimits) -> HoldOff {
         HoldOff {
             limits,
@@ -80,58 +81,60 @@
         }
     }
 
-    /// A leader begins without knowledge of its own.
+    /// Begins the hold-off, as the leader starts without state from an earlier epoch.
     pub fn begin(&mut self, now: Seconds) {
         self.since = Some(now);
     }
 
-    /// A leader goes on with what it knew.
+    /// Ends the hold-off, as the leader continues with the state it had.
     pub fn end(&mut self) {
         self.since = None;
     }
 
-    /// Whether anything may be held back at all.
+    /// Whether any action may still be delayed.
     pub fn is_active(&self, now: Seconds) -> bool {
         self.since
             .is_some_and(|since| now - since < self.limits.lease_s)
     }
 
-    /// Whether an action is held back, for `spec` if it is for a job, and why.
+    /// Returns why an action is delayed, or `None` if it is allowed. `spec` is the job that
+    /// the action is for, if it is for a single one.
     pub fn hold_reason(
         &self,
         action: Action,
         spec: Option<&JobSpec>,
-        at: HoldOffContext,
+        context: HoldOffContext,
     ) -> Option<HoldReason> {
         let since = self.since?;
-        let age_s = at.now - since;
+        let age_s = context.now - since;
         if age_s >= self.limits.lease_s {
             return None;
         }
         match action {
             Action::DeleteUnprobed => Some(HoldReason::ControllerDowntime),
-            Action::Consolidate => self.hold_consolidation(age_s, at),
+            Action::Consolidate => self.hold_consolidation(age_s, context),
             Action::Rent | Action::Preempt if age_s >= self.limits.answer_timeout_s => None,
-            Action::Rent | Action::Preempt => hold_for_room(spec, at),
+            Action::Rent | Action::Preempt => hold_for_capacity(spec, context),
         }
     }
 
-    fn hold_consolidation(&self, age_s: Seconds, at: HoldOffContext) -> Option<HoldReason> {
-        if !at.all_shards_reported {
+    fn hold_consolidation(&self, age_s: Seconds, context: HoldOffContext) -> Option<HoldReason> {
+        if !context.all_shards_reported {
             return Some(HoldReason::ShardReportsMissing);
         }
         let settling = age_s < self.limits.answer_timeout_s;
-        (settling || !at.unreconciled.is_empty()).then_some(HoldReason::MachinesUnreconciled)
+        (settling || !context.unreconciled.is_empty()).then_some(HoldReason::MachinesUnreconciled)
     }
 }
 
-/// Room is looked for elsewhere only if no unreconciled machine may have it.
-fn hold_for_room(spec: Option<&JobSpec>, at: HoldOffContext) -> Option<HoldReason> {
-    if !at.all_shards_reported {
+/// Returns why an action that provides free capacity is delayed: it is needed only if no
+/// unreconciled machine may have that capacity.
+fn hold_for_capacity(spec: Option<&JobSpec>, context: HoldOffContext) -> Option<HoldReason> {
+    if !context.all_shards_reported {
         return Some(HoldReason::ShardReportsMissing);
     }
-    let may_have_room = spec.map_or(!at.unreconciled.is_empty(), |spec| {
-        at.unreconciled.may_hold(spec)
+    let may_have_capacity = spec.map_or(!context.unreconciled.is_empty(), |spec| {
+        context.unreconciled.may_hold(spec)
     });
-    may_have_room.then_some(HoldReason::MachinesUnreconciled)
+    may_have_capacity.then_some(HoldReason::MachinesUnreconciled)
 }
--- a/crates/reconciliation/src/lib.rs
+++ b/crates/reconciliation/src/lib.rs
@@ -1,16 +1,17 @@
-//! What a controller that begins to own machines, or to lead, makes of what it
-//! finds: stored records on one side, workers' reports on the other.
+//! Reconciles stored records with the reports of workers when a controller starts to own
+//! machines or to lead.
 //!
-//! A cold restart, a change of leader and the takeover of a machine are one path.
-//! Nothing about placements is stored, so that a new owner knows only which
-//! machines there are. For each it waits for proof ([`machine_state`]), decides on each
-//! reported task ([`verdict`]) by what is stored of it ([`stored_jobs`]), and the leader
-//! frees a job's missing tasks once no machine that may run them is unreconciled
-//! ([`unreconciled`]). Meanwhile [`hold_off`] holds back what only that uncertainty would ask
-//! for, and [`restart_record`] keeps what was decided and why.
+//! A cold restart, a change of leader and the takeover of a machine follow the same path.
+//! Placements are not stored, so a new owner starts with no more than the list of machines.
+//! For each machine it waits until a report under its own token confirms what is there
+//! ([`machine_state`]), and decides on each reported task ([`verdict`]) by what is stored
+//! about it ([`stored_jobs`]). The leader frees the missing tasks of a job once no machine
+//! that may run them is unreconciled ([`unreconciled`]). Until then [`hold_off`] delays
+//! actions that only that uncertainty would cause, and [`restart_record`] records what was
+//! decided and why.
 //!
-//! Everything here is pure: time and evidence come in as arguments, decisions go
-//! out as values.
+//! The crate does no I/O and reads no clock: time and evidence are arguments, decisions are
+//! return values.
 
 #![warn(missing_docs, unreachable_pub)]
 #![warn(clippy::expect_used, clippy::panic, clippy::unwrap_used)]
--- a/crates/reconciliation/src/machine_state.rs
+++ b/crates/reconciliation/src/machine_state.rs
@@ -1,60 +1,64 @@
-//! What its owner knows of a machine's content: a state and its transitions.
+//! The reconciliation state of a machine: whether its owner has confirmed which tasks are on
+//! it.
 //!
-//! A new owner can't know what it finds. It asks under its own token, which is
-//! above every earlier owner's: a report that shows this token proves what is there
-//! and that no earlier command can add to it. A worker that is silent proves it by
-//! the length of its lease, as only its owner could have renewed that.
+//! A new owner does not know what is on a machine. It probes the machine under its own token,
+//! which is higher than that of every earlier owner: a report that shows this token confirms
+//! what is there, and that no earlier command can add to it. If the worker stays silent, the
+//! expiry of its lease proves that nothing is left, since only the owner could have renewed
+//! that lease.
 
 use serde::{Deserialize, Serialize};
 
-/// What is known of the content of a machine.
+/// What is known of the tasks on a machine. A machine is unreconciled while they are unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MachineState {
-    /// The machine registry says that nobody has started anything there: empty.
+    /// According to the machine registry, no task was ever started there: it has none.
     Unused,
-    /// Somebody has used it, and nothing was heard of it yet: unreconciled.
+    /// It is in use, and has not reported to its owner yet: unreconciled.
     #[serde(rename = "unheard")]
     NoHeartbeat,
-    /// It has spoken, but not under its owner's token: what it says may be old, or
-    /// may be added to by an earlier owner's command. Unreconciled, and being asked.
+    /// It has reported, but not under its owner's token: the report may be old, or a command
+    /// of an earlier owner may still add to it. Unreconciled, and being probed.
     #[serde(rename = "heard")]
     Unconfirmed,
     /// A report under its owner's token has shown what is there.
     #[serde(rename = "proven")]
     Confirmed,
-    /// Its worker's lease is past: what it held is nowhere.
+    /// The lease of its worker has expired: nothing runs there any more.
     #[serde(rename = "lease-past")]
     LeaseExpired,
 }
 
-/// What its owner learns of a machine.
+/// What the owner of a machine learns of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineEvent {
-    /// A report newer than all before.
+    /// A report that is newer than all before has arrived.
     Heartbeat {
-        /// No sign of life was seen since its owner came to own it.
+        /// Whether it is the first sign of life since the owner came to own the machine.
         first_contact: bool,
-        /// The machine registry says that tasks may have been started there.
+        /// Whether tasks may have been started there, according to the machine registry.
         used: bool,
-        /// It shows its owner's token, or one above it.
+        /// Whether the worker has seen the owner's token, or a higher one.
         owner_token_seen: bool,
     },
-    /// No answer of its owner's can have renewed its lease any more.
+    /// The worker's lease has expired for certain: no response of the owner can have renewed it
+    /// since.
     LeaseExpired,
 }
 
-/// What follows from an event.
+/// The result of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transition {
-    /// The state from now on.
+    /// The state after the event.
     pub state: MachineState,
-    /// To be asked at once under its owner's token.
+    /// Whether the owner has to probe the machine at once under its token.
     pub probe: bool,
 }
 
 impl MachineState {
-    /// The state of a machine that has come on the machine registry, or was taken over with it.
+    /// Returns the initial state of a machine that was added to the machine registry or taken
+    /// over. `used` is whether tasks may have been started there.
     pub fn initial(used: bool) -> MachineState {
         if used {
             MachineState::NoHeartbeat
@@ -63,7 +67,7 @@
         }
     }
 
-    /// Whether its content is known.
+    /// Whether the tasks on the machine are known.
     pub fn is_reconciled(self) -> bool {
         match self {
             MachineState::Unused | MachineState::Confirmed | MachineState::LeaseExpired => true,
@@ -71,7 +75,7 @@
         }
     }
 
-    /// The state after an event.
+    /// Returns the state that follows this one after an event.
     pub fn after(self, event: MachineEvent) -> Transition {
         match event {
             MachineEvent::LeaseExpired => Transition {
@@ -98,10 +102,11 @@
                 probe: false,
             };
         }
-        // Guard: one thought to be past its lease has spoken after all. Whatever it
-        // says may be old until it has seen the token.
-        let surprising = first_contact && used;
-        if self.is_reconciled() && !surprising {
+        // Guard: a machine that counted as empty, for instance because its lease was thought
+        // to have expired, has reported after all. What it reports may be old until its worker
+        // has seen the token.
+        let unexpected = first_contact && used;
+        if self.is_reconciled() && !unexpected {
             return Transition {
                 state: self,
                 probe: false,
--- a/crates/reconciliation/src/restart_record.rs
+++ b/crates/reconciliation/src/restart_record.rs
@@ -1,8 +1,8 @@
-//! The record of a restart: what was found, what became of it and why.
+//! The record of a restart: what the controller found, what it decided and why.
 //!
-//! A controller keeps one record for the time since it last began to own machines
-//! without knowledge of its own. Views of it are handed out while it grows, so that
-//! the entries are a persistent queue: a view costs a few counters, however many
+//! A controller keeps one record, which begins when it last started to own machines without
+//! state from an earlier epoch. Snapshots of the record are published while it grows. The
+//! entries are a persistent queue, so a snapshot copies only a few counters, however many
 //! entries there are.
 
 use crate::hold_off::{Action, HoldReason};
@@ -14,84 +14,84 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a controller brought with it into the epoch in which the record begins.
+/// The state that a controller had when it entered the epoch in which the record begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PriorKnowledge {
-    /// No epoch has been entered yet.
+    /// It has not entered an epoch yet.
     #[serde(rename = "not-yet")]
     NotEntered,
-    /// Nothing: the process, or its incarnation, is new.
+    /// None: the process or its incarnation is new.
     #[serde(rename = "fresh")]
     Empty,
-    /// All that it knew in the epoch before; the record goes on.
+    /// All its state of the previous epoch; the record continues.
     #[serde(rename = "kept")]
     Retained,
 }
 
-/// One decision.
+/// A decision on a reported task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DecisionEntry {
-    /// Seconds since the record began.
+    /// The time of the decision, in seconds since the record began.
     pub at_s: f64,
     /// The task, as `job/index`.
     pub task: String,
-    /// The attempt that was reported.
+    /// The reported attempt.
     pub attempt: u64,
-    /// The machine that reported it.
+    /// The machine that reported the task.
     pub machine: MachineId,
-    /// Its worker's session.
+    /// The session of the machine's worker.
     pub session: u64,
-    /// What became of it.
+    /// The decision and its reason.
     #[serde(flatten)]
     pub verdict: Verdict,
 }
 
-/// How often a verdict was given.
+/// The number of times that a verdict was given.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VerdictCount {
     /// The verdict, with its reason.
     #[serde(flatten)]
     pub verdict: Verdict,
-    /// How often.
+    /// The number of times.
     pub count: u64,
 }
 
-/// How often an action was held back.
+/// The number of times that an action was delayed for a reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldCount {
-    /// What was held back.
+    /// The delayed action.
     pub action: Action,
-    /// Why.
+    /// Why it was delayed.
     pub reason: HoldReason,
-    /// How often.
+    /// The number of times.
     pub count: u64,
 }
 
-/// How many machines are in a state.
+/// The number of machines in a state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineCount {
-    /// The state.
+    /// What is known of the tasks on these machines.
     pub state: MachineState,
-    /// How many.
+    /// The number of machines.
     pub count: u32,
 }
 
-/// Why a task was ordered to stop.
+/// Why a task was commanded to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StopCause {
-    /// Its job is over or cancelled, or the task is.
+    /// Its job is done or cancelled, or the task is finished.
     #[serde(rename = "over")]
     NoLongerNeeded,
-    /// The leader has asked for it back.
+    /// The leader has withdrawn its assignment.
     Recalled,
-    /// It makes room for work of a higher priority.
+    /// It is preempted by work of a higher priority.
     Preempted,
-    /// Its machine will be taken away.
+    /// The cloud has announced that it reclaims the machine.
     #[serde(rename = "notice")]
     MachineReclaimed,
-    /// Its owner holds another start of it, or none.
+    /// Its owner has not assigned this attempt of it to this machine.
     #[serde(rename = "not-held")]
     NotAssigned,
 }
@@ -107,74 +107,75 @@
     }
 }
 
-/// Commands that were given, repetitions included.
+/// The numbers of commands sent to workers, including repetitions.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandCounts {
-    /// Direct commands without any call: questions.
+    /// Probes: direct commands without content, to which a worker responds with its state.
     #[serde(rename = "questions")]
     pub probes: u64,
-    /// Starts.
+    /// Commands to start a task.
     pub starts: u64,
-    /// Stops, by cause.
+    /// Commands to stop a task, by cause.
     pub stops: BTreeMap<StopCause, u64>,
-    /// Reaps.
+    /// Commands to forget an ended task.
     #[serde(rename = "reaps")]
     pub forgets: u64,
 }
 
-/// The record as it grows.
+/// The record of a controller since it last began without state.
 #[derive(Debug, Clone)]
 pub struct RestartRecord {
     max_entries: usize,
     prior_knowledge: PriorKnowledge,
     epoch: u64,
-    began: Seconds,
-    /// When no machine was unreconciled for the first time.
+    began_at: Seconds,
+    /// When all machines were reconciled for the first time.
     reconciled_at: Option<Seconds>,
     verdicts: BTreeMap<Verdict, u64>,
     holds: BTreeMap<(Action, HoldReason), u64>,
     entries: QueueSync<DecisionEntry>,
     dropped_entries: u64,
-    /// Commands given since the record began.
+    /// The commands sent since the record began.
     pub commands: CommandCounts,
 }
 
-/// What the record says at a moment, for whoever asks.
+/// A snapshot of the record, for operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct RecordView {
-    /// What the controller brought with it.
+    /// The state that the controller had when it entered the epoch.
     #[serde(rename = "arrival")]
     pub prior_knowledge: PriorKnowledge,
-    /// The present epoch; 0 before the first.
+    /// The current epoch; 0 before the first.
     pub epoch: u64,
-    /// How long ago the record began, in seconds.
+    /// The time since the record began, in seconds.
     pub age_s: f64,
-    /// After how many seconds no machine was unreconciled; none while some are.
+    /// The time from the beginning of the record until all machines were reconciled, in
+    /// seconds; `None` as long as they never were.
     #[serde(rename = "certain_after_s")]
     pub reconciled_after_s: Option<f64>,
-    /// The machines by what is known of them.
+    /// The number of the controller's machines in each state.
     pub machines: Vec<MachineCount>,
-    /// Verdicts on what machines showed first.
+    /// The verdicts on the tasks that machines reported first.
     pub verdicts: Vec<VerdictCount>,
-    /// What was held back, by reason.
+    /// The delayed actions, by reason.
     pub holds: Vec<HoldCount>,
-    /// Commands given.
+    /// The commands sent.
     #[serde(rename = "orders")]
     pub commands: CommandCounts,
-    /// The latest decisions, the oldest first.
+    /// The latest decisions, from the oldest to the newest.
     pub entries: QueueSync<DecisionEntry>,
-    /// Earlier decisions that are no longer kept.
+    /// The number of earlier decisions that are no longer kept.
     pub entries_left_out: u64,
 }
 
 impl RestartRecord {
-    /// An empty record that keeps the latest `most_entries` decisions.
+    /// Creates an empty record that keeps the latest `max_entries` decisions.
     pub fn new(max_entries: usize) -> RestartRecord {
         RestartRecord {
             max_entries,
             prior_knowledge: PriorKnowledge::NotEntered,
             epoch: 0,
-            began: 0.0,
+            began_at: 0.0,
             reconciled_at: None,
             verdicts: BTreeMap::new(),
             holds: BTreeMap::new(),
@@ -184,13 +185,14 @@
         }
     }
 
-    /// An epoch is entered, with all knowledge of the one before or with none.
-    pub fn enter_epoch(&mut self, epoch: u64, kept: bool, now: Seconds) {
-        if !kept {
+    /// Records that the controller has entered an epoch. Unless it has `retained` its state of
+    /// the previous epoch, the record begins anew.
+    pub fn enter_epoch(&mut self, epoch: u64, retained: bool, now: Seconds) {
+        if !retained {
             *self = RestartRecord::new(self.max_entries);
-            self.began = now;
+            self.began_at = now;
         }
-        self.prior_knowledge = if kept {
+        self.prior_knowledge = if retained {
             PriorKnowledge::Retained
         } else {
             PriorKnowledge::Empty
@@ -198,8 +200,8 @@
         self.epoch = epoch;
     }
 
-    /// A task was judged for the first time on its machine, or contradicts what is
-    /// known.
+    /// Records a decision: on a task that its machine reported first, or that contradicts the
+    /// known assignments.
     pub fn record_decision(&mut self, entry: DecisionEntry) {
         *self.verdicts.entry(entry.verdict).or_default() += 1;
         if self.max_entries == 0 {
@@ -213,29 +215,30 @@
         self.entries.enqueue_mut(entry);
     }
 
-    /// Seconds since the record began.
+    /// Returns the time since the record began, in seconds.
     pub fn age_s(&self, now: Seconds) -> f64 {
-        now - self.began
+        now - self.began_at
     }
 
-    /// An action was held back.
+    /// Records that an action was delayed.
     pub fn record_hold(&mut self, action: Action, reason: HoldReason) {
         *self.holds.entry((action, reason)).or_default() += 1;
     }
 
-    /// How many machines are unreconciled now.
-    pub fn record_unreconciled(&mut self, in_doubt: usize, now: Seconds) {
-        if in_doubt == 0 && self.prior_knowledge != PriorKnowledge::NotEntered {
+    /// Records the number of machines that are unreconciled now.
+    pub fn record_unreconciled(&mut self, unreconciled: usize, now: Seconds) {
+        if unreconciled == 0 && self.prior_knowledge != PriorKnowledge::NotEntered {
             self.reconciled_at.get_or_insert(now);
         }
     }
 
-    /// How often a verdict was given.
+    /// Returns how many times a verdict was given.
     pub fn count(&self, verdict: Verdict) -> u64 {
         self.verdicts.get(&verdict).copied().unwrap_or(0)
     }
 
-    /// What the record says now; `machines` are those of the controller.
+    /// Returns a snapshot of the record. `machines` are the states of the controller's
+    /// machines.
     pub fn view(&self, machines: impl Iterator<Item = MachineState>, now: Seconds) -> RecordView {
         let mut by_state: BTreeMap<MachineState, u32> = BTreeMap::new();
         for state in machines {
@@ -257,7 +260,7 @@
             prior_knowledge: self.prior_knowledge,
             epoch: self.epoch,
             age_s: self.age_s(now),
-            reconciled_after_s: self.reconciled_at.map(|at| at - self.began),
+            reconciled_after_s: self.reconciled_at.map(|at| at - self.began_at),
             machines: by_state
                 .into_iter()
                 .map(|(state, count)| MachineCount { state, count })
--- a/crates/reconciliation/src/stored_jobs.rs
+++ b/crates/reconciliation/src/stored_jobs.rs
@@ -1,17 +1,17 @@
-//! What the key-value store says of a task.
+//! The stored state of a task, as far as verdicts depend on it.
 
 use finchwood_types::wire::Task;
 
-/// What is stored of a task.
+/// The stored state of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoredTask {
-    /// No record of its job is known.
+    /// There is no record of its job.
     UnknownJob,
     /// Its job has fewer tasks.
     NoSuchTask,
-    /// Its job lives, and the task is not committed as finished.
+    /// Its job is neither done nor cancelled, and the task is not committed as finished.
     Unfinished,
-    /// Committed as finished; its job lives.
+    /// It is committed as finished, and its job is neither done nor cancelled.
     Finished,
     /// Its job is done.
     JobDone,
@@ -20,7 +20,7 @@
 }
 
 impl StoredTask {
-    /// Whether the task needs no more runs.
+    /// Whether the task does not have to run any more.
     pub fn needs_no_run(self) -> bool {
         matches!(
             self,
@@ -29,8 +29,8 @@
     }
 }
 
-/// Whoever can tell what is stored.
+/// Access to the stored jobs.
 pub trait StoredJobs {
-    /// What is stored of a task.
+    /// Returns what is stored of a task.
     fn stored_task(&self, task: &Task) -> StoredTask;
 }
--- a/crates/reconciliation/src/unreconciled.rs
+++ b/crates/reconciliation/src/unreconciled.rs
@@ -1,44 +1,44 @@
-//! Which machines are unreconciled, and which jobs wait for that.
+//! Which machines are unreconciled, and which jobs have to wait for them.
 //!
-//! A machine that stays unheard holds up only the jobs that may be on it: those
-//! allowed on its type, in its zone and on its kind. So waiting is decided per job and
-//! per class of machines, and never for the fleet as a whole.
+//! An unreconciled machine delays only the jobs that may run on it: those that allow its type
+//! and zone, and spot machines if it is one. Whether to wait is therefore decided for each job
+//! and class of machines, never for the whole fleet.
 
 use finchwood_types::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Machines that are the same to every job.
+/// The properties of a machine that decide which jobs it may run.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MachineClass {
-    /// The machine type.
+    /// The name of the machine type.
     #[serde(rename = "kind")]
     pub machine_type: Arc<str>,
     /// The zone.
     pub zone: Arc<str>,
-    /// Whether the cloud may take it back at any time.
+    /// Whether it is a spot machine, which the cloud may reclaim at any time.
     pub spot: bool,
 }
 
-/// The unreconciled machines, by class.
+/// The number of unreconciled machines in each class.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct UnreconciledMachines {
     by_class: BTreeMap<MachineClass, u32>,
 }
 
 impl UnreconciledMachines {
-    /// Whether no machine is unreconciled.
+    /// Whether all machines are reconciled.
     pub fn is_empty(&self) -> bool {
         self.by_class.is_empty()
     }
 
-    /// How many machines are unreconciled.
+    /// Returns the number of unreconciled machines.
     pub fn count(&self) -> u32 {
         self.by_class.values().sum()
     }
 
-    /// Whether a task of a job may be on an unreconciled machine.
+    /// Whether a task of this job may be on an unreconciled machine.
     pub fn may_hold(&self, spec: &JobSpec) -> bool {
         self.by_class
             .keys()
@@ -56,25 +56,26 @@
     }
 }
 
-/// How much is known of where a job's tasks are.
+/// How far the tasks of a job are reconciled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReconciliationPhase {
-    /// Nothing: it may run anywhere, or nowhere.
+    /// None of its unfinished tasks was found yet.
     #[serde(rename = "awaiting")]
     Pending,
     /// Some tasks were found, others are unreconciled.
     #[serde(rename = "partly")]
     Partial,
-    /// Every task is held by somebody, finished, or proven to be nowhere.
+    /// Every task is assigned, finished, or confirmed to run on no machine.
     #[serde(rename = "certain")]
     Complete,
 }
 
 impl ReconciliationPhase {
-    /// The phase of a job with `in_doubt` unreconciled tasks and `found` held by somebody.
-    pub fn of(in_doubt: u32, found: usize) -> ReconciliationPhase {
-        match (in_doubt, found) {
+    /// Returns the phase of a job of which `unreconciled` tasks are unreconciled and `found` are
+    /// assigned.
+    pub fn of(unreconciled: u32, found: usize) -> ReconciliationPhase {
+        match (unreconciled, found) {
             (0, _) => ReconciliationPhase::Complete,
             (_, 0) => ReconciliationPhase::Pending,
             _ => ReconciliationPhase::Partial,
--- a/crates/reconciliation/src/verdict.rs
+++ b/crates/reconciliation/src/verdict.rs
@@ -1,30 +1,30 @@
-//! What becomes of a task that a worker reports, and why.
+//! Decides what to do with a task that a worker reports, and why.
 
 use crate::stored_jobs::StoredTask;
 use finchwood_types::token::attempt_epoch;
 use finchwood_types::wire::{cause, TaskState};
 use serde::{Deserialize, Serialize};
 
-/// A line of a worker's report, as far as it matters here.
+/// The parts of a task in a worker's report that a verdict depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedTask {
     /// The attempt that it runs or ran under.
     pub attempt: u64,
-    /// Whether and how it has ended; none while it is on its machine.
+    /// How it ended; `None` while it is still on the machine.
     pub ended: Option<TaskEnd>,
 }
 
 /// How a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskEnd {
-    /// Completed: the worker keeps the result.
+    /// It completed, and the worker keeps its result.
     Completed,
-    /// Stopped, failed, refused, or something that this version doesn't know.
+    /// It was stopped, failed or refused, or ended in a way that this version does not know.
     Other,
 }
 
 impl ReportedTask {
-    /// Reads a line's state and cause.
+    /// Interprets the state and the cause that a worker reports.
     pub fn new(attempt: u64, state: TaskState, why: Option<&str>) -> ReportedTask {
         let ended = match (state, why) {
             (TaskState::Ended, Some(cause::DONE)) => Some(TaskEnd::Completed),
@@ -35,38 +35,38 @@
     }
 }
 
-/// What the machine's owner holds of the same task.
+/// The assignment of the same task according to the machine's owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KnownAssignment {
-    /// Nothing.
+    /// The owner has not assigned it.
     Unassigned,
-    /// This attempt, on this machine.
+    /// It is assigned to this machine, under the reported attempt.
     Same,
-    /// It was assigned and has no machine yet.
+    /// It is assigned to this owner, which has not placed it on a machine yet.
     Unplaced,
-    /// It is on another machine, or under another attempt on this one.
+    /// It is placed on another machine, or under another attempt on this one.
     Elsewhere,
 }
 
-/// What becomes of a reported task.
+/// The decision on a reported task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "verdict", content = "reason")]
 pub enum Verdict {
-    /// It is where its owner knows it to be.
+    /// It is assigned to this machine: nothing changes.
     Known,
-    /// It is held as running from now on; no order is given.
+    /// It is assigned to this machine as running from now on; the worker gets no command.
     Adopt(AdoptReason),
-    /// Its end is held and reported until it is committed.
+    /// It is assigned to this machine as finished, and reported until its end is committed.
     RecordFinished,
-    /// It is held until it has stopped, and told to stop.
+    /// It is commanded to stop, and stays assigned to this machine until it has stopped.
     Stop(StopReason),
-    /// Its worker may forget it.
+    /// The worker may forget it.
     #[serde(rename = "reap")]
     Forget(ForgetReason),
-    /// It is left alone: nothing says what should become of it.
+    /// It is left alone, since there is no record by which to decide.
     #[serde(rename = "leave-in-doubt")]
     LeaveUnreconciled(UnreconciledReason),
-    /// It contradicts what its owner holds.
+    /// It contradicts the owner's assignment of the task.
     Conflict(ConflictReason),
 }
 
@@ -74,9 +74,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AdoptReason {
-    /// It runs, its job wants it, and nobody else holds it.
+    /// It runs, its job needs it, and it is not assigned.
     Runs,
-    /// It was planned for some machine, and is found to be here already.
+    /// It was assigned but not placed, and is on this machine already.
     #[serde(rename = "found-while-planned")]
     FoundWhileUnplaced,
     /// The same as `Runs`, but its attempt is of an epoch that has not begun.
@@ -93,7 +93,7 @@
     JobDone,
     /// It is committed as finished.
     TaskFinished,
-    /// Its owner holds another start of it.
+    /// Its owner has not assigned this attempt of it to this machine.
     #[serde(rename = "held-elsewhere")]
     AssignedElsewhere,
 }
@@ -102,7 +102,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ForgetReason {
-    /// Its end is committed, or nobody needs it.
+    /// Its end is committed, or its result is not needed.
     EndCommitted,
     /// It ended without a result.
     NothingToKeep,
@@ -112,31 +112,32 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UnreconciledReason {
-    /// No record of its job is known.
+    /// There is no record of its job.
     UnknownJob,
     /// Its job has fewer tasks.
     NoSuchTask,
 }
 
-/// How a task contradicts what its owner holds.
+/// How a reported task contradicts the owner's assignment of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConflictReason {
-    /// It runs here, and another start of it is held.
+    /// It runs here although another attempt or machine is assigned.
     RunsTwice,
-    /// It has completed here while another start of it is held: the result is kept.
+    /// It has completed here although another attempt or machine is assigned: the result is
+    /// kept.
     CompletedElsewhere,
 }
 
-/// Judges a reported task by what its owner holds and what is stored of it;
-/// `epoch` is the owner's.
+/// Decides on a reported task by its assignment and its stored state. `epoch` is the epoch of
+/// the machine's owner.
 pub fn decide(
     reported: ReportedTask,
-    holding: KnownAssignment,
+    known: KnownAssignment,
     stored: StoredTask,
     epoch: u64,
 ) -> Verdict {
-    match (holding, reported.ended) {
+    match (known, reported.ended) {
         (KnownAssignment::Same, _) => Verdict::Known,
         (KnownAssignment::Unplaced, None | Some(TaskEnd::Completed)) => {
             Verdict::Adopt(AdoptReason::FoundWhileUnplaced)
@@ -149,11 +150,11 @@
         (KnownAssignment::Unassigned, Some(TaskEnd::Completed)) if !stored.needs_no_run() => {
             decide_completed(stored)
         }
-        (_, Some(ending)) => Verdict::Forget(forget_reason(ending)),
+        (_, Some(end)) => Verdict::Forget(forget_reason(end)),
     }
 }
 
-/// A task that runs and that nobody holds.
+/// Decides on a task that runs and is not assigned.
 fn decide_running(attempt: u64, stored: StoredTask, epoch: u64) -> Verdict {
     match stored {
         StoredTask::JobCancelled => Verdict::Stop(StopReason::JobCancelled),
@@ -168,7 +169,7 @@
     }
 }
 
-/// A task that has completed, that nobody holds and whose end is not committed.
+/// Decides on a task that has completed, is not assigned, and whose end is not committed.
 fn decide_completed(stored: StoredTask) -> Verdict {
     match stored {
         StoredTask::UnknownJob => Verdict::LeaveUnreconciled(UnreconciledReason::UnknownJob),
@@ -177,36 +178,38 @@
     }
 }
 
-fn forget_reason(ending: TaskEnd) -> ForgetReason {
-    match ending {
+fn forget_reason(end: TaskEnd) -> ForgetReason {
+    match end {
         TaskEnd::Completed => ForgetReason::EndCommitted,
         TaskEnd::Other => ForgetReason::NothingToKeep,
     }
 }
 
-/// Whether a worker may forget a task now. A result is kept until it is committed,
-/// whoever holds what; the rest until its owner has let go of it.
+/// Returns why the worker may forget a task now, or `None` if it has to keep it. A result is
+/// kept until it is committed, whatever is assigned; any other ended task until its owner no
+/// longer has it assigned here.
 pub fn may_forget(
     reported: ReportedTask,
-    holding: KnownAssignment,
+    known: KnownAssignment,
     stored: StoredTask,
 ) -> Option<ForgetReason> {
     match reported.ended? {
         TaskEnd::Completed if stored.needs_no_run() => Some(ForgetReason::EndCommitted),
-        TaskEnd::Other if holding != KnownAssignment::Same => Some(ForgetReason::NothingToKeep),
+        TaskEnd::Other if known != KnownAssignment::Same => Some(ForgetReason::NothingToKeep),
         TaskEnd::Completed | TaskEnd::Other => None,
     }
 }
 
-/// Whether a task has to be stopped because its owner does not hold it here.
-pub fn must_stop(reported: ReportedTask, holding: KnownAssignment) -> Option<StopReason> {
-    let here = reported.ended.is_none();
-    (here && holding != KnownAssignment::Same).then_some(StopReason::AssignedElsewhere)
+/// Returns why a task has to be stopped, or `None` if it may stay: a task is stopped if it is
+/// on a machine without being assigned to it under the same attempt.
+pub fn must_stop(reported: ReportedTask, known: KnownAssignment) -> Option<StopReason> {
+    let on_machine = reported.ended.is_none();
+    (on_machine && known != KnownAssignment::Same).then_some(StopReason::AssignedElsewhere)
 }
 
-/// Whether an attempt counts as the highest seen of its task, so that a late copy of an
-/// assignment with a lower one does nothing. Guard: one of an epoch that has not begun
-/// would block every later start.
+/// Whether an attempt was chosen in an epoch that has begun by `epoch`. Only such an attempt
+/// counts as the highest of its task, so that late copies of assignments with lower ones are
+/// ignored. Guard: an attempt of an epoch that has not begun would block every later start.
 pub fn attempt_epoch_has_begun(attempt: u64, epoch: u64) -> bool {
     attempt_epoch(attempt) <= epoch
 }
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,16 +1,17 @@
-//! Hash ranges of machines, and how they move between live controllers without a pause.
+//! Assigns hash ranges of machines to controllers, and transfers ranges between live
+//! controllers without interrupting the tasks on them.
 //!
-//! The ordinary path is a hash of machine and controller: it names each machine's hash owner.
-//! A hash range is an exception to that: a range of one hash owner's machines, by their positions,
-//! that another controller owns ([`shard_map`]). One value in the key-value store holds all of
-//! them, and one compare-and-set changes it.
+//! By default, a hash of machine and controller names the owner of each machine: its hash
+//! owner. A hash range is an exception to that: a range of one hash owner's machines, by their
+//! hash positions, that another controller owns ([`shard_map`]). The key-value store holds the
+//! whole shard map as one value, which is changed by compare-and-set.
 //!
-//! The leader moves a hash range in steps ([`transfer`]): the target accepts, the source stops
-//! giving orders and tells what it knows ([`transfer_state`]), the shard map changes, the target
-//! goes on from what the source knew. What moves, and why, is decided in [`planner`], from
-//! the loads of the controllers and what operators ask for ([`plan`]).
+//! The leader transfers a hash range in steps ([`transfer`]): the target accepts, the source
+//! fences the range and reports its state of them ([`transfer_state`]), the shard map changes,
+//! and the target continues from that state. The [`planner`] decides which ranges move and
+//! why, by the load of the controllers and by what operators request ([`plan`]).
 //!
-//! Everything here is pure: time comes in as an argument, orders go out as values.
+//! The crate does no I/O and reads no clock: time is an argument, orders are return values.
 
 #![warn(missing_docs, unreachable_pub)]
 #![warn(clippy::expect_used, clippy::panic, clippy::unwrap_used)]
--- a/crates/sharding/src/plan.rs
+++ b/crates/sharding/src/plan.rs
@@ -1,64 +1,68 @@
-//! What operators ask for: controllers to be emptied, and machines to be moved.
+//! Plans of transfers, which operators submit: controllers to drain, and machines to move.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// A plan. It replaces the one before.
+/// A plan of transfers. A new plan replaces the previous one.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Controllers whose machines all go to others.
+    /// The names of the controllers to drain: all their machines go to others.
     #[serde(default)]
     pub drain: Vec<String>,
-    /// Moves of some machines, once each.
+    /// Moves of some machines, each carried out once.
     #[serde(default)]
     pub moves: Vec<PlannedMove>,
 }
 
-/// Some machines of one controller that are to go to another.
+/// A number of machines to move from one controller to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedMove {
-    /// Their owner.
+    /// The controller that owns them.
     #[serde(rename = "from")]
     pub source: String,
-    /// Their owner to be.
+    /// The controller that takes them over.
     #[serde(rename = "to")]
     pub target: String,
-    /// How many.
+    /// The number of machines that are still to be moved.
     pub machines: usize,
 }
 
-/// Why a plan is refused, whole.
+/// Why a plan is refused as a whole.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PlanError {
-    /// It names a controller that is not there.
+    /// A name is not that of a live controller.
     #[error("plan: no such controller: {0}")]
     UnknownController(String),
-    /// It moves machines to their owner.
+    /// A move has the same source and target.
     #[error("plan: from {0} to itself")]
     SourceIsTarget(String),
-    /// It moves no machines.
+    /// A move has no machines.
     #[error("plan: no machines from {0} to {1}")]
     NoMachines(String, String),
-    /// It names the same pair, or controller to be emptied, twice.
+    /// A controller to drain, or a pair of source and target, is named twice.
     #[error("plan: {0} is named twice")]
     Duplicate(String),
-    /// It moves machines to a controller that it empties.
+    /// The target of a move is to be drained.
     #[error("plan: moves machines to {0}, which is to be emptied")]
     TargetDrained(String),
-    /// It empties every controller.
+    /// All controllers are to be drained.
     #[error("plan: nobody is left to take the machines")]
     NoControllerLeft,
 }
 
 impl Plan {
-    /// Whether the plan makes sense among `members`.
+    /// Checks the plan against `members`, the names of the live controllers.
+    ///
+    /// # Errors
+    ///
+    /// The first thing in the plan that can't be carried out.
     pub fn check(&self, members: &BTreeSet<String>) -> Result<(), PlanError> {
         let mut drained = BTreeSet::new();
         for name in &self.drain {
-            known(name, members)?;
+            check_member(name, members)?;
             if !drained.insert(name) {
                 return Err(PlanError::Duplicate(name.clone()));
             }
@@ -73,8 +77,8 @@
                 target,
                 machines,
             } = planned;
-            known(source, members)?;
-            known(target, members)?;
+            check_member(source, members)?;
+            check_member(target, members)?;
             if source == target {
                 return Err(PlanError::SourceIsTarget(source.clone()));
             }
@@ -92,7 +96,7 @@
     }
 }
 
-fn known(name: &str, members: &BTreeSet<String>) -> Result<(), PlanError> {
+fn check_member(name: &str, members: &BTreeSet<String>) -> Result<(), PlanError> {
     if members.contains(name) {
         return Ok(());
     }
--- a/crates/sharding/src/planner.rs
+++ b/crates/sharding/src/planner.rs
@@ -1,6 +1,6 @@
-//! Which hash range moves next, and why: what operators asked for, controllers that are to be
-//! emptied, and controllers that own far more machines than others; in this order, within
-//! a budget of moves.
+//! Decides which hash range moves next and why: first the moves that operators requested, then
+//! the ranges of controllers that are being drained, then those of controllers that own far
+//! more machines than others, all within a limited rate of moves.
 
 use crate::hash_position::HashPosition;
 use crate::plan::{Plan, PlannedMove};
@@ -12,37 +12,39 @@
 /// A machine with its hash owner and its owner.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OwnedMachine {
-    /// The owner by the hash.
+    /// The controller that owns it by the hash.
     pub hash_owner: String,
-    /// Where it stands among the machines of its hash owner.
+    /// Its position among the machines of its hash owner.
     pub position: HashPosition,
-    /// Who owns it.
+    /// The controller that owns it.
     pub owner: String,
 }
 
-/// How much may move.
+/// The limits for the planner.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannerLimits {
-    /// The most machines of one range that moves.
+    /// The most machines of a range that moves.
     pub machines_per_move: usize,
-    /// Moves in a minute; as many may come at once.
+    /// The rate of moves per minute, which is also the largest burst.
     pub moves_per_minute: f64,
-    /// A controller that owns more than the mean by this fraction gives machines away.
+    /// The fraction of the mean number of machines by which a controller may exceed the mean.
+    /// One that owns more gives machines away.
     pub imbalance: f64,
     /// The most ranges that the shard map may hold.
     pub max_ranges: usize,
-    /// Machines that have moved stay for so long, unless somebody asks, in seconds.
+    /// The time for which machines that have moved are not moved again for balance, in
+    /// seconds.
     pub cooldown_s: Seconds,
 }
 
-/// What is known of the fleet at the moment of planning.
+/// The state of the fleet at the time of planning.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet<'a> {
-    /// The live controllers.
+    /// The names of the live controllers.
     pub members: &'a BTreeSet<String>,
-    /// All machines.
+    /// All machines of the machine registry.
     pub machines: &'a [OwnedMachine],
-    /// Who owns which hash range.
+    /// The current shard map.
     pub shard_map: &'a ShardMap,
 }
 
@@ -50,28 +52,28 @@
 #[derive(Debug)]
 struct Candidate {
     range_move: RangeMove,
-    /// How many machines move.
+    /// The number of machines in the range.
     machines: usize,
-    /// Which of the planned moves it carries out.
+    /// The index of the planned move that it carries out, if any.
     planned: Option<usize>,
 }
 
-/// Chooses moves.
+/// Chooses the moves of hash ranges.
 #[derive(Debug, Clone)]
 pub struct Planner {
     limits: PlannerLimits,
     plan: Plan,
-    /// How many moves may be made now.
+    /// The number of moves that may be made now (a token bucket).
     budget: f64,
     refilled_at: Seconds,
-    /// Ranges that have moved, and when.
+    /// Ranges that have moved within the cooldown, and when.
     recently_moved: Vec<(HashRange, Seconds)>,
-    /// Ranges that operators have placed: no balance takes them back.
+    /// Ranges that operators have placed, which are not moved for balance.
     pinned: Vec<HashRange>,
 }
 
 impl Planner {
-    /// A planner with a full budget and no plan.
+    /// Creates a planner with a full budget and an empty plan.
     pub fn new(limits: PlannerLimits, now: Seconds) -> Planner {
         Planner {
             limits,
@@ -83,19 +85,19 @@
         }
     }
 
-    /// What operators asked for and is not carried out yet.
+    /// Returns the part of the operators' plan that is not carried out yet.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Operators ask for something else from now on.
+    /// Replaces the plan, and allows ranges of earlier plans to be moved for balance again.
     pub fn set_plan(&mut self, plan: Plan) {
         self.plan = plan;
         self.pinned.clear();
     }
 
-    /// The next move, if one is wanted and the budget allows it. Where the shard map is too
-    /// full for it, a hash owner takes back the smallest range instead.
+    /// Returns the next move, if one is needed and the budget allows it. If no needed move
+    /// fits into the shard map, the smallest range goes back to its hash owner instead.
     pub fn next(&mut self, fleet: Fleet, transfers: &Transfers, now: Seconds) -> Option<RangeMove> {
         self.refill(now);
         if self.budget < 1.0 {
@@ -145,9 +147,9 @@
             .retain(|(_, at)| now - *at < limits.cooldown_s);
     }
 
-    /// The first planned move that can be made.
+    /// Returns the first planned move that can be made, and drops those that no longer can.
     fn choose_planned(&mut self, fleet: Fleet, transfers: &Transfers) -> Option<Candidate> {
-        // Whoever has nothing left has given all that it can.
+        // A controller that owns no machines any more has given away all it can.
         let owns = |name: &String| fleet.machines.iter().any(|machine| machine.owner == *name);
         let possible = |planned_move: &PlannedMove| {
             planned_move.machines > 0
@@ -179,8 +181,9 @@
             })
     }
 
-    /// A hash range of a controller that is to be emptied goes to whoever owns least, or to
-    /// another whose range it makes larger, if the shard map has no room for one more.
+    /// Returns a move of a range of a controller that is to be drained, to the controller with
+    /// the fewest machines. If the shard map cannot hold another range, it goes to a
+    /// controller whose existing range it extends.
     fn choose_drain(&self, fleet: Fleet, transfers: &Transfers) -> Option<Candidate> {
         let counts = machine_counts(fleet, transfers);
         let least = self.least_loaded(&counts)?;
@@ -212,13 +215,13 @@
         })
     }
 
-    /// The range with the fewest machines goes back to its hash owner.
+    /// Returns the move of the range with the fewest machines back to its hash owner.
     fn choose_compaction(&self, fleet: Fleet, transfers: &Transfers) -> Option<Candidate> {
-        let live = |name: &str| fleet.members.contains(name);
-        let can_go = fleet.shard_map.ranges().filter(|(range, owner)| {
+        let is_live = |name: &str| fleet.members.contains(name);
+        let returnable = fleet.shard_map.ranges().filter(|(range, owner)| {
             let hash_owner = &range.hash_owner;
-            live(hash_owner)
-                && live(owner)
+            is_live(hash_owner)
+                && is_live(owner)
                 && !self.plan.drain.contains(hash_owner)
                 && !transfers.is_moving(range)
         });
@@ -229,7 +232,7 @@
                 .filter(|m| range.contains(&m.hash_owner, m.position))
                 .count()
         };
-        let smallest = can_go
+        let smallest = returnable
             .map(|(range, owner)| (machines_in(range), range, owner))
             .min()?;
         let (machines, range, owner) = smallest;
@@ -247,8 +250,8 @@
         })
     }
 
-    /// A hash range of the controller that owns most goes to the one that owns least, if the
-    /// difference is large.
+    /// Returns a move of a range from the controller with the most machines to the one with
+    /// the fewest, if they differ by enough.
     fn choose_balancing(&self, fleet: Fleet, transfers: &Transfers) -> Option<Candidate> {
         let counts = machine_counts(fleet, transfers);
         let target = self.least_loaded(&counts)?;
@@ -257,7 +260,7 @@
             .max_by_key(|(name, count)| (**count, (*name).clone()))?;
         let mean = counts.values().sum::<usize>() as f64 / counts.len() as f64;
         let difference = most.saturating_sub(counts[&target]);
-        // Guard: less than a whole move apart, machines would go there and back.
+        // Guard: with a difference of one machine, that machine would move back and forth.
         if (*most as f64) <= mean * (1.0 + self.limits.imbalance) || difference < 2 {
             return None;
         }
@@ -278,28 +281,30 @@
         })
     }
 
-    /// Who owns least, of those that are not to be emptied.
+    /// Returns the controller with the fewest machines that is not to be drained.
     fn least_loaded(&self, counts: &BTreeMap<String, usize>) -> Option<String> {
-        let stays = counts
+        let candidates = counts
             .iter()
             .filter(|(name, _)| !self.plan.drain.contains(name));
-        stays
+        candidates
             .min_by_key(|(name, count)| (**count, (*name).clone()))
             .map(|(name, _)| name.clone())
     }
 }
 
-/// How many machines each controller owns, or will once all transfers have ended.
+/// Returns the number of machines that each controller owns once all transfers in progress have
+/// completed.
 fn machine_counts(fleet: Fleet, transfers: &Transfers) -> BTreeMap<String, usize> {
     let mut counts: BTreeMap<String, usize> =
         fleet.members.iter().map(|name| (name.clone(), 0)).collect();
     for machine in fleet.machines {
-        let moving = transfers.under_way().find(|h| {
-            h.range_move
+        let moving = transfers.in_progress().find(|transfer| {
+            transfer
+                .range_move
                 .range
                 .contains(&machine.hash_owner, machine.position)
         });
-        let owner = moving.map_or(&machine.owner, |h| &h.range_move.target);
+        let owner = moving.map_or(&machine.owner, |transfer| &transfer.range_move.target);
         if let Some(count) = counts.get_mut(owner) {
             *count += 1;
         }
@@ -307,8 +312,9 @@
     counts
 }
 
-/// A range of one hash owner with up to `most` machines, all owned by `source` and none of them
-/// moving or in `excluded`; also how many there are in it.
+/// Returns the range with the most machines, up to `most`, whose machines all have the same
+/// hash owner and belong to `source`, and none of which is being transferred or in `excluded`;
+/// also the number of its machines.
 fn longest_owned_run(
     source: &str,
     most: usize,
@@ -318,7 +324,7 @@
 ) -> Option<(HashRange, usize)> {
     let mut sorted: Vec<&OwnedMachine> = fleet.machines.iter().collect();
     sorted.sort();
-    let stays = |machine: &OwnedMachine| {
+    let is_excluded = |machine: &OwnedMachine| {
         let at = HashRange {
             hash_owner: machine.hash_owner.clone(),
             first: machine.position,
@@ -343,8 +349,9 @@
             first,
             last: machine.position,
         };
-        let whole = !stays(machine) && fleet.shard_map.sole_owner(&range) == Some(source);
-        run = whole.then_some((range, count));
+        let is_movable =
+            !is_excluded(machine) && fleet.shard_map.sole_owner(&range) == Some(source);
+        run = is_movable.then_some((range, count));
         if let Some((range, count)) = &run {
             if best.as_ref().is_none_or(|(_, most)| count > most) {
                 best = Some((range.clone(), *count));
@@ -354,12 +361,12 @@
     best
 }
 
-/// Where a range begins that begins with a machine: right behind the machine before it, so
-/// that ranges meet and neighbours with one owner become one range.
+/// Returns the first position of a range that begins with the machine at index `at`: right
+/// after the previous machine, so that adjacent ranges with the same owner can be merged.
 fn range_start(sorted: &[&OwnedMachine], at: usize) -> HashPosition {
-    let before = at.checked_sub(1).map(|before| sorted[before]);
-    match before.filter(|before| before.hash_owner == sorted[at].hash_owner) {
-        Some(before) => before.position + 1,
+    let previous = at.checked_sub(1).map(|previous| sorted[previous]);
+    match previous.filter(|previous| previous.hash_owner == sorted[at].hash_owner) {
+        Some(previous) => previous.position + 1,
         None => 0,
     }
 }
--- a/crates/sharding/src/shard_map.rs
+++ b/crates/sharding/src/shard_map.rs
@@ -1,4 +1,4 @@
-//! The shard map: which ranges of a hash owner's machines another controller owns.
+//! The shard map: which ranges of a hash owner's machines belong to another controller.
 
 use crate::hash_position::{position, HashPosition};
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 use std::fmt;
 use thiserror::Error;
 
-/// A range of the machines of one hash owner, both ends included.
+/// A range of the machines of one hash owner, including both ends.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HashRange {
-    /// The controller that the hash names as owner of these machines.
+    /// The controller that owns these machines by the hash.
     #[serde(rename = "home")]
     pub hash_owner: String,
     /// The lowest position.
@@ -19,7 +19,7 @@
 }
 
 impl HashRange {
-    /// All machines of a hash owner.
+    /// Returns the range of all machines of a hash owner.
     pub fn whole(hash_owner: &str) -> HashRange {
         HashRange {
             hash_owner: hash_owner.into(),
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Whether a machine of hash owner `hash_owner` at `position` is in it.
+    /// Whether the range contains a machine of `hash_owner` at `position`.
     pub fn contains(&self, hash_owner: &str, position: HashPosition) -> bool {
         self.hash_owner == hash_owner && (self.first..=self.last).contains(&position)
     }
 
-    /// Whether both have positions in common.
+    /// Whether the ranges have positions in common.
     pub fn overlaps(&self, other: &HashRange) -> bool {
         self.hash_owner == other.hash_owner && self.first <= other.last && other.first <= self.last
     }
@@ -49,16 +49,17 @@
     }
 }
 
-/// Why a stored range is not used.
+/// Why a stored shard map, or a range of it, is not used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ShardMapError {
-    /// The value has not the form of a shard map.
+    /// The stored value does not have the form of a shard map.
     #[error("the table has not the form of one")]
     Malformed,
-    /// A hash range that ends before it begins, or has no position.
+    /// The entry at this index is no range: its first position is above its last, a position
+    /// is not a hexadecimal number, or a name is empty.
     #[error("share {0} of the table has no range")]
     NoRange(usize),
-    /// Two ranges claim the same positions.
+    /// Two ranges have positions in common.
     #[error("{0} and {1} overlap")]
     Overlap(HashRange, HashRange),
 }
@@ -69,11 +70,12 @@
     from = "(String, String, String, String)",
     into = "(String, String, String, String)"
 )]
+/// A range as it is stored: a JSON array of the four fields, in this order.
 struct StoredRange {
     hash_owner: String,
-    /// First position, in hex.
+    /// The first position, in hexadecimal.
     first: String,
-    /// Last position, in hex.
+    /// The last position, in hexadecimal.
     last: String,
     owner: String,
 }
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The range, unless it makes no sense.
+    /// Returns the range, or `None` if the entry is invalid.
     fn parse(&self) -> Option<HashRange> {
         let first = HashPosition::from_str_radix(&self.first, 16).ok()?;
         let last = HashPosition::from_str_radix(&self.last, 16).ok()?;
@@ -127,17 +129,18 @@
     ranges: Vec<StoredRange>,
 }
 
-/// What is owned otherwise than the hash says.
+/// The hash ranges that belong to another controller than their hash owner.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ShardMap {
-    /// Counts the changes of the shard map.
+    /// The number of changes of the shard map so far.
     pub generation: u64,
-    /// Owner of each range; no two overlap.
+    /// The owner of each range. No two ranges overlap.
     ranges: BTreeMap<HashRange, String>,
 }
 
 impl ShardMap {
-    /// Who owns a machine of hash owner `hash_owner`, if the shard map says so.
+    /// Returns the owner of a machine of `hash_owner`, or `None` if the shard map has no range
+    /// for it and the hash owner owns it.
     pub fn owner(&self, hash_owner: &str, machine: &str) -> Option<&str> {
         let position = position(machine);
         let from = HashRange {
@@ -154,8 +157,8 @@
         range.contains(hash_owner, position).then_some(owner)
     }
 
-    /// The owner of a whole range, if a single one owns all of it: the hash owner where the shard map
-    /// says nothing.
+    /// Returns the owner of a range, or `None` if several controllers own parts of it. A range
+    /// that overlaps no range of the shard map belongs to its hash owner.
     pub fn sole_owner<'a>(&'a self, range: &'a HashRange) -> Option<&'a str> {
         let mut within = self
             .ranges
@@ -170,52 +173,53 @@
         }
     }
 
-    /// All ranges, by hash owner and position.
+    /// Returns all ranges with their owners, in the order of hash owner and position.
     pub fn ranges(&self) -> impl Iterator<Item = (&HashRange, &str)> {
         self.ranges
             .iter()
             .map(|(range, owner)| (range, owner.as_str()))
     }
 
-    /// How many there are.
+    /// Returns the number of ranges.
     pub fn len(&self) -> usize {
         self.ranges.len()
     }
 
-    /// Whether the hash decides everywhere.
+    /// Whether there are no ranges: every machine belongs to its hash owner.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// The next shard map, in which `owner` owns a range. A hash owner that owns its own range
-    /// needs no entry for it; neighbours with the same owner become one.
+    /// Returns the next generation of the shard map, in which `owner` owns `range`. A range
+    /// that belongs to its hash owner has no entry, and adjacent ranges with the same owner
+    /// are merged.
     pub fn with_owner(&self, range: &HashRange, owner: &str) -> ShardMap {
         let mut next = ShardMap {
             generation: self.generation + 1,
             ranges: BTreeMap::new(),
         };
-        for (present, present_owner) in &self.ranges {
-            for rest in without(present, range) {
-                next.ranges.insert(rest, present_owner.clone());
+        for (entry, entry_owner) in &self.ranges {
+            for rest in without(entry, range) {
+                next.ranges.insert(rest, entry_owner.clone());
             }
         }
         if owner != range.hash_owner {
             next.ranges.insert(range.clone(), owner.into());
         }
-        next.merge_neighbours();
+        next.merge_adjacent();
         next
     }
 
-    fn merge_neighbours(&mut self) {
+    fn merge_adjacent(&mut self) {
         let mut merged: Vec<(HashRange, String)> = Vec::new();
         for (range, owner) in std::mem::take(&mut self.ranges) {
             match merged.last_mut() {
-                Some((before, same))
-                    if *same == owner
-                        && before.hash_owner == range.hash_owner
-                        && before.last.checked_add(1) == Some(range.first) =>
+                Some((previous, previous_owner))
+                    if *previous_owner == owner
+                        && previous.hash_owner == range.hash_owner
+                        && previous.last.checked_add(1) == Some(range.first) =>
                 {
-                    before.last = range.last;
+                    previous.last = range.last;
                 }
                 _ => merged.push((range, owner)),
             }
@@ -223,7 +227,7 @@
         self.ranges = merged.into_iter().collect();
     }
 
-    /// The shard map as it is stored.
+    /// Returns the shard map in its stored form.
     pub fn to_stored(&self) -> StoredShardMap {
         StoredShardMap {
             generation: self.generation,
@@ -235,37 +239,37 @@
         }
     }
 
-    /// Reads a stored shard map. Ranges that make no sense, or overlap, are left out: there the
-    /// hash decides.
+    /// Reads a stored shard map. Ranges that are invalid or overlap others are left out and
+    /// returned as errors: the hash owner owns their machines.
     pub fn from_stored(stored: &StoredShardMap) -> (ShardMap, Vec<ShardMapError>) {
-        let (mut good, mut errors) = (Vec::new(), Vec::new());
+        let (mut valid, mut errors) = (Vec::new(), Vec::new());
         for (n, stored_range) in stored.ranges.iter().enumerate() {
             match stored_range.parse() {
-                Some(range) => good.push((range, stored_range.owner.clone())),
+                Some(range) => valid.push((range, stored_range.owner.clone())),
                 None => errors.push(ShardMapError::NoRange(n)),
             }
         }
-        let mut table = ShardMap {
+        let mut shard_map = ShardMap {
             generation: stored.generation,
             ranges: BTreeMap::new(),
         };
-        for (n, (range, owner)) in good.iter().enumerate() {
-            let others = good.iter().enumerate().filter(|(m, _)| *m != n);
+        for (n, (range, owner)) in valid.iter().enumerate() {
+            let others = valid.iter().enumerate().filter(|(m, _)| *m != n);
             match others
                 .map(|(_, other)| &other.0)
                 .find(|other| other.overlaps(range))
             {
                 Some(other) => errors.push(ShardMapError::Overlap(range.clone(), other.clone())),
                 None => {
-                    table.ranges.insert(range.clone(), owner.clone());
+                    shard_map.ranges.insert(range.clone(), owner.clone());
                 }
             }
         }
-        (table, errors)
+        (shard_map, errors)
     }
 }
 
-/// What is left of a hash range outside a range.
+/// Returns the parts of `whole` that are outside `range`.
 fn without(whole: &HashRange, range: &HashRange) -> Vec<HashRange> {
     if !whole.overlaps(range) {
         return vec![whole.clone()];
--- a/crates/sharding/src/transfer.rs
+++ b/crates/sharding/src/transfer.rs
@@ -1,17 +1,18 @@
-//! Transfers: the steps in which a hash range moves, as the leader takes them.
+//! Transfers: the steps in which the leader moves a hash range to another controller.
 //!
 //! | state | what has happened | what ends it early |
 //! | --- | --- | --- |
-//! | offered | the leader asks the target | the target does not answer in time |
-//! | accepted | the target will take it; the source is told to stop giving orders | the source does not answer in time |
-//! | fenced | the source gives no more orders, and has told what it knows | a new epoch |
-//! | committing | the shard map's change is being written | a refusal that is certain, a new epoch |
-//! | committed | the shard map names the target, which is told what the source knew | a new epoch |
+//! | offered | the leader offers the range to the target | the target does not respond in time |
+//! | accepted | the target accepts; the source is ordered to fence the range | the source does not respond in time |
+//! | fenced | the source starts no more tasks on the machines and has reported its state | a new epoch |
+//! | committing | the change of the shard map is being written | a certain refusal, a new epoch |
+//! | committed | the shard map names the target, which receives the source's state | a new epoch |
 //!
-//! Before the shard map is written a transfer can be withdrawn, and the source goes on. Once the
-//! write has gone out it may be carried out late: then only the shard map, a certain refusal or
-//! a new epoch decides. In a new epoch every owner asks its machines under a higher token,
-//! so that whatever a transfer has reached by then is left as it is.
+//! Until the shard map is written, a transfer can be aborted and the source resumes. Once
+//! the write was sent, it may still be carried out late: then only the shard map itself, a
+//! certain refusal or a new epoch decides the outcome. In a new epoch every owner probes its
+//! machines under a higher token, so a transfer can be aborted in any state without being
+//! undone.
 
 use crate::shard_map::{HashRange, ShardMap};
 pub use crate::transfer_messages::{
@@ -23,30 +24,30 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A transfer under way.
+/// A transfer in progress.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Transfer {
-    /// What moves, from whom to whom, and why.
+    /// The range, its source and target, and why it moves.
     #[serde(flatten)]
     pub range_move: RangeMove,
-    /// How far it is.
+    /// The step that it has reached.
     pub state: TransferState,
-    /// Since when, on the leader's clock.
+    /// When it entered this state, on the leader's clock.
     #[serde(skip)]
     state_since: Seconds,
-    /// When it began.
+    /// When it began, on the leader's clock.
     #[serde(skip)]
     started_at: Seconds,
-    /// What the source knows of the machines, once it has fenced them.
+    /// The source's state of the machines, once it has fenced them.
     #[serde(skip)]
     machine_states: Vec<MachineTransferState>,
-    /// The generation of the shard map that names the target; 0 before.
+    /// The generation of the shard map that names the target; 0 until it is committed.
     #[serde(skip)]
     committed_generation: u64,
-    /// The source has let go of the machines.
+    /// Whether the source has released the machines.
     #[serde(skip)]
     source_released: bool,
-    /// The target goes on with them.
+    /// Whether the target has taken the machines over.
     #[serde(skip)]
     target_took_over: bool,
 }
@@ -54,7 +55,7 @@
 /// A change of the shard map that is to be written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardMapWrite {
-    /// The shard map from then on.
+    /// The shard map after the change.
     pub shard_map: ShardMap,
 }
 
@@ -62,39 +63,40 @@
 #[derive(Debug, Clone, Default)]
 pub struct Transfers {
     last_id: TransferId,
-    under_way: BTreeMap<TransferId, Transfer>,
+    in_progress: BTreeMap<TransferId, Transfer>,
     /// The shard map that is being written.
     writing: Option<ShardMap>,
-    /// How many ended in each way.
+    /// The number of transfers that ended, by outcome.
     pub ended: BTreeMap<TransferOutcome, u64>,
-    /// Machines that changed hands.
+    /// The number of machines in completed transfers.
     pub machines_moved: u64,
-    /// The longest time from the beginning to the end of one that moved, in seconds.
+    /// The duration of the longest completed transfer, in seconds.
     pub longest_s: f64,
 }
 
 impl Transfers {
-    /// The transfers under way.
-    pub fn under_way(&self) -> impl Iterator<Item = &Transfer> {
-        self.under_way.values()
+    /// Returns the transfers in progress.
+    pub fn in_progress(&self) -> impl Iterator<Item = &Transfer> {
+        self.in_progress.values()
     }
 
     fn in_state(&self, state: TransferState) -> Vec<TransferId> {
-        self.under_way
+        self.in_progress
             .iter()
             .filter(|(_, transfer)| transfer.state == state)
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Whether a range takes part in a transfer.
+    /// Whether part of a range is being transferred.
     pub fn is_moving(&self, range: &HashRange) -> bool {
-        self.under_way
+        self.in_progress
             .values()
             .any(|transfer| transfer.range_move.range.overlaps(range))
     }
 
-    /// Begins a transfer; false if part of the range is moving already.
+    /// Begins a transfer. Returns false, and begins none, if part of the range is being
+    /// transferred already or the source is also the target.
     pub fn begin(&mut self, range_move: RangeMove, now: Seconds) -> bool {
         if self.is_moving(&range_move.range) || range_move.source == range_move.target {
             return false;
@@ -111,14 +113,14 @@
             source_released: false,
             target_took_over: false,
         };
-        self.under_way.insert(self.last_id, transfer);
+        self.in_progress.insert(self.last_id, transfer);
         true
     }
 
-    /// The orders for a controller, all of them each time.
+    /// Returns all current orders for a controller, including those that were sent before.
     pub fn orders_for(&self, node: &str) -> Vec<TransferOrder> {
         let mut orders = Vec::new();
-        for (&id, transfer) in &self.under_way {
+        for (&id, transfer) in &self.in_progress {
             let range_move = &transfer.range_move;
             match transfer.state {
                 TransferState::Offered if range_move.target == node => {
@@ -149,7 +151,7 @@
         orders
     }
 
-    /// Applies what a controller says of its transfers.
+    /// Applies the report of a controller on its transfers.
     pub fn apply_report(&mut self, node: &str, report: TransferReport, now: Seconds) {
         for id in report.accepted {
             self.advance(
@@ -168,34 +170,35 @@
                 node,
                 now,
             ) {
-                if let Some(transfer) = self.under_way.get_mut(&id) {
+                if let Some(transfer) = self.in_progress.get_mut(&id) {
                     transfer.machine_states = machine_states;
                 }
             }
         }
         let committed = |transfer: &&mut Transfer| transfer.state == TransferState::Committed;
         for id in &report.released {
-            if let Some(transfer) = self.under_way.get_mut(id).filter(committed) {
+            if let Some(transfer) = self.in_progress.get_mut(id).filter(committed) {
                 transfer.source_released |= transfer.range_move.source == node;
             }
         }
         for id in &report.taken_over {
-            if let Some(transfer) = self.under_way.get_mut(id).filter(committed) {
+            if let Some(transfer) = self.in_progress.get_mut(id).filter(committed) {
                 transfer.target_took_over |= transfer.range_move.target == node;
             }
         }
-        // Guard: a source that has not seen the shard map yet must go on being told to give no
-        // orders.
-        let over = |(id, transfer): (&TransferId, &Transfer)| {
+        // Guard: a source that has not read the new shard map yet still needs the order to
+        // fence the range.
+        let completed = |(id, transfer): (&TransferId, &Transfer)| {
             (transfer.source_released && transfer.target_took_over).then_some(*id)
         };
-        let ids: Vec<TransferId> = self.under_way.iter().filter_map(over).collect();
+        let ids: Vec<TransferId> = self.in_progress.iter().filter_map(completed).collect();
         for id in ids {
             self.end(id, TransferOutcome::Completed, now);
         }
     }
 
-    /// Takes one step, if the transfer is in state `from` and `node` is who takes it.
+    /// Moves a transfer from state `from` to state `to`, if it is in `from` and `node` is the
+    /// side that takes this step. Returns whether it did.
     fn advance(
         &mut self,
         id: TransferId,
@@ -204,7 +207,7 @@
         node: &str,
         now: Seconds,
     ) -> bool {
-        let Some(transfer) = self.under_way.get_mut(&id) else {
+        let Some(transfer) = self.in_progress.get_mut(&id) else {
             return false;
         };
         let side = if to == TransferState::Fenced {
@@ -220,28 +223,29 @@
         true
     }
 
-    fn end(&mut self, id: TransferId, how: TransferOutcome, now: Seconds) {
-        let Some(transfer) = self.under_way.remove(&id) else {
+    fn end(&mut self, id: TransferId, outcome: TransferOutcome, now: Seconds) {
+        let Some(transfer) = self.in_progress.remove(&id) else {
             return;
         };
-        *self.ended.entry(how).or_default() += 1;
-        if how == TransferOutcome::Completed {
+        *self.ended.entry(outcome).or_default() += 1;
+        if outcome == TransferOutcome::Completed {
             self.machines_moved += transfer.machine_states.len() as u64;
             self.longest_s = self.longest_s.max(now - transfer.started_at);
         }
     }
 
-    /// Withdraws what nobody answers. Guard: not what is being written, which may be
-    /// carried out late.
-    pub fn time_out_stale(&mut self, patience: Seconds, now: Seconds) {
+    /// Ends transfers that were offered or accepted more than `timeout` ago without a response.
+    /// Guard: not those whose change is being written, since the write may still be carried
+    /// out.
+    pub fn time_out_stale(&mut self, timeout: Seconds, now: Seconds) {
         let stale = |transfer: &Transfer| {
             matches!(
                 transfer.state,
                 TransferState::Offered | TransferState::Accepted
-            ) && now - transfer.state_since > patience
+            ) && now - transfer.state_since > timeout
         };
         let ids: Vec<TransferId> = self
-            .under_way
+            .in_progress
             .iter()
             .filter(|(_, transfer)| stale(transfer))
             .map(|(id, _)| *id)
@@ -251,51 +255,53 @@
         }
     }
 
-    /// The change of the shard map that is to be written, on the condition that `present` is
-    /// the shard map still. The same one is given again until its outcome is known.
-    pub fn pending_write(&mut self, present: &ShardMap, now: Seconds) -> Option<ShardMapWrite> {
-        if let Some(table) = &self.writing {
+    /// Returns the change of the shard map that is to be written, on condition that `current`
+    /// is still the stored shard map. The same change is returned until its outcome is known.
+    pub fn pending_write(&mut self, current: &ShardMap, now: Seconds) -> Option<ShardMapWrite> {
+        if let Some(shard_map) = &self.writing {
             return Some(ShardMapWrite {
-                shard_map: table.clone(),
+                shard_map: shard_map.clone(),
             });
         }
-        let mut table = present.clone();
+        let mut next = current.clone();
         let fenced = self.in_state(TransferState::Fenced);
         if fenced.is_empty() {
             return None;
         }
         for id in fenced {
-            let Some(transfer) = self.under_way.get_mut(&id) else {
+            let Some(transfer) = self.in_progress.get_mut(&id) else {
                 continue;
             };
-            table = table.with_owner(&transfer.range_move.range, &transfer.range_move.target);
+            next = next.with_owner(&transfer.range_move.range, &transfer.range_move.target);
             transfer.state = TransferState::Committing;
             transfer.state_since = now;
         }
-        // Several moves are one change.
-        table.generation = present.generation + 1;
-        self.writing = Some(table.clone());
-        Some(ShardMapWrite { shard_map: table })
+        // Several moves are written as one change.
+        next.generation = current.generation + 1;
+        self.writing = Some(next.clone());
+        Some(ShardMapWrite { shard_map: next })
     }
 
-    /// The shard map as it is known now. What was being written is committed if it is there.
-    pub fn observe_shard_map(&mut self, present: &ShardMap, now: Seconds) {
-        if self.writing.as_ref() != Some(present) {
+    /// Applies the shard map that was read last: the transfers whose change was being written
+    /// are committed if it is the shard map that was being written.
+    pub fn observe_shard_map(&mut self, current: &ShardMap, now: Seconds) {
+        if self.writing.as_ref() != Some(current) {
             return;
         }
         self.writing = None;
         for transfer in self
-            .under_way
+            .in_progress
             .values_mut()
             .filter(|transfer| transfer.state == TransferState::Committing)
         {
             transfer.state = TransferState::Committed;
             transfer.state_since = now;
-            transfer.committed_generation = present.generation;
+            transfer.committed_generation = current.generation;
         }
     }
 
-    /// What was being written was refused for certain: the shard map, or the epoch, is another.
+    /// Ends the transfers whose change was being written, as the write was refused for
+    /// certain: the shard map or the epoch had changed.
     pub fn write_refused(&mut self, now: Seconds) {
         self.writing = None;
         for id in self.in_state(TransferState::Committing) {
@@ -303,10 +309,10 @@
         }
     }
 
-    /// A new epoch has begun, or this node no longer leads.
+    /// Ends all transfers, as a new epoch has begun or this node no longer leads.
     pub fn abort_all(&mut self, now: Seconds) {
         self.writing = None;
-        let ids: Vec<TransferId> = self.under_way.keys().copied().collect();
+        let ids: Vec<TransferId> = self.in_progress.keys().copied().collect();
         for id in ids {
             self.end(id, TransferOutcome::NewEpoch, now);
         }
--- a/crates/sharding/src/transfer_messages.rs
+++ b/crates/sharding/src/transfer_messages.rs
@@ -1,56 +1,56 @@
-//! What the leader and the two sides of a transfer tell each other. The names of serialized
-//! fields and variants are read by other versions.
+//! The messages between the leader and the two sides of a transfer. Other versions read them,
+//! so the serialized names of fields and variants must not change.
 
 use crate::shard_map::HashRange;
 use crate::transfer_state::MachineTransferState;
 use serde::{Deserialize, Serialize};
 
-/// A transfer's number, unique within its epoch.
+/// The number of a transfer, unique within its epoch.
 pub type TransferId = u64;
 
 /// Why a hash range moves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MoveReason {
-    /// An operator asked for it.
+    /// An operator requested it.
     Plan,
-    /// Its owner is to be emptied.
+    /// Its owner is being drained.
     Drain,
-    /// Its owner has far more machines than others.
+    /// Its owner has far more machines than other controllers.
     Balance,
-    /// The shard map is full: its hash owner takes the smallest range back.
+    /// The shard map is full: the hash owner of the smallest range takes that range back.
     #[serde(rename = "tidy")]
     Compact,
 }
 
-/// A move that is wanted.
+/// A move of a hash range from one controller to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeMove {
-    /// What moves; a single controller owns all of it.
+    /// The range; a single controller owns all of it.
     pub range: HashRange,
-    /// Its owner.
+    /// The controller that owns the range.
     #[serde(rename = "giver")]
     pub source: String,
-    /// Its owner to be.
+    /// The controller that takes the range over.
     #[serde(rename = "taker")]
     pub target: String,
-    /// Why.
+    /// Why it moves.
     pub reason: MoveReason,
 }
 
-/// How far a transfer is.
+/// The state of a transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TransferState {
-    /// The target is asked.
+    /// The leader offers the range to the target.
     Offered,
-    /// The source is told to stop giving orders.
+    /// The target has accepted; the leader orders the source to fence the range.
     Accepted,
-    /// The source gives no more orders.
+    /// The source has fenced the range: it starts no more tasks on these machines.
     Fenced,
-    /// The shard map's change is being written.
+    /// The change of the shard map is being written.
     Committing,
-    /// The shard map names the target.
+    /// The shard map names the target as owner.
     Committed,
 }
 
@@ -58,48 +58,50 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TransferOutcome {
-    /// The target goes on from what the source knew.
+    /// The target has taken over and continues from the state that the source sent.
     #[serde(rename = "owned")]
     Completed,
-    /// A side did not answer in time.
+    /// The target or the source did not respond in time.
     TimedOut,
-    /// The shard map was changed by somebody else.
+    /// The write of the shard map was refused, as the shard map or the epoch had changed.
     Refused,
-    /// A new epoch began.
+    /// A new epoch began, or the leader no longer leads.
     NewEpoch,
 }
 
-/// An order to one side of a transfer, repeated until it shows effect.
+/// An order of the leader to one side of a transfer. It is repeated until it has taken effect.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum TransferOrder {
-    /// To the target: will it take the range?
+    /// Asks the target whether it accepts the range.
     Offer {
         /// The transfer.
         id: TransferId,
     },
-    /// To the source: no more orders to these machines. It ends when it is no longer told.
+    /// Makes the source fence the range: it starts no more tasks on these machines. The fence
+    /// ends when the order is no longer repeated.
     Fence {
         /// The transfer.
         id: TransferId,
-        /// The machines that it moves.
+        /// The range that is transferred.
         range: HashRange,
     },
-    /// To the target: go on from this, once the shard map of that generation is seen.
+    /// Makes the target take over the machines in their reported state, once it has read the
+    /// shard map of `generation`.
     #[serde(rename = "Take")]
     TakeOver {
         /// The transfer.
         id: TransferId,
-        /// The machines that it moves.
+        /// The range that is transferred.
         range: HashRange,
-        /// The generation of the shard map that names the target.
+        /// The generation of the shard map that names the target as owner.
         generation: u64,
-        /// What the source knew of the machines.
+        /// The state of the machines when the source fenced them.
         machines: Vec<MachineTransferState>,
     },
 }
 
 impl TransferOrder {
-    /// The transfer that it is about.
+    /// Returns the transfer that the order belongs to.
     pub fn id(&self) -> TransferId {
         match self {
             TransferOrder::Offer { id }
@@ -109,26 +111,26 @@
     }
 }
 
-/// What a controller tells the leader of its transfers.
+/// The report of a controller to the leader on its transfers.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransferReport {
-    /// Offers that it accepts.
+    /// The offers that it accepts.
     #[serde(default)]
     pub accepted: Vec<TransferId>,
-    /// Ranges to whose machines it gives no orders, and what it knows of them.
+    /// The ranges that it has fenced, with its state of their machines.
     #[serde(default)]
     pub fenced: Vec<(TransferId, Vec<MachineTransferState>)>,
-    /// Ranges that it has let go of, as the shard map names their target.
+    /// The ranges that it has released, as the shard map names another owner.
     #[serde(default)]
     pub released: Vec<TransferId>,
-    /// Ranges with which it goes on.
+    /// The ranges that it has taken over.
     #[serde(default)]
     #[serde(rename = "taken")]
     pub taken_over: Vec<TransferId>,
 }
 
 impl TransferReport {
-    /// Whether there is nothing to tell.
+    /// Whether the report contains nothing.
     pub fn is_empty(&self) -> bool {
         self.accepted.is_empty()
             && self.fenced.is_empty()
--- a/crates/types/src/clock.rs
+++ b/crates/types/src/clock.rs
@@ -1,42 +1,43 @@
-//! The steady clock and the wall clock, and the margins that leases need for clock drift.
+//! The monotonic clock, the wall clock, and the margins that leases need for clock drift.
 
 use std::sync::OnceLock;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A span of time, in seconds.
+/// A duration, in seconds.
 pub type Seconds = f64;
 
-/// A point in time: seconds on the steady clock since this process first read it.
+/// A point in time: seconds on the monotonic clock since this process first read it.
 pub type Timestamp = f64;
 
-/// How much the rates of two steady clocks may differ, as the protocol states it
+/// The maximum difference between the rates of two monotonic clocks, as the protocol states it
 /// (`PROTOCOL-finchwood.md`), in seconds per second.
 pub const DRIFT: f64 = 0.0005;
 
-/// The part of [`with_drift_margin`] that does not depend on the span, in seconds.
+/// The part of the margin of [`with_drift_margin`] that does not depend on the duration, in
+/// seconds.
 const CONSTANT_MARGIN_S: Seconds = 0.2;
 
-/// The part of a lease that its holder relies on.
+/// The fraction of a lease that its holder relies on.
 const USABLE_SHARE: f64 = 0.9;
 
-/// The present time on the steady clock.
+/// Returns the current time on the monotonic clock.
 pub fn now() -> Timestamp {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed().as_secs_f64()
 }
 
-/// A point in time on both clocks, for decisions that also need the age of jobs.
+/// A point in time on both clocks, for decisions that also depend on the age of jobs.
 #[derive(Debug, Clone, Copy)]
 pub struct Moment {
-    /// The steady clock.
+    /// The time on the monotonic clock.
     pub now: Timestamp,
-    /// The wall clock, in milliseconds since the Unix epoch.
+    /// The time on the wall clock, in milliseconds since the Unix epoch.
     pub wall_clock_ms: u64,
 }
 
 impl Moment {
-    /// The present moment.
-    pub fn present() -> Moment {
+    /// Returns the current time on both clocks.
+    pub fn now() -> Moment {
         Moment {
             now: now(),
             wall_clock_ms: wall_clock_ms(),
@@ -44,21 +45,23 @@
     }
 }
 
-/// The wall clock, in milliseconds since the Unix epoch. Only for order and age.
+/// Returns the wall clock, in milliseconds since the Unix epoch. It may jump, so it only
+/// serves to order jobs and to tell their age.
 pub fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_millis() as u64)
 }
 
-/// A span in seconds that ensures, once it has passed here, that `span` has passed on
-/// every other clock: for deciding that a lease held elsewhere has expired.
+/// Extends `span` by the margin for clock drift, in seconds: once the result has passed here,
+/// `span` has passed on every other clock. Used to decide that a lease held elsewhere has
+/// expired.
 pub fn with_drift_margin(span: Seconds) -> Seconds {
     span * (1.0 + 4.0 * DRIFT) + CONSTANT_MARGIN_S
 }
 
-/// How long the holder of a lease of `span` seconds may rely on it, in seconds from the
-/// sending of the renewal.
+/// Returns how long the holder of a lease of `span` seconds may rely on it, in seconds since
+/// it sent the renewal.
 pub fn usable_lease(span: Seconds) -> Seconds {
     span * USABLE_SHARE
 }
--- a/crates/types/src/cloud.rs
+++ b/crates/types/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The messages between the cloud and controllers: catalog, rentals and machine lists.
+//! The messages between controllers and the cloud: the catalog, rentals and lists of machines.
 
 use crate::resources::Resources;
 use serde::{Deserialize, Serialize};
@@ -12,22 +12,22 @@
 pub struct MachineType {
     /// Its name.
     pub name: Arc<str>,
-    /// Processor cores.
+    /// The number of processor cores.
     pub cpus: f64,
-    /// Accelerators.
+    /// The number of accelerators.
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
-    /// Memory, in gigabytes.
+    /// The memory, in gigabytes.
     pub mem_gb: f64,
-    /// Room for images, in gigabytes.
+    /// The capacity of its image cache, in gigabytes.
     pub cache_gb: f64,
-    /// How fast it fetches images, in gigabytes a second.
+    /// The rate at which it fetches images, in gigabytes per second.
     #[serde(rename = "pull_gb_per_s")]
     pub fetch_gb_per_s: f64,
-    /// The price of an hour on demand.
+    /// The price per hour on demand.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// The price of an hour as a spot machine.
+    /// The price per hour as a spot machine.
     pub spot_price: f64,
     /// The usual time from the rental to the first heartbeat, in seconds.
     #[serde(rename = "ready_s")]
@@ -38,7 +38,7 @@
 }
 
 impl MachineType {
-    /// The resources of a machine of this type.
+    /// Returns the resources of a machine of this type.
     pub fn total(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -57,7 +57,7 @@
 }
 
 impl Catalog {
-    /// Finds a machine type by its name.
+    /// Returns the machine type of this name, if the catalog has one.
     pub fn get(&self, name: &str) -> Option<&MachineType> {
         self.types.iter().find(|t| &*t.name == name)
     }
@@ -66,7 +66,7 @@
 /// A request to rent machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RentalRequest {
-    /// The id of the request, under which it may be repeated safely.
+    /// The id of the request; repeating a request under the same id rents nothing more.
     #[serde(rename = "ask")]
     pub request: String,
     /// The name of the machine type.
@@ -83,7 +83,7 @@
     pub count: u32,
 }
 
-/// The machines of a rental, or of a deletion.
+/// The ids of machines: of a rental, or to be deleted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineIds {
     /// The machines' ids.
@@ -91,7 +91,7 @@
     pub machines: Vec<MachineId>,
 }
 
-/// A machine in the cloud's list.
+/// A machine in the cloud's list of machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// The machine's id.
@@ -119,10 +119,10 @@
 /// A page of the cloud's list of machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineListPage {
-    /// The machines of the page.
+    /// The machines on this page.
     #[serde(rename = "perches")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are more after them.
+    /// Whether more machines follow on a further page.
     #[serde(rename = "truncated", default)]
     pub more: bool,
 }
--- a/crates/types/src/finished.rs
+++ b/crates/types/src/finished.rs
@@ -43,7 +43,7 @@
         true
     }
 
-    /// The number of indices.
+    /// Returns the number of indices.
     pub fn len(&self) -> u32 {
         self.count
     }
@@ -53,7 +53,7 @@
         self.count == 0
     }
 
-    /// The highest index.
+    /// Returns the highest index, or `None` if the set is empty.
     pub fn last(&self) -> Option<u32> {
         let (position, word) = self
             .words
@@ -63,35 +63,38 @@
         Some(position as u32 * 64 + 63 - word.leading_zeros())
     }
 
-    /// All indices, in ascending order.
+    /// Returns all indices in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
-        self.words.iter().enumerate().flat_map(|(w, &bits)| {
+        self.words.iter().enumerate().flat_map(|(position, &word)| {
             (0..64u32)
-                .filter(move |b| bits >> b & 1 == 1)
-                .map(move |b| w as u32 * 64 + b)
+                .filter(move |bit| word >> bit & 1 == 1)
+                .map(move |bit| position as u32 * 64 + bit)
         })
     }
 
-    /// The `len` bits from index `from` on, in hex digits of four indices each, the lowest
-    /// index in a digit's lowest bit.
+    /// Encodes the `len` indices from `from` on as hex digits of four indices each, the lowest
+    /// index in the lowest bit of a digit.
     pub fn hex(&self, from: u32, len: u32) -> String {
         (0..len.div_ceil(TASKS_PER_DIGIT))
-            .map(|d| {
-                let digit = (0..4).fold(0u32, |acc, b| {
-                    acc | (u32::from(d * 4 + b < len && self.contains(from + d * 4 + b)) << b)
+            .map(|position| {
+                let digit = (0..4).fold(0u32, |digit, bit| {
+                    digit
+                        | (u32::from(
+                            position * 4 + bit < len && self.contains(from + position * 4 + bit),
+                        ) << bit)
                 });
                 char::from_digit(digit, 16).unwrap_or('0')
             })
             .collect()
     }
 
-    /// Adds the indices that [`TaskSet::hex`] encoded. Characters other than hex digits add
-    /// none, and neither do indices that no job has.
+    /// Adds the indices that [`TaskSet::hex`] encoded. Other characters, and indices that no
+    /// job has, add nothing.
     pub fn add_hex(&mut self, from: u32, text: &str) {
-        for (d, c) in text.chars().enumerate() {
-            let digit = c.to_digit(16).unwrap_or(0);
-            for b in (0..4u32).filter(|b| digit >> b & 1 == 1) {
-                let task = u64::from(from) + d as u64 * 4 + u64::from(b);
+        for (position, character) in text.chars().enumerate() {
+            let digit = character.to_digit(16).unwrap_or(0);
+            for bit in (0..4u32).filter(|bit| digit >> bit & 1 == 1) {
+                let task = u64::from(from) + position as u64 * 4 + u64::from(bit);
                 if task < u64::from(MAX_TASKS) {
                     self.add(task as u32);
                 }
@@ -100,24 +103,24 @@
     }
 }
 
-/// The prefix of the keys of chunks in the key-value store.
+/// The prefix of the keys under which chunks are stored in the key-value store.
 pub const FINISHED_PREFIX: &str = "fw/f/";
 
-/// The tasks that one hex digit encodes.
+/// The number of tasks that one hex digit encodes.
 const TASKS_PER_DIGIT: u32 = 4;
 
-/// The tasks of a chunk for each kilobyte of a value: half a kilobyte of hex digits.
+/// The number of tasks of a chunk per kilobyte of a value: half a kilobyte of hex digits.
 const TASKS_PER_KB: f64 = 2048.0;
 
-/// A chunk of a job's finished tasks, by the last section of its key.
+/// A chunk of a job's finished tasks, identified by the last section of its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Chunk {
-    /// `N`: the N-th of chunks whose size follows from the settings. Production writes
-    /// only these; this version writes only number 0, for jobs that fit into it, in which
-    /// case both versions write the same bytes.
+    /// `N`: the N-th of the chunks whose size follows from the settings. The version in
+    /// production writes only these; this version writes only number 0, and only for jobs that
+    /// fit into it, so that both versions write the same bytes.
     Numbered(u32),
-    /// `at/FIRST`: begins with that task, whatever the settings. Production ignores these
-    /// keys.
+    /// `at/FIRST`: the chunk that begins with that task, whatever the settings. The version in
+    /// production ignores these keys.
     StartingAt(u32),
 }
 
@@ -131,7 +134,7 @@
 }
 
 impl Chunk {
-    /// Parses the last section of a key.
+    /// Parses the last section of a key; returns `None` if it does not have the form of one.
     pub fn parse(text: &str) -> Option<Chunk> {
         match text.strip_prefix("at/") {
             Some(first) => first.parse().ok().map(Chunk::StartingAt),
@@ -139,7 +142,7 @@
         }
     }
 
-    /// The first task of the chunk; `None` if no job has such a task.
+    /// Returns the first task of the chunk, or `None` if no job has such a task.
     pub fn first_task(self, tasks_per_numbered_chunk: u32) -> Option<u32> {
         let first = match self {
             Chunk::Numbered(number) => number.checked_mul(tasks_per_numbered_chunk)?,
@@ -148,13 +151,13 @@
         (first < MAX_TASKS).then_some(first)
     }
 
-    /// The key of this chunk of a job.
+    /// Returns the key of this chunk of a job.
     pub fn key(self, job: &str) -> String {
         format!("{FINISHED_PREFIX}{job}/{self}")
     }
 }
 
-/// A chunk with the range of its tasks.
+/// A chunk and the range of tasks in it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChunkRange {
     /// The chunk.
@@ -165,7 +168,8 @@
     pub len: u32,
 }
 
-/// The chunks that contain `tasks`, of a job with `total` tasks, at `per_chunk` a chunk.
+/// Returns the chunks that contain `tasks`, of a job with `total` tasks and `per_chunk` tasks
+/// in a chunk.
 pub fn chunks_covering(tasks: &[u32], total: u32, per_chunk: u32) -> Vec<ChunkRange> {
     if total <= per_chunk {
         return vec![ChunkRange {
@@ -186,7 +190,7 @@
     numbers.into_iter().map(range).collect()
 }
 
-/// The number of tasks of one chunk, if values have at most `value_kb` kilobytes: its hex
+/// Returns the number of tasks in a chunk if values have at most `value_kb` kilobytes: the hex
 /// digits take at most half of a value.
 pub fn tasks_per_chunk(value_kb: f64) -> u32 {
     let tasks = (value_kb * TASKS_PER_KB) as u32;
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: what users submit, and what they see of it.
+//! Jobs: their specifications, as users submit them, and their states, as users see them.
 
 use crate::cloud::Catalog;
 use crate::resources::Resources;
@@ -10,10 +10,11 @@
 /// A job's id.
 pub type JobId = Arc<str>;
 
-/// The most bytes of a job id.
+/// The maximum length of a job id, in bytes.
 const MAX_JOB_ID_BYTES: usize = 64;
 
-/// Whether `id` has the form of a job id: `wk-` and ASCII letters, digits or hyphens.
+/// Whether `id` has the form of a job id: `wk-`, followed by ASCII letters, digits or hyphens,
+/// and not too long.
 pub fn valid_job_id(id: &str) -> bool {
     id.len() <= MAX_JOB_ID_BYTES
         && id.strip_prefix("wk-").is_some_and(|rest| {
@@ -21,7 +22,7 @@
         })
 }
 
-/// How a job's tasks run.
+/// The way in which the tasks of a job run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks that run to completion.
@@ -30,12 +31,12 @@
     /// Replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
-    /// Tasks that run only all together.
+    /// Tasks that only run all at the same time.
     #[serde(rename = "ensemble")]
     Gang,
 }
 
-/// The priority of a job, the highest first.
+/// The priority of a job, from the highest to the lowest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
@@ -54,13 +55,13 @@
 pub struct JobSpec {
     /// The job's id.
     pub id: JobId,
-    /// The class of jobs that it belongs to, which selects its service-level objectives.
+    /// The class of jobs that it belongs to, which determines its service-level objectives.
     #[serde(rename = "flock")]
     pub class: Arc<str>,
-    /// The team whose guarantee and limit apply.
+    /// The team whose guarantee and limit apply to it.
     #[serde(rename = "nest")]
     pub team: Arc<str>,
-    /// How its tasks run.
+    /// The way in which its tasks run.
     #[serde(rename = "shape")]
     pub job_kind: JobKind,
     /// Its priority.
@@ -69,12 +70,12 @@
     /// The number of tasks.
     #[serde(rename = "chicks")]
     pub task_count: u32,
-    /// Processor cores of each task.
+    /// The processor cores that each task needs.
     pub cpus: f64,
-    /// Accelerators of each task.
+    /// The accelerators that each task needs.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory of each task, in gigabytes.
+    /// The memory that each task needs, in gigabytes.
     pub mem_gb: f64,
     /// The name of the image.
     #[serde(rename = "egg")]
@@ -82,41 +83,42 @@
     /// The size of the image, in gigabytes.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// The machine types that the job allows; `None` for all.
+    /// The machine types that the job may run on; `None` for all.
     #[serde(rename = "breeds", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<Arc<str>>>,
-    /// The only zone that the job allows, if any.
+    /// The only zone that the job may run in; `None` for all.
     #[serde(rename = "grove", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Arc<str>>,
     /// Whether all tasks must run in one zone.
     pub one_zone: bool,
     /// Whether one zone may hold at most half of the tasks, rounded up.
     pub scatter: bool,
-    /// Whether the job allows spot machines.
+    /// Whether the job may run on spot machines.
     #[serde(rename = "windfall")]
     pub spot: bool,
     /// The user's estimate of a task's running time, in seconds; zero for services.
     #[serde(rename = "guess_s")]
     pub estimate_s: f64,
-    /// The running time between checkpoints, in seconds; zero if the task cannot save any.
+    /// The running time between checkpoints, in seconds; zero if tasks save no checkpoints.
     #[serde(rename = "molt_s")]
     pub checkpoint_s: f64,
-    /// The time to save a checkpoint, in seconds.
+    /// The time that saving a checkpoint takes, in seconds.
     #[serde(rename = "stash_s")]
     pub save_s: f64,
-    /// The time from the submission by which the job should be done, in seconds.
+    /// The time after the submission by which the job should be done, in seconds, if any.
     #[serde(rename = "dusk_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// The most tasks of a job.
+/// The maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// The time within which a job of any size should start its first task, in seconds.
+/// The time after its submission within which a job of any size should start its first task,
+/// in seconds.
 pub const FIRST_START_TARGET_S: f64 = 240.0;
-/// The time that a task must run for its start to count, in seconds.
+/// The time that a task must run for its start to count as one, in seconds.
 pub const MIN_COUNTED_RUN_S: f64 = 30.0;
 
-/// Why a submission is refused. The words go to the user.
+/// Why a submission is refused. The text is sent to the user.
 #[derive(Debug, Error)]
 pub enum JobSpecError {
     /// The body is not JSON, or a field is missing or of another type.
@@ -137,10 +139,11 @@
 }
 
 impl JobSpec {
-    /// Parses and checks a submission.
+    /// Parses and validates a submission.
     ///
     /// # Errors
-    /// The submission is malformed, or a value is out of range.
+    ///
+    /// If the submission is malformed or a value is out of range.
     pub fn parse(body: &[u8]) -> Result<JobSpec, JobSpecError> {
         let spec: JobSpec = serde_json::from_slice(body)?;
         if !valid_job_id(&spec.id) {
@@ -153,9 +156,9 @@
         Ok(spec)
     }
 
-    /// Checks that amounts are finite and not negative.
+    /// Checks that all amounts are finite and not negative.
     fn check_amounts(&self) -> Result<(), JobSpecError> {
-        // By the names that users send.
+        // The fields have the names that users send.
         let amounts = [
             ("cpus", self.cpus),
             ("accelerators", self.gpus),
@@ -174,7 +177,7 @@
         Ok(())
     }
 
-    /// The resources that each task needs.
+    /// Returns the resources that each task needs.
     pub fn task_resources(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -183,12 +186,12 @@
         }
     }
 
-    /// Whether the placement of a task depends on that of the job's other tasks.
+    /// Whether the placement of a task depends on that of other tasks of the job.
     pub fn has_coupled_tasks(&self) -> bool {
         self.one_zone || self.scatter || self.job_kind != JobKind::Array
     }
 
-    /// Whether the specification allows a machine of this type and zone, spot or not.
+    /// Whether the job may run on a machine of this type and zone, spot or not.
     pub fn allowed_on(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self
@@ -198,7 +201,7 @@
             && self.zone.as_ref().is_none_or(|only| &**only == zone)
     }
 
-    /// The number of zones that offer a machine type on which a task fits.
+    /// Returns the number of zones that offer a machine type into which a task fits.
     pub fn zones_that_fit(&self, catalog: &Catalog) -> usize {
         let types = catalog.types.iter().filter(|t| {
             self.types
@@ -212,7 +215,7 @@
         zones.collect::<BTreeSet<_>>().len()
     }
 
-    /// The most tasks of the job that one zone may hold.
+    /// Returns the maximum number of the job's tasks in one zone.
     pub fn zone_cap(&self) -> u32 {
         if self.scatter {
             self.task_count.div_ceil(2)
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,5 +1,5 @@
-//! The types that finchwood's packages share: messages, clocks, fencing tokens, and sets of
-//! finished tasks. They hold no policy.
+//! Types that finchwood's crates share: messages, clocks, fencing tokens, and sets of finished
+//! tasks. They contain no scheduling policy.
 
 #![warn(missing_docs, unreachable_pub)]
 #![warn(clippy::expect_used, clippy::panic, clippy::unwrap_used)]
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -1,29 +1,29 @@
-//! Amounts of processors, accelerators and memory.
+//! Amounts of processor cores, accelerators and memory.
 
 use crate::job::MAX_TASKS;
 use serde::{Deserialize, Serialize};
 
-/// An amount of each resource: what a machine has, or what a task needs.
+/// An amount of each resource that a machine has or a task needs.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processor cores.
+    /// The number of processor cores.
     pub cpus: f64,
-    /// Accelerators.
+    /// The number of accelerators.
     pub gpus: f64,
-    /// Memory, in gigabytes.
+    /// The memory, in gigabytes.
     #[serde(rename = "mem")]
     pub mem_gb: f64,
 }
 
-/// The tolerance of comparisons, for the rounding errors of many additions.
-const SLACK: f64 = 1e-6;
+/// The tolerance of comparisons, which absorbs the rounding errors of repeated additions.
+const TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// Whether these resources suffice for `needed`.
+    /// Whether `needed` fits into these resources.
     pub fn fits(&self, needed: &Resources) -> bool {
-        needed.cpus <= self.cpus + SLACK
-            && needed.gpus <= self.gpus + SLACK
-            && needed.mem_gb <= self.mem_gb + SLACK
+        needed.cpus <= self.cpus + TOLERANCE
+            && needed.gpus <= self.gpus + TOLERANCE
+            && needed.mem_gb <= self.mem_gb + TOLERANCE
     }
 
     /// Whether all amounts are zero.
@@ -45,7 +45,7 @@
         self.mem_gb += other.mem_gb;
     }
 
-    /// The most tasks, each of which needs `per_task`, that these resources suffice for.
+    /// Returns how many tasks that need `per_task` each fit into these resources.
     pub fn max_tasks(&self, per_task: &Resources) -> u32 {
         let mut most = f64::from(MAX_TASKS);
         for (available, needed) in [
@@ -54,7 +54,7 @@
             (self.mem_gb, per_task.mem_gb),
         ] {
             if needed > 0.0 {
-                most = most.min(((available + SLACK) / needed).floor());
+                most = most.min(((available + TOLERANCE) / needed).floor());
             }
         }
         if most <= 0.0 {
--- a/crates/types/src/task.rs
+++ b/crates/types/src/task.rs
@@ -1,4 +1,4 @@
-//! Tasks: their ids, states, and the causes of their ends.
+//! Tasks: their ids and states, and the causes of their ends.
 
 use crate::job::{valid_job_id, JobId};
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 }
 
 impl Task {
-    /// Parses `job/index`.
+    /// Parses `job/index`; returns `None` if the text does not have this form.
     pub fn parse(text: &str) -> Option<Task> {
         let (job, index) = text.rsplit_once('/')?;
         valid_job_id(job).then_some(())?;
@@ -43,14 +43,14 @@
     Running,
     /// Saving a checkpoint before it stops.
     Saving,
-    /// Ended, for a reason of [`cause`].
+    /// Ended, with one of the causes in [`cause`].
     Ended,
-    /// A state that this version does not know; such a task counts as on its machine.
+    /// A state that this version does not know; the task counts as being on its machine.
     #[serde(other)]
     Other,
 }
 
-/// Why a worker ended or refused a task. Workers may send others.
+/// Why a worker ended or refused a task. Workers may send causes that are not listed here.
 pub mod cause {
     /// Completed.
     pub const DONE: &str = "done";
@@ -64,9 +64,9 @@
     pub const BUSY: &str = "busy";
     /// Refused: no such job or task.
     pub const UNKNOWN: &str = "unknown";
-    /// Another task of the gang ended.
+    /// Stopped because another task of the gang ended.
     pub const PEERS: &str = "peers";
-    /// The gang was not complete in time.
+    /// Stopped because the gang was not complete in time.
     pub const ALONE: &str = "alone";
 }
 
@@ -82,10 +82,10 @@
     /// Its state.
     #[serde(rename = "mood")]
     pub state: TaskState,
-    /// Why it ended: one of [`cause`], or one that this version does not know.
+    /// Why it ended: one of the causes in [`cause`], or one that this version does not know.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<String>,
-    /// Whether its checkpoint was saved, once it has ended.
+    /// Whether its checkpoint was saved; only sent once the task has ended.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
--- a/crates/types/src/wire.rs
+++ b/crates/types/src/wire.rs
@@ -1,5 +1,5 @@
-//! The types that users, workers and the cloud exchange with controllers, in the field's
-//! terms. The protocol's own names stand in serde renames only.
+//! The messages that users, workers and the cloud exchange with controllers, under the usual
+//! terms of cluster scheduling. The names of the protocol appear in serde renames only.
 
 pub use crate::cloud::{
     Catalog, ListedMachine, MachineId, MachineIds, MachineListPage, MachineType, RentalRequest,
@@ -12,5 +12,5 @@
 pub use crate::task::{cause, Task, TaskReport, TaskState};
 pub use crate::worker::{Command, CommandBatch, Heartbeat, HeartbeatResponse, Redirect};
 
-/// The most bytes of the body of a request.
+/// The maximum size of a request body, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
--- a/crates/types/src/worker.rs
+++ b/crates/types/src/worker.rs
@@ -8,33 +8,35 @@
 /// A heartbeat: the periodic report of a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine's id.
+    /// The id of the machine.
     #[serde(rename = "perch")]
     pub machine: MachineId,
     /// The address at which the worker accepts commands.
     pub address: String,
-    /// The name of the machine's type.
+    /// The name of its type.
     #[serde(rename = "breed")]
     pub machine_type: Arc<str>,
-    /// The machine's zone.
+    /// Its zone.
     #[serde(rename = "grove")]
     pub zone: Arc<str>,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot machine, which the cloud may reclaim at any time.
     #[serde(rename = "windfall")]
     pub spot: bool,
     /// The worker's session; it increases each time the worker's lease expires.
     #[serde(rename = "flight")]
     pub session: u64,
-    /// The number of the message in its session: of heartbeats and of responses to commands.
+    /// The sequence number of the message in its session, which counts heartbeats and
+    /// responses to commands together.
     #[serde(rename = "chirp")]
     pub seq: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "crest")]
     pub token: u64,
-    /// The seconds until the cloud takes the machine back, once it has said so.
+    /// The time until the cloud reclaims the machine, in seconds; `None` without such a
+    /// notice.
     #[serde(rename = "warning_s", default)]
     pub reclaimed_in_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine, including ended ones that the worker may not forget yet.
     #[serde(rename = "chicks", default)]
     pub tasks: Vec<TaskReport>,
 }
@@ -43,7 +45,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "call", rename_all = "lowercase")]
 pub enum Command {
-    /// Starts a task.
+    /// Makes the worker start a task.
     Start {
         /// The task's id, as [`Task`](crate::task::Task) displays it.
         #[serde(rename = "chick")]
@@ -52,7 +54,7 @@
         #[serde(rename = "hatch")]
         attempt: u64,
     },
-    /// Stops a task.
+    /// Makes the worker stop a task.
     #[serde(rename = "halt")]
     Stop {
         /// The task's id, as [`Task`](crate::task::Task) displays it.
@@ -65,7 +67,7 @@
         #[serde(rename = "settle_s")]
         grace_s: f64,
     },
-    /// Removes an ended task from the heartbeats.
+    /// Allows the worker to remove an ended task from its heartbeats.
     #[serde(rename = "reap")]
     Forget {
         /// The task's id, as [`Task`](crate::task::Task) displays it.
@@ -77,7 +79,7 @@
     },
 }
 
-/// The response to a heartbeat.
+/// The response of a machine's owner to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     /// The fencing token of the commands.
@@ -88,13 +90,14 @@
     pub commands: Vec<Command>,
 }
 
-/// Commands that a controller sends to a worker without waiting for its heartbeat.
+/// Commands that a controller sends to a worker at once, without waiting for its next
+/// heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommandBatch {
     /// The fencing token of the commands.
     #[serde(rename = "crest")]
     pub token: u64,
-    /// The worker's session for which they are meant.
+    /// The session of the worker that they are meant for.
     #[serde(rename = "flight")]
     pub session: u64,
     /// The commands, in order.
@@ -102,10 +105,10 @@
     pub commands: Vec<Command>,
 }
 
-/// The response to a heartbeat by a controller that does not own the machine.
+/// The response to a heartbeat from a controller that does not own the machine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The address of the controller that owns the machine, if known.
+    /// The address of the controller that owns the machine, if it is known.
     #[serde(rename = "sings_to", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
--- a/src/api/command_pool.rs
+++ b/src/api/command_pool.rs
@@ -1,4 +1,4 @@
-//! The pools that send direct commands to workers.
+//! The pools of threads that send direct commands to workers.
 
 use crate::api::http_agent::{build_agent, read_body};
 use crate::api::status;
@@ -8,11 +8,11 @@
 use crate::wire::Heartbeat;
 use crossbeam::channel::{bounded, Receiver, Sender};
 
-/// How a direct command ended.
+/// The result of a direct command.
 pub struct CommandResult {
     /// The command.
     pub command: DirectCommand,
-    /// The worker's report; `None` if it did not answer or the command was not sent.
+    /// The worker's report; `None` if it did not respond or the command was not sent.
     pub response: Option<Heartbeat>,
 }
 
@@ -23,9 +23,9 @@
 
 /// A pool of threads that send direct commands, one at a time to each of many machines.
 ///
-/// It starts threads as needed up to its capacity, and accepts no more commands than
-/// that: the caller retries the rest in its next round. The threads are detached, and end
-/// when the pool is dropped or nobody takes their results.
+/// The pool starts threads as needed, up to its capacity, and accepts no more commands than
+/// that at a time: the caller retries the rest in its next round. The threads are detached,
+/// and end when the pool is dropped or `on_completed` returns false.
 pub struct CommandPool {
     queue: Sender<QueuedCommand>,
     capacity: usize,
@@ -35,8 +35,8 @@
 }
 
 impl CommandPool {
-    /// A pool without threads yet. `timeout` bounds each request, in seconds;
-    /// `on_completed` takes the results, and returns false when nobody wants more.
+    /// Creates a pool without threads. `timeout` limits the duration of each request, in
+    /// seconds; `on_completed` takes the results, and returns false once no more are wanted.
     pub fn new<F>(
         name: &'static str,
         capacity: usize,
@@ -51,7 +51,7 @@
         let start_thread = move |index: usize| {
             let (inbox, agent, on_completed) = (inbox.clone(), agent.clone(), on_completed.clone());
             spawn_detached(&format!("{name}-{index}"), move || {
-                send_all(&inbox, &agent, on_completed);
+                send_queued(&inbox, &agent, on_completed);
             });
         };
         CommandPool {
@@ -63,17 +63,17 @@
         }
     }
 
-    /// How many more commands it accepts now.
+    /// Returns how many more commands the pool accepts now.
     pub fn available(&self) -> usize {
         self.capacity - self.outstanding
     }
 
-    /// Sends a command, unless `deadline`, the end of this controller's right to command,
-    /// has passed by then.
+    /// Queues a command. It is not sent if its turn comes after `deadline`, when this
+    /// controller may no longer command machines.
     ///
     /// # Errors
     ///
-    /// Hands the command back if the pool is full.
+    /// Returns the command if the pool is full.
     pub fn send(&mut self, command: DirectCommand, deadline: Seconds) -> Result<(), DirectCommand> {
         if self.outstanding >= self.threads && self.threads < self.capacity {
             (self.start_thread)(self.threads);
@@ -86,13 +86,13 @@
         Ok(())
     }
 
-    /// Records that one of its commands has ended.
+    /// Records that the result of one command was received.
     pub fn record_completion(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 }
 
-fn send_all<F>(inbox: &Receiver<QueuedCommand>, agent: &ureq::Agent, on_completed: F)
+fn send_queued<F>(inbox: &Receiver<QueuedCommand>, agent: &ureq::Agent, on_completed: F)
 where
     F: Fn(CommandResult) -> bool,
 {
--- a/src/api/connection.rs
+++ b/src/api/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: the bytes received and to be sent, and its deadlines.
+//! A connection of a client: the bytes received and to be sent, and its timeouts.
 
 use crate::api::http_request::{read_request, HttpRequest, Progress, HEAD_LIMIT};
 use crate::api::responder::Response;
@@ -6,14 +6,15 @@
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
 
-/// An incomplete request, or a response that the client does not read, is given up
-/// after this long: as long as users wait for a response.
+/// The timeout for receiving a complete request, and for a client to read its response, in
+/// seconds: as long as users wait for a response.
 const STALLED_S: Seconds = 5.0;
-/// A connection without requests is closed after this long.
+/// The time after which a connection without requests is closed, in seconds.
 const IDLE_S: Seconds = 300.0;
-/// A connection without requests for this long may be closed in favour of a new one.
+/// The time after which a connection without requests may be closed in favour of a new one, in
+/// seconds.
 const REPLACEABLE_S: Seconds = 1.0;
-/// What an empty input buffer may keep of its memory, in bytes.
+/// The most memory that an empty input buffer keeps allocated, in bytes.
 const KEPT_INPUT_BYTES: usize = 1024;
 
 /// Whether a connection can still be used.
@@ -23,11 +24,11 @@
     Closed,
 }
 
-/// What a connection's input holds.
+/// The next request in the input of a connection.
 pub(super) enum NextRequest {
-    /// No complete request, or the previous one is still being answered.
+    /// There is no complete request, or the previous one is still being answered.
     None,
-    /// A request that can't be read, to be answered with this status.
+    /// The input is malformed, and requires a response with this status.
     Malformed(u16),
     Complete(HttpRequest),
 }
@@ -37,12 +38,13 @@
     pub(super) generation: u64,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// How much of the output was sent, in bytes.
+    /// The number of bytes of the output that were sent.
     written: usize,
-    /// A request awaits its response.
+    /// Whether a request awaits its response.
     awaiting_response: bool,
     close_after_response: bool,
-    /// When bytes, a request or a response last made progress here.
+    /// When the connection last made progress: began to receive a request, completed one, or
+    /// sent bytes of a response.
     last_progress_at: Seconds,
 }
 
@@ -64,15 +66,15 @@
         self.awaiting_response
     }
 
-    /// Since when the connection has been without a request, if for long enough that it
-    /// may be closed in favour of a new one.
+    /// Returns since when the connection has been idle, if it has been for long enough to be
+    /// closed in favour of a new one.
     pub(super) fn replaceable_since(&self, now: Seconds) -> Option<Seconds> {
         let idle = !self.awaiting_response && self.input.is_empty() && self.output.is_empty();
         let replaceable = idle && now - self.last_progress_at > REPLACEABLE_S;
         replaceable.then_some(self.last_progress_at)
     }
 
-    /// The client has stalled or has been idle for too long.
+    /// Whether the client has stalled or has been idle for too long.
     pub(super) fn is_expired(&self, now: Seconds) -> bool {
         let age = now - self.last_progress_at;
         let receiving = !self.input.is_empty() && !self.awaiting_response;
@@ -81,9 +83,9 @@
         stalled || !self.awaiting_response && age > IDLE_S
     }
 
-    /// Receives all bytes that have arrived. Much more than one request of at most
-    /// `body_limit` bytes ends the connection: no client of the protocol sends that
-    /// without waiting for a response.
+    /// Receives all bytes that have arrived. A client that sends much more than one request of
+    /// at most `body_limit` bytes is disconnected: no client of the protocol does so without
+    /// waiting for a response.
     pub(super) fn receive(&mut self, body_limit: usize, now: Seconds) -> ConnectionState {
         let input_limit = (HEAD_LIMIT + body_limit) * 2;
         let mut buffer = [0u8; 16 * 1024];
@@ -151,7 +153,7 @@
         self.flush(now)
     }
 
-    /// Sends what the socket takes of the output.
+    /// Sends as much of the output as the socket accepts.
     pub(super) fn flush(&mut self, now: Seconds) -> ConnectionState {
         while self.written < self.output.len() {
             match self.stream.write(&self.output[self.written..]) {
--- a/src/api/http_agent.rs
+++ b/src/api/http_agent.rs
@@ -1,15 +1,15 @@
-//! What the pools that send requests to workers and controllers share.
+//! HTTP client code shared by the pools that send requests to workers and other controllers.
 
 use crate::clock::Seconds;
 use crate::wire::BODY_LIMIT;
 use std::io::Read;
 use std::time::Duration;
 
-/// The most bytes of a response's body that are read.
+/// The maximum number of bytes that are read of a response body.
 const MAX_RESPONSE_BYTES: u64 = 4 * BODY_LIMIT as u64;
 
-/// An HTTP agent for a pool: `timeout` bounds each request as a whole, in seconds, and up
-/// to `idle` connections are kept open for reuse.
+/// Creates the HTTP agent of a pool. `timeout` limits the duration of each request as a whole,
+/// in seconds; up to `idle` connections are kept open for reuse.
 pub(super) fn build_agent(timeout: Seconds, idle: usize, idle_per_host: usize) -> ureq::Agent {
     let timeout = Duration::from_secs_f64(timeout);
     ureq::AgentBuilder::new()
@@ -21,8 +21,8 @@
         .build()
 }
 
-/// The body of a response. One that breaks off is returned as far as it was received:
-/// whoever decodes it notices.
+/// Reads the body of a response. If the connection breaks, the part that was received is
+/// returned, and the caller fails to decode it.
 pub(super) fn read_body(response: ureq::Response) -> Vec<u8> {
     let mut body = Vec::new();
     let _ = response
--- a/src/api/http_request.rs
+++ b/src/api/http_request.rs
@@ -3,9 +3,9 @@
 use crate::api::status;
 use std::ops::Range;
 
-/// The largest head of a request, in bytes.
+/// The maximum size of the head of a request, in bytes.
 pub(crate) const HEAD_LIMIT: usize = 16 * 1024;
-/// The most headers of a request.
+/// The maximum number of headers of a request.
 const MAX_HEADERS: usize = 48;
 /// The length of the line break that ends a chunk, in bytes.
 const CHUNK_END_LENGTH: usize = 2;
@@ -15,26 +15,26 @@
 pub struct HttpRequest {
     /// The method, such as `GET`.
     pub method: String,
-    /// The path, without what follows a question mark.
+    /// The path, without the query string.
     pub path: String,
-    /// The body, without the framing of chunks.
+    /// The body; if it was sent in chunks, without their framing.
     pub body: Vec<u8>,
 }
 
-/// How much of a request has been received.
+/// The result of parsing the bytes received so far.
 #[derive(Debug)]
 pub enum Progress {
-    /// More bytes are needed.
+    /// The request is incomplete: more bytes are needed.
     Incomplete,
-    /// It can't be read, and is to be answered with this status.
+    /// The request is malformed, and requires a response with this status.
     Malformed(u16),
-    /// All of it.
+    /// The request is complete.
     Complete {
         /// The request.
         request: HttpRequest,
-        /// How many bytes of the input it took.
+        /// The number of bytes of the input that it occupies.
         used: usize,
-        /// The client expects the connection to be closed after the response.
+        /// Whether the connection has to be closed after the response.
         last: bool,
     },
 }
@@ -45,13 +45,13 @@
     Malformed,
 }
 
-/// A body and how many bytes of the input it took.
+/// A body, and the number of bytes of the input that it occupies.
 struct Body {
     bytes: Vec<u8>,
     used: usize,
 }
 
-/// Parses the request at the beginning of `input`; its body may have up to `body_limit`
+/// Parses the request at the beginning of `input`, whose body may have up to `body_limit`
 /// bytes.
 pub fn read_request(input: &[u8], body_limit: usize) -> Progress {
     match parse_request(input, body_limit) {
@@ -88,7 +88,8 @@
     path.split('?').next().unwrap_or_default()
 }
 
-/// HTTP/1.0 closes connections unless the client asks to keep them.
+/// Whether the connection is closed after the response. HTTP/1.0 closes connections unless the
+/// client asks to keep them.
 fn closes_connection(head: &httparse::Request) -> bool {
     let http_1_0 = head.version == Some(0);
     header_is(head, "Connection", "close")
@@ -138,8 +139,8 @@
     }
 }
 
-/// Where the content of the chunk that starts at `start` stands in the input. The last
-/// chunk is empty.
+/// Returns the range of the input with the content of the chunk at `start`. The last chunk is
+/// empty.
 fn parse_chunk(input: &[u8], start: usize, limit: usize) -> Result<Range<usize>, ParseError> {
     let (head_length, size) = match httparse::parse_chunk_size(&input[start..]) {
         Ok(httparse::Status::Complete(parsed)) => parsed,
--- a/src/api/listeners.rs
+++ b/src/api/listeners.rs
@@ -1,5 +1,5 @@
-//! The two listeners of a controller: one for users and workers, one for the other
-//! controllers and operators.
+//! The two listeners of a controller: the public one for users and workers, and the internal
+//! one for other controllers and operators.
 
 use crate::api::http_request::HttpRequest;
 use crate::api::responder::Responder;
@@ -9,10 +9,10 @@
 use crate::wire::BODY_LIMIT;
 use std::io;
 
-/// The fewest connections that a listener accepts, however few the settings allow.
+/// The minimum number of connections that a listener accepts, however few the settings allow.
 const MIN_CONNECTIONS: usize = 8;
 
-/// One of the two listeners.
+/// A listener of a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listener {
     /// For users and workers.
@@ -22,7 +22,7 @@
 }
 
 impl Listener {
-    /// Both of them.
+    /// All listeners.
     pub const ALL: [Listener; 2] = [Listener::Public, Listener::Internal];
 
     fn thread_name(self) -> &'static str {
@@ -32,8 +32,9 @@
         }
     }
 
-    /// Three quarters of the process's sockets serve clients from outside, a tenth the
-    /// other controllers; the rest is for what this controller requests of others.
+    /// Returns the limits of this listener. Of the sockets that the process may open, three
+    /// quarters are for public clients and a tenth for the internal listener; the rest is for
+    /// requests that this controller sends.
     fn limits(self, settings: &Settings) -> Limits {
         let sockets = settings.params.machine_limits.max_connections;
         let (connections, body) = match self {
@@ -57,8 +58,8 @@
     }
 }
 
-/// Starts a listener that hands each valid request to `on_request`, and refuses the
-/// others itself.
+/// Starts a listener that passes each valid request to `on_request` and refuses the others
+/// itself.
 ///
 /// # Errors
 ///
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,9 +1,9 @@
-//! The interface of a controller to users, workers, other controllers and operators.
+//! The HTTP interface of a controller to users, workers, other controllers and operators.
 //!
-//! Inbound: [`listeners`] opens the sockets, [`server`] speaks HTTP/1.1 on them, [`routes`]
-//! turns requests into [`routes::Request`]s, and a [`responder::Responder`] carries each
-//! response back. Outbound: [`relay_pool`] relays heartbeats to their owner, and
-//! [`command_pool`] sends direct commands to workers.
+//! Inbound: [`listeners`] opens the sockets, [`server`] serves HTTP/1.1 on them, [`routes`]
+//! turns HTTP requests into [`routes::Request`]s, and a [`responder::Responder`] returns the
+//! response to the connection. Outbound: [`relay_pool`] relays heartbeats to the controllers
+//! that own their machines, and [`command_pool`] sends direct commands to workers.
 
 pub mod command_pool;
 mod connection;
--- a/src/api/published_report.rs
+++ b/src/api/published_report.rs
@@ -1,4 +1,4 @@
-//! Reports that the controller's event loop publishes, and the listeners hand out.
+//! Reports that the event loop of the controller publishes, and that the listeners serve.
 
 use crate::api::responder::Responder;
 use crate::api::status;
@@ -6,13 +6,13 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// When a client is told to retry if there is no report yet, in seconds.
+/// The delay after which a client may retry if there is no report yet, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// The report that was published last; clones share it.
+/// The report that was last published. Clones share it.
 ///
-/// Requests for it are answered from here by the listener's thread, so that they cost the
-/// controller's event loop nothing, change nothing, and are answered while it is busy.
+/// The listener's thread responds to requests for it from here. Such requests cost the event loop
+/// of the controller nothing, change nothing, and get a response even while it is busy.
 #[derive(Debug)]
 pub struct PublishedReport<T> {
     feature: &'static str,
@@ -31,7 +31,7 @@
 }
 
 impl<T: Serialize> PublishedReport<T> {
-    /// No report yet, of a feature that is enabled or not.
+    /// Creates a publisher without a report. `enabled` says whether `feature` is enabled.
     pub fn new(feature: &'static str, enabled: bool) -> PublishedReport<T> {
         PublishedReport {
             feature,
@@ -40,16 +40,16 @@
         }
     }
 
-    /// Replaces the report that was published before.
+    /// Replaces the last report.
     pub fn publish(&self, report: T) {
         self.report.store(Some(Arc::new(report)));
     }
 
-    /// Sends the report, or why there is none.
-    pub fn answer(&self, responder: Responder) {
+    /// Sends the report, or an error if there is none.
+    pub fn respond(&self, responder: Responder) {
         if !self.enabled {
-            let why = format!("the part {} is not switched on", self.feature);
-            return responder.send_error(status::NOT_FOUND, &why);
+            let message = format!("the part {} is not switched on", self.feature);
+            return responder.send_error(status::NOT_FOUND, &message);
         }
         match self.report.load_full() {
             Some(report) => {
--- a/src/api/relay_pool.rs
+++ b/src/api/relay_pool.rs
@@ -1,4 +1,4 @@
-//! The pools that relay heartbeats to the controllers that own their machines.
+//! The pools of threads that relay heartbeats to the controllers that own their machines.
 
 use crate::api::http_agent::{build_agent, read_body};
 use crate::api::responder::Responder;
@@ -8,27 +8,27 @@
 use crossbeam::channel::{bounded, Receiver, Sender};
 use std::net::SocketAddr;
 
-/// How many heartbeats may wait for each thread of a pool.
+/// The number of heartbeats that may be queued for each thread of a pool.
 const QUEUED_PER_THREAD: usize = 16;
-/// When a worker is told to retry if its heartbeat could not be relayed, in seconds.
+/// The delay after which a worker may retry a heartbeat that was not relayed, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// A heartbeat to be relayed to its owner.
+/// A heartbeat to be relayed to the owner of its machine.
 pub struct RelayedHeartbeat {
     /// The body as the worker sent it.
     pub body: Vec<u8>,
-    /// Where the owner's response goes.
+    /// Receives the owner's response.
     pub responder: Responder,
-    /// When the worker will have given up.
+    /// The time at which the worker stops waiting for a response.
     pub deadline: Seconds,
 }
 
-/// Starts the pool that relays heartbeats to the controller at `owner`, and passes its
-/// responses on, whatever they are. Each controller has a pool of its own: one that hangs
-/// must not hold up the heartbeats that belong to the others.
+/// Starts the pool that relays heartbeats to the controller at `owner` and passes its
+/// responses on unchanged. Each controller has a pool of its own, so that one that hangs does
+/// not delay the heartbeats for the others.
 ///
-/// `timeout` bounds each request, in seconds. The threads are detached, and end when the
-/// returned sender is dropped.
+/// `timeout` limits the duration of each request, in seconds. The threads are detached, and
+/// end when the returned sender is dropped.
 pub fn start_relay_pool(
     owner: SocketAddr,
     threads: usize,
@@ -39,13 +39,13 @@
     for index in 0..threads {
         let (inbox, agent) = (inbox.clone(), agent.clone());
         spawn_detached(&format!("relay-{index}"), move || {
-            relay_all(&inbox, &agent, owner);
+            relay_queued(&inbox, &agent, owner);
         });
     }
     queue
 }
 
-fn relay_all(inbox: &Receiver<RelayedHeartbeat>, agent: &ureq::Agent, owner: SocketAddr) {
+fn relay_queued(inbox: &Receiver<RelayedHeartbeat>, agent: &ureq::Agent, owner: SocketAddr) {
     while let Ok(heartbeat) = inbox.recv() {
         relay(heartbeat, agent, owner);
     }
@@ -64,6 +64,6 @@
     }
 }
 
-fn refuse(responder: Responder, why: &str) {
-    responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, why);
+fn refuse(responder: Responder, message: &str) {
+    responder.retry_later(status::SERVICE_UNAVAILABLE, RETRY_AFTER_S, message);
 }
--- a/src/api/responder.rs
+++ b/src/api/responder.rs
@@ -1,4 +1,4 @@
-//! How responses get back to the connections that wait for them.
+//! Returns responses to the connections that wait for them.
 
 use crate::api::status::{self, reason_phrase};
 use crate::clock::Seconds;
@@ -7,39 +7,41 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// When a client is told to retry if its request was dropped, in seconds.
+/// The delay after which a client may retry a request that was dropped, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// A connection, told apart from earlier ones in the same slot by its generation.
+/// The identity of a connection. The generation distinguishes it from earlier connections in
+/// the same slot.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ConnectionId {
     pub(super) slot: usize,
     pub(super) generation: u64,
 }
 
-/// A response on its way to its connection.
+/// A response to be sent on its connection.
 pub(super) struct Response {
     pub(super) connection: ConnectionId,
     status: u16,
     body: Vec<u8>,
     retry_after_s: Option<u32>,
-    /// It is only true, or allowed, before then.
+    /// The time from which the response is no longer valid and must not be sent; `None` if
+    /// never.
     pub(super) deadline: Option<Seconds>,
 }
 
 impl Response {
-    /// A response with an error as its body.
-    pub(super) fn error(connection: ConnectionId, status: u16, why: &str) -> Response {
+    /// Creates a response whose body is an error message.
+    pub(super) fn error(connection: ConnectionId, status: u16, message: &str) -> Response {
         Response {
             connection,
             status,
-            body: error_body(why),
+            body: error_body(message),
             retry_after_s: None,
             deadline: None,
         }
     }
 
-    /// The response to a request whose own response came too late.
+    /// Creates the response that replaces one whose deadline has passed.
     pub(super) fn too_late(connection: ConnectionId) -> Response {
         Response {
             retry_after_s: Some(RETRY_AFTER_S),
@@ -47,7 +49,7 @@
         }
     }
 
-    /// The bytes that are sent; `close` announces that the connection ends with them.
+    /// Serializes the response. `close` announces that the connection is closed after it.
     pub(super) fn into_bytes(self, close: bool) -> Vec<u8> {
         let mut head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
@@ -68,17 +70,17 @@
     }
 }
 
-/// The way from responders to the server's event loop.
+/// The queue of responses from the responders to the event loop of the server.
 #[derive(Clone)]
 pub(super) struct ResponseQueue {
     responses: Sender<Response>,
     waker: Arc<Waker>,
-    /// The event loop has been woken, and has not looked at the queue since.
+    /// Whether the event loop was woken and has not drained the queue since.
     woken: Arc<AtomicBool>,
 }
 
 impl ResponseQueue {
-    /// A queue in front of `responses`, whose receiver `waker` wakes.
+    /// Creates the queue. `waker` wakes the event loop that receives the responses.
     pub(super) fn new(responses: Sender<Response>, waker: Waker) -> ResponseQueue {
         ResponseQueue {
             responses,
@@ -87,13 +89,15 @@
         }
     }
 
-    /// To be called before the queue is drained: later responses wake the loop again.
+    /// Must be called before the queue is drained, so that responses that are pushed later
+    /// wake the event loop again.
     pub(super) fn reset_wakeup(&self) {
         self.woken.store(false, Ordering::SeqCst);
     }
 
     fn push(&self, response: Response) {
-        // As many fit as there are connections, and each awaits one.
+        // The queue has the capacity for one response per connection, and each connection
+        // awaits only one.
         let queued = self.responses.try_send(response).is_ok();
         if queued && !self.woken.swap(true, Ordering::SeqCst) {
             let _ = self.waker.wake();
@@ -101,11 +105,11 @@
     }
 }
 
-/// Sends the response to one request, at most once. If it is dropped without one, the
-/// client gets a 503 and may retry.
+/// Sends the response to one request, at most once. If it is dropped without a response, the
+/// client gets status 503 and may retry.
 pub struct Responder {
     connection: ConnectionId,
-    /// `None` once the response was sent.
+    /// `None` once the response is sent.
     queue: Option<ResponseQueue>,
 }
 
@@ -122,20 +126,21 @@
         self.finish(status, body, None, None);
     }
 
-    /// Sends the response if its bytes go out before `deadline`: a process may be paused
-    /// between deciding and sending. Later it is a 503.
+    /// Sends the response if its bytes are sent before `deadline`, and status 503 otherwise:
+    /// the process may be paused between the decision and the sending.
     pub fn send_until(mut self, status: u16, body: Vec<u8>, deadline: Seconds) {
         self.finish(status, body, None, Some(deadline));
     }
 
-    /// Refuses the request for good.
-    pub fn send_error(mut self, status: u16, why: &str) {
-        self.finish(status, error_body(why), None, None);
+    /// Refuses the request permanently.
+    pub fn send_error(mut self, status: u16, message: &str) {
+        self.finish(status, error_body(message), None, None);
     }
 
-    /// Refuses the request for now, and tells the client to retry after so many seconds.
-    pub fn retry_later(mut self, status: u16, retry_after_s: u32, why: &str) {
-        self.finish(status, error_body(why), Some(retry_after_s), None);
+    /// Refuses the request for now, and tells the client to retry after `retry_after_s`
+    /// seconds.
+    pub fn retry_later(mut self, status: u16, retry_after_s: u32, message: &str) {
+        self.finish(status, error_body(message), Some(retry_after_s), None);
     }
 
     fn finish(
@@ -167,7 +172,7 @@
     }
 }
 
-/// A JSON body that says what went wrong.
-pub fn error_body(why: &str) -> Vec<u8> {
-    serde_json::to_vec(&serde_json::json!({ "error": why })).unwrap_or_default()
+/// Returns a JSON body with an error message.
+pub fn error_body(message: &str) -> Vec<u8> {
+    serde_json::to_vec(&serde_json::json!({ "error": message })).unwrap_or_default()
 }
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -1,5 +1,5 @@
-//! The routes: how an HTTP request becomes a [`Request`], and what is answered if it
-//! can't.
+//! The routes: how an HTTP request becomes a [`Request`], and which error the client gets if
+//! it can't.
 
 use crate::api::http_request::HttpRequest;
 use crate::api::status;
@@ -8,11 +8,11 @@
 use finchwood_sharding::plan::Plan;
 use thiserror::Error;
 
-/// The collection of jobs.
+/// The path of the collection of jobs.
 const JOBS_PATH: &str = "/v2/runs";
-/// What precedes the id in the path of one job.
+/// The part before the job id in the path of a job.
 const JOB_PREFIX: &str = "/v2/runs/";
-/// What follows the id in the path that cancels a job.
+/// The part after the job id in the path that cancels a job.
 const CANCEL_SUFFIX: &str = "/withdraw";
 
 /// A request to the controller.
@@ -24,50 +24,50 @@
     Query(String),
     /// A user cancels the job with this id.
     Cancel(String),
-    /// Whether the controller is ready to serve users.
+    /// A client asks whether the controller is ready to serve users.
     HealthCheck,
     /// A worker reports the state of its machine and tasks.
     Heartbeat {
         /// The decoded report.
         report: Box<Heartbeat>,
-        /// The body as it was received, for relaying it unchanged.
+        /// The body as it was received, so that it can be relayed unchanged.
         body: Vec<u8>,
-        /// Another controller relayed it.
+        /// Whether another controller relayed it.
         relayed: bool,
     },
     /// A message from another controller.
     Peer(Box<Envelope>),
-    /// Operators ask what the last restart or takeover found.
+    /// An operator asks what the controller found at its last restart or takeover.
     RestartReport,
-    /// Operators ask for the shard map and the transfers under way.
+    /// An operator asks for the shard map and the transfers in progress.
     ShardMapReport,
-    /// Operators submit a plan of transfers.
+    /// An operator submits a plan of transfers.
     ShardMapPlan(Plan),
 }
 
-/// Why a request is refused before it reaches the controller. The text of each is the
-/// error that the client reads.
+/// Why a request is refused before it reaches the controller. The error text is sent to the
+/// client.
 #[derive(Debug, Error)]
 pub enum RouteError {
-    /// No such path, or not with this method.
+    /// The path is unknown, or does not support this method.
     #[error("no such thing")]
     UnknownRoute,
-    /// The body is no message between controllers.
+    /// The body is not a message of another controller.
     #[error("not a message")]
     MalformedEnvelope,
-    /// The body is no plan of transfers.
+    /// The body is not a plan of transfers.
     #[error("plan: {0}")]
     MalformedPlan(#[source] serde_json::Error),
-    /// The body is no valid job.
+    /// The body is not a valid job specification.
     #[error(transparent)]
     InvalidJob(#[from] JobSpecError),
-    /// The body is no heartbeat.
+    /// The body is not a heartbeat.
     #[error("{0}")]
     MalformedHeartbeat(#[source] serde_json::Error),
 }
 
 impl RouteError {
-    /// The status code of the response.
+    /// Returns the status code of the response.
     pub fn status(&self) -> u16 {
         match self {
             RouteError::UnknownRoute => status::NOT_FOUND,
@@ -79,11 +79,11 @@
     }
 }
 
-/// Routes a request of a user or worker.
+/// Parses a request on the public listener, from a user or worker.
 ///
 /// # Errors
 ///
-/// If the route is unknown or the body malformed.
+/// If the route is unknown or the body is malformed.
 pub fn parse_public(request: HttpRequest) -> Result<Request, RouteError> {
     match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/up") => Ok(Request::HealthCheck),
@@ -93,14 +93,14 @@
     }
 }
 
-/// Routes a request of another controller or an operator.
+/// Parses a request on the internal listener, from another controller or an operator.
 ///
 /// # Errors
 ///
-/// If the route is unknown or the body malformed.
+/// If the route is unknown or the body is malformed.
 pub fn parse_internal(request: HttpRequest) -> Result<Request, RouteError> {
     match (request.method.as_str(), request.path.as_str()) {
-        // Accepted with any method.
+        // These two are accepted with any method.
         (_, "/peer") => parse_envelope(&request.body),
         (_, "/relay") => parse_heartbeat(request.body, true),
         ("GET", "/restart") => Ok(Request::RestartReport),
@@ -138,7 +138,7 @@
 
 fn parse_heartbeat(body: Vec<u8>, relayed: bool) -> Result<Request, RouteError> {
     let report = serde_json::from_slice::<Heartbeat>(&body).map_err(|error| {
-        tracing::warn!(%error, "malformed heartbeat");
+        tracing::warn!(%error, "rejected a malformed heartbeat");
         RouteError::MalformedHeartbeat(error)
     })?;
     Ok(Request::Heartbeat {
